--- a/crates/ashctl/src/args.rs
+++ b/crates/ashctl/src/args.rs
@@ -5,7 +5,7 @@
 
 use eyre::{Result, WrapErr, bail, eyre};
 use lexopt::prelude::*;
-use operator::Operator;
+use operator::OperatorClient;
 
 const HELP: &str = "\
 usage: ashctl [OPTIONS] VERB
@@ -46,7 +46,7 @@
 exit codes: 0 done, 1 refused, 2 wrong call or no box, 3 not known";
 
 /// What to do.
-pub enum Verb {
+pub enum Command {
     /// Show the table.
     Show,
     /// List the columns.
@@ -80,9 +80,9 @@
 /// The whole command line.
 pub struct Args {
     /// Verb with its words.
-    pub verb: Verb,
+    pub command: Command,
     /// Operators' port.
-    pub addr: String,
+    pub box_addr: String,
     /// Operators' credential.
     pub credential: String,
     /// JSON output.
@@ -90,7 +90,7 @@
     /// Wait until an edit is in force.
     pub wait: bool,
     /// How long.
-    pub wait_time: Duration,
+    pub wait_timeout: Duration,
     /// Operator.
     pub who: String,
     /// Id of the edit.
@@ -104,13 +104,13 @@
     /// Only this upstream.
     pub upstream: Option<String>,
     /// Only the last so many milliseconds.
-    pub last: Option<u64>,
+    pub last_ms: Option<u64>,
 }
 
 impl Args {
     /// The box given.
-    pub fn operator(&self) -> Operator {
-        Operator::new(&self.addr, &self.credential)
+    pub fn operator(&self) -> OperatorClient {
+        OperatorClient::new(&self.box_addr, &self.credential)
     }
 }
 
@@ -118,37 +118,37 @@
 pub fn parse() -> Result<Args> {
     let env = |name: &str| std::env::var(name).unwrap_or_default();
     let mut args = Args {
-        verb: Verb::Show,
-        addr: env("ASHCTL_BOX"),
+        command: Command::Show,
+        box_addr: env("ASHCTL_BOX"),
         credential: env("ASHCTL_CREDENTIAL"),
         json: false,
         wait: false,
-        wait_time: Duration::from_secs(10),
+        wait_timeout: Duration::from_secs(10),
         who: env("USER"),
         id: None,
         seen: None,
         base: None,
         request: None,
         upstream: None,
-        last: None,
+        last_ms: None,
     };
     let mut words = Vec::new();
     let mut parser = lexopt::Parser::from_env();
     while let Some(arg) = parser.next()? {
         match arg {
             Value(word) => words.push(word.string()?),
-            Long("box") => args.addr = parser.value()?.string()?,
-            Long("credential-file") => args.credential = read(&parser.value()?.string()?)?,
+            Long("box") => args.box_addr = parser.value()?.string()?,
+            Long("credential-file") => args.credential = read_file(&parser.value()?.string()?)?,
             Long("json") => args.json = true,
             Long("wait") => args.wait = true,
-            Long("wait-ms") => args.wait_time = Duration::from_millis(parser.value()?.parse()?),
+            Long("wait-ms") => args.wait_timeout = Duration::from_millis(parser.value()?.parse()?),
             Long("who") => args.who = parser.value()?.string()?,
             Long("id") => args.id = Some(parser.value()?.string()?),
             Long("seen") => args.seen = Some(parser.value()?.string()?),
             Long("base") => args.base = Some(PathBuf::from(parser.value()?)),
             Long("request") => args.request = Some(parser.value()?.parse()?),
             Long("upstream") => args.upstream = Some(parser.value()?.string()?),
-            Long("last-ms") => args.last = Some(parser.value()?.parse()?),
+            Long("last-ms") => args.last_ms = Some(parser.value()?.parse()?),
             Long("help") | Short('h') => {
                 println!("{HELP}");
                 std::process::exit(0);
@@ -163,45 +163,45 @@
     if args.who.is_empty() {
         args.who = "operator".into();
     }
-    args.verb = verb(words)?;
-    let local = matches!(args.verb, Verb::Columns | Verb::HashKey);
-    if args.addr.is_empty() && !local {
+    args.command = parse_command(words)?;
+    let local = matches!(args.command, Command::Columns | Command::HashKey);
+    if args.box_addr.is_empty() && !local {
         bail!("no box given; use --box ADDR or set ASHCTL_BOX");
     }
     Ok(args)
 }
 
-fn verb(words: Vec<String>) -> Result<Verb> {
+fn parse_command(words: Vec<String>) -> Result<Command> {
     let words: Vec<&str> = words.iter().map(String::as_str).collect();
     Ok(match words.as_slice() {
-        ["show"] => Verb::Show,
-        ["columns"] => Verb::Columns,
+        ["show"] => Command::Show,
+        ["columns"] => Command::Columns,
         ["set", cells @ ..] if !cells.is_empty() && cells.len() % 3 == 0 => {
             let cells = cells.chunks(3);
-            Verb::Set(
+            Command::Set(
                 cells
                     .map(|c| (c[0].into(), c[1].into(), c[2].into()))
                     .collect(),
             )
         }
         ["set", ..] => bail!("set takes ROW COLUMN VALUE, once or more"),
-        ["export"] => Verb::Export,
-        ["import", file] => Verb::Import(file.into()),
-        ["history"] => Verb::History,
-        ["status"] => Verb::Status,
-        ["upstreams"] => Verb::Upstreams,
-        ["chains", model] => Verb::Chains((*model).into()),
-        ["relay"] => Verb::Relay,
-        ["leases"] => Verb::Leases,
-        ["drain"] => Verb::Drain,
-        ["timeline"] => Verb::Timeline,
-        ["hash-key"] => Verb::HashKey,
+        ["export"] => Command::Export,
+        ["import", file] => Command::Import(file.into()),
+        ["history"] => Command::History,
+        ["status"] => Command::Status,
+        ["upstreams"] => Command::Upstreams,
+        ["chains", model] => Command::Chains((*model).into()),
+        ["relay"] => Command::Relay,
+        ["leases"] => Command::Leases,
+        ["drain"] => Command::Drain,
+        ["timeline"] => Command::Timeline,
+        ["hash-key"] => Command::HashKey,
         [] => bail!("no verb given\n{HELP}"),
         other => return Err(eyre!("no verb `{}`; see ashctl --help", other.join(" "))),
     })
 }
 
-fn read(path: &str) -> Result<String> {
+fn read_file(path: &str) -> Result<String> {
     let text = std::fs::read_to_string(path);
     let text = text.wrap_err_with(|| format!("cannot read {path}; name a file with it"))?;
     Ok(text.trim().into())
--- a/crates/ashctl/src/fleet.rs
+++ b/crates/ashctl/src/fleet.rs
@@ -2,18 +2,18 @@
 
 use std::time::{Duration, Instant};
 
-use ashgauge::member::State;
+use ashgauge::member::MemberState;
 use ashgauge::node::Status;
-use ashgauge::record::{Record, What};
+use ashgauge::record::{Record, RecordKind};
 use ashgauge::table::Version;
 use eyre::Result;
-use operator::Operator;
+use operator::OperatorClient;
 
 use crate::args::Args;
 use crate::sheet::align;
-use crate::{FAILED, OK, UNKNOWN};
+use crate::{EXIT_FAILED, EXIT_OK, EXIT_UNKNOWN};
 
-const POLL_TIME: Duration = Duration::from_millis(50);
+const POLL_INTERVAL: Duration = Duration::from_millis(50);
 
 /// `status`.
 pub async fn status(args: &Args) -> Result<i32> {
@@ -28,10 +28,14 @@
     if args.json {
         println!("{}", serde_json::to_string_pretty(&all)?);
     } else {
-        print!("{}", status_text(&all));
+        print!("{}", format_status(&all));
     }
     missing.iter().for_each(|m| eprintln!("ashctl: {m}"));
-    Ok(if missing.is_empty() { OK } else { FAILED })
+    Ok(if missing.is_empty() {
+        EXIT_OK
+    } else {
+        EXIT_FAILED
+    })
 }
 
 /// `upstreams`.
@@ -39,13 +43,13 @@
     let status = args.operator().status().await?;
     if args.json {
         println!("{}", serde_json::to_string_pretty(&status.upstreams)?);
-        return Ok(OK);
+        return Ok(EXIT_OK);
     }
     let head = ["UPSTREAM", "STATE", "HELD", "WINDOW", "LINK US", "HOLDS"];
     let mut lines = vec![head.map(String::from).to_vec()];
     for u in &status.upstreams {
         let state = match (u.state, u.suspect) {
-            (State::Leaving, _) => "leaving",
+            (MemberState::Leaving, _) => "leaving",
             (_, true) => "suspect",
             _ => "live",
         };
@@ -54,12 +58,12 @@
             state.into(),
             u.held.to_string(),
             u.window.to_string(),
-            u.link.to_string(),
+            u.link_us.to_string(),
             u.holds.join(" "),
         ]);
     }
     print!("{}", align(&lines));
-    Ok(OK)
+    Ok(EXIT_OK)
 }
 
 /// `chains`.
@@ -71,7 +75,7 @@
             let Some(range) = hold.strip_prefix(&format!("{model}:")) else {
                 continue;
             };
-            let usable = u.state == State::Live && !u.suspect;
+            let usable = u.state == MemberState::Live && !u.suspect;
             let state = if usable { "usable" } else { "not usable" };
             lines.push(vec![range.into(), u.id.to_string(), state.into()]);
         }
@@ -82,7 +86,7 @@
     } else {
         print!("{}", align(&lines));
     }
-    Ok(OK)
+    Ok(EXIT_OK)
 }
 
 /// `leases`.
@@ -90,14 +94,14 @@
     let mut found = Vec::new();
     for (id, operator) in boxes(args).await? {
         if let Ok(status) = operator.status().await
-            && let Some(term) = status.lease
+            && let Some(term) = status.lease_term
         {
             found.push((id, term));
         }
     }
     if args.json {
         println!("{}", serde_json::to_string(&found)?);
-        return Ok(OK);
+        return Ok(EXIT_OK);
     }
     match found.as_slice() {
         [] => println!("orders: held by no box that answers"),
@@ -105,68 +109,68 @@
             .iter()
             .for_each(|(id, term)| println!("orders: held by {id}, term {term}")),
     }
-    Ok(OK)
+    Ok(EXIT_OK)
 }
 
 /// `drain`.
 pub async fn drain(args: &Args) -> Result<i32> {
     args.operator().drain().await?;
     println!("draining");
-    Ok(OK)
+    Ok(EXIT_OK)
 }
 
 /// `timeline`.
 pub async fn timeline(args: &Args) -> Result<i32> {
     let mut records = Vec::new();
-    let mut code = OK;
+    let mut code = EXIT_OK;
     for (id, operator) in boxes(args).await? {
         match operator.events().await {
             Ok(part) => {
-                if part.lost > 0 {
+                if part.dropped > 0 {
                     eprintln!(
                         "ashctl: {id} no longer holds its oldest {} events",
-                        part.lost
+                        part.dropped
                     );
                 }
                 records.extend(part.records);
             }
             Err(e) => {
                 eprintln!("ashctl: {id}: {e}");
-                code = FAILED;
+                code = EXIT_FAILED;
             }
         }
     }
-    let newest = records.iter().map(|r| r.at.wall).max().unwrap_or(0);
-    let oldest = args.last.map_or(0, |last| newest.saturating_sub(last));
-    records.retain(|r| r.at.wall >= oldest && is_wanted(args, r));
-    records.sort_by(|a, b| (a.at, &a.node).cmp(&(b.at, &b.node)));
+    let newest = records.iter().map(|r| r.at.wall_ms).max().unwrap_or(0);
+    let oldest = args.last_ms.map_or(0, |last| newest.saturating_sub(last));
+    records.retain(|r| r.at.wall_ms >= oldest && is_wanted(args, r));
+    records.sort_by(|a, b| (a.at, &a.box_id).cmp(&(b.at, &b.box_id)));
     for record in &records {
         if args.json {
             println!("{}", serde_json::to_string(record)?);
         } else {
-            println!("{}", line(record)?);
+            println!("{}", format_record(record)?);
         }
     }
     Ok(code)
 }
 
 /// Waits until every box has the version in force.
-pub async fn wait(args: &Args, version: Version) -> Result<i32> {
-    let until = Instant::now() + args.wait_time;
+pub async fn wait_in_force(args: &Args, version: Version) -> Result<i32> {
+    let until = Instant::now() + args.wait_timeout;
     loop {
-        let behind = behind(args, version).await?;
+        let behind = lagging_boxes(args, version).await?;
         if behind.is_empty() {
-            return Ok(OK);
+            return Ok(EXIT_OK);
         }
         if Instant::now() >= until {
             eprintln!("ashctl: not yet in force on {}", behind.join(", "));
-            return Ok(UNKNOWN);
+            return Ok(EXIT_UNKNOWN);
         }
-        tokio::time::sleep(POLL_TIME).await;
+        tokio::time::sleep(POLL_INTERVAL).await;
     }
 }
 
-async fn behind(args: &Args, version: Version) -> Result<Vec<String>> {
+async fn lagging_boxes(args: &Args, version: Version) -> Result<Vec<String>> {
     let mut behind = Vec::new();
     for (id, operator) in boxes(args).await? {
         let status = operator.status().await;
@@ -178,20 +182,20 @@
 }
 
 /// The operators' ports of all boxes, by the box given.
-async fn boxes(args: &Args) -> Result<Vec<(String, Operator)>> {
+async fn boxes(args: &Args) -> Result<Vec<(String, OperatorClient)>> {
     let first = args.operator();
     let listed = first.boxes().await?.boxes;
     if listed.is_empty() {
-        return Ok(vec![(args.addr.clone(), first)]);
+        return Ok(vec![(args.box_addr.clone(), first)]);
     }
-    let port = |addr: &str| Operator::new(addr, &args.credential);
+    let port = |addr: &str| OperatorClient::new(addr, &args.credential);
     Ok(listed
         .iter()
-        .map(|b| (b.id.to_string(), port(&b.operator)))
+        .map(|b| (b.id.to_string(), port(&b.operator_addr)))
         .collect())
 }
 
-fn status_text(all: &[Status]) -> String {
+fn format_status(all: &[Status]) -> String {
     let head = [
         "BOX",
         "DATA CENTRE",
@@ -228,31 +232,31 @@
     let upstream = args
         .upstream
         .as_ref()
-        .is_none_or(|id| names(&record.what, id));
+        .is_none_or(|id| mentions(&record.kind, id));
     request && upstream
 }
 
-fn names(what: &What, id: &str) -> bool {
+fn mentions(what: &RecordKind, id: &str) -> bool {
     match what {
-        What::Chosen { stages, .. } | What::Replaced { stages, .. } => {
+        RecordKind::Chosen { stages, .. } | RecordKind::Replaced { stages, .. } => {
             stages.iter().any(|s| &*s.upstream == id)
         }
-        What::Called { upstream, .. }
-        | What::Resumed { upstream, .. }
-        | What::Lost { upstream, .. }
-        | What::Dropped { upstream }
-        | What::Leaving { upstream, .. }
-        | What::Ordered { upstream, .. } => &**upstream == id,
+        RecordKind::Called { upstream, .. }
+        | RecordKind::Resumed { upstream, .. }
+        | RecordKind::Lost { upstream, .. }
+        | RecordKind::Dropped { upstream }
+        | RecordKind::Leaving { upstream, .. }
+        | RecordKind::Ordered { upstream, .. } => &**upstream == id,
         _ => false,
     }
 }
 
-fn line(record: &Record) -> Result<String> {
+fn format_record(record: &Record) -> Result<String> {
     let request = record.request.map_or(String::new(), |id| format!(" #{id}"));
-    let what = serde_json::to_string(&record.what)?;
+    let what = serde_json::to_string(&record.kind)?;
     let at = record.at;
     Ok(format!(
         "{}.{:02} {}{request} {what}",
-        at.wall, at.count, record.node
+        at.wall_ms, at.counter, record.box_id
     ))
 }
--- a/crates/ashctl/src/relay.rs
+++ b/crates/ashctl/src/relay.rs
@@ -10,7 +10,7 @@
 use crate::args::Args;
 
 /// For the box's answer.
-const ANSWER_TIME: Duration = Duration::from_secs(3);
+const REPLY_TIMEOUT: Duration = Duration::from_secs(3);
 
 /// Shows one box's view; `--box` is the address of its metrics.
 ///
@@ -20,25 +20,29 @@
 pub async fn status(args: &Args) -> Result<i32> {
     let request = Request::builder()
         .uri("/status")
-        .header("host", &args.addr)
+        .header("host", &args.box_addr)
         .body(Full::default())?;
-    let client = Client::new(ANSWER_TIME);
-    let answer = client.send(&args.addr, request, ANSWER_TIME).await;
-    let answer = answer
-        .wrap_err_with(|| format!("no answer from {}; give the metrics' address", args.addr))?;
+    let client = Client::new(REPLY_TIMEOUT);
+    let answer = client.send(&args.box_addr, request, REPLY_TIMEOUT).await;
+    let answer = answer.wrap_err_with(|| {
+        format!(
+            "no answer from {}; give the metrics' address",
+            args.box_addr
+        )
+    })?;
     if answer.status() != StatusCode::OK {
-        bail!("{} answered {}", args.addr, answer.status());
+        bail!("{} answered {}", args.box_addr, answer.status());
     }
     let text = std::str::from_utf8(answer.body())?;
     if args.json {
         println!("{text}");
-        return Ok(crate::OK);
+        return Ok(crate::EXIT_OK);
     }
-    print(&serde_json::from_str(text)?);
-    Ok(crate::OK)
+    print_status(&serde_json::from_str(text)?);
+    Ok(crate::EXIT_OK)
 }
 
-fn print(status: &Value) {
+fn print_status(status: &Value) {
     for name in [
         "id",
         "data_centre",
@@ -77,7 +81,7 @@
             text("service"),
             text("data_centre"),
             u["inflight"].to_string(),
-            state(u),
+            format_state(u),
         );
     }
 }
@@ -122,12 +126,12 @@
         println!(
             "{:14} {:14} {since:>8.1} {:>8} {:>8} {:>8} {:>8} {:>8}",
             l["service"].as_str().unwrap_or_default(),
-            class(&l["class"]),
-            rate(&l["asked"]),
-            rate(&l["allowed"]),
-            rate(&l["ends"]),
-            share(&l["memory"]),
-            share(&l["slots"]),
+            format_class(&l["class"]),
+            format_rate(&l["asked"]),
+            format_rate(&l["allowed"]),
+            format_rate(&l["ends"]),
+            format_share(&l["memory"]),
+            format_share(&l["slots"]),
         );
     }
     println!(
@@ -139,8 +143,8 @@
             println!(
                 "{:14} {:14} {:>8} {:>8} {:>8} {:>8}",
                 l["service"].as_str().unwrap_or_default(),
-                class(&c["class"]),
-                rate(&c["asked"]),
+                format_class(&c["class"]),
+                format_rate(&c["asked"]),
                 c["admits"].as_str().unwrap_or_default(),
                 c["admitted"].to_string(),
                 c["refused"].to_string(),
@@ -150,7 +154,7 @@
 }
 
 /// A class as the rank of its team, that of its route, and whether its callers retry.
-fn class(class: &Value) -> String {
+fn format_class(class: &Value) -> String {
     if class.is_null() {
         return "all admitted".into();
     }
@@ -162,15 +166,15 @@
 }
 
 /// Requests a second; a rate without a bound is none in JSON.
-fn rate(rate: &Value) -> String {
+fn format_rate(rate: &Value) -> String {
     rate.as_f64().map_or("-".into(), |r| format!("{r:.1}"))
 }
 
-fn share(share: &Value) -> String {
+fn format_share(share: &Value) -> String {
     share.as_f64().map_or("-".into(), |s| format!("{s:.2}"))
 }
 
-fn state(upstream: &Value) -> String {
+fn format_state(upstream: &Value) -> String {
     let mut words: Vec<String> = Vec::new();
     for name in ["leaving", "suspect"] {
         if upstream[name] == Value::Bool(true) {
--- a/crates/ashctl/src/sheet.rs
+++ b/crates/ashctl/src/sheet.rs
@@ -30,10 +30,10 @@
 }
 
 /// The table as one spreadsheet a kind of row.
-pub fn show(table: &Table) -> String {
+pub fn format_table(table: &Table) -> String {
     let mut text = String::new();
     for kind in ["tier", "team", "route", "upstream"] {
-        let columns = COLUMNS.iter().filter(|c| c.row == kind);
+        let columns = COLUMNS.iter().filter(|c| c.row_kind == kind);
         let names: Vec<&str> = columns.map(|c| c.name).collect();
         let mut head = vec![kind.to_uppercase()];
         head.extend(names.iter().map(|n| n.to_string()));
@@ -46,7 +46,7 @@
             line.extend(
                 names
                     .iter()
-                    .map(|n| cells.get(*n).map_or("-".into(), short)),
+                    .map(|n| cells.get(*n).map_or("-".into(), abbreviate)),
             );
             lines.push(line);
         }
@@ -93,7 +93,7 @@
         let cells = rows.entry(name).or_default();
         for (column, value) in head.iter().zip(&record).skip(1) {
             if !value.is_empty() {
-                cells.insert(column.into(), parse(value));
+                cells.insert(column.into(), parse_cell(value));
             }
         }
     }
@@ -101,7 +101,7 @@
 }
 
 /// Changes that lead from `old` to `new`.
-pub fn changes(old: &Rows, new: &Rows) -> Vec<Change> {
+pub fn diff(old: &Rows, new: &Rows) -> Vec<Change> {
     let mut changes = Vec::new();
     let rows: BTreeSet<&String> = old.keys().chain(new.keys()).collect();
     for row in rows {
@@ -125,11 +125,11 @@
 }
 
 /// Reads a cell's value as it is typed.
-pub fn parse(value: &str) -> Cell {
+pub fn parse_cell(value: &str) -> Cell {
     value.parse().unwrap_or_else(|_| Cell::Text(value.into()))
 }
 
-fn short(cell: &Cell) -> String {
+fn abbreviate(cell: &Cell) -> String {
     let text = cell.to_string();
     match text.len() {
         64 => format!("{}...", &text[..8]),
--- a/crates/ashgauge/src/asker.rs
+++ b/crates/ashgauge/src/asker.rs
@@ -9,12 +9,12 @@
 use rand::Rng;
 
 use crate::member::BoxId;
-use crate::question::{Body, QuestionId};
-use crate::reader::Silences;
+use crate::question::{AnswerBody, QueryId};
+use crate::reader::Backoffs;
 
 /// Questions that may still be answered; answers take milliseconds, and a round
 /// asks some five boxes at the most.
-const OPEN_MOST: usize = 16;
+const MAX_OPEN_QUERIES: usize = 16;
 
 /// Share of the pause between two rounds that is left to chance, so that boxes
 /// that started together do not ask together.
@@ -22,53 +22,53 @@
 
 /// Bytes that a box hands in a millisecond to each of ten others that fetch together,
 /// over a link of 20 Mbit/s.
-const FETCH_BYTES: u64 = 250;
+const BYTES_PER_MS: u64 = 250;
 
 /// The times by which a box asks.
 #[derive(Clone, Copy, Debug, PartialEq)]
-pub struct Pace {
+pub struct PollTiming {
     /// Time between two rounds.
-    pub every: Duration,
+    pub interval: Duration,
     /// For one answer.
-    pub answer: Duration,
+    pub answer_timeout: Duration,
     /// For an answer that is fetched over a connection.
-    pub fetch: Duration,
+    pub fetch_timeout: Duration,
     /// Age of knowledge past which another box is asked as well.
-    pub stale: Duration,
+    pub max_age: Duration,
 }
 
 /// What a box does next.
 #[derive(Clone, Debug, PartialEq)]
-pub enum Step {
+pub enum PollAction {
     /// Send this box a question with this number.
-    Ask {
+    Query {
         /// The box.
         to: BoxId,
         /// The question's number.
-        id: QuestionId,
+        id: QueryId,
     },
     /// No box knew enough; comes once a round.
-    Failed(Lack),
+    Failed(PollFailure),
     /// Look again at this time.
     Wait(Duration),
 }
 
 /// What the boxes that were asked in a round lack.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, PartialOrd, Ord)]
-pub enum Lack {
+pub enum PollFailure {
     /// None of them answered.
     #[default]
-    Answer,
+    NoAnswer,
     /// Those that answered know too little.
-    Knowledge,
+    StaleAnswer,
     /// One of them has just read the store, which holds nothing to know.
-    Content,
+    EmptyStore,
 }
 
-impl Pace {
+impl PollTiming {
     /// For an answer of so many bytes that is fetched over a connection.
-    pub fn fetch_time(&self, bytes: u64) -> Duration {
-        self.fetch + Duration::from_millis(bytes / FETCH_BYTES)
+    pub fn fetch_timeout(&self, bytes: u64) -> Duration {
+        self.fetch_timeout + Duration::from_millis(bytes / BYTES_PER_MS)
     }
 }
 
@@ -94,89 +94,90 @@
 /// assert!(asker.silences.holds(ms(150), "b1"));
 /// ```
 #[derive(Debug, Default)]
-pub struct Asker {
+pub struct Poller {
     /// Boxes that did not answer lately.
-    pub silences: Silences,
-    sent: VecDeque<Sent>,
+    pub backoffs: Backoffs,
+    open: VecDeque<OpenQuery>,
     /// The box whose answer is waited for, and until when.
     waiting: Option<(BoxId, Duration)>,
     /// Boxes to ask in this round if those before know too little.
-    left: VecDeque<BoxId>,
+    remaining: VecDeque<BoxId>,
     /// Whether a round is under way.
-    is_round: bool,
+    in_round: bool,
     /// What the boxes lack that were asked in this round.
-    lack: Lack,
+    failure: PollFailure,
     /// When the next round begins.
-    next: Duration,
+    next_round: Duration,
     /// A box that has said that it knows something new.
-    told: Option<BoxId>,
+    changed_box: Option<BoxId>,
 }
 
 /// A question that may still be answered.
 #[derive(Debug)]
-struct Sent {
-    id: QuestionId,
+struct OpenQuery {
+    id: QueryId,
     to: BoxId,
-    at: Duration,
+    sent_at: Duration,
 }
 
-impl Asker {
+impl Poller {
     /// What to do at `now`; `sources` names the boxes to ask when a round
     /// begins.
-    pub fn step(
+    pub fn next_action(
         &mut self,
         now: Duration,
-        pace: &Pace,
+        pace: &PollTiming,
         sources: impl FnOnce() -> Vec<BoxId>,
         rng: &mut impl Rng,
-    ) -> Step {
+    ) -> PollAction {
         match self.waiting.take() {
             Some((to, until)) if now < until => {
                 self.waiting = Some((to, until));
-                return Step::Wait(until);
+                return PollAction::Wait(until);
             }
-            Some((to, _)) => self.silences.note(now, &to),
+            Some((to, _)) => self.backoffs.back_off(now, &to),
             None => {}
         }
-        if !self.is_round && (now >= self.next || self.told.is_some()) {
-            self.begin(now, pace, sources(), rng);
+        if !self.in_round && (now >= self.next_round || self.changed_box.is_some()) {
+            self.begin_round(now, pace, sources(), rng);
         }
-        let Some(to) = self.left.pop_front() else {
-            return match std::mem::take(&mut self.is_round) {
-                true => Step::Failed(self.lack),
-                false => Step::Wait(self.next),
+        let Some(to) = self.remaining.pop_front() else {
+            return match std::mem::take(&mut self.in_round) {
+                true => PollAction::Failed(self.failure),
+                false => PollAction::Wait(self.next_round),
             };
         };
-        self.ask(now, pace, to, rng)
+        self.send_query(now, pace, to, rng)
     }
 
     /// Takes the number of an answer; returns when its question was sent, or
     /// nothing if none with this number went to this box.
-    pub fn close(&mut self, id: QuestionId, from: &str) -> Option<Duration> {
-        let mut sent = self.sent.iter();
+    pub fn close_query(&mut self, id: QueryId, from: &str) -> Option<Duration> {
+        let mut sent = self.open.iter();
         let at = sent.position(|s| s.id == id && &*s.to == from)?;
-        self.sent.remove(at).map(|s| s.at)
+        self.open.remove(at).map(|s| s.sent_at)
     }
 
     /// Takes what a box answered into account.
-    pub fn hear(&mut self, now: Duration, pace: &Pace, from: &str, body: &Body) {
-        self.silences.clear(from);
-        let is_empty = matches!(body, Body::Nothing { asked: Some(age) } if *age <= pace.stale);
+    pub fn on_answer(&mut self, now: Duration, pace: &PollTiming, from: &str, body: &AnswerBody) {
+        self.backoffs.clear(from);
+        let is_empty =
+            matches!(body, AnswerBody::Empty { asked_ago: Some(age) } if *age <= pace.max_age);
         let lack = if is_empty {
-            Lack::Content
+            PollFailure::EmptyStore
         } else {
-            Lack::Knowledge
+            PollFailure::StaleAnswer
         };
-        self.lack = self.lack.max(lack);
+        self.failure = self.failure.max(lack);
         let is_awaited = self.waiting.as_ref().is_some_and(|(to, _)| &**to == from);
         match body {
-            Body::Large { bytes, .. } if is_awaited => {
-                self.waiting = Some((from.into(), now + pace.fetch_time(*bytes)));
+            AnswerBody::TooLarge { bytes, .. } if is_awaited => {
+                self.waiting = Some((from.into(), now + pace.fetch_timeout(*bytes)));
                 return;
             }
-            Body::Known { age, .. } if *age <= pace.stale => {
-                self.left.clear();
-                self.is_round = false;
+            AnswerBody::Update { age, .. } if *age <= pace.max_age => {
+                self.remaining.clear();
+                self.in_round = false;
                 self.waiting = None;
             }
             _ => {}
@@ -187,42 +188,54 @@
     }
 
     /// Notes that a large answer could not be fetched from a box.
-    pub fn note_lost(&mut self, now: Duration, from: &BoxId) {
-        self.silences.note(now, from);
+    pub fn on_fetch_failed(&mut self, now: Duration, from: &BoxId) {
+        self.backoffs.back_off(now, from);
         if self.waiting.as_ref().is_some_and(|(to, _)| to == from) {
             self.waiting = None;
         }
     }
 
     /// Notes that a box knows something new: it is asked at once.
-    pub fn note_news(&mut self, from: BoxId) {
-        self.told = Some(from);
+    pub fn on_changed(&mut self, from: BoxId) {
+        self.changed_box = Some(from);
     }
 
-    fn begin(&mut self, now: Duration, pace: &Pace, sources: Vec<BoxId>, rng: &mut impl Rng) {
+    fn begin_round(
+        &mut self,
+        now: Duration,
+        pace: &PollTiming,
+        sources: Vec<BoxId>,
+        rng: &mut impl Rng,
+    ) {
         let part = 1.0 - rng.random_range(0.0..JITTER);
-        self.next = now + pace.every.mul_f64(part);
-        self.is_round = true;
-        self.lack = Lack::Answer;
-        self.left = sources.into();
-        if let Some(from) = self.told.take() {
-            self.left.retain(|id| *id != from);
-            self.left.push_front(from);
+        self.next_round = now + pace.interval.mul_f64(part);
+        self.in_round = true;
+        self.failure = PollFailure::NoAnswer;
+        self.remaining = sources.into();
+        if let Some(from) = self.changed_box.take() {
+            self.remaining.retain(|id| *id != from);
+            self.remaining.push_front(from);
         }
     }
 
-    fn ask(&mut self, now: Duration, pace: &Pace, to: BoxId, rng: &mut impl Rng) -> Step {
-        if self.sent.len() >= OPEN_MOST {
-            self.sent.pop_front();
+    fn send_query(
+        &mut self,
+        now: Duration,
+        pace: &PollTiming,
+        to: BoxId,
+        rng: &mut impl Rng,
+    ) -> PollAction {
+        if self.open.len() >= MAX_OPEN_QUERIES {
+            self.open.pop_front();
         }
         let id = rng.random();
-        let sent = Sent {
+        let sent = OpenQuery {
             id,
             to: to.clone(),
-            at: now,
+            sent_at: now,
         };
-        self.sent.push_back(sent);
-        self.waiting = Some((to.clone(), now + pace.answer));
-        Step::Ask { to, id }
+        self.open.push_back(sent);
+        self.waiting = Some((to.clone(), now + pace.answer_timeout));
+        PollAction::Query { to, id }
     }
 }
--- a/crates/ashgauge/src/chain.rs
+++ b/crates/ashgauge/src/chain.rs
@@ -26,11 +26,11 @@
     /// Layer after the last it holds.
     pub end: Layer,
     /// Seconds that any use costs: the link and the work ahead.
-    pub fixed: f64,
+    pub fixed_cost: f64,
     /// Seconds that each layer costs.
-    pub layer: f64,
+    pub layer_cost: f64,
     /// Number of the place where it stands, from 0, for [`cheapest_across`].
-    pub place: usize,
+    pub data_centre: usize,
 }
 
 /// Finds the cheapest chain over `first..end`.
@@ -53,8 +53,8 @@
 /// assert_eq!(chain[0].end, chain[1].first);
 /// assert!(cheapest(0, 5, &[edge("a", 0, 3)]).is_none());
 /// ```
-pub fn cheapest(first: Layer, end: Layer, edges: &[Edge]) -> Option<Vec<Stage>> {
-    cheapest_across(first, end, edges, |_, _| 0.0)
+pub fn cheapest_chain(first: Layer, end: Layer, edges: &[Edge]) -> Option<Vec<Stage>> {
+    cheapest_crossing_chain(first, end, edges, |_, _| 0.0)
 }
 
 /// As [`cheapest`], with a cost in seconds for going on from one edge to
@@ -66,20 +66,20 @@
 /// place must be alike to it. `place` numbers are those of [`Edge::place`].
 /// No upstream is in the chain twice, if each has one edge; the chain is then
 /// not always the cheapest.
-pub fn cheapest_across(
+pub fn cheapest_crossing_chain(
     first: Layer,
     end: Layer,
     edges: &[Edge],
     crossing: impl Fn(Option<usize>, usize) -> f64,
 ) -> Option<Vec<Stage>> {
-    let mut stages = shortest(first, end, edges, &crossing)?;
-    join_repeated(&mut stages);
+    let mut stages = shortest_path(first, end, edges, &crossing)?;
+    merge_repeated(&mut stages);
     Some(stages)
 }
 
 /// Gives an upstream that is in the chain more than once all that lies
 /// between, which it holds as well.
-fn join_repeated(stages: &mut Vec<Stage>) {
+fn merge_repeated(stages: &mut Vec<Stage>) {
     let mut at = 0;
     while at < stages.len() {
         let upstream = stages[at].upstream.clone();
@@ -92,18 +92,18 @@
     }
 }
 
-fn shortest(
+fn shortest_path(
     first: Layer,
     end: Layer,
     edges: &[Edge],
     crossing: &impl Fn(Option<usize>, usize) -> f64,
 ) -> Option<Vec<Stage>> {
     let cuts = boundaries(first, end, edges);
-    let places = edges.iter().map(|e| e.place + 1).max().unwrap_or(0);
+    let places = edges.iter().map(|e| e.data_centre + 1).max().unwrap_or(0);
     let mut best: Vec<Vec<Option<Step>>> = vec![vec![None; places]; cuts.len()];
     // All edges of a place are alike to what leads there.
-    let enter = |reached: &[Option<Step>], cut: usize| -> Vec<Entry> {
-        let entries = (0..places).map(|place| entry(reached, cut, place, crossing));
+    let enter = |reached: &[Option<Step>], cut: usize| -> Vec<Arrival> {
+        let entries = (0..places).map(|place| best_arrival(reached, cut, place, crossing));
         entries.collect()
     };
     let mut entries = Vec::with_capacity(cuts.len());
@@ -116,46 +116,46 @@
             let from = cuts.partition_point(|c| *c < edge.first);
             for from in from..to {
                 let layers = f64::from(cuts[to] - cuts[from]);
-                let own = edge.fixed + edge.layer * layers;
-                let Some((base, via)) = entries[from][edge.place] else {
+                let own = edge.fixed_cost + edge.layer_cost * layers;
+                let Some((base, via)) = entries[from][edge.data_centre] else {
                     continue;
                 };
                 let cost = base + own;
-                let slot = &mut best[to][edge.place];
+                let slot = &mut best[to][edge.data_centre];
                 if slot.is_none_or(|s| cost < s.cost) {
                     *slot = Some(Step {
                         cost,
-                        from,
-                        via,
+                        from_cut: from,
+                        from_data_centre: via,
                         edge: e,
                     });
                 }
             }
         }
     }
-    walk_back(&cuts, &best, edges)
+    reconstruct_path(&cuts, &best, edges)
 }
 
 /// The cheapest known way to a boundary and place, by its last edge.
 #[derive(Clone, Copy)]
 struct Step {
     cost: f64,
-    from: usize,
+    from_cut: usize,
     /// Place at which the boundary `from` was reached; `None` at the start.
-    via: Option<usize>,
+    from_data_centre: Option<usize>,
     edge: usize,
 }
 
 /// Cheapest cost of standing at a boundary and going on at a place, and the place
 /// from which; `None` if there is no way.
-type Entry = Option<(f64, Option<usize>)>;
+type Arrival = Option<(f64, Option<usize>)>;
 
-fn entry(
+fn best_arrival(
     reached: &[Option<Step>],
     cut: usize,
     place: usize,
     crossing: &impl Fn(Option<usize>, usize) -> f64,
-) -> Entry {
+) -> Arrival {
     if cut == 0 {
         return Some((crossing(None, place), None)).filter(|(cost, _)| cost.is_finite());
     }
@@ -186,7 +186,11 @@
     cuts
 }
 
-fn walk_back(cuts: &[Layer], best: &[Vec<Option<Step>>], edges: &[Edge]) -> Option<Vec<Stage>> {
+fn reconstruct_path(
+    cuts: &[Layer],
+    best: &[Vec<Option<Step>>],
+    edges: &[Edge],
+) -> Option<Vec<Stage>> {
     let mut stages = Vec::new();
     let mut to = cuts.len() - 1;
     let ends = best[to].iter().enumerate();
@@ -196,11 +200,11 @@
         let step = best[to][place]?;
         stages.push(Stage {
             upstream: edges[step.edge].upstream.clone(),
-            first: cuts[step.from],
+            first: cuts[step.from_cut],
             end: cuts[to],
         });
-        to = step.from;
-        place = step.via.unwrap_or(place);
+        to = step.from_cut;
+        place = step.from_data_centre.unwrap_or(place);
     }
     stages.reverse();
     Some(stages)
--- a/crates/ashgauge/src/class.rs
+++ b/crates/ashgauge/src/class.rs
@@ -3,7 +3,7 @@
 use serde::{Deserialize, Serialize};
 
 /// Largest order that an engine takes; past it all requests are alike.
-const ORDER_MOST: u32 = 8;
+const MAX_PRIORITY: u32 = 8;
 
 /// The priority class of a request, the most urgent first: by its team, then by its
 /// route; of the same ranks, first attempts go ahead.
@@ -29,7 +29,8 @@
     /// Rank of its route, 0 first.
     pub route: u8,
     /// Whether its caller made it before.
-    pub back: bool,
+    #[serde(rename = "back")]
+    pub is_retry: bool,
 }
 
 impl Class {
@@ -39,7 +40,7 @@
         Class {
             team: narrow(team.unwrap_or(route)),
             route: narrow(route),
-            back,
+            is_retry: back,
         }
     }
 }
@@ -50,7 +51,7 @@
     /// Ranks of teams and routes that may come together, the most urgent first.
     pairs: Vec<(u8, u8)>,
     /// Distinct ranks of its routes.
-    routes: usize,
+    route_ranks: usize,
 }
 
 impl Ranks {
@@ -69,14 +70,14 @@
         routes.dedup();
         Ranks {
             pairs,
-            routes: routes.len(),
+            route_ranks: routes.len(),
         }
     }
 
     /// Whether the operators ranked the service's routes differently, so that some
     /// requests are to be served before others.
-    pub fn differ(&self) -> bool {
-        self.routes > 1
+    pub fn routes_differ(&self) -> bool {
+        self.route_ranks > 1
     }
 
     /// The order of a class at the engines, from 1, so that streams that go on can go
@@ -92,12 +93,12 @@
     /// assert_eq!(ranks.order(Class::new(Some(0), 2, false)), 2);
     /// assert_eq!(ranks.order(Class::new(Some(1), 0, false)), 3);
     /// ```
-    pub fn order(&self, class: Class) -> u32 {
+    pub fn priority(&self, class: Class) -> u32 {
         let before = self
             .pairs
             .partition_point(|p| *p < (class.team, class.route));
         u32::try_from(before + 1)
-            .unwrap_or(ORDER_MOST)
-            .min(ORDER_MOST)
+            .unwrap_or(MAX_PRIORITY)
+            .min(MAX_PRIORITY)
     }
 }
--- a/crates/ashgauge/src/cost.rs
+++ b/crates/ashgauge/src/cost.rs
@@ -5,163 +5,179 @@
 use rand::Rng;
 
 use crate::chain::Layer;
-use crate::entry::Entry;
+use crate::entry::UpstreamState;
 use crate::routing::Model;
-use crate::scene::{Scene, Total};
-use crate::shape::Shape;
-use crate::upstream::Span;
+use crate::scene::{EstimatedLoad, SelectionContext};
+use crate::shape::RequestSize;
+use crate::upstream::LayerRange;
 
 /// Most of an engine's time that it is taken to read prompts: its cost is at most
 /// four times as high for it. What the others have there is known late in a large
 /// fleet, and chains must not cross data centres to get around an old figure.
-const READING_MOST: f64 = 0.5;
+const MAX_PREFILL_SHARE: f64 = 0.5;
 
 /// Passes of an engine that a token takes: it comes in the middle of one, and is
 /// worked on in the next.
-pub(crate) const PASSES: f64 = 1.5;
+pub(crate) const PASSES_PER_TOKEN: f64 = 1.5;
 
 /// Seconds that a chain in another data centre counts for if a stream goes on
 /// there: its events come later by a few delays, and reading may be shared among
 /// all data centres.
-const ENTRY_TOGETHER: f64 = 0.05;
+const SIMULTANEOUS_ENTRY_SECONDS: f64 = 0.05;
 
 /// Share of an engine's memory past which requests do not go there if there is
 /// any other way; sizes vary, and a full engine throws requests out.
-const FULL: f64 = 0.95;
+const FULL_THRESHOLD: f64 = 0.95;
 
 /// How late the cost of an engine rises as it fills, where the data centre holds
 /// [`COPIES_SPARE`]: half full it is an eighth dearer, not twice as dear, which
 /// led requests to slow engines that they hold for longer.
-const FILLING_SPARE: i32 = 3;
+const SPARE_FILL_EXPONENT: i32 = 3;
 
 /// Copies of the model in a data centre from which on others can stand in for an
 /// engine that is full. With fewer, room is saved from the first request on.
-const COPIES_SPARE: f64 = 2.0;
+const SPARE_COPIES: f64 = 2.0;
 
 /// Seconds that an engine past [`FULL`] counts for besides, more than two
 /// changes of data centre.
-const FULL_SECONDS: f64 = 8.0;
+const FULL_PENALTY_SECONDS: f64 = 8.0;
 
 /// Seconds that a first engine counts for that failed all its requests lately;
 /// after one failure it is a change of data centre for the caller's request
 /// and a good deal more.
-const FAILING_SECONDS: f64 = 8.0;
+const FAILURE_PENALTY_SECONDS: f64 = 8.0;
 
 /// Seconds that an engine counts for besides which another box found to be lost:
 /// each box would find out by requests of its own otherwise, engine by engine, until
 /// the retries for that are used up.
-const RUMOUR_SECONDS: f64 = 8.0;
+const SUSPECT_PENALTY_SECONDS: f64 = 8.0;
 
 /// Seconds that an engine in a chain counts for besides its work: each is one
 /// more that may be lost while the request runs.
-const ENGINE_SECONDS: f64 = 0.25;
+const STAGE_PENALTY_SECONDS: f64 = 0.25;
 
 /// Seconds that a change of data centre within a chain counts for besides its
 /// delays: all activations go over a pipe that is shared and soon full.
-const CROSSING_SECONDS: f64 = 3.0;
+const CROSSING_PENALTY_SECONDS: f64 = 3.0;
 
 /// Least and most seconds that a chain in another data centre counts for. Only
 /// the request and its events cross; but boxes that know the load there late
 /// fill the same engines.
-const ENTRY_RANGE: (f64, f64) = (0.3, 3.0);
+const REMOTE_ENTRY_RANGE: (f64, f64) = (0.3, 3.0);
 
 /// Seconds that it counts for each second between words from there, as what is known
 /// of the load is so much older.
-const ENTRY_LAG: f64 = 3.0;
+const ENTRY_INTERVAL_FACTOR: f64 = 3.0;
 
 /// Share of a pipe that may be used; past it what crosses waits for seconds.
-const PIPE_SHARE: f64 = 0.75;
+const MAX_WAN_SHARE: f64 = 0.75;
 
 /// Delay of one message between two data centres of a region, in seconds.
-const AWAY_SECONDS: f64 = 0.0005;
+const CROSSING_DELAY_SECONDS: f64 = 0.0005;
 
 /// Delay of one message within a data centre, in seconds.
-const HOP_SECONDS: f64 = 0.0002;
+const HOP_DELAY_SECONDS: f64 = 0.0002;
 
 /// What engines are weighed by.
-pub(crate) struct Scale<'a> {
-    scene: &'a Scene<'a>,
+pub(crate) struct CostModel<'a> {
+    context: &'a SelectionContext<'a>,
     model: &'a Model,
     /// What the request has to read and to write.
-    shape: Shape,
+    size: RequestSize,
     /// Whether the data centre has engines to spare.
-    spare: bool,
+    has_spare: bool,
 }
 
-impl<'a> Scale<'a> {
-    pub(crate) fn new(scene: &'a Scene<'a>, model: &'a Model) -> Self {
-        let spare = copies_near(scene, model) >= COPIES_SPARE;
-        let shape = scene.shape.unwrap_or_else(|| Shape::usual(model));
-        Scale {
-            scene,
+impl<'a> CostModel<'a> {
+    pub(crate) fn new(scene: &'a SelectionContext<'a>, model: &'a Model) -> Self {
+        let spare = local_copies(scene, model) >= SPARE_COPIES;
+        let shape = scene.size.unwrap_or_else(|| RequestSize::typical(model));
+        CostModel {
+            context: scene,
             model,
-            shape,
-            spare,
+            size: shape,
+            has_spare: spare,
         }
     }
 
     /// Seconds that any use of an engine costs, and each of its layers; `leads`
     /// says that it may become the chain's first, which answers for all.
-    pub(crate) fn weigh(
+    pub(crate) fn stage_cost(
         &self,
-        entry: &Entry,
-        held: Span,
+        entry: &UpstreamState,
+        held: LayerRange,
         leads: bool,
         rng: &mut impl Rng,
     ) -> (f64, f64) {
-        let scene = self.scene;
+        let scene = self.context;
         let jitter = scene.jitter(rng);
-        let total = Total::of(scene, entry);
+        let total = EstimatedLoad::estimate(scene, entry);
         let slowness = entry.slowness(scene.now);
-        let full = self.full(entry, held, leads, &total);
-        let fixed = self.fixed(entry, leads, full, &total);
-        let power = if self.spare { FILLING_SPARE } else { 1 };
-        let filling = jitter / (1.0 - full.min(FULL).powi(power));
-        let filling = filling * self.reading_factor(entry, held, total.requests);
+        let full = self.utilization(entry, held, leads, &total);
+        let fixed = self.fixed_cost(entry, leads, full, &total);
+        let power = if self.has_spare {
+            SPARE_FILL_EXPONENT
+        } else {
+            1
+        };
+        let filling = jitter / (1.0 - full.min(FULL_THRESHOLD).powi(power));
+        let filling = filling * self.prefill_factor(entry, held, total.requests);
         // A request waits at one engine of its chain at a time.
-        let there = match self.spare {
-            true => part_of(self.model, held.len()),
+        let there = match self.has_spare {
+            true => model_share(self.model, held.len()),
             false => 1.0,
         };
         let load = total.requests * there * slowness;
-        if scene.together {
-            let (wait, layer) = self.weigh_next(entry, held, load, rng);
+        if scene.simultaneous {
+            let (wait, layer) = self.resume_cost(entry, held, load, rng);
             return (fixed + wait, layer * filling);
         }
-        let engine = ENGINE_SECONDS + f64::from(self.shape.answer) * HOP_SECONDS;
-        let layer = layer_seconds(self.model, self.shape, entry, load) * slowness * filling;
+        let engine = STAGE_PENALTY_SECONDS + f64::from(self.size.output) * HOP_DELAY_SECONDS;
+        let layer = layer_seconds(self.model, self.size, entry, load) * slowness * filling;
         (fixed + engine * filling, layer)
     }
 
     /// Share of an engine's memory, or of its slots if it `leads`, that is used.
-    fn full(&self, entry: &Entry, held: Span, leads: bool, total: &Total) -> f64 {
-        let now = self.scene.now;
+    fn utilization(
+        &self,
+        entry: &UpstreamState,
+        held: LayerRange,
+        leads: bool,
+        total: &EstimatedLoad,
+    ) -> f64 {
+        let now = self.context.now;
         let full = match entry.is_full(now) {
             true => 1.0,
             // A slow engine gets through less; its room counts for as much less.
             false => {
-                let memory = memory(self.model, entry, held).max(1.0);
-                total.tokens * entry.slowness(now) / memory
+                let memory = memory_capacity(self.model, entry, held).max(1.0);
+                total.token_layers * entry.slowness(now) / memory
             }
         };
         match leads {
-            true => full.max(total.leads / f64::from(entry.upstream.slots.max(1))),
+            true => full.max(total.head_requests / f64::from(entry.upstream.slots.max(1))),
             false => full,
         }
     }
 
     /// Seconds that any use of an engine costs that is `full` to a share.
-    fn fixed(&self, entry: &Entry, leads: bool, full: f64, total: &Total) -> f64 {
-        let now = self.scene.now;
-        let mut fixed = total.reading;
+    fn fixed_cost(
+        &self,
+        entry: &UpstreamState,
+        leads: bool,
+        full: f64,
+        total: &EstimatedLoad,
+    ) -> f64 {
+        let now = self.context.now;
+        let mut fixed = total.prefill_seconds;
         if leads {
-            fixed += FAILING_SECONDS * entry.failures(now);
+            fixed += FAILURE_PENALTY_SECONDS * entry.failure_rate(now);
         }
-        if full >= FULL {
-            fixed += FULL_SECONDS * full;
+        if full >= FULL_THRESHOLD {
+            fixed += FULL_PENALTY_SECONDS * full;
         }
-        if entry.is_rumoured(now) {
-            fixed += RUMOUR_SECONDS;
+        if entry.is_peer_suspect(now) {
+            fixed += SUSPECT_PENALTY_SECONDS;
         }
         fixed
     }
@@ -170,11 +186,11 @@
     /// its steps take longer by that part, for the request and for all others
     /// that are there. Without it a few engines lead most of the requests, and the loss
     /// of one cuts as many.
-    fn reading_factor(&self, entry: &Entry, held: Span, requests: f64) -> f64 {
-        let (scene, model) = (self.scene, self.model);
-        let each = reading_seconds(scene, model, entry, held.len(), model.prompt);
-        let rate = requests / scene.stay.as_secs_f64().max(f64::MIN_POSITIVE);
-        let part = (rate * each).min(READING_MOST);
+    fn prefill_factor(&self, entry: &UpstreamState, held: LayerRange, requests: f64) -> f64 {
+        let (scene, model) = (self.context, self.model);
+        let each = prefill_seconds(scene, model, entry, held.len(), model.typical_prompt);
+        let rate = requests / scene.request_duration.as_secs_f64().max(f64::MIN_POSITIVE);
+        let part = (rate * each).min(MAX_PREFILL_SHARE);
         1.0 / (1.0 - part).powi(2)
     }
 
@@ -187,80 +203,86 @@
     ///
     /// What the other boxes lead here at the same moment is in no word of theirs:
     /// as many streams as boxes stand near, at the most.
-    fn weigh_next(&self, entry: &Entry, held: Span, load: f64, rng: &mut impl Rng) -> (f64, f64) {
-        let (scene, model) = (self.scene, self.model);
-        let usual = Shape::usual(model).reread;
-        let read = reading_seconds(scene, model, entry, held.len(), usual);
-        let others = scene.neighbours * rng.random_range(0.0..1.0) * read;
+    fn resume_cost(
+        &self,
+        entry: &UpstreamState,
+        held: LayerRange,
+        load: f64,
+        rng: &mut impl Rng,
+    ) -> (f64, f64) {
+        let (scene, model) = (self.context, self.model);
+        let usual = RequestSize::typical(model).resume_prompt;
+        let read = prefill_seconds(scene, model, entry, held.len(), usual);
+        let others = scene.local_boxes * rng.random_range(0.0..1.0) * read;
         let slowness = entry.slowness(scene.now);
-        let event = f64::from(model.event_tokens) * PASSES;
-        let reread = f64::from(self.shape.reread);
+        let event = f64::from(model.event_tokens) * PASSES_PER_TOKEN;
+        let reread = f64::from(self.size.resume_prompt);
         let layer = work_seconds(model, entry, load, event, reread);
-        (others + HOP_SECONDS, layer * slowness)
+        (others + HOP_DELAY_SECONDS, layer * slowness)
     }
 
     /// Seconds that the request loses where its chain changes data centre: the
     /// activations of what is read in the pipe, and the delay of each token. A pipe
     /// that is used up may not be used.
     pub(crate) fn crossing_seconds(&self, from: &Arc<str>, to: &Arc<str>) -> f64 {
-        let (scene, model) = (self.scene, self.model);
-        let delays = f64::from(self.shape.answer) * AWAY_SECONDS;
-        if model.pipe_mb <= 0.0 {
-            return CROSSING_SECONDS + delays;
+        let (scene, model) = (self.context, self.model);
+        let delays = f64::from(self.size.output) * CROSSING_DELAY_SECONDS;
+        if model.wan_mb_s <= 0.0 {
+            return CROSSING_PENALTY_SECONDS + delays;
         }
-        let used = scene.pipes.rate(scene.now, from, to) * scene.boxes / model.pipe_mb;
-        if used >= PIPE_SHARE {
+        let used = scene.wan_usage.rate(scene.now, from, to) * scene.boxes / model.wan_mb_s;
+        if used >= MAX_WAN_SHARE {
             return f64::INFINITY;
         }
-        let prompt = f64::from(self.shape.prompt) * model.activation_mb;
-        (CROSSING_SECONDS + prompt / model.pipe_mb) / (1.0 - used) + delays
+        let prompt = f64::from(self.size.prompt) * model.activation_mb;
+        (CROSSING_PENALTY_SECONDS + prompt / model.wan_mb_s) / (1.0 - used) + delays
     }
 }
 
 /// Memory of an engine for requests, in tokens times layers.
-pub fn memory(model: &Model, entry: &Entry, held: Span) -> f64 {
-    let card = entry.upstream.card.as_deref().unwrap_or_default();
-    let usual = f64::from(model.prompt + model.answer) * f64::from(held.len());
-    model.room(card, held.len()) * usual
+pub fn memory_capacity(model: &Model, entry: &UpstreamState, held: LayerRange) -> f64 {
+    let card = entry.upstream.accelerator.as_deref().unwrap_or_default();
+    let usual = f64::from(model.typical_prompt + model.typical_output) * f64::from(held.len());
+    model.request_capacity(card, held.len()) * usual
 }
 
 /// Copies of the model that the engines of the box's data centre hold.
-fn copies_near(scene: &Scene, model: &Model) -> f64 {
-    let held = scene.near().filter_map(|e| e.upstream.layers);
+fn local_copies(scene: &SelectionContext, model: &Model) -> f64 {
+    let held = scene.local_upstreams().filter_map(|e| e.upstream.layers);
     let layers: Layer = held.map(|l| l.len()).sum();
-    part_of(model, layers)
+    model_share(model, layers)
 }
 
 /// So many layers as a part of the model.
-fn part_of(model: &Model, layers: Layer) -> f64 {
+fn model_share(model: &Model, layers: Layer) -> f64 {
     f64::from(layers) / f64::from(model.layers.max(1))
 }
 
 /// Factors of an engine's card on the time of a step and of reading, 1 for one that the
 /// configuration does not tell.
-fn factors(model: &Model, entry: &Entry) -> (f64, f64) {
-    let card = entry.upstream.card.as_ref();
-    let card = card.and_then(|c| model.cards.get(c));
-    card.map_or((1.0, 1.0), |c| (c.step_factor, c.read_factor))
+fn accelerator_factors(model: &Model, entry: &UpstreamState) -> (f64, f64) {
+    let card = entry.upstream.accelerator.as_ref();
+    let card = card.and_then(|c| model.accelerators.get(c));
+    card.map_or((1.0, 1.0), |c| (c.step_factor, c.prefill_factor))
 }
 
 /// Seconds that an engine needs to read `tokens` through some of its layers.
-pub fn reading_seconds(
-    scene: &Scene,
+pub fn prefill_seconds(
+    scene: &SelectionContext,
     model: &Model,
-    entry: &Entry,
+    entry: &UpstreamState,
     layers: Layer,
     tokens: u32,
 ) -> f64 {
-    let (_, read) = factors(model, entry);
+    let (_, read) = accelerator_factors(model, entry);
     let factor = read * entry.slowness(scene.now);
-    let whole = f64::from(tokens) / model.read_rate.max(1.0) * factor;
+    let whole = f64::from(tokens) / model.prefill_rate.max(1.0) * factor;
     whole * f64::from(layers) / f64::from(model.layers.max(1))
 }
 
 /// Seconds that one layer costs a request of this shape on an engine with this load.
-fn layer_seconds(model: &Model, shape: Shape, entry: &Entry, load: f64) -> f64 {
-    let (answer, prompt) = (f64::from(shape.answer), f64::from(shape.prompt));
+fn layer_seconds(model: &Model, shape: RequestSize, entry: &UpstreamState, load: f64) -> f64 {
+    let (answer, prompt) = (f64::from(shape.output), f64::from(shape.prompt));
     work_seconds(model, entry, load, answer, prompt)
 }
 
@@ -268,22 +290,22 @@
 /// and of reading so many tokens.
 pub(crate) fn work_seconds(
     model: &Model,
-    entry: &Entry,
+    entry: &UpstreamState,
     load: f64,
     steps: f64,
     tokens: f64,
 ) -> f64 {
-    let (step, read) = factors(model, entry);
+    let (step, read) = accelerator_factors(model, entry);
     let writing = steps * model.step_seconds(load) * step;
-    let reading = tokens / model.read_rate.max(1.0) * read;
+    let reading = tokens / model.prefill_rate.max(1.0) * read;
     (writing + reading) / f64::from(model.layers.max(1))
 }
 
 /// Seconds that a chain in another data centre counts for.
-pub(crate) fn entry_seconds(scene: &Scene) -> f64 {
-    let (least, most) = ENTRY_RANGE;
-    match scene.together {
-        true => ENTRY_TOGETHER,
-        false => (scene.lag.as_secs_f64() * ENTRY_LAG).clamp(least, most),
+pub(crate) fn remote_entry_seconds(scene: &SelectionContext) -> f64 {
+    let (least, most) = REMOTE_ENTRY_RANGE;
+    match scene.simultaneous {
+        true => SIMULTANEOUS_ENTRY_SECONDS,
+        false => (scene.remote_interval.as_secs_f64() * ENTRY_INTERVAL_FACTOR).clamp(least, most),
     }
 }
--- a/crates/ashgauge/src/demand.rs
+++ b/crates/ashgauge/src/demand.rs
@@ -24,25 +24,25 @@
 
 /// Time over which is learned how many requests end: about as long as they stay, as what
 /// ends swings with what began that much earlier.
-pub(crate) const ENDS_WINDOW: Duration = Duration::from_secs(1);
+pub(crate) const COMPLETION_WINDOW: Duration = Duration::from_secs(1);
 
 /// Demands in one word at most; with more teams the smallest are told together.
-const TOLD_MOST: usize = 64;
+const MAX_DEMANDS: usize = 64;
 
 /// Demand of a team up to which it is not told, in thousandths of a request a second:
 /// what is left of one request after two seconds.
-const TOLD_LEAST: u32 = 1;
+const MIN_RATE: u32 = 1;
 
 /// Most that a box is taken to be asked for, or to end, in thousandths of a request a
 /// second: two hundred times a box's part in a fleet of the size to design for.
-const RATE_MOST: u32 = 1_000_000;
+const MAX_BOX_RATE: u32 = 1_000_000;
 
 /// Least and most work of one request, in usual ones: sizes are what callers say.
 const WORK_RANGE: (f64, f64) = (0.1, 8.0);
 
 /// Whose demand it is.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
-pub struct Source {
+pub struct DemandSource {
     /// The service that is asked.
     pub service: ServiceKey,
     /// Priority class of the requests.
@@ -59,29 +59,29 @@
     /// Their work, in thousandths of a usual request a second.
     pub work: u32,
     /// Teams that it stands for.
-    pub teams: Teams,
+    pub teams: TeamSketch,
 }
 
 /// Words of [`Teams`].
-const TEAM_WORDS: usize = 8;
+const SKETCH_WORDS: usize = 8;
 
 /// How many teams there are, of which each box knows some: one bit for each of them, by
 /// its key, so that a team counts once however many boxes tell of it.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
-pub struct Teams([u64; TEAM_WORDS]);
+pub struct TeamSketch([u64; SKETCH_WORDS]);
 
-impl Teams {
+impl TeamSketch {
     /// One team.
-    pub fn one(key: TeamKey) -> Self {
+    pub fn single(key: TeamKey) -> Self {
         let mixed = xxh3_64(&key.to_le_bytes()) as usize;
-        let (word, bit) = (mixed % TEAM_WORDS, mixed / TEAM_WORDS);
-        let mut words = [0; TEAM_WORDS];
+        let (word, bit) = (mixed % SKETCH_WORDS, mixed / SKETCH_WORDS);
+        let mut words = [0; SKETCH_WORDS];
         words[word] = 1 << (bit % u64::BITS as usize);
-        Teams(words)
+        TeamSketch(words)
     }
 
     /// Those teams and others.
-    pub fn and(mut self, others: Teams) -> Self {
+    pub fn union(mut self, others: TeamSketch) -> Self {
         let words = self.0.iter_mut().zip(others.0);
         words.for_each(|(word, other)| *word |= other);
         self
@@ -101,25 +101,26 @@
     /// assert_eq!(Teams::one(7).and(Teams::one(7)).count().round(), 1.0);
     /// ```
     pub fn count(self) -> f64 {
-        let bits = f64::from(u64::BITS) * TEAM_WORDS as f64;
+        let bits = f64::from(u64::BITS) * SKETCH_WORDS as f64;
         let free: u32 = self.0.iter().map(|word| word.count_zeros()).sum();
         (bits * (bits / f64::from(free).max(1.0)).ln()).max(1.0)
     }
 }
 
 /// Demands, ordered by their sources.
-pub type Demands = Vec<(Source, Demand)>;
+pub type Demands = Vec<(DemandSource, Demand)>;
 
 /// Requests that end, in thousandths of one a second, ordered by their services.
-pub type Ends = Vec<(ServiceKey, u32)>;
+pub type CompletionRates = Vec<(ServiceKey, u32)>;
 
 /// What callers ask for, and what ends.
 #[derive(Clone, Debug, Default, PartialEq, Serialize, Deserialize)]
-pub struct Flows {
+pub struct Traffic {
     /// What callers ask for.
     pub demands: Demands,
     /// What ends of that which was let in.
-    pub ends: Ends,
+    #[serde(rename = "ends")]
+    pub completions: CompletionRates,
 }
 
 /// The number that stands for a service or a team.
@@ -140,7 +141,10 @@
 /// assert!(work((u32::MAX, u32::MAX), (800, 200)) < 10.0);
 /// assert!(work((0, 0), (0, 0)) > 0.0);
 /// ```
-pub fn work((prompt, answer): (u32, u32), (usual_prompt, usual_answer): (u32, u32)) -> f64 {
+pub fn relative_work(
+    (prompt, answer): (u32, u32),
+    (usual_prompt, usual_answer): (u32, u32),
+) -> f64 {
     let held = |prompt: u32, answer: u32| {
         let (prompt, answer) = (f64::from(prompt), f64::from(answer));
         (prompt + answer / 2.0) * answer
@@ -155,98 +159,101 @@
 
 /// Learns what the callers of one box ask for.
 #[derive(Debug, Default)]
-pub struct Meter {
-    rates: HashMap<Source, Rate>,
-    ends: HashMap<ServiceKey, Rate>,
+pub struct DemandMeter {
+    rates: HashMap<DemandSource, DecayingRate>,
+    completions: HashMap<ServiceKey, DecayingRate>,
 }
 
 /// Requests and work a second, at a time.
 #[derive(Clone, Copy, Debug, Default)]
-struct Rate {
+struct DecayingRate {
     requests: f64,
     work: f64,
-    at: Duration,
+    updated: Duration,
 }
 
-impl Rate {
-    fn note(&mut self, now: Duration, window: Duration, work: f64) {
-        let faded = self.faded(now, window);
+impl DecayingRate {
+    fn record(&mut self, now: Duration, window: Duration, work: f64) {
+        let faded = self.decay(now, window);
         let window = window.as_secs_f64();
         self.requests = self.requests * faded + 1.0 / window;
         self.work = self.work * faded + work / window;
-        self.at = now;
+        self.updated = now;
     }
 
     /// Part of the rates that is left, where they are learned over `window`.
-    fn faded(&self, now: Duration, window: Duration) -> f64 {
-        let age = now.saturating_sub(self.at).as_secs_f64();
+    fn decay(&self, now: Duration, window: Duration) -> f64 {
+        let age = now.saturating_sub(self.updated).as_secs_f64();
         (-age / window.as_secs_f64()).exp()
     }
 
     /// Requests, and work, in thousandths of one a second.
-    fn told(&self, now: Duration, window: Duration) -> (u32, u32) {
-        let thousandths = self.faded(now, window) * 1e3;
+    fn to_milli(&self, now: Duration, window: Duration) -> (u32, u32) {
+        let thousandths = self.decay(now, window) * 1e3;
         let told = |rate: f64| (rate * thousandths) as u32;
         (told(self.requests), told(self.work))
     }
 }
 
-impl Meter {
+impl DemandMeter {
     /// Notes a request that asks for so much work.
-    pub fn note(&mut self, now: Duration, source: Source, work: f64) {
+    pub fn record(&mut self, now: Duration, source: DemandSource, work: f64) {
         let rate = self.rates.entry(source).or_default();
-        rate.note(now, DEMAND_WINDOW, work);
+        rate.record(now, DEMAND_WINDOW, work);
     }
 
     /// Notes that a request ended that was let in.
-    pub fn note_end(&mut self, now: Duration, service: ServiceKey) {
-        let ends = self.ends.entry(service).or_default();
-        ends.note(now, ENDS_WINDOW, 1.0);
+    pub fn record_completion(&mut self, now: Duration, service: ServiceKey) {
+        let ends = self.completions.entry(service).or_default();
+        ends.record(now, COMPLETION_WINDOW, 1.0);
     }
 
     /// What is asked for now, and what ends; forgets those who asked for nothing lately.
-    pub fn flows(&mut self, now: Duration) -> Flows {
+    pub fn traffic(&mut self, now: Duration) -> Traffic {
         self.rates
-            .retain(|_, rate| rate.told(now, DEMAND_WINDOW).0 > TOLD_LEAST);
-        let demand = |(source, rate): (&Source, &Rate)| {
-            let (rate, work) = rate.told(now, DEMAND_WINDOW);
-            let teams = source.team.map(Teams::one).unwrap_or_default();
+            .retain(|_, rate| rate.to_milli(now, DEMAND_WINDOW).0 > MIN_RATE);
+        let demand = |(source, rate): (&DemandSource, &DecayingRate)| {
+            let (rate, work) = rate.to_milli(now, DEMAND_WINDOW);
+            let teams = source.team.map(TeamSketch::single).unwrap_or_default();
             (*source, Demand { rate, work, teams })
         };
         let mut demands: Demands = self.rates.iter().map(demand).collect();
         let ends = self
-            .ends
+            .completions
             .iter()
-            .map(|(s, rate)| (*s, rate.told(now, ENDS_WINDOW).0));
-        let mut ends: Ends = ends.collect();
+            .map(|(s, rate)| (*s, rate.to_milli(now, COMPLETION_WINDOW).0));
+        let mut ends: CompletionRates = ends.collect();
         demands.sort_unstable_by_key(|(source, _)| *source);
         ends.sort_unstable();
-        Flows { demands, ends }
+        Traffic {
+            demands,
+            completions: ends,
+        }
     }
 }
 
-impl Flows {
+impl Traffic {
     /// Adds flows up.
-    pub fn sum<'a>(all: impl Iterator<Item = &'a Flows>) -> Self {
-        let mut demands: BTreeMap<Source, Demand> = BTreeMap::new();
+    pub fn sum<'a>(all: impl Iterator<Item = &'a Traffic>) -> Self {
+        let mut demands: BTreeMap<DemandSource, Demand> = BTreeMap::new();
         let mut ends: BTreeMap<ServiceKey, u32> = BTreeMap::new();
         for flows in all {
             for (source, more) in &flows.demands {
                 demands.entry(*source).or_default().add(more);
             }
-            for (service, more) in &flows.ends {
+            for (service, more) in &flows.completions {
                 let sum = ends.entry(*service).or_default();
                 *sum = sum.saturating_add(*more);
             }
         }
-        Flows {
+        Traffic {
             demands: demands.into_iter().collect(),
-            ends: ends.into_iter().collect(),
+            completions: ends.into_iter().collect(),
         }
     }
 
     /// These flows without those of `less`.
-    pub fn without(mut self, less: &Flows) -> Self {
+    pub fn minus(mut self, less: &Traffic) -> Self {
         for (source, less) in &less.demands {
             if let Ok(at) = self.demands.binary_search_by_key(source, |(s, _)| *s) {
                 let rest = &mut self.demands[at].1;
@@ -254,9 +261,9 @@
                 rest.work = rest.work.saturating_sub(less.work);
             }
         }
-        for (service, less) in &less.ends {
-            if let Ok(at) = self.ends.binary_search_by_key(service, |(s, _)| *s) {
-                let rest = &mut self.ends[at].1;
+        for (service, less) in &less.completions {
+            if let Ok(at) = self.completions.binary_search_by_key(service, |(s, _)| *s) {
+                let rest = &mut self.completions[at].1;
                 *rest = rest.saturating_sub(*less);
             }
         }
@@ -266,13 +273,13 @@
 
     /// What so many boxes may tell: a box whose figures are wrong must not outweigh the
     /// fleet.
-    pub fn bounded(mut self, boxes: u32) -> Self {
-        let most = RATE_MOST.saturating_mul(boxes.max(1));
+    pub fn clamped(mut self, boxes: u32) -> Self {
+        let most = MAX_BOX_RATE.saturating_mul(boxes.max(1));
         for (_, demand) in &mut self.demands {
             demand.rate = demand.rate.min(most);
             demand.work = demand.work.min(most);
         }
-        for (_, ends) in &mut self.ends {
+        for (_, ends) in &mut self.completions {
             *ends = (*ends).min(most);
         }
         self
@@ -280,30 +287,30 @@
 
     /// The part that a word holds: the largest demands, and the others of each class
     /// together.
-    pub fn fit(mut self) -> Self {
-        if self.demands.len() <= TOLD_MOST {
+    pub fn truncated(mut self) -> Self {
+        if self.demands.len() <= MAX_DEMANDS {
             return self;
         }
         // Each class may need an entry for its others besides those told singly.
-        let single = TOLD_MOST.saturating_sub(self.classes());
+        let single = MAX_DEMANDS.saturating_sub(self.class_count());
         let demands = &mut self.demands;
         demands.sort_unstable_by_key(|(_, d)| Reverse(d.rate));
-        let small = demands.split_off(single.min(TOLD_MOST / 2));
-        let mut together: BTreeMap<Source, Demand> = demands.iter().copied().collect();
+        let small = demands.split_off(single.min(MAX_DEMANDS / 2));
+        let mut together: BTreeMap<DemandSource, Demand> = demands.iter().copied().collect();
         for (source, more) in &small {
-            let source = Source {
+            let source = DemandSource {
                 team: None,
                 ..*source
             };
             together.entry(source).or_default().add(more);
         }
-        self.demands = together.into_iter().take(TOLD_MOST).collect();
+        self.demands = together.into_iter().take(MAX_DEMANDS).collect();
         self
     }
 
     /// Classes of all services, where demands are ordered.
-    fn classes(&self) -> usize {
-        let same = |a: &(Source, Demand), b: &(Source, Demand)| {
+    fn class_count(&self) -> usize {
+        let same = |a: &(DemandSource, Demand), b: &(DemandSource, Demand)| {
             (a.0.service, a.0.class) == (b.0.service, b.0.class)
         };
         self.demands.chunk_by(same).count()
@@ -311,13 +318,13 @@
 
     /// What is asked of one service.
     pub fn demands_of(&self, service: ServiceKey) -> Demands {
-        let of = |(source, _): &&(Source, Demand)| source.service == service;
+        let of = |(source, _): &&(DemandSource, Demand)| source.service == service;
         self.demands.iter().filter(of).copied().collect()
     }
 
     /// Requests of one service that end each second.
-    pub fn ends_of(&self, service: ServiceKey) -> f64 {
-        let mut ends = self.ends.iter().filter(|(s, _)| *s == service);
+    pub fn completion_rate(&self, service: ServiceKey) -> f64 {
+        let mut ends = self.completions.iter().filter(|(s, _)| *s == service);
         ends.next().map_or(0.0, |(_, rate)| f64::from(*rate) / 1e3)
     }
 }
@@ -334,7 +341,7 @@
     }
 
     /// This demand where boxes that were not heard ask for as much as those that were.
-    pub fn times(&self, factor: f64) -> Self {
+    pub fn scaled(&self, factor: f64) -> Self {
         let times = |rate: u32| (f64::from(rate) * factor) as u32;
         Demand {
             rate: times(self.rate),
@@ -347,6 +354,6 @@
     pub(crate) fn add(&mut self, more: &Demand) {
         self.rate = self.rate.saturating_add(more.rate);
         self.work = self.work.saturating_add(more.work);
-        self.teams = self.teams.and(more.teams);
+        self.teams = self.teams.union(more.teams);
     }
 }
--- a/crates/ashgauge/src/digest.rs
+++ b/crates/ashgauge/src/digest.rs
@@ -19,7 +19,7 @@
 /// assert_eq!(note, of("/notes/7", "payroll", b"a note"));
 /// assert_ne!(note, of("/notes/7", "payroll", b"another"));
 /// ```
-pub fn of(path: &str, caller: &str, body: &[u8]) -> Digest {
+pub fn request_digest(path: &str, caller: &str, body: &[u8]) -> Digest {
     let mut hasher = Xxh3::new();
     for part in [path.as_bytes(), caller.as_bytes(), body] {
         // With the lengths, no two splits of the same bytes look alike.
@@ -36,6 +36,6 @@
 /// ```
 /// assert_eq!(ashgauge::digest::text(255), "00000000000000ff");
 /// ```
-pub fn text(digest: Digest) -> String {
+pub fn format_digest(digest: Digest) -> String {
     format!("{digest:016x}")
 }
--- a/crates/ashgauge/src/editor.rs
+++ b/crates/ashgauge/src/editor.rs
@@ -3,33 +3,33 @@
 use std::collections::VecDeque;
 use std::time::Duration;
 
-use crate::claim::Written;
+use crate::claim::WriteResult;
 use crate::table::{Edit, Table, Version};
 
 /// How long an edit may wait for the platform.
-const PATIENCE: Duration = Duration::from_secs(5);
+const EDIT_TIMEOUT: Duration = Duration::from_secs(5);
 
 /// Pause after a try that did not get through.
-const PAUSE: Duration = Duration::from_millis(100);
+const RETRY_DELAY: Duration = Duration::from_millis(100);
 
 /// Number that links an edit to whoever waits for its result.
-pub type Ticket = u64;
+pub type WaiterId = u64;
 
 /// What to do for the edits.
 #[derive(Clone, Debug, PartialEq)]
-pub enum Step {
+pub enum EditAction {
     /// Read the table's object.
     Read,
     /// Write it if it still has this version.
     Write(Version, Table),
     /// Tell an edit's result.
-    Tell(Ticket, Edit, Answer),
+    Respond(WaiterId, Edit, EditResult),
 }
 
 /// Result of an edit.
 #[derive(Clone, Debug, PartialEq, serde::Serialize, serde::Deserialize)]
 #[serde(tag = "result", rename_all = "snake_case")]
-pub enum Answer {
+pub enum EditResult {
     /// It is part of the table from this version on.
     Accepted {
         /// The version.
@@ -49,18 +49,18 @@
 /// Edits of one box, one at a time.
 #[derive(Debug, Default)]
 pub struct Editor {
-    waiting: VecDeque<(Ticket, Edit, Duration)>,
-    base: Option<(Version, Table)>,
+    waiting: VecDeque<(WaiterId, Edit, Duration)>,
+    snapshot: Option<(Version, Table)>,
     busy: bool,
     reading: bool,
-    unsure: bool,
-    next: Duration,
+    write_unknown: bool,
+    retry_at: Duration,
 }
 
 impl Editor {
     /// Takes an edit.
-    pub fn push(&mut self, now: Duration, ticket: Ticket, edit: Edit) -> Vec<Step> {
-        self.waiting.push_back((ticket, edit, now + PATIENCE));
+    pub fn push(&mut self, now: Duration, ticket: WaiterId, edit: Edit) -> Vec<EditAction> {
+        self.waiting.push_back((ticket, edit, now + EDIT_TIMEOUT));
         self.advance(now)
     }
 
@@ -68,12 +68,12 @@
     ///
     /// An answer older than `least`, the version known to be in force, is a
     /// stale one and is asked for again: a refusal must not rest on it.
-    pub fn read(
+    pub fn on_read(
         &mut self,
         now: Duration,
         least: Version,
         answer: Option<(Version, Table)>,
-    ) -> Vec<Step> {
+    ) -> Vec<EditAction> {
         // The table is also read for other reasons; an edit judged by such an
         // older reading could be refused for a value long replaced.
         if !std::mem::replace(&mut self.reading, false) {
@@ -81,37 +81,42 @@
         }
         self.busy = false;
         match answer.filter(|(v, _)| *v >= least) {
-            Some(base) => self.base = Some(base),
-            None => self.next = now + PAUSE,
+            Some(base) => self.snapshot = Some(base),
+            None => self.retry_at = now + RETRY_DELAY,
         }
         self.advance(now)
     }
 
     /// Takes the answer to [`Step::Write`] of `table`.
-    pub fn written(&mut self, now: Duration, table: Table, result: Written) -> Vec<Step> {
+    pub fn on_written(
+        &mut self,
+        now: Duration,
+        table: Table,
+        result: WriteResult,
+    ) -> Vec<EditAction> {
         self.busy = false;
         match result {
-            Written::Done(version) => self.base = Some((version, table)),
-            Written::Conflict => {
-                self.base = None;
+            WriteResult::Done(version) => self.snapshot = Some((version, table)),
+            WriteResult::Conflict => {
+                self.snapshot = None;
                 // A stale read would be refused over and over without a pause.
-                self.next = now + PAUSE / 10;
+                self.retry_at = now + RETRY_DELAY / 10;
             }
-            Written::Unknown => {
-                self.base = None;
-                self.unsure = true;
-                self.next = now + PAUSE;
+            WriteResult::Unknown => {
+                self.snapshot = None;
+                self.write_unknown = true;
+                self.retry_at = now + RETRY_DELAY;
             }
-            Written::Refused => self.next = now + PAUSE,
+            WriteResult::Refused => self.retry_at = now + RETRY_DELAY,
         }
         self.advance(now)
     }
 
     /// Goes on with the first edit.
-    pub fn advance(&mut self, now: Duration) -> Vec<Step> {
+    pub fn advance(&mut self, now: Duration) -> Vec<EditAction> {
         let mut steps = Vec::new();
-        while let Some(step) = self.step(now) {
-            let more = matches!(step, Step::Tell(..));
+        while let Some(step) = self.next_action(now) {
+            let more = matches!(step, EditAction::Respond(..));
             steps.push(step);
             if !more {
                 break;
@@ -120,54 +125,54 @@
         steps
     }
 
-    fn step(&mut self, now: Duration) -> Option<Step> {
+    fn next_action(&mut self, now: Duration) -> Option<EditAction> {
         let (_, edit, until) = self.waiting.front()?;
         if self.busy {
             return None;
         }
         if now >= *until {
-            return self.give_up();
+            return self.time_out();
         }
-        if now < self.next {
+        if now < self.retry_at {
             return None;
         }
-        let Some((version, table)) = &self.base else {
+        let Some((version, table)) = &self.snapshot else {
             self.busy = true;
             self.reading = true;
-            return Some(Step::Read);
+            return Some(EditAction::Read);
         };
         let version = *version;
-        if table.holds(&edit.id) {
-            return self.tell(Answer::Accepted { version });
+        if table.contains_edit(&edit.id) {
+            return self.finish(EditResult::Accepted { version });
         }
         match table.apply(edit) {
             Ok(next) => {
                 self.busy = true;
-                Some(Step::Write(version, next))
+                Some(EditAction::Write(version, next))
             }
-            Err(e) => self.tell(Answer::Refused {
+            Err(e) => self.finish(EditResult::Refused {
                 message: e.to_string(),
                 conflict: e.is_conflict(),
             }),
         }
     }
 
-    fn give_up(&mut self) -> Option<Step> {
-        if self.unsure {
-            return self.tell(Answer::Unknown);
+    fn time_out(&mut self) -> Option<EditAction> {
+        if self.write_unknown {
+            return self.finish(EditResult::Unknown);
         }
-        self.tell(Answer::Refused {
+        self.finish(EditResult::Refused {
             message: "the platform does not answer; send the edit again later".into(),
             conflict: false,
         })
     }
 
-    fn tell(&mut self, answer: Answer) -> Option<Step> {
+    fn finish(&mut self, answer: EditResult) -> Option<EditAction> {
         let (ticket, edit, _) = self.waiting.pop_front()?;
-        self.unsure = false;
+        self.write_unknown = false;
         // Each edit starts from a reading of its own, so that a refusal is
         // never drawn from an old table.
-        self.base = None;
-        Some(Step::Tell(ticket, edit, answer))
+        self.snapshot = None;
+        Some(EditAction::Respond(ticket, edit, answer))
     }
 }
--- a/crates/ashgauge/src/error.rs
+++ b/crates/ashgauge/src/error.rs
@@ -7,7 +7,7 @@
 
 /// Any refusal of this crate; its message names the remedy.
 pub struct Error {
-    code: Box<Code>,
+    code: Box<ErrorKind>,
 }
 
 /// The family an [`Error`] belongs to.
@@ -21,7 +21,7 @@
     Data,
 }
 
-pub(crate) enum Code {
+pub(crate) enum ErrorKind {
     UnknownRow {
         row: String,
     },
@@ -32,13 +32,13 @@
     BadCell {
         row: String,
         column: String,
-        need: &'static str,
+        expected: &'static str,
     },
     MissingCell {
         row: String,
         column: &'static str,
     },
-    Dangling {
+    DanglingRef {
         row: String,
         column: &'static str,
         target: String,
@@ -56,7 +56,7 @@
 }
 
 impl Error {
-    pub(crate) fn new(code: Code) -> Self {
+    pub(crate) fn new(code: ErrorKind) -> Self {
         Error {
             code: Box::new(code),
         }
@@ -65,8 +65,8 @@
     /// Returns the family of this error.
     pub fn classify(&self) -> Category {
         match *self.code {
-            Code::Conflict { .. } => Category::Conflict,
-            Code::Decode { .. } => Category::Data,
+            ErrorKind::Conflict { .. } => Category::Conflict,
+            ErrorKind::Decode { .. } => Category::Data,
             _ => Category::Table,
         }
     }
@@ -80,24 +80,28 @@
 impl fmt::Display for Error {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
         match &*self.code {
-            Code::UnknownRow { row } => write!(
+            ErrorKind::UnknownRow { row } => write!(
                 f,
                 "unknown row kind in `{row}`; name it team/NAME, tier/NAME, route/NAME or upstream/NAME"
             ),
-            Code::UnknownColumn { row, column } => write!(
+            ErrorKind::UnknownColumn { row, column } => write!(
                 f,
                 "row `{row}` has no column `{column}`; `ashctl columns` lists them"
             ),
-            Code::BadCell { row, column, need } => {
+            ErrorKind::BadCell {
+                row,
+                column,
+                expected: need,
+            } => {
                 write!(f, "cell {row}:{column} is not valid; it must be {need}")
             }
-            Code::MissingCell { row, column } => {
+            ErrorKind::MissingCell { row, column } => {
                 write!(
                     f,
                     "row `{row}` lacks column `{column}`; set it in the same edit"
                 )
             }
-            Code::Dangling {
+            ErrorKind::DanglingRef {
                 row,
                 column,
                 target,
@@ -105,7 +109,7 @@
                 f,
                 "cell {row}:{column} names `{target}`, which is no row; add that row or name another"
             ),
-            Code::Conflict {
+            ErrorKind::Conflict {
                 row,
                 column,
                 value,
@@ -114,7 +118,7 @@
                 f,
                 "cell {row}:{column} was set to {value} by {who} after you read it; read the table again and repeat the edit if you still want it"
             ),
-            Code::Decode { what, cause } => {
+            ErrorKind::Decode { what, cause } => {
                 write!(
                     f,
                     "{what} could not be decoded ({cause}); restore an earlier version of the object"
--- a/crates/ashgauge/src/estimate.rs
+++ b/crates/ashgauge/src/estimate.rs
@@ -9,85 +9,85 @@
 use std::collections::VecDeque;
 use std::time::Duration;
 
-use crate::demand::{DEMAND_WINDOW, Demands, ENDS_WINDOW};
+use crate::demand::{COMPLETION_WINDOW, DEMAND_WINDOW, Demands};
 use crate::pressure::Pressure;
 
 /// Groups of requests that are kept, by the time at which they began. With [`COHORT_PART`]
 /// they cover four times as long as a request stays.
-const COHORTS_MOST: usize = 80;
+const MAX_COHORTS: usize = 80;
 
 /// Time in which the requests of one group begin, as a part of how long requests stay.
-const COHORT_PART: f64 = 0.05;
+const COHORT_SHARE: f64 = 0.05;
 
 /// Groups as which the requests are counted that were there before the first report.
-const COHORTS_FIRST: u32 = 8;
+const INITIAL_COHORTS: u32 = 8;
 
 /// Admitted parts that are kept: at 20 a second, more than the oldest reports need.
-const PARTS_MOST: usize = 64;
+const MAX_SAMPLES: usize = 64;
 
 /// Requests stay for up to this part more or less than their mean, by their sizes.
-const SPREAD: f64 = 0.25;
+const DURATION_SPREAD: f64 = 0.25;
 
 /// Seconds that an only request is taken to stay before any has ended: users' answers
 /// take 1.7 to 2.9 s at engines that are full.
-const STAY_FIRST: f64 = 1.5;
+const INITIAL_DURATION_S: f64 = 1.5;
 
 /// Bounds of that time once it is learned.
-const STAY_RANGE: (f64, f64) = (0.05, 100.0);
+const DURATION_RANGE_S: (f64, f64) = (0.05, 100.0);
 
 /// Weight of the newest observation in that time, on a logarithmic scale. With 1 the time
 /// oscillates where 985 boxes with reports 0.5 s old fill the engines at once.
-const STAY_LEARN: f64 = 0.3;
+const DURATION_GAIN: f64 = 0.3;
 
 /// Most by which one observation may change it, as a factor.
-const STAY_STEP: f64 = 2.0;
+const MAX_DURATION_STEP: f64 = 2.0;
 
 /// Requests, and requests a second, that are counted at most.
-const COUNT_MOST: f64 = 1e12;
+const MAX_COUNT: f64 = 1e12;
 
 /// Most that requests are taken to stay longer at full engines, as a part.
-const GROWTH_MOST: f64 = 4.0;
+const MAX_SLOWDOWN: f64 = 4.0;
 
 /// Use of the engines past which requests are not taken to stay any longer: engines
 /// refuse what does not fit.
-const USED_MOST: f64 = 2.0;
+const MAX_UTILIZATION: f64 = 2.0;
 
 /// Use of the engines for which [`Estimate::ends`] holds.
-const USED_USUAL: f64 = 0.87;
+const TYPICAL_UTILIZATION: f64 = 0.87;
 
 /// Part by which the boxes that count may change between two estimates; with more, the
 /// requests of other boxes are known, not more or fewer requests under way.
-const BOXES_SAME: f64 = 0.2;
+const MAX_BOX_CHANGE: f64 = 0.2;
 
 /// Seconds between two estimates after which what was known before is discarded.
-const GAP_MOST: f64 = 1.0;
+const MAX_SAMPLE_GAP_S: f64 = 1.0;
 
 /// Least time over which a change of demand is measured.
-const TREND_LEAST: Duration = Duration::from_millis(100);
+const MIN_TREND_INTERVAL: Duration = Duration::from_millis(100);
 
 /// Standard deviations of a count up to which a change of demand counts as chance.
-const TREND_CHANCE: f64 = 2.0;
+const NOISE_SIGMAS: f64 = 2.0;
 
 /// Most by which demand is taken to differ from what reports tell, as a factor.
-const TREND_MOST: f64 = 4.0;
+const MAX_TREND_FACTOR: f64 = 4.0;
 
 /// What a box knows from its own state and the reports of others.
 #[derive(Clone, Debug, PartialEq)]
-pub struct Known {
+pub struct Observation {
     /// What all boxes are asked for.
     pub demands: Demands,
     /// Use of the engines.
     pub pressure: Pressure,
     /// Requests a second that end.
-    pub ends: f64,
+    pub completion_rate: f64,
     /// Boxes for which it counts.
     pub boxes: f64,
     /// How old it is.
     pub age: Duration,
     /// Time between two reports.
-    pub every: Duration,
+    pub report_interval: Duration,
     /// Part by which requests stay longer at full engines than at empty ones.
-    pub growth: f64,
+    pub full_slowdown: f64,
 }
 
 /// What is likely now.
@@ -100,7 +100,7 @@
     /// Requests a second that end where those under way began evenly. Those that really
     /// end follow what began one stay earlier; to admit as many again would repeat each
     /// swing of the past.
-    pub ends: f64,
+    pub completion_rate: f64,
 }
 
 /// Estimates for one service at one box.
@@ -109,33 +109,33 @@
     /// Requests that began, in groups, the oldest first.
     cohorts: VecDeque<Cohort>,
     /// Parts of the requests that were admitted from some time on.
-    parts: VecDeque<(f64, f64)>,
-    last: Option<Sample>,
+    admitted_shares: VecDeque<(f64, f64)>,
+    last_sample: Option<Sample>,
     trend: Trend,
     /// Seconds that an only request stays.
-    stay: f64,
-    asked: f64,
+    base_duration: f64,
+    demand_rate: f64,
 }
 
 /// Requests that began at about the same time.
 #[derive(Clone, Copy, Debug)]
 struct Cohort {
     /// When the first of them began.
-    from: f64,
+    first_start: f64,
     /// When they began on average.
-    at: f64,
+    mean_start: f64,
     requests: f64,
     /// Factor on their stay, by the use of the engines as they began.
-    slow: f64,
+    slowdown: f64,
 }
 
 /// What was known of one moment.
 #[derive(Clone, Copy, Debug)]
 struct Sample {
-    of: f64,
+    at: f64,
     requests: f64,
-    ends: f64,
-    used: f64,
+    completion_rate: f64,
+    utilization: f64,
     boxes: f64,
 }
 
@@ -143,11 +143,11 @@
     fn default() -> Self {
         Estimator {
             cohorts: VecDeque::new(),
-            parts: VecDeque::new(),
-            last: None,
+            admitted_shares: VecDeque::new(),
+            last_sample: None,
             trend: Trend::default(),
-            stay: STAY_FIRST,
-            asked: 0.0,
+            base_duration: INITIAL_DURATION_S,
+            demand_rate: 0.0,
         }
     }
 }
@@ -177,25 +177,29 @@
     /// // Some have ended since, and nobody asked for more.
     /// assert!((300.0..600.0).contains(&estimate.pressure.requests));
     /// ```
-    pub fn estimate(&mut self, now: Duration, known: &Known) -> Estimate {
-        let of = self.note(now.saturating_sub(known.age).as_secs_f64(), known);
+    pub fn estimate(&mut self, now: Duration, known: &Observation) -> Estimate {
+        let of = self.add_sample(now.saturating_sub(known.age).as_secs_f64(), known);
         let now = now.as_secs_f64().max(of);
-        let requests = bounded(known.pressure.requests, COUNT_MOST);
-        self.learn(of, requests);
+        let requests = clamp_or_zero(known.pressure.requests, MAX_COUNT);
+        self.update_duration(of, requests);
 
         let told: f64 = known.demands.iter().map(|(_, demand)| demand.rate()).sum();
-        self.asked = self.trend.asked(of, told, known);
-        let factor = if told > 0.0 { self.asked / told } else { 1.0 };
+        self.demand_rate = self.trend.current_rate(of, told, known);
+        let factor = if told > 0.0 {
+            self.demand_rate / told
+        } else {
+            1.0
+        };
         let demands = known.demands.iter();
-        let demands = demands.map(|(source, demand)| (*source, demand.times(factor)));
+        let demands = demands.map(|(source, demand)| (*source, demand.scaled(factor)));
 
-        let left = self.left(of);
+        let left = self.remaining(of);
         let kept = if left > 0.0 {
-            self.left(now) / left
+            self.remaining(now) / left
         } else {
             1.0
         };
-        let begun = self.admitted(of, now) * self.asked;
+        let begun = self.admitted_seconds(of, now) * self.demand_rate;
         let under_way = requests * kept.clamp(0.0, 1.0) + begun;
         let factor = if requests > 0.0 {
             under_way / requests
@@ -206,123 +210,128 @@
             demands: demands.collect(),
             pressure: Pressure {
                 requests: under_way,
-                memory: bounded(known.pressure.memory, COUNT_MOST) * factor,
-                slots: bounded(known.pressure.slots, COUNT_MOST) * factor,
+                memory: clamp_or_zero(known.pressure.memory, MAX_COUNT) * factor,
+                slots: clamp_or_zero(known.pressure.slots, MAX_COUNT) * factor,
             },
-            ends: under_way / (self.stay * slow(known.growth, USED_USUAL)),
+            completion_rate: under_way
+                / (self.base_duration * slowdown_factor(known.full_slowdown, TYPICAL_UTILIZATION)),
         }
     }
 
     /// Notes how many requests a second may begin by the level that was computed from the
     /// last estimate.
-    pub fn note_allowed(&mut self, now: Duration, allowed: f64) {
-        let part = if self.asked > 0.0 {
-            allowed / self.asked
+    pub fn record_allowed_rate(&mut self, now: Duration, allowed: f64) {
+        let part = if self.demand_rate > 0.0 {
+            allowed / self.demand_rate
         } else {
             1.0
         };
-        self.parts
+        self.admitted_shares
             .push_back((now.as_secs_f64(), part.clamp(0.0, 1.0)));
-        if self.parts.len() > PARTS_MOST {
-            self.parts.pop_front();
+        if self.admitted_shares.len() > MAX_SAMPLES {
+            self.admitted_shares.pop_front();
         }
     }
 
     /// Notes what is known of a moment, and returns that moment.
-    fn note(&mut self, of: f64, known: &Known) -> f64 {
-        let of = self.last.map_or(of, |last| of.max(last.of));
+    fn add_sample(&mut self, of: f64, known: &Observation) -> f64 {
+        let of = self.last_sample.map_or(of, |last| of.max(last.at));
         let sample = Sample {
-            of,
-            requests: bounded(known.pressure.requests, COUNT_MOST),
-            ends: bounded(known.ends, COUNT_MOST),
-            used: bounded(known.pressure.most(), USED_MOST),
+            at: of,
+            requests: clamp_or_zero(known.pressure.requests, MAX_COUNT),
+            completion_rate: clamp_or_zero(known.completion_rate, MAX_COUNT),
+            utilization: clamp_or_zero(known.pressure.max_share(), MAX_UTILIZATION),
             boxes: known.boxes,
         };
-        match self.last.replace(sample) {
-            Some(last) if of - last.of >= GAP_MOST => self.restart(known.growth, &sample),
-            Some(last) if (last.boxes - sample.boxes).abs() > last.boxes * BOXES_SAME => {
-                self.scale(sample.requests / last.requests.max(1.0));
+        match self.last_sample.replace(sample) {
+            Some(last) if of - last.at >= MAX_SAMPLE_GAP_S => {
+                self.reset_cohorts(known.full_slowdown, &sample)
+            }
+            Some(last) if (last.boxes - sample.boxes).abs() > last.boxes * MAX_BOX_CHANGE => {
+                self.scale_cohorts(sample.requests / last.requests.max(1.0));
             }
-            Some(last) => self.begin(known.growth, &last, &sample),
-            None => self.restart(known.growth, &sample),
+            Some(last) => self.add_started(known.full_slowdown, &last, &sample),
+            None => self.reset_cohorts(known.full_slowdown, &sample),
         }
         of
     }
 
     /// Takes requests to have begun evenly, where nothing is known of the time before.
-    fn restart(&mut self, growth: f64, sample: &Sample) {
-        let slow = slow(growth, sample.used);
-        let each = self.stay * slow / f64::from(COHORTS_FIRST);
+    fn reset_cohorts(&mut self, growth: f64, sample: &Sample) {
+        let slow = slowdown_factor(growth, sample.utilization);
+        let each = self.base_duration * slow / f64::from(INITIAL_COHORTS);
         let cohort = |n: u32| Cohort {
-            from: sample.of - each * f64::from(COHORTS_FIRST - n),
-            at: sample.of - each * (f64::from(COHORTS_FIRST - n) - 0.5),
-            requests: sample.requests / f64::from(COHORTS_FIRST),
-            slow,
+            first_start: sample.at - each * f64::from(INITIAL_COHORTS - n),
+            mean_start: sample.at - each * (f64::from(INITIAL_COHORTS - n) - 0.5),
+            requests: sample.requests / f64::from(INITIAL_COHORTS),
+            slowdown: slow,
         };
-        self.cohorts = (0..COHORTS_FIRST).map(cohort).collect();
+        self.cohorts = (0..INITIAL_COHORTS).map(cohort).collect();
     }
 
     /// Notes the requests that began between two moments: as many more as are under way,
     /// and as many as ended.
-    fn begin(&mut self, growth: f64, last: &Sample, sample: &Sample) {
+    fn add_started(&mut self, growth: f64, last: &Sample, sample: &Sample) {
         // The rate of ends is a mean that fades; both terms together are the count.
-        let mean = (sample.ends + last.ends) / 2.0 * (sample.of - last.of);
-        let ended = mean + ENDS_WINDOW.as_secs_f64() * (sample.ends - last.ends);
+        let mean = (sample.completion_rate + last.completion_rate) / 2.0 * (sample.at - last.at);
+        let ended = mean
+            + COMPLETION_WINDOW.as_secs_f64() * (sample.completion_rate - last.completion_rate);
         let rest = (last.requests - ended.max(0.0)).max(0.0);
         let begun = (sample.requests - rest).max(0.0);
         if sample.requests < rest {
             // Some were lost with their box or engine.
-            self.scale(sample.requests / rest);
+            self.scale_cohorts(sample.requests / rest);
         }
         let new = Cohort {
-            from: last.of,
-            at: (sample.of + last.of) / 2.0,
+            first_start: last.at,
+            mean_start: (sample.at + last.at) / 2.0,
             requests: begun,
-            slow: slow(growth, (sample.used + last.used) / 2.0),
+            slowdown: slowdown_factor(growth, (sample.utilization + last.utilization) / 2.0),
         };
-        let least = self.stay * COHORT_PART;
+        let least = self.base_duration * COHORT_SHARE;
         match self
             .cohorts
             .back_mut()
-            .filter(|c| sample.of < c.from + least)
+            .filter(|c| sample.at < c.first_start + least)
         {
-            Some(cohort) => cohort.add(&new),
+            Some(cohort) => cohort.merge(&new),
             None => self.cohorts.push_back(new),
         }
-        if self.cohorts.len() > COHORTS_MOST {
+        if self.cohorts.len() > MAX_COHORTS {
             self.cohorts.pop_front();
         }
     }
 
-    fn scale(&mut self, factor: f64) {
+    fn scale_cohorts(&mut self, factor: f64) {
         self.cohorts.iter_mut().for_each(|c| c.requests *= factor);
     }
 
     /// Learns how long requests stay: as many must be left as are under way.
-    fn learn(&mut self, of: f64, requests: f64) {
-        let left = self.left(of);
+    fn update_duration(&mut self, of: f64, requests: f64) {
+        let left = self.remaining(of);
         if left <= 0.0 || requests <= 0.0 {
             return;
         }
-        let step = (requests / left).clamp(1.0 / STAY_STEP, STAY_STEP);
-        let (least, most) = STAY_RANGE;
-        self.stay = (self.stay * step.powf(STAY_LEARN)).clamp(least, most);
+        let step = (requests / left).clamp(1.0 / MAX_DURATION_STEP, MAX_DURATION_STEP);
+        let (least, most) = DURATION_RANGE_S;
+        self.base_duration = (self.base_duration * step.powf(DURATION_GAIN)).clamp(least, most);
     }
 
     /// Requests of those that had begun by the last report that have not ended at a time.
-    fn left(&self, at: f64) -> f64 {
+    fn remaining(&self, at: f64) -> f64 {
         let left = |cohort: &Cohort| {
-            let stays = (at - cohort.at) / (self.stay * cohort.slow);
-            cohort.requests * ((1.0 + SPREAD - stays) / (2.0 * SPREAD)).clamp(0.0, 1.0)
+            let stays = (at - cohort.mean_start) / (self.base_duration * cohort.slowdown);
+            cohort.requests
+                * ((1.0 + DURATION_SPREAD - stays) / (2.0 * DURATION_SPREAD)).clamp(0.0, 1.0)
         };
         self.cohorts.iter().map(left).sum()
     }
 
     /// Seconds between two times, each counted by the part of the requests that was
     /// admitted.
-    fn admitted(&self, from: f64, to: f64) -> f64 {
+    fn admitted_seconds(&self, from: f64, to: f64) -> f64 {
         let (mut seconds, mut end) = (0.0, to);
-        for (at, part) in self.parts.iter().rev() {
+        for (at, part) in self.admitted_shares.iter().rev() {
             let begin = at.clamp(from, end);
             seconds += part * (end - begin);
             end = begin;
@@ -333,11 +342,14 @@
 }
 
 impl Cohort {
-    fn add(&mut self, more: &Cohort) {
+    fn merge(&mut self, more: &Cohort) {
         let sum = self.requests + more.requests;
         if sum > 0.0 {
             let mean = |a: f64, b: f64| (a * self.requests + b * more.requests) / sum;
-            (self.at, self.slow) = (mean(self.at, more.at), mean(self.slow, more.slow));
+            (self.mean_start, self.slowdown) = (
+                mean(self.mean_start, more.mean_start),
+                mean(self.slowdown, more.slowdown),
+            );
         }
         self.requests = sum;
     }
@@ -345,12 +357,12 @@
 
 /// Factor on the stay of requests that begin at such a use of the engines: their passes
 /// take longer with more requests in them.
-fn slow(growth: f64, used: f64) -> f64 {
-    1.0 + bounded(growth, GROWTH_MOST) * used
+fn slowdown_factor(growth: f64, used: f64) -> f64 {
+    1.0 + clamp_or_zero(growth, MAX_SLOWDOWN) * used
 }
 
 /// A figure from 0 to `most`; 0 for one that is not a number.
-fn bounded(told: f64, most: f64) -> f64 {
+fn clamp_or_zero(told: f64, most: f64) -> f64 {
     match told.is_nan() {
         true => 0.0,
         false => told.clamp(0.0, most),
@@ -361,7 +373,7 @@
 #[derive(Clone, Debug, Default)]
 struct Trend {
     /// Rates that were told, with the times that they are of.
-    told: VecDeque<(f64, f64)>,
+    samples: VecDeque<(f64, f64)>,
 }
 
 impl Trend {
@@ -369,27 +381,27 @@
     ///
     /// What is told is a mean that fades over [`DEMAND_WINDOW`], so two of them tell the rate
     /// between them. What differs from the mean by more than chance is taken to last.
-    fn asked(&mut self, of: f64, told: f64, known: &Known) -> f64 {
-        let over = known.every.max(TREND_LEAST).as_secs_f64();
-        while self.told.get(1).is_some_and(|(at, _)| *at <= of - over) {
-            self.told.pop_front();
+    fn current_rate(&mut self, of: f64, told: f64, known: &Observation) -> f64 {
+        let over = known.report_interval.max(MIN_TREND_INTERVAL).as_secs_f64();
+        while self.samples.get(1).is_some_and(|(at, _)| *at <= of - over) {
+            self.samples.pop_front();
         }
-        let before = self.told.front().copied();
-        self.told.push_back((of, told));
-        if self.told.len() > PARTS_MOST {
-            self.told.pop_front();
+        let before = self.samples.front().copied();
+        self.samples.push_back((of, told));
+        if self.samples.len() > MAX_SAMPLES {
+            self.samples.pop_front();
         }
-        let is_apart = |(at, _): &(f64, f64)| (over..GAP_MOST).contains(&(of - at));
+        let is_apart = |(at, _): &(f64, f64)| (over..MAX_SAMPLE_GAP_S).contains(&(of - at));
         let Some((at, before)) = before.filter(is_apart) else {
             return told;
         };
         let window = DEMAND_WINDOW.as_secs_f64();
         let faded = (-(of - at) / window).exp();
         let between = (told - before * faded) / (1.0 - faded);
-        let chance = TREND_CHANCE * (told / (of - at) + told / (2.0 * window)).sqrt();
+        let chance = NOISE_SIGMAS * (told / (of - at) + told / (2.0 * window)).sqrt();
         let change = between - told;
         let more = (change.abs() - chance).max(0.0).copysign(change);
         let followed = 1.0 - (-known.age.as_secs_f64() / window).exp();
-        (told + more * followed).clamp(told / TREND_MOST, told * TREND_MOST)
+        (told + more * followed).clamp(told / MAX_TREND_FACTOR, told * MAX_TREND_FACTOR)
     }
 }
--- a/crates/ashgauge/src/events.rs
+++ b/crates/ashgauge/src/events.rs
@@ -2,15 +2,15 @@
 
 /// Whole events at the start of some bytes.
 #[derive(Clone, Copy, Debug, Default, PartialEq)]
-pub struct Whole {
+pub struct CompleteEvents {
     /// Bytes that they take; what follows is the start of another event.
     pub len: usize,
     /// How many they are.
     pub count: usize,
     /// Id of the first, if it has one.
-    pub first: Option<u64>,
+    pub first_id: Option<u64>,
     /// Id of the last that has one.
-    pub last: Option<u64>,
+    pub last_id: Option<u64>,
 }
 
 /// Finds the whole events at the start of `bytes`.
@@ -27,13 +27,13 @@
 /// assert_eq!((whole.count, whole.first, whole.last), (2, Some(1), Some(2)));
 /// assert_eq!(whole.len, 30);
 /// ```
-pub fn cut(bytes: &[u8]) -> Whole {
-    let mut whole = Whole::default();
+pub fn scan_complete(bytes: &[u8]) -> CompleteEvents {
+    let mut whole = CompleteEvents::default();
     let mut start = 0;
     let mut id = None;
     let mut filled = false;
     while let Some(at) = bytes[start..].iter().position(|b| *b == b'\n') {
-        let line = trim(&bytes[start..start + at]);
+        let line = trim_cr(&bytes[start..start + at]);
         start += at + 1;
         if !line.is_empty() {
             filled |= line[0] != b':';
@@ -43,8 +43,8 @@
         whole.len = start;
         if filled {
             whole.count += 1;
-            whole.first = if whole.count == 1 { id } else { whole.first };
-            whole.last = id.or(whole.last);
+            whole.first_id = if whole.count == 1 { id } else { whole.first_id };
+            whole.last_id = id.or(whole.last_id);
         }
         id = None;
         filled = false;
@@ -52,7 +52,7 @@
     whole
 }
 
-fn trim(line: &[u8]) -> &[u8] {
+fn trim_cr(line: &[u8]) -> &[u8] {
     line.strip_suffix(b"\r").unwrap_or(line)
 }
 
--- a/crates/ashgauge/src/forecast.rs
+++ b/crates/ashgauge/src/forecast.rs
@@ -7,21 +7,21 @@
 
 use crate::chain::{Layer, Stage};
 use crate::cost;
-use crate::entry::Entry;
+use crate::entry::UpstreamState;
 use crate::routing::Model;
-use crate::scene::{Scene, Total};
+use crate::scene::{EstimatedLoad, SelectionContext};
 
 /// Longest time that is forecast: past it no caller waits, and a product of absurd
 /// figures stays a time.
-pub const FORECAST_MOST: Duration = Duration::from_secs(60);
+pub const MAX_FORECAST: Duration = Duration::from_secs(60);
 
 /// Requests that an engine is taken to have at most, so that their time stays a number:
 /// a hundred times the requests that a large fleet begins each second.
-const REQUESTS_MOST: f64 = 1e6;
+const MAX_REQUESTS: f64 = 1e6;
 
 /// Weight of the newest ratio in a calibration: one late event changes little, and a
 /// change of the load is learned within some forty streams.
-const LEARN: f64 = 0.05;
+const LEARNING_RATE: f64 = 0.05;
 
 /// Least and most ratio that is learned: forecasts that are further off say nothing, and
 /// silences must be looked into whatever engines report.
@@ -35,9 +35,9 @@
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub struct Forecast {
     /// Time from its send to its first event.
-    pub first: Duration,
+    pub first_event: Duration,
     /// Time between two events.
-    pub pause: Duration,
+    pub event_gap: Duration,
 }
 
 impl Forecast {
@@ -56,13 +56,13 @@
     /// assert_eq!(Forecast::default().ratio(first), None);
     /// ```
     pub fn ratio(&self, actual: Duration) -> Option<f64> {
-        let is_known = !self.first.is_zero() && !self.is_bounded();
-        is_known.then(|| actual.as_secs_f64() / self.first.as_secs_f64())
+        let is_known = !self.first_event.is_zero() && !self.is_capped();
+        is_known.then(|| actual.as_secs_f64() / self.first_event.as_secs_f64())
     }
 
     /// Whether the figures gave a longer time than is forecast.
-    pub fn is_bounded(&self) -> bool {
-        self.first >= FORECAST_MOST
+    pub fn is_capped(&self) -> bool {
+        self.first_event >= MAX_FORECAST
     }
 }
 
@@ -73,26 +73,31 @@
 /// first event takes as long as each later one. A prompt of 0 tokens counts as the usual
 /// one, as its caller did not say how long it is. Engines that are not known any more add
 /// nothing.
-pub fn forecast(scene: &Scene, model: &Model, stages: &[Stage], prompt: u32) -> Forecast {
+pub fn forecast(
+    scene: &SelectionContext,
+    model: &Model,
+    stages: &[Stage],
+    prompt: u32,
+) -> Forecast {
     let tokens = match prompt {
-        0 => model.prompt,
+        0 => model.typical_prompt,
         named => named,
     };
     let (mut first, mut pause) = (0.0, 0.0);
     for stage in stages {
-        let Some(entry) = scene.roster.get(&stage.upstream) else {
+        let Some(entry) = scene.registry.get(&stage.upstream) else {
             continue;
         };
         let layers = stage.end.saturating_sub(stage.first);
-        let total = Total::of(scene, entry);
-        let read = cost::reading_seconds(scene, model, entry, layers, tokens);
+        let total = EstimatedLoad::estimate(scene, entry);
+        let read = cost::prefill_seconds(scene, model, entry, layers, tokens);
         let event = event_seconds(scene, model, entry, layers, total.requests);
-        first += bounded(total.reading) + bounded(read) + event;
+        first += clamp_seconds(total.prefill_seconds) + clamp_seconds(read) + event;
         pause += event;
     }
     Forecast {
-        first: time(first),
-        pause: time(pause),
+        first_event: to_duration(first),
+        event_gap: to_duration(pause),
     }
 }
 
@@ -109,25 +114,31 @@
 /// assert_eq!(patience(ms(20), ms(250), ms(1300)), ms(250));
 /// assert_eq!(patience(ms(400), ms(250), ms(1300)), ms(800));
 /// ```
-pub fn patience(first: Duration, least: Duration, most: Duration) -> Duration {
+pub fn check_delay(first: Duration, least: Duration, most: Duration) -> Duration {
     let late = first.saturating_mul(LATE_FACTOR);
     least.max(late.min(most))
 }
 
 /// Seconds that an event takes on an engine that works on so many requests.
-fn event_seconds(scene: &Scene, model: &Model, entry: &Entry, layers: Layer, requests: f64) -> f64 {
+fn event_seconds(
+    scene: &SelectionContext,
+    model: &Model,
+    entry: &UpstreamState,
+    layers: Layer,
+    requests: f64,
+) -> f64 {
     // Longer steps would not fit into a time with the requests in them.
-    if model.step.max(model.step_request) >= FORECAST_MOST {
-        return FORECAST_MOST.as_secs_f64();
+    if model.step_time.max(model.step_per_request) >= MAX_FORECAST {
+        return MAX_FORECAST.as_secs_f64();
     }
-    let load = within(requests, REQUESTS_MOST);
-    let steps = f64::from(model.event_tokens) * cost::PASSES;
+    let load = clamp_or_zero(requests, MAX_REQUESTS);
+    let steps = f64::from(model.event_tokens) * cost::PASSES_PER_TOKEN;
     let layer = cost::work_seconds(model, entry, load, steps, 0.0);
-    bounded(layer * f64::from(layers) * entry.slowness(scene.now))
+    clamp_seconds(layer * f64::from(layers) * entry.slowness(scene.now))
 }
 
 /// A number from 0 to `most`; what is no number counts as 0.
-fn within(value: f64, most: f64) -> f64 {
+fn clamp_or_zero(value: f64, most: f64) -> f64 {
     match value.is_nan() {
         true => 0.0,
         false => value.clamp(0.0, most),
@@ -135,12 +146,12 @@
 }
 
 /// Seconds that may be forecast.
-fn bounded(seconds: f64) -> f64 {
-    within(seconds, FORECAST_MOST.as_secs_f64())
+fn clamp_seconds(seconds: f64) -> f64 {
+    clamp_or_zero(seconds, MAX_FORECAST.as_secs_f64())
 }
 
-fn time(seconds: f64) -> Duration {
-    Duration::from_secs_f64(bounded(seconds))
+fn to_duration(seconds: f64) -> Duration {
+    Duration::from_secs_f64(clamp_seconds(seconds))
 }
 
 /// How many times as long as forecast the first events of a service take, and how far
@@ -166,7 +177,7 @@
     /// Learned logarithm of the ratio.
     mean: f64,
     /// Learned distance of a ratio's logarithm from that.
-    distance: f64,
+    deviation: f64,
 }
 
 impl Default for Calibration {
@@ -174,21 +185,21 @@
     fn default() -> Self {
         Calibration {
             mean: 0.0,
-            distance: RATIO_RANGE.1.ln(),
+            deviation: RATIO_RANGE.1.ln(),
         }
     }
 }
 
 impl Calibration {
     /// Learns from the ratio of a first event's time to its forecast.
-    pub fn note(&mut self, ratio: f64) {
+    pub fn record(&mut self, ratio: f64) {
         if ratio.is_nan() {
             return;
         }
         let (least, most) = RATIO_RANGE;
         let error = ratio.clamp(least, most).ln() - self.mean;
-        self.mean += LEARN * error;
-        self.distance += LEARN * (error.abs() - self.distance);
+        self.mean += LEARNING_RATE * error;
+        self.deviation += LEARNING_RATE * (error.abs() - self.deviation);
     }
 
     /// Factor on a forecast, 0.25 to 4.
@@ -198,12 +209,12 @@
 
     /// How sure the factor is: by which factor first events differ from calibrated
     /// forecasts on average, 1 if they never do, and 4 before anything was learned.
-    pub fn spread(&self) -> f64 {
-        self.distance.exp()
+    pub fn error_factor(&self) -> f64 {
+        self.deviation.exp()
     }
 
     /// The forecast time of a first event, corrected by what was learned.
     pub fn apply(&self, first: Duration) -> Duration {
-        time(first.as_secs_f64() * self.factor())
+        to_duration(first.as_secs_f64() * self.factor())
     }
 }
--- a/crates/ashgauge/src/fresh.rs
+++ b/crates/ashgauge/src/fresh.rs
@@ -4,11 +4,11 @@
 use std::time::Duration;
 
 /// Revisions kept while one before them is missing.
-const AHEAD_MOST: usize = 4096;
+const MAX_PENDING_REVISIONS: usize = 4096;
 
 /// Time since a box's start within which others inform it, also where all boxes of a
 /// large fleet start together.
-const INFORMED_TIME: Duration = Duration::from_millis(1500);
+const STARTUP_GRACE: Duration = Duration::from_millis(1500);
 
 /// How long a request waits for a box that started `uptime` ago and knows nothing
 /// yet.
@@ -27,8 +27,8 @@
 /// assert_eq!(start_patience(ms(200)), ms(1300));
 /// assert_eq!(start_patience(ms(4000)), Duration::ZERO);
 /// ```
-pub fn start_patience(uptime: Duration) -> Duration {
-    INFORMED_TIME.saturating_sub(uptime)
+pub fn startup_wait(uptime: Duration) -> Duration {
+    STARTUP_GRACE.saturating_sub(uptime)
 }
 
 /// Age of a box's knowledge, counted from before it asked for it.
@@ -52,34 +52,37 @@
 /// ```
 #[derive(Clone, Copy, Debug)]
 pub struct Freshness {
-    most: Duration,
-    asked: Option<Duration>,
+    max_age: Duration,
+    asked_at: Option<Duration>,
 }
 
 impl Freshness {
     /// Makes one that holds for `most` after a question that was answered.
     pub fn new(most: Duration) -> Self {
-        Freshness { most, asked: None }
+        Freshness {
+            max_age: most,
+            asked_at: None,
+        }
     }
 
     /// Changes how long it holds.
-    pub fn set_most(&mut self, most: Duration) {
-        self.most = most;
+    pub fn set_max_age(&mut self, most: Duration) {
+        self.max_age = most;
     }
 
     /// Notes that a question asked at `asked` was answered.
     pub fn confirm(&mut self, asked: Duration) {
-        self.asked = self.asked.max(Some(asked));
+        self.asked_at = self.asked_at.max(Some(asked));
     }
 
     /// Whether what is known may still be acted on at `now`.
-    pub fn holds(&self, now: Duration) -> bool {
-        self.age(now).is_some_and(|age| age <= self.most)
+    pub fn is_fresh(&self, now: Duration) -> bool {
+        self.age(now).is_some_and(|age| age <= self.max_age)
     }
 
     /// Time since the last answered question; `None` before the first.
     pub fn age(&self, now: Duration) -> Option<Duration> {
-        self.asked.map(|at| now.saturating_sub(at))
+        self.asked_at.map(|at| now.saturating_sub(at))
     }
 }
 
@@ -101,24 +104,24 @@
 /// assert!(ledger.covers(12));
 /// ```
 #[derive(Clone, Debug, Default)]
-pub struct Ledger {
+pub struct RevisionTracker {
     base: u64,
-    ahead: BTreeSet<u64>,
+    pending: BTreeSet<u64>,
 }
 
-impl Ledger {
+impl RevisionTracker {
     /// Notes that everything up to `revision` was read.
-    pub fn read_all(&mut self, revision: u64) {
+    pub fn mark_read_to(&mut self, revision: u64) {
         self.base = self.base.max(revision);
-        self.close_up();
+        self.absorb_pending();
     }
 
     /// Notes that the change with this number was read.
-    pub fn add(&mut self, revision: u64) {
-        if revision > self.base && self.ahead.len() < AHEAD_MOST {
-            self.ahead.insert(revision);
+    pub fn mark_read(&mut self, revision: u64) {
+        if revision > self.base && self.pending.len() < MAX_PENDING_REVISIONS {
+            self.pending.insert(revision);
         }
-        self.close_up();
+        self.absorb_pending();
     }
 
     /// Whether every change up to `revision` was read.
@@ -131,9 +134,9 @@
         self.base
     }
 
-    fn close_up(&mut self) {
-        self.ahead = self.ahead.split_off(&(self.base + 1));
-        while self.ahead.remove(&(self.base + 1)) {
+    fn absorb_pending(&mut self) {
+        self.pending = self.pending.split_off(&(self.base + 1));
+        while self.pending.remove(&(self.base + 1)) {
             self.base += 1;
         }
     }
--- a/crates/ashgauge/src/hub.rs
+++ b/crates/ashgauge/src/hub.rs
@@ -10,44 +10,44 @@
 
 use crate::member::BoxId;
 use crate::reader::Readers;
-use crate::share::{Scope, UpstreamKey, tell_times};
+use crate::share::{Scope, UpstreamKey, report_intervals};
 
 /// Boxes of a fleet in which each tells every other one: a word from far away comes
 /// about twice a second then, as over hubs.
-const DIRECT_MOST: usize = 40;
+const MAX_DIRECT_BOXES: usize = 40;
 
 /// Time between two words of a box to its hub, if something changed.
-const UP_TIME: Duration = Duration::from_millis(150);
+const UPLINK_INTERVAL: Duration = Duration::from_millis(150);
 
 /// Time between two words of a hub to its boxes on upstreams of their data centre.
-pub const NEAR_TIME: Duration = Duration::from_millis(250);
+pub const LOCAL_INTERVAL: Duration = Duration::from_millis(250);
 
 /// The same on the other upstreams, which are used when those near do not do; there
 /// are several times as many.
-pub const FAR_TIME: Duration = Duration::from_millis(1000);
+pub const REMOTE_INTERVAL: Duration = Duration::from_millis(1000);
 
 /// Words in which what boxes have on far upstreams is told.
-const FAR_PARTS: u8 = 2;
+const REMOTE_PARTS: u8 = 2;
 
 /// The words that a hub tells its boxes.
-pub fn below() -> impl Iterator<Item = Scope> {
-    std::iter::once(Scope::Near).chain((0..FAR_PARTS).map(Scope::Far))
+pub fn leaf_scopes() -> impl Iterator<Item = Scope> {
+    std::iter::once(Scope::Local).chain((0..REMOTE_PARTS).map(Scope::Remote))
 }
 
 /// Whether such a word tells of an upstream, which may be near its receiver.
-pub fn is_told(scope: Scope, key: UpstreamKey, is_near: bool) -> bool {
+pub fn is_in_scope(scope: Scope, key: UpstreamKey, is_near: bool) -> bool {
     match scope {
         Scope::Own => true,
-        Scope::Near => is_near,
-        Scope::Far(part) => !is_near && key % u32::from(FAR_PARTS) == u32::from(part),
+        Scope::Local => is_near,
+        Scope::Remote(part) => !is_near && key % u32::from(REMOTE_PARTS) == u32::from(part),
     }
 }
 
 /// Time between two such words.
-pub fn below_time(scope: Scope) -> Duration {
+pub fn leaf_interval(scope: Scope) -> Duration {
     match scope {
-        Scope::Far(_) => FAR_TIME,
-        _ => NEAR_TIME,
+        Scope::Remote(_) => REMOTE_INTERVAL,
+        _ => LOCAL_INTERVAL,
     }
 }
 
@@ -63,8 +63,8 @@
 }
 
 /// Whether a fleet of so many boxes is small enough for each to tell every other one.
-pub fn is_small(boxes: usize) -> bool {
-    boxes <= DIRECT_MOST
+pub fn is_full_mesh(boxes: usize) -> bool {
+    boxes <= MAX_DIRECT_BOXES
 }
 
 /// The role of a box in a fleet of so many, that sees these readers.
@@ -80,11 +80,11 @@
 /// assert_eq!(role(985, &readers), Role::Leaf("b1".into()));
 /// ```
 pub fn role(boxes: usize, readers: &Readers) -> Role {
-    if is_small(boxes) || readers.all.is_empty() {
+    if is_full_mesh(boxes) || readers.ids.is_empty() {
         return Role::Peer;
     }
     match readers.sources.first() {
-        _ if readers.is_own => Role::Hub,
+        _ if readers.includes_self => Role::Hub,
         Some(hub) => Role::Leaf(hub.clone()),
         None => Role::Peer,
     }
@@ -93,31 +93,31 @@
 impl Role {
     /// Times between two words to boxes of the own data centre, of which there are
     /// `near`, and to those elsewhere, of `others` in all that this box tells.
-    pub fn times(&self, near: usize, others: usize) -> (Duration, Duration) {
+    pub fn intervals(&self, near: usize, others: usize) -> (Duration, Duration) {
         match self {
-            Role::Leaf(_) => (UP_TIME, UP_TIME),
-            _ => tell_times(near, others),
+            Role::Leaf(_) => (UPLINK_INTERVAL, UPLINK_INTERVAL),
+            _ => report_intervals(near, others),
         }
     }
 
     /// Time between two words on what boxes elsewhere have, where this box tells
     /// `others`.
-    pub fn lag(&self, others: usize) -> Duration {
-        let told = tell_times(0, others).1;
+    pub fn remote_interval(&self, others: usize) -> Duration {
+        let told = report_intervals(0, others).1;
         match self {
             Role::Peer => told,
-            Role::Hub => told + UP_TIME,
-            Role::Leaf(_) => FAR_TIME,
+            Role::Hub => told + UPLINK_INTERVAL,
+            Role::Leaf(_) => REMOTE_INTERVAL,
         }
     }
 
     /// Time between two words of one box on what its callers ask for. In a small fleet
     /// those of several boxes come in between where it is longer.
-    pub fn flows_time(&self) -> Duration {
+    pub fn traffic_interval(&self) -> Duration {
         match self {
-            Role::Peer => tell_times(0, 0).0,
-            Role::Hub => UP_TIME,
-            Role::Leaf(_) => NEAR_TIME,
+            Role::Peer => report_intervals(0, 0).0,
+            Role::Hub => UPLINK_INTERVAL,
+            Role::Leaf(_) => LOCAL_INTERVAL,
         }
     }
 }
--- a/crates/ashgauge/src/ident.rs
+++ b/crates/ashgauge/src/ident.rs
@@ -17,6 +17,6 @@
 pub type Layer = u32;
 
 /// The number that stands for an upstream.
-pub fn key(id: &str) -> UpstreamKey {
+pub fn upstream_key(id: &str) -> UpstreamKey {
     xxh3_64(id.as_bytes()) as UpstreamKey
 }
--- a/crates/ashgauge/src/lease.rs
+++ b/crates/ashgauge/src/lease.rs
@@ -4,7 +4,7 @@
 
 use serde::{Deserialize, Serialize};
 
-use crate::claim::Written;
+use crate::claim::WriteResult;
 use crate::table::Version;
 
 /// Number that grows with each new holder; the fence of its orders.
@@ -12,7 +12,7 @@
 
 /// Stored form of a lease.
 #[derive(Clone, Debug, Default, PartialEq, Serialize, Deserialize)]
-pub struct Stored {
+pub struct StoredLease {
     /// The holder, box and incarnation; empty when given back.
     pub holder: String,
     /// Its term.
@@ -21,11 +21,11 @@
 
 /// What to do for the lease.
 #[derive(Clone, Debug, PartialEq)]
-pub enum Step {
+pub enum LeaseAction {
     /// Read the object.
     Read,
     /// Write it if it still has this version.
-    Write(Version, Stored),
+    Write(Version, StoredLease),
 }
 
 /// One box's view of a lease.
@@ -35,28 +35,28 @@
 /// time to live plus a margin, on their own clock.
 #[derive(Debug)]
 pub struct Lease {
-    me: String,
+    owner: String,
     ttl: Duration,
-    seen: Option<(Version, Stored)>,
-    since: Duration,
+    last_read: Option<(Version, StoredLease)>,
+    changed_at: Duration,
     held: Option<(Term, Duration)>,
-    asked: Option<Duration>,
-    writing: Option<Stored>,
-    next: Duration,
+    sent_at: Option<Duration>,
+    pending: Option<StoredLease>,
+    next_call: Duration,
 }
 
 impl Lease {
     /// Makes a lease that `me` (box and incarnation) would like to hold.
     pub fn new(me: String, ttl: Duration) -> Self {
         Lease {
-            me,
+            owner: me,
             ttl,
-            seen: None,
-            since: Duration::ZERO,
+            last_read: None,
+            changed_at: Duration::ZERO,
             held: None,
-            asked: None,
-            writing: None,
-            next: Duration::ZERO,
+            sent_at: None,
+            pending: None,
+            next_call: Duration::ZERO,
         }
     }
 
@@ -67,84 +67,84 @@
     }
 
     /// The holder and term as last read.
-    pub fn stored(&self) -> Option<&Stored> {
-        self.seen.as_ref().map(|(_, s)| s)
+    pub fn last_stored(&self) -> Option<&StoredLease> {
+        self.last_read.as_ref().map(|(_, s)| s)
     }
 
     /// Returns what to do now; one step at a time.
-    pub fn tick(&mut self, now: Duration) -> Option<Step> {
-        if self.asked.is_some() || now < self.next {
+    pub fn tick(&mut self, now: Duration) -> Option<LeaseAction> {
+        if self.sent_at.is_some() || now < self.next_call {
             return None;
         }
-        self.asked = Some(now);
-        let Some((version, stored)) = &self.seen else {
-            return Some(Step::Read);
+        self.sent_at = Some(now);
+        let Some((version, stored)) = &self.last_read else {
+            return Some(LeaseAction::Read);
         };
-        let mine = stored.holder == self.me;
-        let lapsed = now >= self.since + self.ttl + self.margin();
+        let mine = stored.holder == self.owner;
+        let lapsed = now >= self.changed_at + self.ttl + self.margin();
         if !mine && !stored.holder.is_empty() && !lapsed {
-            return Some(Step::Read);
+            return Some(LeaseAction::Read);
         }
         let term = if mine && self.held.is_some() {
             stored.term
         } else {
             stored.term + 1
         };
-        let next = Stored {
-            holder: self.me.clone(),
+        let next = StoredLease {
+            holder: self.owner.clone(),
             term,
         };
-        self.writing = Some(next.clone());
-        Some(Step::Write(*version, next))
+        self.pending = Some(next.clone());
+        Some(LeaseAction::Write(*version, next))
     }
 
     /// Gives the lease back; returns the write that does so.
-    pub fn give_back(&mut self) -> Option<Step> {
+    pub fn release(&mut self) -> Option<LeaseAction> {
         let (term, _) = self.held.take()?;
-        let (version, _) = self.seen.as_ref()?;
-        let empty = Stored {
+        let (version, _) = self.last_read.as_ref()?;
+        let empty = StoredLease {
             holder: String::new(),
             term,
         };
-        Some(Step::Write(*version, empty))
+        Some(LeaseAction::Write(*version, empty))
     }
 
     /// Takes the answer to [`Step::Read`]; `None` if there was none.
-    pub fn read(&mut self, now: Duration, answer: Option<(Version, Stored)>) {
-        self.asked = None;
-        self.next = now + self.ttl / 4;
+    pub fn on_read(&mut self, now: Duration, answer: Option<(Version, StoredLease)>) {
+        self.sent_at = None;
+        self.next_call = now + self.ttl / 4;
         let Some((version, stored)) = answer else {
             return;
         };
-        let newer = self.seen.as_ref().is_none_or(|(v, _)| version > *v);
+        let newer = self.last_read.as_ref().is_none_or(|(v, _)| version > *v);
         if newer {
-            if stored.holder != self.me {
+            if stored.holder != self.owner {
                 self.held = None;
             }
-            self.seen = Some((version, stored));
-            self.since = now;
+            self.last_read = Some((version, stored));
+            self.changed_at = now;
         }
     }
 
     /// Takes the answer to [`Step::Write`].
-    pub fn written(&mut self, now: Duration, result: Written) {
-        let asked = self.asked.take();
-        let writing = self.writing.take();
+    pub fn on_written(&mut self, now: Duration, result: WriteResult) {
+        let asked = self.sent_at.take();
+        let writing = self.pending.take();
         match (result, asked, writing) {
-            (Written::Done(version), Some(asked), Some(stored)) => {
+            (WriteResult::Done(version), Some(asked), Some(stored)) => {
                 self.held = Some((stored.term, asked + self.ttl - self.margin()));
-                self.seen = Some((version, stored));
-                self.since = now;
-                self.next = asked + self.ttl / 3;
+                self.last_read = Some((version, stored));
+                self.changed_at = now;
+                self.next_call = asked + self.ttl / 3;
             }
-            (Written::Refused, ..) => self.next = now + self.ttl / 8,
+            (WriteResult::Refused, ..) => self.next_call = now + self.ttl / 8,
             // Read anew: somebody else may hold it, or this box itself. In the
             // second case it takes a new term, so that no two spans of holding
             // share one.
             _ => {
-                self.seen = None;
+                self.last_read = None;
                 self.held = None;
-                self.next = now;
+                self.next_call = now;
             }
         }
     }
--- a/crates/ashgauge/src/level.rs
+++ b/crates/ashgauge/src/level.rs
@@ -11,34 +11,35 @@
 use std::time::Duration;
 
 use crate::class::Class;
-use crate::demand::{Demand, Demands, Source, TeamKey};
+use crate::demand::{Demand, DemandSource, Demands, TeamKey};
 use crate::pressure::Pressure;
 
 /// Share of their bounds up to which engines are filled. Sizes vary: of some 180 requests
 /// in an engine's memory the deviation of their sum is 0.08.
-const FILL: f64 = 0.87;
+const TARGET_UTILIZATION: f64 = 0.87;
 
 /// Share of their bounds below which all is let in: a box that has just started reckons
 /// the demand of all from its own few requests.
-const ENGAGE: f64 = 0.5;
+const SHED_THRESHOLD: f64 = 0.5;
 
 /// Time within which requests under way are brought to what the engines can do. With 500 ms
 /// the most urgent class was refused at times though its demand was far below that.
-const SETTLE: Duration = Duration::from_millis(700);
+const SETTLE_TIME: Duration = Duration::from_millis(700);
 
 /// Least part of a class's demand with which a team counts singly.
-const SINGLE_LEAST: f64 = 1.0 / 64.0;
+const MIN_SINGLE_SHARE: f64 = 1.0 / 64.0;
 
 /// Least part of what ends that may begin, so that engines do not run empty where what
 /// is known of them is wrong.
-const BEGIN_LEAST: f64 = 0.1;
+const MIN_START_SHARE: f64 = 0.1;
 
 /// Time after which refused callers come back.
-const BACK_RANGE: (Duration, Duration) = (Duration::from_secs(3), Duration::from_millis(6400));
+const RETRY_AFTER_RANGE: (Duration, Duration) =
+    (Duration::from_secs(3), Duration::from_millis(6400));
 
 /// Part of their time for which callers stay away at most; past a third they ask earlier
 /// than they were told.
-const BACK_PART: f64 = 0.32;
+const RETRY_AFTER_SHARE: f64 = 0.32;
 
 /// Requests a second that may begin over all boxes, where so many end as long as the
 /// engines are used as they are ([`crate::estimate::Estimate`]).
@@ -55,14 +56,14 @@
 /// assert!(allowed(&pressure(0.6), 300.0) > 500.0);
 /// assert!(allowed(&pressure(1.0), 300.0) < 300.0);
 /// ```
-pub fn allowed(pressure: &Pressure, ends: f64) -> f64 {
-    let used = pressure.most();
-    if used < ENGAGE || pressure.requests <= 0.0 {
+pub fn allowed_rate(pressure: &Pressure, ends: f64) -> f64 {
+    let used = pressure.max_share();
+    if used < SHED_THRESHOLD || pressure.requests <= 0.0 {
         return f64::INFINITY;
     }
-    let more = pressure.requests * (FILL / used - 1.0) / SETTLE.as_secs_f64();
+    let more = pressure.requests * (TARGET_UTILIZATION / used - 1.0) / SETTLE_TIME.as_secs_f64();
     // As many end of those that fill the engines up to their share as may begin for good.
-    (ends * FILL / used + more).max(ends * BEGIN_LEAST)
+    (ends * TARGET_UTILIZATION / used + more).max(ends * MIN_START_SHARE)
 }
 
 /// When a refused caller is to come back that waits so much longer, with a `draw` from 0 to
@@ -82,25 +83,25 @@
 /// assert!(back_after(ms(20_000), 1.0) < ms(6667));
 /// assert!(back_after(ms(300), 1.0) < ms(100));
 /// ```
-pub fn back_after(patience: Duration, draw: f64) -> Duration {
-    let (least, most) = BACK_RANGE;
-    let most = most.min(patience.mul_f64(BACK_PART));
+pub fn retry_after(patience: Duration, draw: f64) -> Duration {
+    let (least, most) = RETRY_AFTER_RANGE;
+    let most = most.min(patience.mul_f64(RETRY_AFTER_SHARE));
     let least = least.min(most / 2);
     least + (most - least).mul_f64(draw.clamp(0.0, 1.0))
 }
 
 /// Who is let in.
 #[derive(Clone, Debug, PartialEq)]
-pub struct Level {
+pub struct AdmissionLevel {
     /// Those of the classes before this one are let in, those behind it are not.
     pub class: Class,
     /// Work a second that each team of this class may begin.
-    pub part: f64,
+    pub team_limit: f64,
     /// What the teams of this class ask for.
     demands: Vec<(Option<TeamKey>, Demand)>,
 }
 
-impl Level {
+impl AdmissionLevel {
     /// The level at which so many requests a second begin; `None` if all are let in.
     ///
     /// Room is shared by work, which requests of one team may have more of than others.
@@ -119,10 +120,10 @@
                 left -= asked;
                 continue;
             }
-            let demands = gather(same);
-            return Some(Level {
+            let demands = group_demands(same);
+            return Some(AdmissionLevel {
                 class: same[0].0.class,
-                part: fair_part(&demands, left),
+                team_limit: fair_share(&demands, left),
                 demands,
             });
         }
@@ -134,29 +135,29 @@
         match class.cmp(&self.class) {
             Ordering::Less => 1.0,
             Ordering::Greater => 0.0,
-            Ordering::Equal => self.share_at(team),
+            Ordering::Equal => self.team_share(team),
         }
     }
 
-    fn share_at(&self, team: TeamKey) -> f64 {
+    fn team_share(&self, team: TeamKey) -> f64 {
         let find = |team| self.demands.iter().find(|(t, _)| *t == team);
         let known = find(Some(team)).or_else(|| find(None));
         // A team of which nothing was told yet has asked for little.
         known.map_or(1.0, |(_, demand)| {
-            (self.part * demand.teams.count() / demand.work()).min(1.0)
+            (self.team_limit * demand.teams.count() / demand.work()).min(1.0)
         })
     }
 }
 
 /// What the teams of one class ask for, where those that ask for little count together:
 /// some boxes tell them singly and others do not.
-fn gather(same: &[(Source, Demand)]) -> Vec<(Option<TeamKey>, Demand)> {
+fn group_demands(same: &[(DemandSource, Demand)]) -> Vec<(Option<TeamKey>, Demand)> {
     let asked: f64 = same.iter().map(|(_, demand)| demand.work()).sum();
     let mut rest = Demand::default();
     let mut gathered = Vec::new();
     for (source, demand) in same {
         match source.team {
-            Some(_) if demand.work() >= asked * SINGLE_LEAST => {
+            Some(_) if demand.work() >= asked * MIN_SINGLE_SHARE => {
                 gathered.push((source.team, *demand));
             }
             _ => rest.add(demand),
@@ -169,7 +170,7 @@
 }
 
 /// The most that each team may get of `left` if none gets more than it asks for.
-fn fair_part(demands: &[(Option<TeamKey>, Demand)], left: f64) -> f64 {
+fn fair_share(demands: &[(Option<TeamKey>, Demand)], left: f64) -> f64 {
     let each = |demand: &Demand| demand.work() / demand.teams.count();
     let mut sorted: Vec<&Demand> = demands.iter().map(|(_, d)| d).collect();
     sorted.sort_by(|a, b| each(a).total_cmp(&each(b)));
@@ -188,28 +189,28 @@
 
 /// Lets requests of one box in by the level.
 #[derive(Debug, Default)]
-pub struct Gate {
-    level: Option<Level>,
+pub struct AdmissionGate {
+    level: Option<AdmissionLevel>,
     since: Duration,
     /// Parts of a request that each team is owed.
-    owed: HashMap<TeamKey, f64>,
+    credits: HashMap<TeamKey, f64>,
 }
 
-impl Gate {
+impl AdmissionGate {
     /// Puts a level in force; returns whether its class changed.
-    pub fn set(&mut self, now: Duration, level: Option<Level>) -> bool {
-        let class = |level: &Option<Level>| level.as_ref().map(|l| l.class);
+    pub fn set_level(&mut self, now: Duration, level: Option<AdmissionLevel>) -> bool {
+        let class = |level: &Option<AdmissionLevel>| level.as_ref().map(|l| l.class);
         let changed = class(&level) != class(&self.level);
         if changed {
             self.since = now;
-            self.owed.clear();
+            self.credits.clear();
         }
         self.level = level;
         changed
     }
 
     /// The level in force.
-    pub fn level(&self) -> Option<&Level> {
+    pub fn level(&self) -> Option<&AdmissionLevel> {
         self.level.as_ref()
     }
 
@@ -220,7 +221,7 @@
 
     /// Whether a request is let in; `start`, from 0 to 1 at random, spreads the first
     /// refusals of boxes that have few requests each.
-    pub fn admits(&mut self, class: Class, team: TeamKey, start: f64) -> bool {
+    pub fn admit(&mut self, class: Class, team: TeamKey, start: f64) -> bool {
         let Some(level) = &self.level else {
             return true;
         };
@@ -228,7 +229,7 @@
         if class != level.class {
             return share >= 1.0;
         }
-        let owed = self.owed.entry(team).or_insert(start);
+        let owed = self.credits.entry(team).or_insert(start);
         *owed += share;
         let is_in = *owed >= 1.0;
         if is_in {
--- a/crates/ashgauge/src/load.rs
+++ b/crates/ashgauge/src/load.rs
@@ -7,33 +7,33 @@
 use crate::member::UpstreamId;
 
 /// Weight of the newest sample in the learned times.
-const GAIN: f64 = 0.1;
+const ALPHA: f64 = 0.1;
 
 /// Step up of the link estimate when a sample lies above it; the step down is
 /// a ninth of it, which settles near the 90th of 100.
-const LINK_STEP: f64 = 0.09;
+const LINK_QUANTILE_STEP: f64 = 0.09;
 
 /// Time after which an unused link counts a third of its learned cost, so
 /// that one that was slow is tried again.
-const LINK_FADE: f64 = 20.0;
+const LINK_DECAY_SECONDS: f64 = 20.0;
 
 /// Share of queueing in an order's engine time under which a window grows.
-const QUEUE_LOW: f64 = 0.5;
+const GROW_QUEUE_RATIO: f64 = 0.5;
 
 /// Share above which it shrinks.
-const QUEUE_HIGH: f64 = 1.5;
+const SHRINK_QUEUE_RATIO: f64 = 1.5;
 
-const WINDOW_FIRST: f64 = 4.0;
-const WINDOW_MOST: f64 = 512.0;
-const LAYER_FIRST: f64 = 0.000_2;
-const SUSPECT_FIRST: Duration = Duration::from_millis(250);
-const SUSPECT_MOST: Duration = Duration::from_secs(2);
+const INITIAL_WINDOW: f64 = 4.0;
+const MAX_WINDOW: f64 = 512.0;
+const INITIAL_LAYER_SECONDS: f64 = 0.000_2;
+const INITIAL_SUSPECT_DURATION: Duration = Duration::from_millis(250);
+const MAX_SUSPECT_DURATION: Duration = Duration::from_secs(2);
 
 /// Engine's own account of one order.
 #[derive(Clone, Copy, Debug, Default)]
-pub struct Timing {
+pub struct OrderTiming {
     /// From sending to the answer, on the box's clock.
-    pub total: Duration,
+    pub round_trip: Duration,
     /// Time that the order waited in the engine.
     pub queued: Duration,
     /// Time that it ran.
@@ -47,21 +47,21 @@
 /// Mean of a time and its mean distance from it, as for retransmission timers
 /// (RFC 6298).
 #[derive(Clone, Copy, Debug, Default)]
-pub(crate) struct Spread {
+pub(crate) struct DurationEstimate {
     mean: f64,
-    far: f64,
+    deviation: f64,
 }
 
-impl Spread {
-    pub(crate) fn learn(&mut self, x: f64) {
+impl DurationEstimate {
+    pub(crate) fn record(&mut self, x: f64) {
         if self.mean == 0.0 {
-            *self = Spread {
+            *self = DurationEstimate {
                 mean: x,
-                far: x / 2.0,
+                deviation: x / 2.0,
             };
             return;
         }
-        self.far += 0.25 * ((x - self.mean).abs() - self.far);
+        self.deviation += 0.25 * ((x - self.mean).abs() - self.deviation);
         self.mean += 0.125 * (x - self.mean);
     }
 
@@ -70,222 +70,222 @@
     }
 
     /// A time that is seldom passed.
-    fn late(&self) -> f64 {
-        self.mean + 4.0 * self.far
+    fn upper_bound(&self) -> f64 {
+        self.mean + 4.0 * self.deviation
     }
 }
 
 /// One upstream as this box sees it.
 #[derive(Clone, Debug)]
-pub struct Load {
+pub struct UpstreamStats {
     /// Requests of this box that hold a place on it.
-    pub held: u32,
+    pub inflight: u32,
     window: f64,
-    layer: f64,
-    link: f64,
-    ratio: f64,
-    one: Spread,
-    many: Spread,
-    seen: Duration,
-    until: Duration,
-    fails: u32,
+    layer_seconds: f64,
+    link_seconds: f64,
+    queue_ratio: f64,
+    single_order: DurationEstimate,
+    per_position: DurationEstimate,
+    last_answer: Duration,
+    suspect_until: Duration,
+    failures: u32,
     probing: bool,
     /// Until when it wants no new work from this box.
-    rest: Duration,
+    backoff_until: Duration,
 }
 
 /// All upstreams as this box sees them.
 #[derive(Debug, Default)]
-pub struct Loads {
-    map: HashMap<UpstreamId, Load>,
+pub struct UpstreamStatsMap {
+    by_id: HashMap<UpstreamId, UpstreamStats>,
 }
 
-impl Default for Load {
+impl Default for UpstreamStats {
     fn default() -> Self {
-        Load {
-            held: 0,
-            window: WINDOW_FIRST,
-            layer: LAYER_FIRST,
-            link: 0.0,
-            ratio: 0.0,
-            one: Spread::default(),
-            many: Spread::default(),
-            seen: Duration::ZERO,
-            until: Duration::ZERO,
-            fails: 0,
+        UpstreamStats {
+            inflight: 0,
+            window: INITIAL_WINDOW,
+            layer_seconds: INITIAL_LAYER_SECONDS,
+            link_seconds: 0.0,
+            queue_ratio: 0.0,
+            single_order: DurationEstimate::default(),
+            per_position: DurationEstimate::default(),
+            last_answer: Duration::ZERO,
+            suspect_until: Duration::ZERO,
+            failures: 0,
             probing: false,
-            rest: Duration::ZERO,
+            backoff_until: Duration::ZERO,
         }
     }
 }
 
-impl Load {
+impl UpstreamStats {
     /// Requests that this box may hold on it.
     pub fn window(&self) -> u32 {
         self.window as u32
     }
 
     /// Learned time of the link both ways, in seconds, faded by disuse.
-    pub fn link(&self, now: Duration) -> f64 {
-        let idle = now.saturating_sub(self.seen).as_secs_f64();
-        self.link * (-idle / LINK_FADE).exp()
+    pub fn link_seconds(&self, now: Duration) -> f64 {
+        let idle = now.saturating_sub(self.last_answer).as_secs_f64();
+        self.link_seconds * (-idle / LINK_DECAY_SECONDS).exp()
     }
 
-    fn is_open(&self, now: Duration) -> bool {
-        if now < self.rest {
+    fn has_capacity(&self, now: Duration) -> bool {
+        if now < self.backoff_until {
             return false;
         }
-        if self.fails > 0 {
-            return now >= self.until && !self.probing;
+        if self.failures > 0 {
+            return now >= self.suspect_until && !self.probing;
         }
-        self.held < self.window()
+        self.inflight < self.window()
     }
 
-    fn learn(&mut self, now: Duration, t: &Timing) {
-        self.learn_speed(t);
-        let link = t.total.saturating_sub(t.queued + t.ran).as_secs_f64();
-        self.learn_link(link);
+    fn record(&mut self, now: Duration, t: &OrderTiming) {
+        self.record_speed(t);
+        let link = t.round_trip.saturating_sub(t.queued + t.ran).as_secs_f64();
+        self.record_link(link);
         let ratio = t.queued.as_secs_f64() / t.ran.as_secs_f64().max(1e-6);
-        self.ratio += GAIN * (ratio.min(10.0) - self.ratio);
-        self.resize();
-        self.seen = now;
-        self.fails = 0;
+        self.queue_ratio += ALPHA * (ratio.min(10.0) - self.queue_ratio);
+        self.resize_window();
+        self.last_answer = now;
+        self.failures = 0;
         self.probing = false;
     }
 
     /// Orders of one position and of many differ in time for one layer, as
     /// engines run the positions of an order together.
-    fn learn_speed(&mut self, t: &Timing) {
+    fn record_speed(&mut self, t: &OrderTiming) {
         let per_layer = t.ran.as_secs_f64() / f64::from(t.layers.max(1));
-        let total = t.total.as_secs_f64();
+        let total = t.round_trip.as_secs_f64();
         if t.positions > 1 {
-            self.many.learn(total / f64::from(t.positions));
-        } else if self.one.mean == 0.0 {
-            self.layer = per_layer;
+            self.per_position.record(total / f64::from(t.positions));
+        } else if self.single_order.mean == 0.0 {
+            self.layer_seconds = per_layer;
         } else {
-            self.layer += GAIN * (per_layer - self.layer);
+            self.layer_seconds += ALPHA * (per_layer - self.layer_seconds);
         }
         if t.positions <= 1 {
-            self.one.learn(total);
+            self.single_order.record(total);
         }
     }
 
-    fn learn_link(&mut self, link: f64) {
-        if self.link == 0.0 {
-            self.link = link;
-        } else if link > self.link {
-            self.link += (link - self.link) * LINK_STEP * 2.0;
+    fn record_link(&mut self, link: f64) {
+        if self.link_seconds == 0.0 {
+            self.link_seconds = link;
+        } else if link > self.link_seconds {
+            self.link_seconds += (link - self.link_seconds) * LINK_QUANTILE_STEP * 2.0;
         } else {
-            self.link -= (self.link - link) * LINK_STEP / 4.5;
+            self.link_seconds -= (self.link_seconds - link) * LINK_QUANTILE_STEP / 4.5;
         }
     }
 
-    fn resize(&mut self) {
-        let full = f64::from(self.held) + 1.0 >= self.window;
-        if self.ratio < QUEUE_LOW && full {
-            self.window = (self.window + 1.0 / self.window).min(WINDOW_MOST);
-        } else if self.ratio > QUEUE_HIGH {
+    fn resize_window(&mut self) {
+        let full = f64::from(self.inflight) + 1.0 >= self.window;
+        if self.queue_ratio < GROW_QUEUE_RATIO && full {
+            self.window = (self.window + 1.0 / self.window).min(MAX_WINDOW);
+        } else if self.queue_ratio > SHRINK_QUEUE_RATIO {
             self.window = (self.window - 1.0 / self.window).max(1.0);
         }
     }
 }
 
-impl Loads {
+impl UpstreamStatsMap {
     /// Returns what is known of an upstream.
-    pub fn get(&mut self, id: &UpstreamId) -> &mut Load {
-        self.map.entry(id.clone()).or_default()
+    pub fn get_mut(&mut self, id: &UpstreamId) -> &mut UpstreamStats {
+        self.by_id.entry(id.clone()).or_default()
     }
 
     /// Returns true if the upstream may be given one more request.
-    pub fn is_open(&self, now: Duration, id: &str) -> bool {
-        self.map.get(id).is_none_or(|l| l.is_open(now))
+    pub fn has_capacity(&self, now: Duration, id: &str) -> bool {
+        self.by_id.get(id).is_none_or(|l| l.has_capacity(now))
     }
 
     /// Returns true if the last call failed and its time out is not over.
     pub fn is_suspect(&self, now: Duration, id: &str) -> bool {
-        self.map
+        self.by_id
             .get(id)
-            .is_some_and(|l| l.fails > 0 && now < l.until)
+            .is_some_and(|l| l.failures > 0 && now < l.suspect_until)
     }
 
     /// Returns true if the upstream wants no new work from this box.
-    pub fn is_resting(&self, now: Duration, id: &str) -> bool {
-        self.map.get(id).is_some_and(|l| now < l.rest)
+    pub fn is_backing_off(&self, now: Duration, id: &str) -> bool {
+        self.by_id.get(id).is_some_and(|l| now < l.backoff_until)
     }
 
     /// Notes that the upstream wants no new work from this box for so long.
-    pub fn note_rest(&mut self, now: Duration, id: &UpstreamId, rest: Duration) {
-        let l = self.get(id);
-        l.rest = l.rest.max(now.saturating_add(rest));
+    pub fn note_backoff(&mut self, now: Duration, id: &UpstreamId, rest: Duration) {
+        let l = self.get_mut(id);
+        l.backoff_until = l.backoff_until.max(now.saturating_add(rest));
     }
 
     /// Counts one more request on the upstream.
-    pub fn hold(&mut self, id: &UpstreamId) {
-        let l = self.get(id);
-        l.held += 1;
-        l.probing = l.fails > 0;
+    pub fn acquire(&mut self, id: &UpstreamId) {
+        let l = self.get_mut(id);
+        l.inflight += 1;
+        l.probing = l.failures > 0;
     }
 
     /// Counts one request less.
     pub fn release(&mut self, id: &UpstreamId) {
-        let l = self.get(id);
-        l.held = l.held.saturating_sub(1);
+        let l = self.get_mut(id);
+        l.inflight = l.inflight.saturating_sub(1);
         l.probing = false;
     }
 
     /// Learns from an order that was answered.
-    pub fn learn(&mut self, now: Duration, id: &UpstreamId, timing: &Timing) {
-        self.get(id).learn(now, timing);
+    pub fn record(&mut self, now: Duration, id: &UpstreamId, timing: &OrderTiming) {
+        self.get_mut(id).record(now, timing);
     }
 
     /// Notes that an order failed; the upstream gets nothing for a while.
-    pub fn fail(&mut self, now: Duration, id: &UpstreamId) {
-        let l = self.get(id);
-        let pause = SUSPECT_FIRST * 2u32.saturating_pow(l.fails.min(10));
-        l.until = now + pause.min(SUSPECT_MOST);
-        l.fails += 1;
+    pub fn record_failure(&mut self, now: Duration, id: &UpstreamId) {
+        let l = self.get_mut(id);
+        let pause = INITIAL_SUSPECT_DURATION * 2u32.saturating_pow(l.failures.min(10));
+        l.suspect_until = now + pause.min(MAX_SUSPECT_DURATION);
+        l.failures += 1;
         l.probing = false;
         l.window = (l.window / 2.0).max(1.0);
     }
 
     /// Cost of using the upstream for a range it holds.
     pub fn edge(&self, now: Duration, id: &UpstreamId, first: Layer, end: Layer) -> Edge {
-        let fresh = Load::default();
-        let l = self.map.get(id).unwrap_or(&fresh);
-        let busy = f64::from(l.held) / l.window.max(1.0);
+        let fresh = UpstreamStats::default();
+        let l = self.by_id.get(id).unwrap_or(&fresh);
+        let busy = f64::from(l.inflight) / l.window.max(1.0);
         Edge {
-            place: 0,
+            data_centre: 0,
             upstream: id.clone(),
             first,
             end,
-            fixed: l.link(now),
-            layer: l.layer * (1.0 + l.ratio + busy),
+            fixed_cost: l.link_seconds(now),
+            layer_cost: l.layer_seconds * (1.0 + l.queue_ratio + busy),
         }
     }
 
     /// Seconds that an order of one position takes, as learned.
-    pub fn pace(&self, id: &str) -> f64 {
-        self.map.get(id).map_or(0.0, |l| l.one.mean)
+    pub fn order_seconds(&self, id: &str) -> f64 {
+        self.by_id.get(id).map_or(0.0, |l| l.single_order.mean)
     }
 
     /// Time that an order of so many positions seldom takes, as learned;
     /// `None` if nothing was learned of such orders.
-    pub fn late(&self, id: &str, positions: u32) -> Option<Duration> {
-        let l = self.map.get(id)?;
+    pub fn late_after(&self, id: &str, positions: u32) -> Option<Duration> {
+        let l = self.by_id.get(id)?;
         let late = match positions {
-            0 | 1 => l.one.late(),
-            n => (l.many.late() * f64::from(n)).max(l.one.late()),
+            0 | 1 => l.single_order.upper_bound(),
+            n => (l.per_position.upper_bound() * f64::from(n)).max(l.single_order.upper_bound()),
         };
         (late > 0.0).then(|| Duration::from_secs_f64(late))
     }
 
     /// Forgets upstreams that are no longer listed and hold nothing.
     pub fn retain(&mut self, mut listed: impl FnMut(&str) -> bool) {
-        self.map.retain(|id, l| l.held > 0 || listed(id));
+        self.by_id.retain(|id, l| l.inflight > 0 || listed(id));
     }
 
     /// Every upstream known, for status and metrics.
-    pub fn iter(&self) -> impl Iterator<Item = (&UpstreamId, &Load)> {
-        self.map.iter()
+    pub fn iter(&self) -> impl Iterator<Item = (&UpstreamId, &UpstreamStats)> {
+        self.by_id.iter()
     }
 }
--- a/crates/ashgauge/src/member.rs
+++ b/crates/ashgauge/src/member.rs
@@ -11,16 +11,16 @@
 
 /// How long a failed call keeps a peer out of the live set; each further one
 /// without a word from the peer doubles it.
-const SUSPECT_FIRST: Duration = Duration::from_secs(3);
-const SUSPECT_MOST: Duration = Duration::from_secs(24);
+const MIN_BACKOFF: Duration = Duration::from_secs(3);
+const MAX_BACKOFF: Duration = Duration::from_secs(24);
 
 /// How long a rumour that an upstream leaves outlives the list's silence.
-const RUMOUR_TIME: Duration = Duration::from_secs(30);
+const LEAVING_TTL: Duration = Duration::from_secs(30);
 
 /// State of a member in the platform's list.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(rename_all = "snake_case")]
-pub enum State {
+pub enum MemberState {
     /// Takes work.
     #[default]
     Live,
@@ -34,19 +34,21 @@
     /// Name.
     pub id: BoxId,
     /// Address of its box-to-box port.
-    pub peer: String,
+    #[serde(rename = "peer")]
+    pub peer_addr: String,
     /// Address of its operator port.
-    pub operator: String,
+    #[serde(rename = "operator")]
+    pub operator_addr: String,
     /// Its data centre.
     pub data_centre: String,
     /// Live or leaving.
     #[serde(default)]
-    pub state: State,
+    pub state: MemberState,
 }
 
 /// A model's layers that an engine holds.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
-pub struct Hold {
+pub struct HeldLayers {
     /// Model, as its route names it.
     pub model: String,
     /// First layer.
@@ -67,7 +69,7 @@
     pub data_centre: String,
     /// Layers it holds, if it is a model engine.
     #[serde(default)]
-    pub holds: Vec<Hold>,
+    pub holds: Vec<HeldLayers>,
     /// Service route it serves, if it is a plain service.
     #[serde(default)]
     pub service: Option<String>,
@@ -76,12 +78,12 @@
     pub fenced: bool,
     /// Live or leaving.
     #[serde(default)]
-    pub state: State,
+    pub state: MemberState,
 }
 
 /// The platform's lagging list.
 #[derive(Clone, Debug, Default, PartialEq, Serialize, Deserialize)]
-pub struct Listing {
+pub struct MemberList {
     /// Grows with each change of the list.
     #[serde(default)]
     pub version: u64,
@@ -93,9 +95,9 @@
 
 /// A box that did not take a message.
 #[derive(Clone, Copy, Debug)]
-struct Suspect {
+struct Backoff {
     until: Duration,
-    time: Duration,
+    delay: Duration,
 }
 
 /// What one box knows of all members.
@@ -103,13 +105,13 @@
 pub struct Members {
     boxes: BTreeMap<BoxId, BoxEntry>,
     upstreams: BTreeMap<UpstreamId, UpstreamEntry>,
-    suspects: HashMap<BoxId, Suspect>,
-    rumours: HashMap<UpstreamId, Duration>,
+    backoffs: HashMap<BoxId, Backoff>,
+    leaving: HashMap<UpstreamId, Duration>,
 }
 
 impl Members {
     /// Takes over a newer list.
-    pub fn update(&mut self, list: Listing) {
+    pub fn update(&mut self, list: MemberList) {
         let boxes = list.boxes.into_iter().map(|b| (b.id.clone(), b));
         self.boxes = boxes.collect();
         let ups = list.upstreams.into_iter().map(|u| (u.id.clone(), u));
@@ -117,34 +119,35 @@
     }
 
     /// Notes that a call to a box failed; returns true if that is news.
-    pub fn suspect(&mut self, now: Duration, id: &str) -> bool {
-        let before = self.suspects.get(id).copied();
+    pub fn mark_suspect(&mut self, now: Duration, id: &str) -> bool {
+        let before = self.backoffs.get(id).copied();
         if before.is_some_and(|s| now < s.until) {
             return false;
         }
-        let time = before.map_or(SUSPECT_FIRST, |s| (s.time * 2).min(SUSPECT_MOST));
+        let time = before.map_or(MIN_BACKOFF, |s| (s.delay * 2).min(MAX_BACKOFF));
         let until = now + time;
-        self.suspects.insert(id.into(), Suspect { until, time });
+        self.backoffs
+            .insert(id.into(), Backoff { until, delay: time });
         true
     }
 
     /// Notes that a box was heard.
-    pub fn clear(&mut self, id: &str) {
-        self.suspects.remove(id);
+    pub fn clear_suspect(&mut self, id: &str) {
+        self.backoffs.remove(id);
     }
 
     /// Notes that an upstream is leaving; returns true if that is news.
-    pub fn leave(&mut self, now: Duration, id: &str) -> bool {
+    pub fn mark_leaving(&mut self, now: Duration, id: &str) -> bool {
         let known = self.is_leaving(now, id);
         if !known {
-            self.rumours.insert(id.into(), now + RUMOUR_TIME);
+            self.leaving.insert(id.into(), now + LEAVING_TTL);
         }
         !known
     }
 
     /// Upstreams known to leave by rumour, to tell other boxes.
-    pub fn rumours(&self, now: Duration) -> Vec<UpstreamId> {
-        let fresh = self.rumours.iter().filter(|(_, until)| **until > now);
+    pub fn leaving_ids(&self, now: Duration) -> Vec<UpstreamId> {
+        let fresh = self.leaving.iter().filter(|(_, until)| **until > now);
         let mut ids: Vec<_> = fresh.map(|(id, _)| id.clone()).collect();
         ids.sort();
         ids
@@ -153,8 +156,8 @@
     /// Returns true if the upstream must get no new work.
     pub fn is_leaving(&self, now: Duration, id: &str) -> bool {
         let listed = self.upstreams.get(id);
-        let rumoured = self.rumours.get(id).is_some_and(|until| *until > now);
-        rumoured || listed.is_none_or(|u| u.state == State::Leaving)
+        let rumoured = self.leaving.get(id).is_some_and(|until| *until > now);
+        rumoured || listed.is_none_or(|u| u.state == MemberState::Leaving)
     }
 
     /// All boxes of the list.
@@ -173,20 +176,22 @@
     }
 
     /// Boxes that can be asked: listed as live, and not suspected.
-    pub fn live(&self, now: Duration) -> impl Iterator<Item = &BoxEntry> {
+    pub fn live_boxes(&self, now: Duration) -> impl Iterator<Item = &BoxEntry> {
         let fine = move |b: &&BoxEntry| {
-            let suspected = self.suspects.get(&b.id).is_some_and(|s| s.until > now);
-            b.state == State::Live && !suspected
+            let suspected = self.backoffs.get(&b.id).is_some_and(|s| s.until > now);
+            b.state == MemberState::Live && !suspected
         };
         self.boxes.values().filter(fine)
     }
 
     /// The live box that is home to `key`, by highest random weight.
-    pub fn home(&self, now: Duration, key: &str) -> Option<BoxId> {
+    pub fn owner_of(&self, now: Duration, key: &str) -> Option<BoxId> {
         let weight = |b: &&BoxEntry| {
             let seed = xxh3_64_with_seed(b.id.as_bytes(), 0);
             xxh3_64_with_seed(key.as_bytes(), seed)
         };
-        self.live(now).max_by_key(weight).map(|b| b.id.clone())
+        self.live_boxes(now)
+            .max_by_key(weight)
+            .map(|b| b.id.clone())
     }
 }
--- a/crates/ashgauge/src/message.rs
+++ b/crates/ashgauge/src/message.rs
@@ -2,9 +2,9 @@
 
 use serde::{Deserialize, Serialize};
 
-use crate::claim::{ClaimId, Verdict};
-use crate::clock::Stamp;
-use crate::member::{BoxId, Listing, UpstreamId};
+use crate::claim::{ClaimId, ClaimResult};
+use crate::clock::Timestamp;
+use crate::member::{BoxId, MemberList, UpstreamId};
 use crate::policy::TeamId;
 use crate::quarantine::Report;
 use crate::table::{Edit, Table, Version};
@@ -17,7 +17,7 @@
     /// Address of its box-to-box port, for the answer.
     pub addr: String,
     /// Its clock.
-    pub at: Stamp,
+    pub at: Timestamp,
     /// What it says.
     pub body: Message,
 }
@@ -33,52 +33,62 @@
         /// Upstreams known to leave.
         leaving: Vec<UpstreamId>,
         /// Whether the receiver should answer with a heartbeat of its own.
-        answer: bool,
+        #[serde(rename = "answer")]
+        wants_reply: bool,
         /// Losses under requests, and requests that are held back for them.
         #[serde(default, skip_serializing_if = "Report::is_empty")]
         losses: Report,
     },
     /// Asks for loans of team rates.
-    AskLoans {
+    #[serde(rename = "ask_loans")]
+    RequestLoans {
         /// Teams and the tokens a second wanted.
         wants: Vec<(TeamId, f64)>,
         /// Asker's clock when it asked, in microseconds; given back.
-        asked: u64,
+        #[serde(rename = "asked")]
+        asked_us: u64,
     },
     /// Lends parts of team rates.
     GrantLoans {
         /// Teams and tokens a second.
         rates: Vec<(TeamId, f64)>,
         /// The asker's clock, as it came.
-        asked: u64,
+        #[serde(rename = "asked")]
+        asked_us: u64,
     },
     /// Asks a key's home box to claim it.
-    AskClaim {
+    #[serde(rename = "ask_claim")]
+    RequestClaim {
         /// The key.
         key: String,
         /// Unique name of the claim.
         id: ClaimId,
     },
     /// Answers [`Message::AskClaim`].
-    TellClaim {
+    #[serde(rename = "tell_claim")]
+    ClaimReply {
         /// Unique name of the claim.
         id: ClaimId,
         /// What became of it.
-        verdict: Verdict,
+        #[serde(rename = "verdict")]
+        result: ClaimResult,
     },
     /// Tells a key's home box how far the request came.
-    EndClaim {
+    #[serde(rename = "end_claim")]
+    UpdateClaim {
         /// The key.
         key: String,
         /// Unique name of the claim.
         id: ClaimId,
         /// How far the request came.
-        stage: crate::claim::Stage,
+        #[serde(rename = "stage")]
+        state: crate::claim::ClaimState,
     },
     /// Asks for what is newer than a table version; 0 asks for everything.
     FetchState {
         /// Version that the sender has.
-        since: Version,
+        #[serde(rename = "since")]
+        after: Version,
     },
     /// Answers [`Message::FetchState`] with the edits that led to a version.
     Edits {
@@ -96,6 +106,6 @@
         /// The table.
         table: Box<Table>,
         /// The list of members.
-        listing: Listing,
+        listing: MemberList,
     },
 }
--- a/crates/ashgauge/src/mirror.rs
+++ b/crates/ashgauge/src/mirror.rs
@@ -14,26 +14,27 @@
 
 use serde::{Deserialize, Serialize};
 
-use crate::fresh::Ledger;
+use crate::fresh::RevisionTracker;
 use crate::member::UpstreamId;
 use crate::revision;
 use crate::upstream::Upstream;
 
 /// Removals that are remembered. A box that missed more of them is handed the
 /// whole copy.
-const GONE_MOST: usize = 1024;
+const MAX_REMOVALS: usize = 1024;
 
 pub use crate::revision::Revision;
 
 /// What became of one object.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
-pub enum What {
+pub enum ChangeKind {
     /// The configuration, as the platform's adapter writes it.
     Config(Vec<u8>),
     /// An upstream announces this.
     Put(Upstream),
     /// An upstream's entry was removed.
-    Gone(UpstreamId),
+    #[serde(rename = "Gone")]
+    Removed(UpstreamId),
 }
 
 /// A change of the store.
@@ -42,19 +43,23 @@
     /// Its revision.
     pub revision: Revision,
     /// What it changed.
-    pub what: What,
+    #[serde(rename = "what")]
+    pub kind: ChangeKind,
 }
 
 /// What one box hands to another.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub struct Update {
     /// Revision up to which the receiver knows everything afterwards.
-    pub upto: Revision,
+    #[serde(rename = "upto")]
+    pub up_to: Revision,
     /// Whether this is the whole copy, so that what it lacks is gone.
-    pub whole: bool,
+    #[serde(rename = "whole")]
+    pub is_full: bool,
     /// Whether entries that are gone are certainly gone, not only missing
     /// because the store was away.
-    pub sure: bool,
+    #[serde(rename = "sure")]
+    pub removals_certain: bool,
     /// The changes.
     pub changes: Vec<Change>,
 }
@@ -78,78 +83,78 @@
 /// ```
 #[derive(Clone, Debug, Default)]
 pub struct Mirror {
-    ledger: Ledger,
+    tracker: RevisionTracker,
     config: Option<(Revision, Vec<u8>)>,
     upstreams: HashMap<UpstreamId, (Revision, Upstream)>,
-    gone: BTreeMap<Revision, Vec<UpstreamId>>,
-    gone_at: HashMap<UpstreamId, Revision>,
+    removed: BTreeMap<Revision, Vec<UpstreamId>>,
+    removed_at: HashMap<UpstreamId, Revision>,
     /// Removals behind this revision are all remembered.
-    floor: Revision,
+    compacted: Revision,
     /// Counts changes of the copy.
-    edition: u64,
+    generation: u64,
     /// Whether entries of the store were passed over, as they had been removed.
-    doubted: bool,
+    skipped_removed: bool,
 }
 
 impl Mirror {
     /// Revision up to which everything is known.
     pub fn covered(&self) -> Revision {
-        self.ledger.covered()
+        self.tracker.covered()
     }
 
     /// Whether everything up to a revision is known.
     pub fn covers(&self, revision: Revision) -> bool {
-        self.ledger.covers(revision)
+        self.tracker.covers(revision)
     }
 
     /// Number that changes whenever what boxes are handed does. A change may come
     /// before those ahead of it are known, and does not move [`Mirror::covered`]
     /// then.
-    pub fn edition(&self) -> u64 {
-        self.edition
+    pub fn generation(&self) -> u64 {
+        self.generation
     }
 
     /// Notes a change that needs no copy, such as one of the boxes' own
     /// objects.
-    pub fn note(&mut self, revision: Revision) {
-        self.ledger.add(revision);
+    pub fn mark_read(&mut self, revision: Revision) {
+        self.tracker.mark_read(revision);
     }
 
     /// Notes that everything up to a revision was read.
-    pub fn read_all(&mut self, revision: Revision) {
-        self.ledger.read_all(revision);
+    pub fn mark_read_to(&mut self, revision: Revision) {
+        self.tracker.mark_read_to(revision);
     }
 
     /// Takes a configuration; returns whether it is newer than the one here.
     pub fn set_config(&mut self, revision: Revision, config: Vec<u8>) -> bool {
-        self.ledger.add(revision);
+        self.tracker.mark_read(revision);
         let is_new = self.config.as_ref().is_none_or(|(r, _)| *r < revision);
         if is_new {
             self.config = Some((revision, config));
-            self.edition += 1;
+            self.generation += 1;
         }
         is_new
     }
 
     /// Puts the configuration back that the store's copy has an older one of.
-    pub fn keep_config(&mut self, config: Vec<u8>) {
+    pub fn restore_config(&mut self, config: Vec<u8>) {
         if let Some((_, known)) = &mut self.config
             && *known != config
         {
             *known = config;
-            self.edition += 1;
+            self.generation += 1;
         }
     }
 
     /// Takes an upstream's entry; returns whether it is newer than what is
     /// known of it.
     pub fn put(&mut self, revision: Revision, upstream: Upstream) -> bool {
-        self.ledger.add(revision);
+        self.tracker.mark_read(revision);
         if !self.is_newer(&upstream.id, revision) {
             return false;
         }
         self.insert(revision, upstream);
-        self.edition += 1;
+        self.generation += 1;
         true
     }
 
@@ -160,21 +165,21 @@
 
     /// Believes the store from now on that entries are there which had been removed;
     /// returns whether it holds some.
-    pub fn settle(&mut self) -> bool {
+    pub fn accept_restored(&mut self) -> bool {
         let era = revision::era(self.covered());
         let old = |r: &Revision| revision::era(*r) < era;
         let forgotten: Vec<UpstreamId> = {
-            let gone = self.gone_at.iter().filter(|(_, at)| old(at));
+            let gone = self.removed_at.iter().filter(|(_, at)| old(at));
             gone.map(|(id, _)| id.clone()).collect()
         };
         forgotten.iter().for_each(|id| self.forget_removal(id));
-        std::mem::take(&mut self.doubted)
+        std::mem::take(&mut self.skipped_removed)
     }
 
     /// Takes the removal of an entry; returns whether it is newer than what is
     /// known of it.
     pub fn remove(&mut self, revision: Revision, id: &UpstreamId) -> bool {
-        self.ledger.add(revision);
+        self.tracker.mark_read(revision);
         if !self.is_newer(id, revision) {
             return false;
         }
@@ -184,17 +189,19 @@
     }
 
     /// Takes a whole list of entries, read at a revision.
-    pub fn replace(&mut self, at: Revision, list: Vec<(Revision, Upstream)>) {
-        self.drop_lacking(at, list.iter().map(|(_, upstream)| &upstream.id));
+    pub fn replace_all(&mut self, at: Revision, list: Vec<(Revision, Upstream)>) {
+        self.drop_missing(at, list.iter().map(|(_, upstream)| &upstream.id));
         for (revision, upstream) in list {
-            if !self.doubts(&upstream.id, revision) && self.is_newer(&upstream.id, revision) {
-                let upstream = self.renewed(revision, upstream);
+            if !self.was_removed_before(&upstream.id, revision)
+                && self.is_newer(&upstream.id, revision)
+            {
+                let upstream = self.merge_known(revision, upstream);
                 self.insert(revision, upstream);
             }
         }
-        self.edition += 1;
+        self.generation += 1;
         // What came and went unseen before the list is not remembered.
-        self.floor = self.floor.max(at);
+        self.compacted = self.compacted.max(at);
     }
 
     /// All entries.
@@ -204,29 +211,29 @@
 
     /// What a box that knows everything up to `after` lacks.
     pub fn update(&self, after: Revision, sure: bool) -> Update {
-        let whole = after < self.floor;
+        let whole = after < self.compacted;
         let after = if whole { 0 } else { after };
         let config = self.config.iter().filter(|(r, _)| *r > after || whole);
         let config = config.map(|(revision, bytes)| Change {
             revision: *revision,
-            what: What::Config(bytes.clone()),
+            kind: ChangeKind::Config(bytes.clone()),
         });
         let present = self.upstreams.values().filter(|(r, _)| *r > after || whole);
         let present = present.map(|(revision, upstream)| Change {
             revision: *revision,
-            what: What::Put(upstream.clone()),
+            kind: ChangeKind::Put(upstream.clone()),
         });
-        let gone = self.gone.range(after + 1..).filter(|_| !whole);
+        let gone = self.removed.range(after + 1..).filter(|_| !whole);
         let gone = gone.flat_map(|(revision, ids)| {
             ids.iter().map(|id| Change {
                 revision: *revision,
-                what: What::Gone(id.clone()),
+                kind: ChangeKind::Removed(id.clone()),
             })
         });
         Update {
-            upto: self.covered(),
-            whole,
-            sure,
+            up_to: self.covered(),
+            is_full: whole,
+            removals_certain: sure,
             changes: config.chain(gone).chain(present).collect(),
         }
     }
@@ -235,48 +242,55 @@
     ///
     /// A copy that is older than what is known here tells nothing new, and what
     /// it lacks may have come since.
-    pub fn take(&mut self, update: Update) -> Vec<Change> {
-        if update.whole && update.upto < self.covered() {
+    pub fn apply(&mut self, update: Update) -> Vec<Change> {
+        if update.is_full && update.up_to < self.covered() {
             return Vec::new();
         }
         let mut news = Vec::new();
-        if update.whole {
-            let listed = update.changes.iter().filter_map(|c| match &c.what {
-                What::Put(upstream) => Some(&upstream.id),
+        if update.is_full {
+            let listed = update.changes.iter().filter_map(|c| match &c.kind {
+                ChangeKind::Put(upstream) => Some(&upstream.id),
                 _ => None,
             });
-            let revision = update.upto;
-            let gone = self.drop_lacking(revision, listed).into_iter();
-            let gone = gone.map(What::Gone);
-            news.extend(gone.map(|what| Change { revision, what }));
+            let revision = update.up_to;
+            let gone = self.drop_missing(revision, listed).into_iter();
+            let gone = gone.map(ChangeKind::Removed);
+            news.extend(gone.map(|what| Change {
+                revision,
+                kind: what,
+            }));
         }
         for mut change in update.changes {
             let revision = change.revision;
-            let is_news = match &mut change.what {
-                What::Config(bytes) => self.set_config(revision, bytes.clone()),
-                What::Put(upstream) if update.whole && self.doubts(&upstream.id, revision) => false,
-                What::Put(upstream) => {
-                    if update.whole {
-                        *upstream = self.renewed(revision, upstream.clone());
+            let is_news = match &mut change.kind {
+                ChangeKind::Config(bytes) => self.set_config(revision, bytes.clone()),
+                ChangeKind::Put(upstream)
+                    if update.is_full && self.was_removed_before(&upstream.id, revision) =>
+                {
+                    false
+                }
+                ChangeKind::Put(upstream) => {
+                    if update.is_full {
+                        *upstream = self.merge_known(revision, upstream.clone());
                     }
                     self.put(revision, upstream.clone())
                 }
-                What::Gone(id) => self.remove(revision, id),
+                ChangeKind::Removed(id) => self.remove(revision, id),
             };
             if is_news {
                 news.push(change);
             }
         }
-        if update.whole {
-            self.floor = self.floor.max(update.upto);
-            self.edition += 1;
+        if update.is_full {
+            self.compacted = self.compacted.max(update.up_to);
+            self.generation += 1;
         }
-        self.read_all(update.upto);
+        self.mark_read_to(update.up_to);
         news
     }
 
     /// Drops the entries that a whole copy at a revision lacks; returns them.
-    fn drop_lacking<'a>(
+    fn drop_missing<'a>(
         &mut self,
         at: Revision,
         listed: impl Iterator<Item = &'a UpstreamId>,
@@ -294,10 +308,10 @@
 
     /// Whether an entry that a list holds had been removed before the store came back. A
     /// list may be of the copy's state.
-    fn doubts(&mut self, id: &UpstreamId, revision: Revision) -> bool {
-        let gone = self.gone_at.get(id);
+    fn was_removed_before(&mut self, id: &UpstreamId, revision: Revision) -> bool {
+        let gone = self.removed_at.get(id);
         let doubts = gone.is_some_and(|at| revision::era(*at) < revision::era(revision));
-        self.doubted |= doubts;
+        self.skipped_removed |= doubts;
         doubts
     }
 
@@ -308,10 +322,10 @@
     }
 
     /// What an upstream announces, without what the store's copy takes back.
-    fn renewed(&self, revision: Revision, upstream: Upstream) -> Upstream {
+    fn merge_known(&self, revision: Revision, upstream: Upstream) -> Upstream {
         match self.upstreams.get(&upstream.id) {
             Some((at, known)) if revision::era(*at) < revision::era(revision) => {
-                upstream.after(known)
+                upstream.merge_previous(known)
             }
             _ => upstream,
         }
@@ -319,33 +333,33 @@
 
     fn is_newer(&self, id: &UpstreamId, revision: Revision) -> bool {
         let present = self.upstreams.get(id).map(|(r, _)| *r);
-        let gone = self.gone_at.get(id).copied();
+        let gone = self.removed_at.get(id).copied();
         present.max(gone).is_none_or(|known| revision > known)
     }
 
     fn remember_removal(&mut self, revision: Revision, id: &UpstreamId) {
-        self.edition += 1;
-        self.gone_at.insert(id.clone(), revision);
-        self.gone.entry(revision).or_default().push(id.clone());
-        while self.gone_at.len() > GONE_MOST {
-            let Some((oldest, ids)) = self.gone.pop_first() else {
+        self.generation += 1;
+        self.removed_at.insert(id.clone(), revision);
+        self.removed.entry(revision).or_default().push(id.clone());
+        while self.removed_at.len() > MAX_REMOVALS {
+            let Some((oldest, ids)) = self.removed.pop_first() else {
                 return;
             };
             ids.iter().for_each(|id| {
-                self.gone_at.remove(id);
+                self.removed_at.remove(id);
             });
-            self.floor = self.floor.max(oldest);
+            self.compacted = self.compacted.max(oldest);
         }
     }
 
     fn forget_removal(&mut self, id: &UpstreamId) {
-        let Some(revision) = self.gone_at.remove(id) else {
+        let Some(revision) = self.removed_at.remove(id) else {
             return;
         };
-        if let Some(ids) = self.gone.get_mut(&revision) {
+        if let Some(ids) = self.removed.get_mut(&revision) {
             ids.retain(|other| other != id);
             if ids.is_empty() {
-                self.gone.remove(&revision);
+                self.removed.remove(&revision);
             }
         }
     }
--- a/crates/ashgauge/src/node/call.rs
+++ b/crates/ashgauge/src/node/call.rs
@@ -2,12 +2,12 @@
 
 use std::time::Duration;
 
-use super::flow::address;
+use super::flow::upstream_addr;
 use super::*;
 use crate::member::UpstreamId;
 
 /// Time to come back after a call that failed.
-const COME_BACK: Duration = Duration::from_secs(1);
+const RETRY_AFTER: Duration = Duration::from_secs(1);
 
 impl Node {
     /// Chooses the service with the least held work, if one has room.
@@ -15,7 +15,7 @@
         let now = self.now;
         let open = |u: &&crate::member::UpstreamEntry| {
             u.service.as_deref() == Some(route)
-                && self.loads.is_open(now, &u.id)
+                && self.loads.has_capacity(now, &u.id)
                 && !self.members.is_leaving(now, &u.id)
         };
         let mut ids: Vec<UpstreamId> = self
@@ -27,10 +27,11 @@
         if ids.is_empty() {
             return None;
         }
-        self.turn += 1;
-        let turn = self.turn % ids.len();
+        self.rotation += 1;
+        let turn = self.rotation % ids.len();
         ids.rotate_left(turn);
-        ids.into_iter().min_by_key(|id| self.loads.get(id).held)
+        ids.into_iter()
+            .min_by_key(|id| self.loads.get_mut(id).inflight)
     }
 
     pub(super) fn start_call(&mut self, id: RequestId, upstream: UpstreamId) {
@@ -40,88 +41,88 @@
         let Work::Call {
             method,
             path,
-            content,
+            content_type: content,
             body,
-        } = &request.order.work
+        } = &request.incoming.work
         else {
-            return self.refuse_changed(id);
+            return self.refuse_rerouted(id);
         };
         if request.attempt == 0 {
-            self.budget.earn();
+            self.retry_budget.deposit();
             self.stats.started += 1;
         }
         request.attempt += 1;
         let attempt = request.attempt;
-        let call = Call {
+        let call = ServiceCall {
             id,
             attempt,
             upstream: upstream.clone(),
-            addr: address(&self.members, &upstream),
+            addr: upstream_addr(&self.members, &upstream),
             method: method.clone(),
             path: path.clone(),
-            content: content.clone(),
-            key: request.order.key.clone(),
+            content_type: content.clone(),
+            idempotency_key: request.incoming.idempotency_key.clone(),
             body: body.clone(),
         };
         request.phase = Phase::Calling(upstream.clone(), self.now);
-        let before = std::mem::replace(&mut request.ran, true);
-        request.before = before;
-        self.loads.hold(&upstream);
-        self.out.push(Action::Call(call));
-        self.note(Some(id), What::Called { attempt, upstream });
+        let before = std::mem::replace(&mut request.maybe_ran, true);
+        request.ran_before = before;
+        self.loads.acquire(&upstream);
+        self.actions.push(Action::Call(call));
+        self.record(Some(id), RecordKind::Called { attempt, upstream });
     }
 
-    pub(super) fn called(&mut self, id: RequestId, attempt: u32, called: Called) {
-        let Some((upstream, since)) = self.calling(id, attempt) else {
+    pub(super) fn on_service_done(&mut self, id: RequestId, attempt: u32, called: ServiceResponse) {
+        let Some((upstream, since)) = self.find_call(id, attempt) else {
             self.stats.dropped += 1;
             return;
         };
-        let timing = crate::load::Timing {
-            total: self.now - since,
+        let timing = crate::load::OrderTiming {
+            round_trip: self.now - since,
             ran: self.now - since,
             layers: 1,
             positions: 1,
             ..Default::default()
         };
-        self.loads.learn(self.now, &upstream, &timing);
-        self.reply(id, Reply::Called(called));
-        self.close(id, Outcome::Done, "done");
+        self.loads.record(self.now, &upstream, &timing);
+        self.reply(id, ReplyPart::Called(called));
+        self.close_request(id, Outcome::Done, "done");
         self.dispatch_all();
     }
 
-    pub(super) fn call_failed(&mut self, id: RequestId, attempt: u32, fault: Fault) {
-        let Some((upstream, _)) = self.calling(id, attempt) else {
+    pub(super) fn on_service_failed(&mut self, id: RequestId, attempt: u32, fault: UpstreamError) {
+        let Some((upstream, _)) = self.find_call(id, attempt) else {
             return;
         };
         let (cause, ran) = match &fault {
-            Fault::NotSent(cause) => (cause.clone(), false),
-            Fault::Refused { reason, .. } => (format!("{reason:?}"), false),
-            Fault::Lost(cause) => (cause.clone(), true),
+            UpstreamError::NotSent(cause) => (cause.clone(), false),
+            UpstreamError::Refused { reason, .. } => (format!("{reason:?}"), false),
+            UpstreamError::Lost(cause) => (cause.clone(), true),
         };
         match fault {
-            Fault::Refused { reason, rest } => self.note_refusal(&upstream, reason, rest),
-            _ => self.loads.fail(self.now, &upstream),
+            UpstreamError::Refused { reason, rest } => self.record_refusal(&upstream, reason, rest),
+            _ => self.loads.record_failure(self.now, &upstream),
         }
         self.stats.lost += 1;
-        self.note(Some(id), What::Lost { upstream, cause });
-        self.call_again(id, ran);
+        self.record(Some(id), RecordKind::Lost { upstream, cause });
+        self.retry_call(id, ran);
     }
 
     /// Sends a failed call elsewhere if that is allowed; else ends it.
-    fn call_again(&mut self, id: RequestId, ran: bool) {
+    fn retry_call(&mut self, id: RequestId, ran: bool) {
         let Some(request) = self.requests.get_mut(&id) else {
             return;
         };
         if !ran {
-            request.ran = request.before;
+            request.maybe_ran = request.ran_before;
         }
-        if request.ran && !request.repeatable {
+        if request.maybe_ran && !request.repeatable {
             let message = "the service's answer was lost and the request may not be repeated";
-            return self.refuse(id, Kind::Broken, message, None);
+            return self.refuse(id, RefusalKind::Broken, message, None);
         }
-        if !self.budget.take() {
+        if !self.retry_budget.withdraw() {
             let message = "the service failed and the retry budget is used up";
-            return self.refuse(id, Kind::Broken, message, Some(COME_BACK));
+            return self.refuse(id, RefusalKind::Broken, message, Some(RETRY_AFTER));
         }
         let route = request.route.clone();
         let phase = std::mem::replace(&mut request.phase, Phase::Waiting);
@@ -133,7 +134,7 @@
         self.dispatch(&route);
     }
 
-    fn calling(&self, id: RequestId, attempt: u32) -> Option<(UpstreamId, Duration)> {
+    fn find_call(&self, id: RequestId, attempt: u32) -> Option<(UpstreamId, Duration)> {
         let request = self.requests.get(&id)?;
         match &request.phase {
             Phase::Calling(id, since) if request.attempt == attempt => Some((id.clone(), *since)),
--- a/crates/ashgauge/src/node/dispatch.rs
+++ b/crates/ashgauge/src/node/dispatch.rs
@@ -3,8 +3,8 @@
 use std::time::Duration;
 
 use super::*;
-use crate::chain::{Edge, Layer, Stage, cheapest};
-use crate::member::State;
+use crate::chain::{Edge, Layer, Stage, cheapest_chain};
+use crate::member::MemberState;
 use crate::policy::Target;
 
 /// Factor on the expected run time of a request before it is started: one that
@@ -12,7 +12,7 @@
 const RUN_MARGIN: f64 = 1.3;
 
 /// Time to come back after, when no upstream is there.
-const COME_BACK: Duration = Duration::from_secs(1);
+const RETRY_AFTER: Duration = Duration::from_secs(1);
 
 impl Node {
     /// Starts waiting requests of every queue while there is room.
@@ -32,20 +32,23 @@
         while self.queues.get(route).is_some_and(|q| !q.is_empty()) {
             match target {
                 Target::Model(layers) => {
-                    let Some(stages) = self.choose(route, 0, layers, None, false) else {
+                    let Some(stages) = self.choose_stages(route, 0, layers, None, false) else {
                         return self.refuse_unserved(route);
                     };
-                    let pace = stages.iter().map(|s| self.loads.pace(&s.upstream)).sum();
-                    let Some(id) = self.take(route, pace) else {
+                    let pace = stages
+                        .iter()
+                        .map(|s| self.loads.order_seconds(&s.upstream))
+                        .sum();
+                    let Some(id) = self.pop_request(route, pace) else {
                         return;
                     };
-                    self.start(id, stages);
+                    self.start_stages(id, stages);
                 }
                 Target::Service(_) => {
                     let Some(upstream) = self.choose_service(route) else {
                         return self.refuse_unserved(route);
                     };
-                    let Some(id) = self.take(route, 0.0) else {
+                    let Some(id) = self.pop_request(route, 0.0) else {
                         return;
                     };
                     self.start_call(id, upstream);
@@ -56,7 +59,7 @@
 
     /// Refuses what waits for a route that no upstream serves any more.
     pub(super) fn refuse_unserved(&mut self, route: &str) {
-        if self.is_served(route) {
+        if self.is_servable(route) {
             return;
         }
         let waits = |r: &Request| matches!(r.phase, Phase::Waiting) && r.route == route;
@@ -64,23 +67,23 @@
         let waiting: Vec<RequestId> = waiting.map(|(id, _)| *id).collect();
         for id in waiting {
             let message = "no live upstream can serve this now";
-            self.refuse(id, Kind::NoUpstream, message, Some(COME_BACK));
+            self.refuse(id, RefusalKind::NoUpstream, message, Some(RETRY_AFTER));
         }
     }
 
     /// Refuses a request whose route leads to something else by now.
-    pub(super) fn refuse_changed(&mut self, id: RequestId) {
+    pub(super) fn refuse_rerouted(&mut self, id: RequestId) {
         let message = "the route was changed while the request waited";
-        self.refuse(id, Kind::UnknownRoute, message, Some(COME_BACK));
+        self.refuse(id, RefusalKind::UnknownRoute, message, Some(RETRY_AFTER));
     }
 
     /// Returns true if live upstreams could serve the route, busy or not.
-    pub(super) fn is_served(&self, route: &str) -> bool {
+    pub(super) fn is_servable(&self, route: &str) -> bool {
         let now = self.now;
         match self.policy.routes.get(route).map(|r| &r.target) {
             Some(Target::Model(layers)) => {
-                let edges = self.edges(route, |id| !self.members.is_leaving(now, id));
-                cheapest(0, *layers, &edges).is_some()
+                let edges = self.usable_edges(route, |id| !self.members.is_leaving(now, id));
+                cheapest_chain(0, *layers, &edges).is_some()
             }
             Some(Target::Service(_)) => {
                 let serves = |u: &crate::member::UpstreamEntry| {
@@ -94,22 +97,22 @@
 
     /// Takes the next request that may go, and that would end in time if each
     /// token takes `pace` seconds; others wait for a quicker chain.
-    pub(super) fn take(&mut self, route: &str, pace: f64) -> Option<RequestId> {
+    pub(super) fn pop_request(&mut self, route: &str, pace: f64) -> Option<RequestId> {
         let queue = self.queues.get_mut(route)?;
-        let (policy, limits) = (&self.policy, &mut self.limits);
+        let (policy, limits) = (&self.policy, &mut self.rate_limits);
         let (now, requests) = (self.now, &self.requests);
-        let job = queue.pop(now, &policy.floors, |job| {
+        let job = queue.pop(now, &policy.tier_floors, |job| {
             let Some(r) = requests.get(&job.id) else {
                 return true;
             };
-            let run = Duration::from_secs_f64(pace * RUN_MARGIN * f64::from(r.left()));
-            let fits = r.ran || now + run <= job.deadline;
-            fits && (r.team.rate.is_none() || limits.has_room(now, &r.team.id))
+            let run = Duration::from_secs_f64(pace * RUN_MARGIN * f64::from(r.tokens_left()));
+            let fits = r.maybe_ran || now + run <= job.deadline;
+            fits && (r.team.token_rate.is_none() || limits.has_room(now, &r.team.id))
         })?;
         let request = self.requests.get(&job.id)?;
-        if request.team.rate.is_some() {
+        if request.team.token_rate.is_some() {
             let team = request.team.id.clone();
-            self.limits.spend(now, &team, request.cost);
+            self.rate_limits.spend(now, &team, request.cost);
         }
         Some(job.id)
     }
@@ -119,18 +122,18 @@
         let Some(request) = self.requests.get(&id) else {
             return;
         };
-        let job = self.job(id, request);
+        let job = self.make_job(id, request);
         let (route, team) = (request.route.clone(), request.team.clone());
-        if team.rate.is_some() {
-            self.limits.spend(self.now, &team.id, -job.cost);
+        if team.token_rate.is_some() {
+            self.rate_limits.spend(self.now, &team.id, -job.cost);
         }
-        self.queues.entry(route).or_default().unpop(job);
+        self.queues.entry(route).or_default().push_front(job);
     }
 
     /// Chooses engines for `first..end` of a model.
     ///
     /// `urgent` passes over the windows, for requests that already run.
-    pub(super) fn choose(
+    pub(super) fn choose_stages(
         &mut self,
         model: &str,
         first: Layer,
@@ -139,26 +142,26 @@
         urgent: bool,
     ) -> Option<Vec<Stage>> {
         let now = self.now;
-        let edges = self.edges(model, |id| {
+        let edges = self.usable_edges(model, |id| {
             let fine = if urgent {
-                let shut = self.loads.is_suspect(now, id) || self.loads.is_resting(now, id);
+                let shut = self.loads.is_suspect(now, id) || self.loads.is_backing_off(now, id);
                 !shut && lost.is_none_or(|l| &**l != id)
             } else {
-                self.loads.is_open(now, id)
+                self.loads.has_capacity(now, id)
             };
             fine && !self.members.is_leaving(now, id)
         });
-        if self.config.tactics.cheapest {
-            return cheapest(first, end, &edges);
+        if self.config.strategy.cheapest {
+            return cheapest_chain(first, end, &edges);
         }
-        self.turn += 1;
-        in_turn(first, end, &edges, self.turn)
+        self.rotation += 1;
+        round_robin(first, end, &edges, self.rotation)
     }
 
-    pub(super) fn edges(&self, model: &str, open: impl Fn(&str) -> bool) -> Vec<Edge> {
+    pub(super) fn usable_edges(&self, model: &str, open: impl Fn(&str) -> bool) -> Vec<Edge> {
         let mut edges = Vec::new();
         for u in self.members.upstreams() {
-            if u.state == State::Leaving || !open(&u.id) {
+            if u.state == MemberState::Leaving || !open(&u.id) {
                 continue;
             }
             for h in u.holds.iter().filter(|h| h.model == model) {
@@ -171,7 +174,7 @@
 
 /// The plain baseline: of the engines that hold the next layer, take each in
 /// turn, and all that it holds.
-fn in_turn(first: Layer, end: Layer, edges: &[Edge], turn: usize) -> Option<Vec<Stage>> {
+fn round_robin(first: Layer, end: Layer, edges: &[Edge], turn: usize) -> Option<Vec<Stage>> {
     let mut stages = Vec::new();
     let mut at = first;
     while at < end {
