--- a/crates/ashgauge/src/node/flow.rs
+++ b/crates/ashgauge/src/node/flow.rs
@@ -4,93 +4,93 @@
 
 use super::*;
 use crate::chain::Stage;
-use crate::load::Timing;
+use crate::load::OrderTiming;
 use crate::member::UpstreamId;
 
 /// The stages of one running request.
-pub(super) struct Flow {
+pub(super) struct Pipeline {
     pub(super) model: String,
-    pub(super) stages: Vec<Live>,
+    pub(super) stages: Vec<ActiveStage>,
     pub(super) current: usize,
-    pub(super) sessions: Session,
-    pub(super) replaced: u32,
+    pub(super) last_session: SessionId,
+    pub(super) replacements: u32,
     /// When its stages were last chosen.
-    pub(super) placed: Duration,
+    pub(super) placed_at: Duration,
     /// Whether the request may have run before the current order went out.
-    pub(super) before: bool,
+    pub(super) ran_before: bool,
     pub(super) stalled: bool,
-    pub(super) past: Vec<Past>,
+    pub(super) abandoned: Vec<AbandonedStage>,
 }
 
 /// A stage that was given up while its order was out.
-pub(super) struct Past {
-    pub(super) session: Session,
+pub(super) struct AbandonedStage {
+    pub(super) session: SessionId,
     pub(super) stage: Stage,
-    pub(super) sent: Duration,
+    pub(super) sent_at: Duration,
 }
 
 /// One stage with the inputs it was given.
-pub(super) struct Live {
+pub(super) struct ActiveStage {
     pub(super) stage: Stage,
     pub(super) addr: String,
-    pub(super) session: Session,
+    pub(super) session: SessionId,
     /// Position of the first kept input.
-    pub(super) base: u32,
-    pub(super) kept: Vec<Value>,
+    pub(super) kept_from: u32,
+    pub(super) kept_inputs: Vec<StageValue>,
     /// Positions whose outputs were passed on.
-    pub(super) ran: u32,
+    pub(super) positions_done: u32,
     /// Positions that an earlier stage in this place had passed on.
     pub(super) rebuild: u32,
-    pub(super) sent: Option<Duration>,
-    pub(super) tries: u32,
+    pub(super) sent_at: Option<Duration>,
+    pub(super) resends: u32,
 }
 
-impl Flow {
-    pub(super) fn live(&mut self) -> &mut Live {
+impl Pipeline {
+    pub(super) fn active(&mut self) -> &mut ActiveStage {
         &mut self.stages[self.current]
     }
 
-    pub(super) fn kept(&self) -> usize {
-        self.stages.iter().map(|s| s.kept.len()).sum()
+    pub(super) fn kept_count(&self) -> usize {
+        self.stages.iter().map(|s| s.kept_inputs.len()).sum()
     }
 
-    pub(super) fn add(&mut self, stage: Stage, addr: String) -> Live {
-        self.sessions += 1;
-        Live {
+    pub(super) fn new_stage(&mut self, stage: Stage, addr: String) -> ActiveStage {
+        self.last_session += 1;
+        ActiveStage {
             stage,
             addr,
-            session: self.sessions,
-            base: 0,
-            kept: Vec::new(),
-            ran: 0,
+            session: self.last_session,
+            kept_from: 0,
+            kept_inputs: Vec::new(),
+            positions_done: 0,
             rebuild: 0,
-            sent: None,
-            tries: 0,
+            sent_at: None,
+            resends: 0,
         }
     }
 
     /// Drops inputs that only a replay would need.
-    fn trim(&mut self) {
+    fn trim_inputs(&mut self) {
         for s in &mut self.stages {
-            let old = (s.ran - s.base) as usize;
-            s.kept.drain(..old);
-            s.base = s.ran;
+            let old = (s.positions_done - s.kept_from) as usize;
+            s.kept_inputs.drain(..old);
+            s.kept_from = s.positions_done;
         }
     }
 }
 
-impl Live {
-    pub(super) fn inputs(&self) -> &[Value] {
-        &self.kept[(self.ran - self.base) as usize..]
+impl ActiveStage {
+    pub(super) fn pending_inputs(&self) -> &[StageValue] {
+        &self.kept_inputs[(self.positions_done - self.kept_from) as usize..]
     }
 
-    pub(super) fn given(&self) -> u32 {
-        self.base + self.kept.len() as u32
+    pub(super) fn input_end(&self) -> u32 {
+        self.kept_from + self.kept_inputs.len() as u32
     }
 }
 
 impl Node {
-    pub(super) fn ran(&mut self, ran: Ran) {
+    pub(super) fn on_stage_done(&mut self, ran: StageResult) {
         let Some(request) = self.requests.get_mut(&ran.id) else {
             self.stats.dropped += 1;
             return;
@@ -99,30 +99,30 @@
             self.stats.dropped += 1;
             return;
         };
-        let live = flow.live();
+        let live = flow.active();
         if live.session != ran.session {
-            return self.ran_late(&ran);
+            return self.on_late_result(&ran);
         }
-        let expected = live.sent.is_some()
-            && live.ran == ran.start
-            && live.inputs().len() == ran.outputs.len();
+        let expected = live.sent_at.is_some()
+            && live.positions_done == ran.start
+            && live.pending_inputs().len() == ran.outputs.len();
         if !expected {
             self.stats.dropped += 1;
             let upstream = live.stage.upstream.clone();
-            self.note(Some(ran.id), What::Dropped { upstream });
+            self.record(Some(ran.id), RecordKind::Dropped { upstream });
             return;
         }
-        let sent = live.sent.take().unwrap_or(self.now);
-        let timing = timing(self.now - sent, &live.stage, &ran);
+        let sent = live.sent_at.take().unwrap_or(self.now);
+        let timing = stage_timing(self.now - sent, &live.stage, &ran);
         let upstream = live.stage.upstream.clone();
-        self.loads.learn(self.now, &upstream, &timing);
-        self.stats.orders += 1;
-        self.pass_on(ran);
+        self.loads.record(self.now, &upstream, &timing);
+        self.stats.stage_runs += 1;
+        self.forward_result(ran);
     }
 
     /// An answer of a stage that was given up is dropped, but it tells how
     /// slow the upstream is.
-    fn ran_late(&mut self, ran: &Ran) {
+    fn on_late_result(&mut self, ran: &StageResult) {
         self.stats.dropped += 1;
         let Some(request) = self.requests.get(&ran.id) else {
             return;
@@ -130,60 +130,60 @@
         let Phase::Running(flow) = &request.phase else {
             return;
         };
-        let Some(past) = flow.past.iter().find(|p| p.session == ran.session) else {
+        let Some(past) = flow.abandoned.iter().find(|p| p.session == ran.session) else {
             return;
         };
-        let timing = timing(self.now - past.sent, &past.stage, ran);
+        let timing = stage_timing(self.now - past.sent_at, &past.stage, ran);
         let upstream = past.stage.upstream.clone();
-        self.loads.learn(self.now, &upstream, &timing);
-        self.note(Some(ran.id), What::Dropped { upstream });
+        self.loads.record(self.now, &upstream, &timing);
+        self.record(Some(ran.id), RecordKind::Dropped { upstream });
     }
 
     /// Gives back the places a flow held and ends its sessions.
-    pub(super) fn release_flow(&mut self, id: RequestId, flow: &Flow) {
+    pub(super) fn release_pipeline(&mut self, id: RequestId, flow: &Pipeline) {
         for live in &flow.stages {
             self.loads.release(&live.stage.upstream);
-            self.cancel(id, live.session, &live.stage.upstream, &live.addr);
+            self.cancel_session(id, live.session, &live.stage.upstream, &live.addr);
         }
     }
 
-    pub(super) fn start(&mut self, id: RequestId, stages: Vec<Stage>) {
+    pub(super) fn start_stages(&mut self, id: RequestId, stages: Vec<Stage>) {
         let Some(request) = self.requests.get_mut(&id) else {
             return;
         };
-        let Work::Generate { model, prompt, .. } = &request.order.work else {
-            return self.refuse_changed(id);
+        let Work::Generate { model, prompt, .. } = &request.incoming.work else {
+            return self.refuse_rerouted(id);
         };
         if request.attempt == 0 {
-            self.budget.earn();
+            self.retry_budget.deposit();
             self.stats.started += 1;
-            request.began = self.now;
+            request.started_at = self.now;
         }
         request.attempt += 1;
-        let mut flow = Flow {
+        let mut flow = Pipeline {
             model: model.clone(),
             stages: Vec::new(),
             current: 0,
             // Sessions of an earlier try must not be met again.
-            sessions: request.attempt << 16,
-            replaced: 0,
-            placed: self.now,
-            before: false,
+            last_session: request.attempt << 16,
+            replacements: 0,
+            placed_at: self.now,
+            ran_before: false,
             stalled: false,
-            past: Vec::new(),
+            abandoned: Vec::new(),
         };
         let mut first = prompt.clone();
-        first.extend(&request.produced);
+        first.extend(&request.tokens);
         for stage in &stages {
-            let addr = address(&self.members, &stage.upstream);
-            let live = flow.add(stage.clone(), addr);
+            let addr = upstream_addr(&self.members, &stage.upstream);
+            let live = flow.new_stage(stage.clone(), addr);
             flow.stages.push(live);
-            self.loads.hold(&stage.upstream);
+            self.loads.acquire(&stage.upstream);
         }
-        flow.stages[0].kept = first;
+        flow.stages[0].kept_inputs = first;
         request.phase = Phase::Running(flow);
         let attempt = request.attempt;
-        self.note(Some(id), What::Chosen { attempt, stages });
+        self.record(Some(id), RecordKind::Chosen { attempt, stages });
         self.send_run(id);
     }
 
@@ -197,12 +197,12 @@
         let Phase::Running(flow) = &mut request.phase else {
             return;
         };
-        flow.before = std::mem::replace(&mut request.ran, true);
+        flow.ran_before = std::mem::replace(&mut request.maybe_ran, true);
         let model = flow.model.clone();
-        let live = flow.live();
-        live.sent = Some(now);
-        let inputs = live.inputs().to_vec();
-        let run = Run {
+        let live = flow.active();
+        live.sent_at = Some(now);
+        let inputs = live.pending_inputs().to_vec();
+        let run = StageRun {
             id,
             attempt,
             session: live.session,
@@ -211,15 +211,15 @@
             model,
             first: live.stage.first,
             end: live.stage.end,
-            start: live.ran,
-            rebuild: (inputs.len() as u32).min(live.rebuild.saturating_sub(live.ran)),
+            start: live.positions_done,
+            rebuild: (inputs.len() as u32).min(live.rebuild.saturating_sub(live.positions_done)),
             inputs,
         };
-        self.out.push(Action::Run(run));
+        self.actions.push(Action::Run(run));
     }
 
     /// Takes a stage's outputs to the next stage, or the token to the caller.
-    fn pass_on(&mut self, ran: Ran) {
+    fn forward_result(&mut self, ran: StageResult) {
         let id = ran.id;
         let Some(request) = self.requests.get_mut(&id) else {
             return;
@@ -227,72 +227,77 @@
         let Phase::Running(flow) = &mut request.phase else {
             return;
         };
-        let live = flow.live();
-        live.ran = live.given();
-        live.tries = 0;
+        let live = flow.active();
+        live.positions_done = live.input_end();
+        live.resends = 0;
         if flow.current + 1 < flow.stages.len() {
             flow.current += 1;
-            let next = flow.live();
-            let known = (next.given() - ran.start) as usize;
-            next.kept.extend(&ran.outputs[known..]);
+            let next = flow.active();
+            let known = (next.input_end() - ran.start) as usize;
+            next.kept_inputs.extend(&ran.outputs[known..]);
         } else {
             let Some(token) = ran.token else {
-                return self.lose(id, "no token from the last stage", false);
+                return self.lose_stage(id, "no token from the last stage", false);
             };
-            if self.produce(id, token) {
+            if self.emit_token(id, token) {
                 return;
             }
         }
-        self.bound_kept(id);
+        self.limit_kept(id);
         self.send_run(id);
     }
 
     /// Gives the caller a token; returns true if it was the last.
-    fn produce(&mut self, id: RequestId, token: Token) -> bool {
+    fn emit_token(&mut self, id: RequestId, token: Token) -> bool {
         let Some(request) = self.requests.get_mut(&id) else {
             return true;
         };
-        let Work::Generate { prompt, most, .. } = &request.order.work else {
+        let Work::Generate {
+            prompt,
+            max_tokens: most,
+            ..
+        } = &request.incoming.work
+        else {
             return true;
         };
         let (prompt, most) = (prompt.len() as u32, *most);
-        request.produced.push(token.id);
-        let generated = request.produced.len() as u32;
+        request.tokens.push(token.id);
+        let generated = request.tokens.len() as u32;
         let last = token.end || generated >= most;
         if let Phase::Running(flow) = &mut request.phase {
             flow.current = 0;
-            flow.stages[0].kept.push(token.id);
+            flow.stages[0].kept_inputs.push(token.id);
         }
         self.stats.tokens += 1;
-        self.reply(id, Reply::Token(token));
+        self.reply(id, ReplyPart::Token(token));
         if last {
-            self.learn_pace(id);
-            self.absolve(id);
-            self.reply(id, Reply::End { prompt, generated });
-            self.close(id, Outcome::Done, "done");
+            self.learn_token_time(id);
+            self.clear_losses(id);
+            self.reply(id, ReplyPart::End { prompt, generated });
+            self.close_request(id, Outcome::Done, "done");
             self.dispatch_all();
         }
         last
     }
 
-    fn bound_kept(&mut self, id: RequestId) {
-        let most = self.config.keep;
+    fn limit_kept(&mut self, id: RequestId) {
+        let most = self.config.max_inputs;
         if let Some(request) = self.requests.get_mut(&id)
             && let Phase::Running(flow) = &mut request.phase
-            && flow.kept() > most
+            && flow.kept_count() > most
         {
-            flow.trim();
+            flow.trim_inputs();
         }
     }
 
-    pub(super) fn cancel(
+    pub(super) fn cancel_session(
         &mut self,
         id: RequestId,
-        session: Session,
+        session: SessionId,
         upstream: &UpstreamId,
         addr: &str,
     ) {
-        self.out.push(Action::Cancel {
+        self.actions.push(Action::Cancel {
             id,
             session,
             upstream: upstream.clone(),
@@ -301,9 +306,9 @@
     }
 }
 
-fn timing(total: Duration, stage: &Stage, ran: &Ran) -> Timing {
-    Timing {
-        total,
+fn stage_timing(total: Duration, stage: &Stage, ran: &StageResult) -> OrderTiming {
+    OrderTiming {
+        round_trip: total,
         queued: ran.queued,
         ran: ran.ran,
         layers: stage.end - stage.first,
@@ -311,7 +316,7 @@
     }
 }
 
-pub(super) fn address(members: &Members, id: &str) -> String {
+pub(super) fn upstream_addr(members: &Members, id: &str) -> String {
     members
         .upstream(id)
         .map_or(String::new(), |u| u.addr.clone())
--- a/crates/ashgauge/src/node/held.rs
+++ b/crates/ashgauge/src/node/held.rs
@@ -5,73 +5,79 @@
 
 use super::*;
 use crate::digest;
-use crate::quarantine::{Audience, Lost, Report, is_proven, start_key};
+use crate::quarantine::{Audience, InstanceLoss, Report, instance_key, is_safe_run};
 
 impl Node {
     /// For how much longer a request of a team is held back, if it is.
-    pub(super) fn held_back(&self, team: &Team, work: &Work) -> Option<Duration> {
-        let digest = digest_of(team, work);
+    pub(super) fn quarantine_left(&self, team: &Team, work: &Work) -> Option<Duration> {
+        let digest = work_digest(team, work);
         self.quarantine.time_left(self.now, digest)
     }
 
     /// Lays the loss of the current stage's engine to the request, unless that had run
     /// well on it; returns whether the request is held back from now on.
-    pub(super) fn blame(&mut self, id: RequestId) -> bool {
+    pub(super) fn record_loss(&mut self, id: RequestId) -> bool {
         let Some(request) = self.requests.get_mut(&id) else {
             return false;
         };
         let Phase::Running(flow) = &mut request.phase else {
             return false;
         };
-        if flow.live().ran > 0 && is_proven(flow.placed, self.now) {
+        if flow.active().positions_done > 0 && is_safe_run(flow.placed_at, self.now) {
             return false;
         }
-        let start = start_key(&flow.live().stage.upstream, None);
-        let digest = digest_of(&request.team, &request.order.work);
-        let holds = self.quarantine.note(self.now, Lost { digest, start });
-        self.tell_news();
+        let start = instance_key(&flow.active().stage.upstream, None);
+        let digest = work_digest(&request.team, &request.incoming.work);
+        let holds = self.quarantine.record_loss(
+            self.now,
+            InstanceLoss {
+                digest,
+                instance: start,
+            },
+        );
+        self.expedite_heartbeat();
         holds
     }
 
     /// Ends a request that is held back from now on.
-    pub(super) fn hold_back(&mut self, id: RequestId) {
+    pub(super) fn refuse_quarantined(&mut self, id: RequestId) {
         let Some(request) = self.requests.get(&id) else {
             return;
         };
-        let left = self.held_back(&request.team, &request.order.work);
-        self.note(Some(id), What::HeldBack);
-        self.refuse(id, Kind::Held, "engines were lost under it", left);
+        let left = self.quarantine_left(&request.team, &request.incoming.work);
+        self.record(Some(id), RecordKind::HeldBack);
+        self.refuse(id, RefusalKind::Held, "engines were lost under it", left);
     }
 
     /// Forgets losses under a request that ran to its end.
-    pub(super) fn absolve(&mut self, id: RequestId) {
+    pub(super) fn clear_losses(&mut self, id: RequestId) {
         if let Some(request) = self.requests.get(&id) {
-            let digest = digest_of(&request.team, &request.order.work);
-            self.quarantine.clear(digest);
+            let digest = work_digest(&request.team, &request.incoming.work);
+            self.quarantine.clear_losses(digest);
         }
     }
 
     /// What the other boxes are to know, in turns if it is much.
-    pub(super) fn losses(&self) -> Report {
+    pub(super) fn loss_report(&self) -> Report {
         self.quarantine
             .report(self.now, self.stats.arrived, Audience::All)
     }
 
-    pub(super) fn hear_losses(&mut self, report: &Report) {
-        let news = self.quarantine.hear(self.now, report);
+    pub(super) fn merge_losses(&mut self, report: &Report) {
+        let news = self.quarantine.merge(self.now, report);
         if !news.is_empty() {
-            self.tell_news();
+            self.expedite_heartbeat();
         }
     }
 }
 
 /// The digest of a request's work; a team's keys count as one caller.
-fn digest_of(team: &Team, work: &Work) -> digest::Digest {
+fn work_digest(team: &Team, work: &Work) -> digest::Digest {
     match work {
         Work::Generate { model, prompt, .. } => {
             let bytes: Vec<u8> = prompt.iter().flat_map(|v| v.to_le_bytes()).collect();
-            digest::of(model, &team.id, &bytes)
+            digest::request_digest(model, &team.id, &bytes)
         }
-        Work::Call { path, body, .. } => digest::of(path, &team.id, body),
+        Work::Call { path, body, .. } => digest::request_digest(path, &team.id, body),
     }
 }
--- a/crates/ashgauge/src/node/mod.rs
+++ b/crates/ashgauge/src/node/mod.rs
@@ -24,18 +24,18 @@
 use crate::clock::Clock;
 use crate::editor::Editor;
 use crate::lease::Lease;
-use crate::limit::Limits;
-use crate::load::{Loads, Spread};
-use crate::member::{BoxId, Listing, Members, UpstreamId};
+use crate::limit::TeamLimits;
+use crate::load::{DurationEstimate, UpstreamStatsMap};
+use crate::member::{BoxId, MemberList, Members, UpstreamId};
 use crate::order::Orders;
 use crate::policy::{Policy, Team};
 use crate::quarantine::Quarantine;
 use crate::queue::{Queue, RequestId};
-use crate::record::{Record, What};
-use crate::retry::Budget;
+use crate::record::{Record, RecordKind};
+use crate::retry::RetryBudget;
 use crate::table::{Table, Version};
 
-use flow::Flow;
+use flow::Pipeline;
 
 pub use status::{Stats, Status, UpstreamStatus};
 pub use types::*;
@@ -50,42 +50,42 @@
     /// Data centre of the box.
     pub data_centre: String,
     /// Address of the box-to-box port, told to peers.
-    pub addr: String,
+    pub peer_addr: String,
     /// Box-to-box addresses asked for the table if the platform is down.
     pub seeds: Vec<String>,
     /// Milliseconds since 1970 at node time zero.
-    pub wall: u64,
+    pub epoch_ms: u64,
     /// Seed of all random choices.
     pub seed: u64,
     /// Most requests at one time, waiting ones included.
-    pub requests: usize,
+    pub max_requests: usize,
     /// Time between heartbeats.
-    pub heartbeat: Duration,
+    pub heartbeat_interval: Duration,
     /// Boxes that each heartbeat goes to.
     pub fanout: usize,
     /// Least time before a silent stage counts as lost.
-    pub silence: Duration,
+    pub stage_timeout: Duration,
     /// Time before a silent service counts as lost, if a second try is allowed.
-    pub call_silence: Duration,
+    pub call_timeout: Duration,
     /// Stage inputs kept for one request, over all its stages.
-    pub keep: usize,
+    pub max_inputs: usize,
     /// Second tries per first try, 0 to 1.
-    pub retries: f64,
+    pub retry_share: f64,
     /// How long a box may hear neither the platform nor a peer.
-    pub isolation: Duration,
+    pub isolation_timeout: Duration,
     /// Time to live of the lease for orders.
-    pub lease: Duration,
+    pub lease_ttl: Duration,
     /// Settings of the claims.
     pub claims: claim::Config,
     /// Ways of deciding, for comparison with plain baselines.
-    pub tactics: Tactics,
+    pub strategy: Strategy,
 }
 
 /// Ways of deciding. The default is what a fleet should run; the others are
 /// plain baselines to measure against.
 #[derive(Clone, Copy, Debug, Serialize, Deserialize)]
 #[serde(default, deny_unknown_fields)]
-pub struct Tactics {
+pub struct Strategy {
     /// Choose the cheapest chain; else take engines in turn.
     pub cheapest: bool,
     /// Weighted fair order; else first come, first served.
@@ -96,9 +96,9 @@
     pub replay: bool,
 }
 
-impl Default for Tactics {
+impl Default for Strategy {
     fn default() -> Self {
-        Tactics {
+        Strategy {
             cheapest: true,
             fair: true,
             loans: true,
@@ -109,7 +109,7 @@
 
 impl Config {
     /// The box with its incarnation, unique over all boxes and starts.
-    pub fn owner(&self) -> String {
+    pub fn instance_id(&self) -> String {
         format!("{}.{:x}", self.id, self.incarnation)
     }
 
@@ -119,26 +119,26 @@
             id: id.into(),
             incarnation,
             data_centre: String::new(),
-            addr: String::new(),
+            peer_addr: String::new(),
             seeds: Vec::new(),
-            wall: 0,
+            epoch_ms: 0,
             seed: incarnation,
-            requests: 4096,
-            heartbeat: Duration::from_secs(3),
+            max_requests: 4096,
+            heartbeat_interval: Duration::from_secs(3),
             fanout: 3,
-            silence: Duration::from_millis(500),
-            call_silence: Duration::from_secs(5),
-            keep: 65_536,
-            retries: 0.1,
-            isolation: Duration::from_secs(30),
-            lease: Duration::from_secs(5),
+            stage_timeout: Duration::from_millis(500),
+            call_timeout: Duration::from_secs(5),
+            max_inputs: 65_536,
+            retry_share: 0.1,
+            isolation_timeout: Duration::from_secs(30),
+            lease_ttl: Duration::from_secs(5),
             claims: claim::Config {
                 shards: 16,
-                keep: Duration::from_secs(24 * 3600),
-                interval: Duration::from_millis(200),
-                patience: Duration::from_secs(2),
+                retention: Duration::from_secs(24 * 3600),
+                write_interval: Duration::from_millis(200),
+                timeout: Duration::from_secs(2),
             },
-            tactics: Tactics::default(),
+            strategy: Strategy::default(),
         }
     }
 }
@@ -149,50 +149,50 @@
     now: Duration,
     clock: Clock,
     rng: SmallRng,
-    out: Vec<Action>,
+    actions: Vec<Action>,
     table: Arc<Table>,
     policy: Policy,
-    listing: Listing,
+    listing: MemberList,
     members: Members,
-    loads: Loads,
+    loads: UpstreamStatsMap,
     queues: BTreeMap<String, Queue>,
     /// Seconds that a running request takes for each token it generates, by
     /// route.
-    paces: HashMap<String, Spread>,
+    token_times: HashMap<String, DurationEstimate>,
     requests: BTreeMap<RequestId, Request>,
-    claiming: HashMap<ClaimId, RequestId>,
+    pending_claims: HashMap<ClaimId, RequestId>,
     /// Claims asked for and never to be sent under, with their keys.
-    given_up: HashMap<ClaimId, (String, Duration)>,
-    budget: Budget,
-    limits: Limits,
+    abandoned_claims: HashMap<ClaimId, (String, Duration)>,
+    retry_budget: RetryBudget,
+    rate_limits: TeamLimits,
     claims: Claims,
-    asked_for: HashMap<ClaimId, (BoxId, String)>,
+    claim_askers: HashMap<ClaimId, (BoxId, String)>,
     editor: Editor,
     lease: Lease,
     orders: Orders,
     quarantine: Quarantine,
-    fleet: Fleet,
-    turn: usize,
+    control: ControlState,
+    rotation: usize,
     stats: Stats,
 }
 
 /// What the node remembers of its contact with platform and peers.
 #[derive(Debug, Default)]
-struct Fleet {
+struct ControlState {
     draining: bool,
-    heartbeat: Duration,
-    heard: Option<Duration>,
-    reading: bool,
-    read_at: Duration,
-    newest: Version,
-    greeted: bool,
-    awaited: Vec<BoxId>,
-    renewed: Duration,
+    next_heartbeat: Duration,
+    last_contact: Option<Duration>,
+    reading_table: bool,
+    next_read: Duration,
+    newest_version: Version,
+    peers_asked: bool,
+    awaited_peers: Vec<BoxId>,
+    next_loans: Duration,
 }
 
 /// One request of a caller.
 struct Request {
-    order: Order,
+    incoming: IncomingRequest,
     team: Arc<Team>,
     route: String,
     repeatable: bool,
@@ -200,12 +200,12 @@
     cost: f64,
     attempt: u32,
     /// Whether some upstream may have run a part of it.
-    ran: bool,
+    maybe_ran: bool,
     /// The same, before the current call went out.
-    before: bool,
+    ran_before: bool,
     claim: Option<Claim>,
-    produced: Vec<Value>,
-    began: Duration,
+    tokens: Vec<StageValue>,
+    started_at: Duration,
     phase: Phase,
 }
 
@@ -213,31 +213,33 @@
 struct Claim {
     id: ClaimId,
     /// Ids given up for this one; they are never sent under.
-    dropped: Vec<ClaimId>,
+    abandoned_ids: Vec<ClaimId>,
     /// The box that was asked, if not this one.
     home: Option<(BoxId, String)>,
-    asked: Duration,
+    asked_at: Duration,
 }
 
 enum Phase {
     Claiming,
     Waiting,
-    Running(Flow),
+    Running(Pipeline),
     Calling(UpstreamId, Duration),
 }
 
 impl Request {
     /// Tokens that are still to be generated.
-    fn left(&self) -> u32 {
-        match &self.order.work {
-            Work::Generate { most, .. } => most.saturating_sub(self.produced.len() as u32),
+    fn tokens_left(&self) -> u32 {
+        match &self.incoming.work {
+            Work::Generate {
+                max_tokens: most, ..
+            } => most.saturating_sub(self.tokens.len() as u32),
             Work::Call { .. } => 0,
         }
     }
 
     /// What a caller must be told if no result comes.
     fn outcome(&self) -> Outcome {
-        if self.ran {
+        if self.maybe_ran {
             Outcome::Unknown
         } else {
             Outcome::NotRun
@@ -252,27 +254,27 @@
             now: Duration::ZERO,
             clock: Clock::default(),
             rng: SmallRng::seed_from_u64(config.seed),
-            out: Vec::new(),
+            actions: Vec::new(),
             table: Arc::default(),
             policy: Policy::default(),
-            listing: Listing::default(),
+            listing: MemberList::default(),
             members: Members::default(),
-            loads: Loads::default(),
+            loads: UpstreamStatsMap::default(),
             queues: BTreeMap::new(),
-            paces: HashMap::new(),
+            token_times: HashMap::new(),
             requests: BTreeMap::new(),
-            claiming: HashMap::new(),
-            given_up: HashMap::new(),
-            budget: Budget::new(config.retries),
-            limits: Limits::default(),
+            pending_claims: HashMap::new(),
+            abandoned_claims: HashMap::new(),
+            retry_budget: RetryBudget::new(config.retry_share),
+            rate_limits: TeamLimits::default(),
             claims: Claims::new(config.claims.clone()),
-            asked_for: HashMap::new(),
+            claim_askers: HashMap::new(),
             editor: Editor::default(),
-            lease: Lease::new(config.owner(), config.lease),
+            lease: Lease::new(config.instance_id(), config.lease_ttl),
             orders: Orders::default(),
             quarantine: Quarantine::default(),
-            fleet: Fleet::default(),
-            turn: 0,
+            control: ControlState::default(),
+            rotation: 0,
             stats: Stats::default(),
             config,
         }
@@ -284,44 +286,46 @@
     pub fn handle(&mut self, now: Duration, event: Event) -> Vec<Action> {
         self.now = self.now.max(now);
         match event {
-            Event::Arrive(order) => self.arrive(order),
-            Event::Gone(id) => self.gone(id),
-            Event::Ran(ran) => self.ran(ran),
-            Event::RunFailed(id, session, start, fault) => {
-                self.run_failed(id, session, start, fault)
+            Event::RequestArrived(order) => self.on_request(order),
+            Event::CallerGone(id) => self.on_caller_gone(id),
+            Event::StageDone(ran) => self.on_stage_done(ran),
+            Event::StageFailed(id, session, start, fault) => {
+                self.on_stage_failed(id, session, start, fault)
             }
-            Event::Called(id, attempt, called) => self.called(id, attempt, called),
-            Event::CallFailed(id, attempt, fault) => self.call_failed(id, attempt, fault),
-            Event::Read(object, answer) => self.read(object, answer),
-            Event::Written(object, content, result) => self.written(object, content, result),
-            Event::Watched(version) => self.see_version(version),
-            Event::Listed(listing) => self.listed(listing),
-            Event::Unchanged => self.fleet.heard = Some(self.now),
-            Event::Heard(envelope) => self.heard(envelope),
-            Event::SendFailed(to, message) => self.send_failed(&to, message),
+            Event::ServiceDone(id, attempt, called) => self.on_service_done(id, attempt, called),
+            Event::ServiceFailed(id, attempt, fault) => self.on_service_failed(id, attempt, fault),
+            Event::Read(object, answer) => self.on_read(object, answer),
+            Event::Written(object, content, result) => self.on_written(object, content, result),
+            Event::TableVersion(version) => self.on_table_version(version),
+            Event::Listed(listing) => self.on_listing(listing),
+            Event::Unchanged => self.control.last_contact = Some(self.now),
+            Event::MessageReceived(envelope) => self.on_message(envelope),
+            Event::SendFailed(to, message) => self.on_send_failed(&to, message),
             Event::Edit(ticket, edit) => {
                 let steps = self.editor.push(self.now, ticket, edit);
-                self.edit_steps(steps);
+                self.run_edit_steps(steps);
             }
-            Event::Obeyed(id, term, reply) => self.obeyed(&id, term, reply),
+            Event::OrderAnswered(id, term, reply) => self.on_order_reply(&id, term, reply),
             Event::Drain => self.drain(),
             Event::Tick => self.tick(),
         }
-        std::mem::take(&mut self.out)
+        std::mem::take(&mut self.actions)
     }
 
     /// Returns true if the balancer may send requests to this box.
     pub fn is_ready(&self, now: Duration) -> bool {
-        let f = &self.fleet;
-        let knows = self.policy.version > 0 && self.policy.version >= f.newest;
-        let greeted = f.greeted && f.awaited.is_empty();
-        let alone = f.heard.is_none_or(|t| now > t + self.config.isolation);
+        let f = &self.control;
+        let knows = self.policy.version > 0 && self.policy.version >= f.newest_version;
+        let greeted = f.peers_asked && f.awaited_peers.is_empty();
+        let alone = f
+            .last_contact
+            .is_none_or(|t| now > t + self.config.isolation_timeout);
         knows && greeted && !alone && !f.draining
     }
 
     /// Returns true once a draining node has nothing left to do.
     pub fn is_drained(&self) -> bool {
-        self.fleet.draining && self.requests.is_empty()
+        self.control.draining && self.requests.is_empty()
     }
 
     /// Requests in flight or waiting.
@@ -331,23 +335,23 @@
 
     fn tick(&mut self) {
         self.tick_store();
-        self.tick_fleet();
-        self.tick_flows();
-        self.expire();
+        self.tick_peers();
+        self.tick_requests();
+        self.expire_requests();
         self.dispatch_all();
     }
 
-    fn wall(&self) -> u64 {
-        self.config.wall + self.now.as_millis() as u64
+    fn wall_ms(&self) -> u64 {
+        self.config.epoch_ms + self.now.as_millis() as u64
     }
 
-    fn note(&mut self, request: Option<RequestId>, what: What) {
+    fn record(&mut self, request: Option<RequestId>, what: RecordKind) {
         let record = Record {
-            at: self.clock.tick(self.wall()),
-            node: self.config.id.clone(),
+            at: self.clock.tick(self.wall_ms()),
+            box_id: self.config.id.clone(),
             request,
-            what,
+            kind: what,
         };
-        self.out.push(Action::Note(record));
+        self.actions.push(Action::Record(record));
     }
 }
--- a/crates/ashgauge/src/node/status.rs
+++ b/crates/ashgauge/src/node/status.rs
@@ -6,7 +6,7 @@
 use serde::{Deserialize, Serialize};
 
 use super::*;
-use crate::member::State;
+use crate::member::MemberState;
 
 /// Counts since the process started.
 #[derive(Clone, Debug, Default, PartialEq, Serialize, Deserialize)]
@@ -24,7 +24,8 @@
     /// Frames that matched no order.
     pub dropped: u64,
     /// Stage orders answered.
-    pub orders: u64,
+    #[serde(rename = "orders")]
+    pub stage_runs: u64,
     /// Tokens given to callers.
     pub tokens: u64,
     /// Messages to other boxes.
@@ -45,7 +46,7 @@
     /// Name.
     pub id: UpstreamId,
     /// Whether it takes new work.
-    pub state: State,
+    pub state: MemberState,
     /// Whether its last order failed.
     pub suspect: bool,
     /// Requests of this box on it.
@@ -53,7 +54,8 @@
     /// Requests this box may hold on it.
     pub window: u32,
     /// Learned link time both ways, in microseconds.
-    pub link: u64,
+    #[serde(rename = "link")]
+    pub link_us: u64,
     /// Layers it holds, as `model:first-end`.
     pub holds: Vec<String>,
 }
@@ -76,7 +78,8 @@
     /// Waiting requests by route.
     pub waiting: BTreeMap<String, usize>,
     /// Term of the lease for orders, if held here.
-    pub lease: Option<u64>,
+    #[serde(rename = "lease")]
+    pub lease_term: Option<u64>,
     /// Upstreams.
     pub upstreams: Vec<UpstreamStatus>,
     /// Boxes it would ask now.
@@ -86,11 +89,11 @@
 }
 
 impl Stats {
-    pub(super) fn refuse(&mut self, kind: Kind) {
+    pub(super) fn count_refusal(&mut self, kind: RefusalKind) {
         *self.refused.entry(format!("{kind:?}")).or_default() += 1;
     }
 
-    pub(super) fn end(&mut self, outcome: Outcome) {
+    pub(super) fn count_end(&mut self, outcome: Outcome) {
         *self.ended.entry(format!("{outcome:?}")).or_default() += 1;
     }
 }
@@ -107,8 +110,8 @@
     }
 
     /// Tokens a second of a limited team that this box may spend now.
-    pub fn rate(&self, team: &str) -> f64 {
-        self.limits.rate(self.now, team)
+    pub fn team_rate(&self, team: &str) -> f64 {
+        self.rate_limits.rate(self.now, team)
     }
 
     /// All boxes of the platform's list.
@@ -124,13 +127,17 @@
             id: self.config.id.clone(),
             data_centre: self.config.data_centre.clone(),
             ready: self.is_ready(self.now),
-            draining: self.fleet.draining,
+            draining: self.control.draining,
             version: self.policy.version,
             inflight: self.requests.len(),
             waiting: queues.map(|(r, q)| (r.clone(), q.len())).collect(),
-            lease: self.lease.term(self.now),
+            lease_term: self.lease.term(self.now),
             upstreams: self.upstream_status(),
-            live: self.members.live(self.now).map(|b| b.id.clone()).collect(),
+            live: self
+                .members
+                .live_boxes(self.now)
+                .map(|b| b.id.clone())
+                .collect(),
             stats: self.stats.clone(),
         }
     }
@@ -141,16 +148,20 @@
         for u in self.members.upstreams() {
             let leaving = self.members.is_leaving(now, &u.id);
             let suspect = self.loads.is_suspect(now, &u.id);
-            let load = self.loads.get(&u.id);
+            let load = self.loads.get_mut(&u.id);
             let holds = u.holds.iter();
             let holds = holds.map(|h| format!("{}:{}-{}", h.model, h.first, h.end));
             all.push(UpstreamStatus {
                 id: u.id.clone(),
-                state: if leaving { State::Leaving } else { State::Live },
+                state: if leaving {
+                    MemberState::Leaving
+                } else {
+                    MemberState::Live
+                },
                 suspect,
-                held: load.held,
+                held: load.inflight,
                 window: load.window(),
-                link: (load.link(now) * 1e6) as u64,
+                link_us: (load.link_seconds(now) * 1e6) as u64,
                 holds: holds.collect(),
             });
         }
--- a/crates/ashgauge/src/node/store.rs
+++ b/crates/ashgauge/src/node/store.rs
@@ -3,118 +3,133 @@
 use std::time::Duration;
 
 use super::*;
-use crate::claim::{self, Entries, Written};
+use crate::claim::{self, StoredShard, WriteResult};
 use crate::editor;
 use crate::lease;
 use crate::message::Message;
 use crate::table::Edit;
 
 /// Pause between tries to read the table while the box is behind.
-const TABLE_PAUSE: Duration = Duration::from_millis(500);
+const TABLE_READ_INTERVAL: Duration = Duration::from_millis(500);
 
 /// Time in which peers may bring a newer table, which costs less than the
 /// platform's whole one.
-const PEER_TIME: Duration = Duration::from_millis(500);
+const PEER_GRACE: Duration = Duration::from_millis(500);
 
 /// Time after news in which they are told to peers.
-pub(super) const NEWS_TIME: Duration = Duration::from_millis(50);
+pub(super) const NEWS_DELAY: Duration = Duration::from_millis(50);
 
 impl Node {
     pub(super) fn tick_store(&mut self) {
-        if self.is_behind() && self.now >= self.fleet.read_at {
+        if self.is_behind() && self.now >= self.control.next_read {
             self.read_table();
         }
-        let steps = self.claims.tick(self.now, self.wall() / 1000);
-        self.claim_steps(steps);
+        let steps = self.claims.tick(self.now, self.wall_ms() / 1000);
+        self.run_claim_steps(steps);
         let steps = self.editor.advance(self.now);
-        self.edit_steps(steps);
+        self.run_edit_steps(steps);
         self.tick_lease();
         self.send_orders();
     }
 
-    pub(super) fn read(&mut self, object: Object, answer: Option<(Version, Option<Content>)>) {
+    pub(super) fn on_read(
+        &mut self,
+        object: ObjectKey,
+        answer: Option<(Version, Option<ObjectValue>)>,
+    ) {
         if answer.is_some() {
-            self.fleet.heard = Some(self.now);
+            self.control.last_contact = Some(self.now);
         }
         match object {
-            Object::Table => self.table_read(answer),
-            Object::Claims(shard) => {
+            ObjectKey::Table => self.on_table_read(answer),
+            ObjectKey::Claims(shard) => {
                 let answer = answer.map(|(v, c)| match c {
-                    Some(Content::Claims(entries)) => (v, entries),
-                    _ => (v, Entries::default()),
+                    Some(ObjectValue::Claims(entries)) => (v, entries),
+                    _ => (v, StoredShard::default()),
                 });
-                let wall = self.wall() / 1000;
-                let steps = self.claims.read(self.now, wall, shard, answer);
-                self.claim_steps(steps);
+                let wall = self.wall_ms() / 1000;
+                let steps = self.claims.on_read(self.now, wall, shard, answer);
+                self.run_claim_steps(steps);
             }
-            Object::Lease => {
+            ObjectKey::Lease => {
                 let answer = answer.map(|(v, c)| match c {
-                    Some(Content::Lease(stored)) => (v, stored),
-                    _ => (v, lease::Stored::default()),
+                    Some(ObjectValue::Lease(stored)) => (v, stored),
+                    _ => (v, lease::StoredLease::default()),
                 });
-                self.lease.read(self.now, answer);
+                self.lease.on_read(self.now, answer);
             }
         }
     }
 
-    pub(super) fn written(&mut self, object: Object, content: Content, result: Written) {
-        if let Written::Done(_) = result {
-            self.fleet.heard = Some(self.now);
+    pub(super) fn on_written(
+        &mut self,
+        object: ObjectKey,
+        content: ObjectValue,
+        result: WriteResult,
+    ) {
+        if let WriteResult::Done(_) = result {
+            self.control.last_contact = Some(self.now);
         }
         match (object, content) {
-            (Object::Table, Content::Table(table)) => {
-                if let Written::Done(version) = result {
-                    self.install(version, table.clone(), "edit");
+            (ObjectKey::Table, ObjectValue::Table(table)) => {
+                if let WriteResult::Done(version) = result {
+                    self.install_table(version, table.clone(), "edit");
                 }
                 let table = Table::clone(&table);
-                let steps = self.editor.written(self.now, table, result);
-                self.edit_steps(steps);
+                let steps = self.editor.on_written(self.now, table, result);
+                self.run_edit_steps(steps);
             }
-            (Object::Claims(shard), Content::Claims(entries)) => {
-                let wall = self.wall() / 1000;
-                let steps = self.claims.written(self.now, wall, shard, entries, result);
-                self.claim_steps(steps);
+            (ObjectKey::Claims(shard), ObjectValue::Claims(entries)) => {
+                let wall = self.wall_ms() / 1000;
+                let steps = self
+                    .claims
+                    .on_written(self.now, wall, shard, entries, result);
+                self.run_claim_steps(steps);
             }
-            (Object::Lease, Content::Lease(stored)) => self.lease_written(stored, result),
+            (ObjectKey::Lease, ObjectValue::Lease(stored)) => self.on_lease_written(stored, result),
             _ => {}
         }
     }
 
     /// Puts a table in force, unless it is older than the one that is.
-    pub(super) fn install(&mut self, version: Version, table: Arc<Table>, source: &str) {
-        self.fleet.newest = self.fleet.newest.max(version);
+    pub(super) fn install_table(&mut self, version: Version, table: Arc<Table>, source: &str) {
+        self.control.newest_version = self.control.newest_version.max(version);
         if version <= self.policy.version {
             return;
         }
         self.policy = Policy::new(version, &table);
         self.table = table;
-        let what = What::Table {
+        let what = RecordKind::Table {
             version,
             source: source.into(),
         };
-        self.note(None, what);
-        self.tell_news();
+        self.record(None, what);
+        self.expedite_heartbeat();
         self.dispatch_all();
     }
 
     /// Notes a version that the platform has.
-    pub(super) fn see_version(&mut self, version: Version) {
-        self.fleet.heard = Some(self.now);
-        self.await_version(version);
+    pub(super) fn on_table_version(&mut self, version: Version) {
+        self.control.last_contact = Some(self.now);
+        self.expect_version(version);
     }
 
     /// Notes a version that a peer has in force, and asks it for the edits.
-    pub(super) fn hear_version(&mut self, version: Version, from: &BoxId, addr: &str) {
+    pub(super) fn on_peer_version(&mut self, version: Version, from: &BoxId, addr: &str) {
         if version <= self.policy.version {
             return;
         }
-        self.await_version(version);
+        self.expect_version(version);
         let since = self.policy.version;
-        self.send(from.clone(), addr.into(), Message::FetchState { since });
+        self.send(
+            from.clone(),
+            addr.into(),
+            Message::FetchState { after: since },
+        );
     }
 
     /// Takes over the edits that a peer sent.
-    pub(super) fn take_edits(&mut self, version: Version, edits: &[Edit], hash: u64, from: &str) {
+    pub(super) fn apply_edits(&mut self, version: Version, edits: &[Edit], hash: u64, from: &str) {
         let known = self.policy.version;
         let missing = version.saturating_sub(known) as usize;
         if missing == 0 || known == 0 || missing > edits.len() {
@@ -130,135 +145,142 @@
         // A version that no edit made, such as one restored by hand, shows
         // here; the whole table is then read from the platform.
         if table.hash() == hash {
-            self.install(version, Arc::new(table), from);
+            self.install_table(version, Arc::new(table), from);
         }
     }
 
-    fn await_version(&mut self, version: Version) {
-        if version > self.fleet.newest {
-            self.fleet.newest = version;
-            self.fleet.read_at = self.fleet.read_at.max(self.now + PEER_TIME);
+    fn expect_version(&mut self, version: Version) {
+        if version > self.control.newest_version {
+            self.control.newest_version = version;
+            self.control.next_read = self.control.next_read.max(self.now + PEER_GRACE);
         }
     }
 
     fn is_behind(&self) -> bool {
-        self.policy.version == 0 || self.policy.version < self.fleet.newest
+        self.policy.version == 0 || self.policy.version < self.control.newest_version
     }
 
-    pub(super) fn claim_steps(&mut self, steps: Vec<claim::Step>) {
+    pub(super) fn run_claim_steps(&mut self, steps: Vec<claim::ClaimAction>) {
         for step in steps {
             match step {
-                claim::Step::Read(shard) => {
+                claim::ClaimAction::Read(shard) => {
                     self.stats.reads += 1;
-                    self.out.push(Action::Read(Object::Claims(shard)));
+                    self.actions.push(Action::Read(ObjectKey::Claims(shard)));
                 }
-                claim::Step::Write(shard, version, entries) => {
+                claim::ClaimAction::Write(shard, version, entries) => {
                     self.stats.writes += 1;
-                    let content = Content::Claims(entries);
-                    self.out
-                        .push(Action::Write(Object::Claims(shard), version, content));
+                    let content = ObjectValue::Claims(entries);
+                    self.actions
+                        .push(Action::Write(ObjectKey::Claims(shard), version, content));
                 }
-                claim::Step::Tell(id, verdict) => match self.asked_for.remove(&id) {
-                    Some((to, addr)) => self.send(to, addr, Message::TellClaim { id, verdict }),
-                    None => self.claim_told(&id, verdict),
+                claim::ClaimAction::Respond(id, verdict) => match self.claim_askers.remove(&id) {
+                    Some((to, addr)) => self.send(
+                        to,
+                        addr,
+                        Message::ClaimReply {
+                            id,
+                            result: verdict,
+                        },
+                    ),
+                    None => self.on_verdict(&id, verdict),
                 },
             }
         }
     }
 
-    pub(super) fn edit_steps(&mut self, steps: Vec<editor::Step>) {
+    pub(super) fn run_edit_steps(&mut self, steps: Vec<editor::EditAction>) {
         for step in steps {
             match step {
-                editor::Step::Read => self.read_table(),
-                editor::Step::Write(version, table) => {
+                editor::EditAction::Read => self.read_table(),
+                editor::EditAction::Write(version, table) => {
                     self.stats.writes += 1;
-                    let content = Content::Table(Arc::new(table));
-                    self.out
-                        .push(Action::Write(Object::Table, version, content));
+                    let content = ObjectValue::Table(Arc::new(table));
+                    self.actions
+                        .push(Action::Write(ObjectKey::Table, version, content));
                 }
-                editor::Step::Tell(ticket, edit, answer) => {
-                    let what = What::Edit {
+                editor::EditAction::Respond(ticket, edit, answer) => {
+                    let what = RecordKind::Edit {
                         id: edit.id,
                         result: format!("{answer:?}"),
                     };
-                    self.note(None, what);
-                    self.out.push(Action::Edited(ticket, answer));
+                    self.record(None, what);
+                    self.actions.push(Action::EditAnswer(ticket, answer));
                 }
             }
         }
     }
 
-    pub(super) fn lease_step(&mut self, step: lease::Step) {
+    pub(super) fn run_lease_step(&mut self, step: lease::LeaseAction) {
         match step {
-            lease::Step::Read => {
+            lease::LeaseAction::Read => {
                 self.stats.reads += 1;
-                self.out.push(Action::Read(Object::Lease));
+                self.actions.push(Action::Read(ObjectKey::Lease));
             }
-            lease::Step::Write(version, stored) => {
+            lease::LeaseAction::Write(version, stored) => {
                 self.stats.writes += 1;
-                let content = Content::Lease(stored);
-                self.out
-                    .push(Action::Write(Object::Lease, version, content));
+                let content = ObjectValue::Lease(stored);
+                self.actions
+                    .push(Action::Write(ObjectKey::Lease, version, content));
             }
         }
     }
 
     /// Only the lease's home box asks for it, so that the others cost nothing.
     fn tick_lease(&mut self) {
-        let home = self.members.home(self.now, "lease");
-        let wanted = !self.policy.goals.is_empty() && !self.fleet.draining;
+        let home = self.members.owner_of(self.now, "lease");
+        let wanted = !self.policy.goals.is_empty() && !self.control.draining;
         if !wanted || home.as_ref() != Some(&self.config.id) {
             return;
         }
         if let Some(step) = self.lease.tick(self.now) {
-            self.lease_step(step);
+            self.run_lease_step(step);
         }
     }
 
-    fn lease_written(&mut self, stored: lease::Stored, result: Written) {
+    fn on_lease_written(&mut self, stored: lease::StoredLease, result: WriteResult) {
         let before = self.lease.term(self.now);
-        self.lease.written(self.now, result);
+        self.lease.on_written(self.now, result);
         let after = self.lease.term(self.now);
         if before != after {
-            let what = What::Lease {
+            let what = RecordKind::Lease {
                 name: "orders".into(),
                 term: stored.term,
                 held: after.is_some(),
             };
-            self.note(None, what);
+            self.record(None, what);
         }
     }
 
     fn read_table(&mut self) {
-        if std::mem::replace(&mut self.fleet.reading, true) {
+        if std::mem::replace(&mut self.control.reading_table, true) {
             return;
         }
-        self.fleet.read_at = self.now + TABLE_PAUSE;
+        self.control.next_read = self.now + TABLE_READ_INTERVAL;
         self.stats.reads += 1;
-        self.out.push(Action::Read(Object::Table));
+        self.actions.push(Action::Read(ObjectKey::Table));
     }
 
-    fn table_read(&mut self, answer: Option<(Version, Option<Content>)>) {
-        self.fleet.reading = false;
+    fn on_table_read(&mut self, answer: Option<(Version, Option<ObjectValue>)>) {
+        self.control.reading_table = false;
         let answer = answer.map(|(version, content)| match content {
-            Some(Content::Table(table)) => (version, table),
+            Some(ObjectValue::Table(table)) => (version, table),
             _ => (version, Arc::default()),
         });
         if let Some((version, table)) = &answer {
-            self.install(*version, table.clone(), "platform");
+            self.install_table(*version, table.clone(), "platform");
         }
         if self.policy.version == 0 && answer.is_none() {
-            self.fetch_first();
+            self.fetch_from_seeds();
         }
         let answer = answer.map(|(v, t)| (v, Table::clone(&t)));
-        let steps = self.editor.read(self.now, self.policy.version, answer);
-        self.edit_steps(steps);
+        let steps = self.editor.on_read(self.now, self.policy.version, answer);
+        self.run_edit_steps(steps);
     }
 
     /// Asks the boxes named in the settings, for a start during an outage.
-    fn fetch_first(&mut self) {
+    fn fetch_from_seeds(&mut self) {
         for addr in self.config.seeds.clone() {
-            self.send("".into(), addr, Message::FetchState { since: 0 });
+            self.send("".into(), addr, Message::FetchState { after: 0 });
         }
     }
 }
--- a/crates/ashgauge/src/node/types.rs
+++ b/crates/ashgauge/src/node/types.rs
@@ -6,10 +6,10 @@
 use serde::{Deserialize, Serialize};
 
 use crate::chain::Layer;
-use crate::claim::{Entries, Written};
-use crate::editor::{Answer, Ticket};
+use crate::claim::{StoredShard, WriteResult};
+use crate::editor::{EditResult, WaiterId};
 use crate::lease;
-use crate::member::{Listing, UpstreamId};
+use crate::member::{MemberList, UpstreamId};
 use crate::message::{Envelope, Message};
 use crate::policy::KeyHash;
 use crate::queue::RequestId;
@@ -19,14 +19,14 @@
 /// What a stage passes to the next for one position: token or activation.
 ///
 /// A node keeps and hands on these values and never looks into them.
-pub type Value = u64;
+pub type StageValue = u64;
 
 /// Number of a stage's session, unique within its request.
-pub type Session = u32;
+pub type SessionId = u32;
 
 /// A caller's request.
 #[derive(Clone, Debug, Serialize, Deserialize)]
-pub struct Order {
+pub struct IncomingRequest {
     /// Unique while this process lives.
     pub id: RequestId,
     /// SHA-256 of the bearer key.
@@ -34,7 +34,8 @@
     /// What it asks for.
     pub work: Work,
     /// Value of `Idempotency-Key`.
-    pub key: Option<String>,
+    #[serde(rename = "key")]
+    pub idempotency_key: Option<String>,
     /// Whether the caller allows a second try.
     pub repeatable: bool,
     /// Longest time, if the caller gave one.
@@ -49,9 +50,10 @@
         /// Route of the model.
         model: String,
         /// The prompt's tokens.
-        prompt: Vec<Value>,
+        prompt: Vec<StageValue>,
         /// Most tokens to generate.
-        most: u32,
+        #[serde(rename = "most")]
+        max_tokens: u32,
     },
     /// Call a plain service.
     Call {
@@ -60,7 +62,8 @@
         /// Path and query.
         path: String,
         /// Content type.
-        content: String,
+        #[serde(rename = "content")]
+        content_type: String,
         /// Body.
         body: Arc<[u8]>,
     },
@@ -70,7 +73,7 @@
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub struct Token {
     /// Its value, the next position's input.
-    pub id: Value,
+    pub id: StageValue,
     /// Its text.
     pub text: String,
     /// Whether the model ends here.
@@ -79,13 +82,13 @@
 
 /// Order to one stage: run these positions through these layers.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
-pub struct Run {
+pub struct StageRun {
     /// The request.
     pub id: RequestId,
     /// Number of the try.
     pub attempt: u32,
     /// The stage's session; a replacement has another one.
-    pub session: Session,
+    pub session: SessionId,
     /// The engine.
     pub upstream: UpstreamId,
     /// Its address.
@@ -99,22 +102,22 @@
     /// Position of the first input.
     pub start: u32,
     /// Inputs, one a position.
-    pub inputs: Vec<Value>,
+    pub inputs: Vec<StageValue>,
     /// How many of them only rebuild a lost stage's state.
     pub rebuild: u32,
 }
 
 /// A stage's answer to a [`Run`].
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
-pub struct Ran {
+pub struct StageResult {
     /// The request.
     pub id: RequestId,
     /// The session that the engine names.
-    pub session: Session,
+    pub session: SessionId,
     /// Position of the first output.
     pub start: u32,
     /// Outputs, one a position.
-    pub outputs: Vec<Value>,
+    pub outputs: Vec<StageValue>,
     /// Token sampled after the last position, by the stage with the last layer.
     pub token: Option<Token>,
     /// Time in the engine before it ran.
@@ -125,13 +128,13 @@
 
 /// Why an order brought no answer.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
-pub enum Fault {
+pub enum UpstreamError {
     /// No byte of it left this box.
     NotSent(String),
     /// The upstream refused before running, in its protocol's words.
     Refused {
         /// Why.
-        reason: Reason,
+        reason: RefusalReason,
         /// How long it wants no new work from this box, if it says so.
         rest: Option<Duration>,
     },
@@ -142,7 +145,7 @@
 /// An upstream's own word for a refusal.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(rename_all = "snake_case")]
-pub enum Reason {
+pub enum RefusalReason {
     /// It is leaving.
     Leaving,
     /// It has no place for another session.
@@ -155,7 +158,7 @@
 
 /// Order to a plain service.
 #[derive(Clone, Debug, Serialize, Deserialize)]
-pub struct Call {
+pub struct ServiceCall {
     /// The request.
     pub id: RequestId,
     /// Number of the try.
@@ -169,20 +172,23 @@
     /// Path and query.
     pub path: String,
     /// Content type.
-    pub content: String,
+    #[serde(rename = "content")]
+    pub content_type: String,
     /// Value of `Idempotency-Key`, passed on.
-    pub key: Option<String>,
+    #[serde(rename = "key")]
+    pub idempotency_key: Option<String>,
     /// Body.
     pub body: Arc<[u8]>,
 }
 
 /// A service's answer.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
-pub struct Called {
+pub struct ServiceResponse {
     /// Status code.
     pub status: u16,
     /// Content type.
-    pub content: String,
+    #[serde(rename = "content")]
+    pub content_type: String,
     /// Body.
     pub body: Vec<u8>,
 }
@@ -203,7 +209,7 @@
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash, Serialize, Deserialize)]
 #[serde(rename_all = "snake_case")]
 #[allow(missing_docs)]
-pub enum Kind {
+pub enum RefusalKind {
     Unauthorized,
     UnknownRoute,
     BadKey,
@@ -225,7 +231,7 @@
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub struct Refusal {
     /// Kind.
-    pub kind: Kind,
+    pub kind: RefusalKind,
     /// Whether it ran.
     pub outcome: Outcome,
     /// What happened.
@@ -238,7 +244,7 @@
 
 /// Parts of the answer to a caller.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
-pub enum Reply {
+pub enum ReplyPart {
     /// A piece of generated text.
     Token(Token),
     /// The whole answer was given; counts of prompt and generated tokens.
@@ -249,14 +255,14 @@
         generated: u32,
     },
     /// A service's answer.
-    Called(Called),
+    Called(ServiceResponse),
     /// No result.
     Refused(Refusal),
 }
 
 /// Names of the objects that a node keeps in the platform's store.
 #[derive(Clone, Debug, PartialEq, Eq, Hash, Serialize, Deserialize)]
-pub enum Object {
+pub enum ObjectKey {
     /// The table; see [`Table`].
     Table,
     /// A shard of claims; see [`Entries`].
@@ -267,48 +273,57 @@
 
 /// A typed value of an [`Object`].
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
-pub enum Content {
+pub enum ObjectValue {
     /// Of [`Object::Table`].
     Table(Arc<Table>),
     /// Of [`Object::Claims`].
-    Claims(Entries),
+    Claims(StoredShard),
     /// Of [`Object::Lease`].
-    Lease(lease::Stored),
+    Lease(lease::StoredLease),
 }
 
 /// What a node is told. Each event comes with the time it happened.
 #[derive(Clone, Debug, Serialize, Deserialize)]
 pub enum Event {
     /// A caller sent a request.
-    Arrive(Order),
+    #[serde(rename = "Arrive")]
+    RequestArrived(IncomingRequest),
     /// A caller closed its connection.
-    Gone(RequestId),
+    #[serde(rename = "Gone")]
+    CallerGone(RequestId),
     /// A stage answered.
-    Ran(Ran),
+    #[serde(rename = "Ran")]
+    StageDone(StageResult),
     /// A stage's order failed; names the request, session and position.
-    RunFailed(RequestId, Session, u32, Fault),
+    #[serde(rename = "RunFailed")]
+    StageFailed(RequestId, SessionId, u32, UpstreamError),
     /// A service answered.
-    Called(RequestId, u32, Called),
+    #[serde(rename = "Called")]
+    ServiceDone(RequestId, u32, ServiceResponse),
     /// A service call failed.
-    CallFailed(RequestId, u32, Fault),
+    #[serde(rename = "CallFailed")]
+    ServiceFailed(RequestId, u32, UpstreamError),
     /// An object was read; version 0 if it is not there, `None` if no answer.
-    Read(Object, Option<(Version, Option<Content>)>),
+    Read(ObjectKey, Option<(Version, Option<ObjectValue>)>),
     /// A conditional write of this content ended.
-    Written(Object, Content, Written),
+    Written(ObjectKey, ObjectValue, WriteResult),
     /// The table's watch showed a version.
-    Watched(Version),
+    #[serde(rename = "Watched")]
+    TableVersion(Version),
     /// The platform's list was read and has changed.
-    Listed(Listing),
+    Listed(MemberList),
     /// A watch ended without a change; the platform is there.
     Unchanged,
     /// Another box's message.
-    Heard(Envelope),
+    #[serde(rename = "Heard")]
+    MessageReceived(Envelope),
     /// A message to another box could not be delivered.
     SendFailed(crate::member::BoxId, Message),
     /// An operator edits the table.
-    Edit(Ticket, Edit),
+    Edit(WaiterId, Edit),
     /// An upstream answered a fenced order.
-    Obeyed(UpstreamId, u64, crate::order::Reply),
+    #[serde(rename = "Obeyed")]
+    OrderAnswered(UpstreamId, u64, crate::order::Reply),
     /// The process is asked to stop.
     Drain,
     /// Time has passed; sent every few milliseconds.
@@ -319,32 +334,34 @@
 #[derive(Clone, Debug, Serialize, Deserialize)]
 pub enum Action {
     /// Give a caller a part of its answer.
-    Reply(RequestId, Reply),
+    Reply(RequestId, ReplyPart),
     /// Send an order to a stage.
-    Run(Run),
+    Run(StageRun),
     /// Tell an engine that a session is over.
     Cancel {
         /// The request.
         id: RequestId,
         /// The session.
-        session: Session,
+        session: SessionId,
         /// The engine.
         upstream: UpstreamId,
         /// Its address.
         addr: String,
     },
     /// Call a service.
-    Call(Call),
+    Call(ServiceCall),
     /// Read an object.
-    Read(Object),
+    Read(ObjectKey),
     /// Write an object if it has this version; 0 creates it.
-    Write(Object, Version, Content),
+    Write(ObjectKey, Version, ObjectValue),
     /// Send a message to another box at this address.
     Send(crate::member::BoxId, String, Envelope),
     /// Tell an operator the result of an edit.
-    Edited(Ticket, Answer),
+    #[serde(rename = "Edited")]
+    EditAnswer(WaiterId, EditResult),
     /// Send a fenced order to an upstream.
     Command(crate::order::Command),
     /// Write a record to the time line.
-    Note(Record),
+    #[serde(rename = "Note")]
+    Record(Record),
 }
--- a/crates/ashgauge/src/notice.rs
+++ b/crates/ashgauge/src/notice.rs
@@ -10,7 +10,7 @@
 
 /// How long a notice is kept after its upstream's entry is gone. Entries lapse in an
 /// outage of the store though their upstreams live, and come back after it.
-const KEEP_TIME: Duration = Duration::from_secs(600);
+const NOTICE_TTL: Duration = Duration::from_secs(600);
 
 /// What one upstream said.
 ///
@@ -27,36 +27,36 @@
 /// assert_eq!(notice.rest(second * 4), None);
 /// ```
 #[derive(Clone, Copy, Debug, Default, PartialEq)]
-pub struct Notice {
+pub struct UpstreamNotice {
     leaving: bool,
     /// Until when it wants nothing from this box.
-    rest: Option<Duration>,
+    backoff_until: Option<Duration>,
 }
 
 /// Notices of upstreams that have no entry.
 #[derive(Clone, Debug, Default)]
-pub struct Absent {
-    kept: HashMap<UpstreamId, Kept>,
+pub struct AbsentNotices {
+    notices: HashMap<UpstreamId, KeptNotice>,
 }
 
 #[derive(Clone, Copy, Debug)]
-struct Kept {
+struct KeptNotice {
     /// The start that it is of, if that is known.
-    born: Option<u64>,
-    notice: Notice,
+    started_ms: Option<u64>,
+    notice: UpstreamNotice,
     until: Duration,
 }
 
-impl Notice {
+impl UpstreamNotice {
     /// Notes that the upstream is leaving; returns true if that is new.
-    pub fn note_leaving(&mut self) -> bool {
+    pub fn set_leaving(&mut self) -> bool {
         !std::mem::replace(&mut self.leaving, true)
     }
 
     /// Notes that the upstream wants nothing from this box for so long. A shorter rest
     /// does not end a longer one.
-    pub fn note_rest(&mut self, now: Duration, rest: Duration) {
-        self.rest = self.rest.max(Some(now.saturating_add(rest)));
+    pub fn extend_backoff(&mut self, now: Duration, rest: Duration) {
+        self.backoff_until = self.backoff_until.max(Some(now.saturating_add(rest)));
     }
 
     /// Whether the upstream is leaving.
@@ -65,67 +65,67 @@
     }
 
     /// How much longer the upstream wants nothing from this box.
-    pub fn rest(&self, now: Duration) -> Option<Duration> {
-        let left = self.rest?.saturating_sub(now);
+    pub fn backoff(&self, now: Duration) -> Option<Duration> {
+        let left = self.backoff_until?.saturating_sub(now);
         (!left.is_zero()).then_some(left)
     }
 
     /// What still holds once the upstream has started anew. The answer that asked for
     /// rest may be of the new start, as entries come later than answers.
-    pub fn after_start(self) -> Self {
-        Notice {
+    pub fn after_restart(self) -> Self {
+        UpstreamNotice {
             leaving: false,
             ..self
         }
     }
 }
 
-impl Absent {
+impl AbsentNotices {
     /// Keeps the notice of an upstream whose entry is gone.
-    pub fn keep(&mut self, now: Duration, id: &str, born: Option<u64>, notice: Notice) {
-        self.kept.retain(|_, k| now < k.until);
-        if notice == Notice::default() {
+    pub fn insert(&mut self, now: Duration, id: &str, born: Option<u64>, notice: UpstreamNotice) {
+        self.notices.retain(|_, k| now < k.until);
+        if notice == UpstreamNotice::default() {
             return;
         }
-        let until = now + KEEP_TIME;
-        let kept = Kept {
-            born,
+        let until = now + NOTICE_TTL;
+        let kept = KeptNotice {
+            started_ms: born,
             notice,
             until,
         };
-        self.kept.insert(id.into(), kept);
+        self.notices.insert(id.into(), kept);
     }
 
     /// Changes the notice of an upstream that answers though it has no entry.
-    pub fn change<T>(
+    pub fn update<T>(
         &mut self,
         now: Duration,
         id: &str,
-        change: impl FnOnce(&mut Notice) -> T,
+        change: impl FnOnce(&mut UpstreamNotice) -> T,
     ) -> T {
-        let known = self.kept.remove(id);
-        let (born, mut notice) = known.map_or_else(Default::default, |k| (k.born, k.notice));
+        let known = self.notices.remove(id);
+        let (born, mut notice) = known.map_or_else(Default::default, |k| (k.started_ms, k.notice));
         let result = change(&mut notice);
-        self.keep(now, id, born, notice);
+        self.insert(now, id, born, notice);
         result
     }
 
     /// Takes back the notice of an upstream whose entry comes.
-    pub fn take(&mut self, id: &str, born: Option<u64>) -> Notice {
-        match self.kept.remove(id) {
-            Some(k) if k.born.is_none() || k.born == born => k.notice,
-            Some(k) => k.notice.after_start(),
-            None => Notice::default(),
+    pub fn remove(&mut self, id: &str, born: Option<u64>) -> UpstreamNotice {
+        match self.notices.remove(id) {
+            Some(k) if k.started_ms.is_none() || k.started_ms == born => k.notice,
+            Some(k) => k.notice.after_restart(),
+            None => UpstreamNotice::default(),
         }
     }
 
     /// Number of notices kept.
     pub fn len(&self) -> usize {
-        self.kept.len()
+        self.notices.len()
     }
 
     /// Whether none is kept.
     pub fn is_empty(&self) -> bool {
-        self.kept.is_empty()
+        self.notices.is_empty()
     }
 }
--- a/crates/ashgauge/src/order.rs
+++ b/crates/ashgauge/src/order.rs
@@ -17,20 +17,21 @@
 use crate::member::UpstreamId;
 
 /// Pause after an order that failed.
-const PAUSE: Duration = Duration::from_millis(500);
+const RETRY_DELAY: Duration = Duration::from_millis(500);
 
 /// Time after which an upstream without a fence check is told again.
-const RECHECK_TIME: Duration = Duration::from_secs(3);
+const RESEND_INTERVAL: Duration = Duration::from_secs(3);
 
 /// Time after which an unanswered order counts as lost.
-const ANSWER_TIME: Duration = Duration::from_secs(5);
+const REPLY_TIMEOUT: Duration = Duration::from_secs(5);
 
 /// State that an upstream should have, from its row of the table.
 #[derive(Clone, Debug, Default, PartialEq, Serialize, Deserialize)]
-pub struct Goal {
+pub struct DesiredState {
     /// Hash of the other fields; two goals are equal if their numbers are.
     #[serde(default)]
-    pub number: u64,
+    #[serde(rename = "number")]
+    pub hash: u64,
     /// Layers to hold, such as `chat:0-8`.
     #[serde(default)]
     pub load: Option<String>,
@@ -45,14 +46,14 @@
     pub role: Option<String>,
 }
 
-impl Goal {
+impl DesiredState {
     /// Fills in the number from the other fields.
-    pub fn numbered(mut self) -> Self {
+    pub fn with_hash(mut self) -> Self {
         let text = format!(
             "{:?}",
             (&self.load, &self.adapter, &self.version, &self.role)
         );
-        self.number = xxh3_64(text.as_bytes());
+        self.hash = xxh3_64(text.as_bytes());
         self
     }
 }
@@ -67,7 +68,8 @@
     /// The fence.
     pub term: Term,
     /// The wanted state.
-    pub goal: Goal,
+    #[serde(rename = "goal")]
+    pub desired: DesiredState,
 }
 
 /// An upstream's answer to an order.
@@ -85,27 +87,27 @@
 #[derive(Debug, Default)]
 pub struct Orders {
     term: Term,
-    has: HashMap<UpstreamId, (u64, Duration)>,
-    sent: HashMap<UpstreamId, Duration>,
-    pause: HashMap<UpstreamId, Duration>,
+    confirmed: HashMap<UpstreamId, (u64, Duration)>,
+    sent_at: HashMap<UpstreamId, Duration>,
+    retry_at: HashMap<UpstreamId, Duration>,
 }
 
 impl Orders {
     /// Number of the goal that the upstream confirmed to this holder.
-    pub fn has(&self, id: &str) -> Option<u64> {
-        self.has.get(id).map(|(n, _)| *n)
+    pub fn confirmed(&self, id: &str) -> Option<u64> {
+        self.confirmed.get(id).map(|(n, _)| *n)
     }
 
     /// Returns the goals to send now, under `term`.
     ///
     /// `fenced` tells whether an upstream checks the fence.
-    pub fn due(
+    pub fn due_orders(
         &mut self,
         now: Duration,
         term: Term,
-        goals: &BTreeMap<UpstreamId, Goal>,
+        goals: &BTreeMap<UpstreamId, DesiredState>,
         fenced: impl Fn(&str) -> bool,
-    ) -> Vec<(UpstreamId, Goal)> {
+    ) -> Vec<(UpstreamId, DesiredState)> {
         if term != self.term {
             // A new holder trusts nothing that an earlier one was told.
             *self = Orders {
@@ -115,13 +117,16 @@
         }
         let mut due = Vec::new();
         for (id, goal) in goals {
-            let done = self.has.get(id).is_some_and(|(n, at)| {
-                *n == goal.number && (fenced(id) || now < *at + RECHECK_TIME)
+            let done = self.confirmed.get(id).is_some_and(|(n, at)| {
+                *n == goal.hash && (fenced(id) || now < *at + RESEND_INTERVAL)
             });
-            let waits = self.sent.get(id).is_some_and(|t| now < *t + ANSWER_TIME);
-            let paused = self.pause.get(id).is_some_and(|t| now < *t);
+            let waits = self
+                .sent_at
+                .get(id)
+                .is_some_and(|t| now < *t + REPLY_TIMEOUT);
+            let paused = self.retry_at.get(id).is_some_and(|t| now < *t);
             if !done && !waits && !paused {
-                self.sent.insert(id.clone(), now);
+                self.sent_at.insert(id.clone(), now);
                 due.push((id.clone(), goal.clone()));
             }
         }
@@ -129,17 +134,17 @@
     }
 
     /// Takes an upstream's answer to an order sent under `term`.
-    pub fn answered(&mut self, now: Duration, id: &UpstreamId, term: Term, reply: &Reply) {
+    pub fn on_reply(&mut self, now: Duration, id: &UpstreamId, term: Term, reply: &Reply) {
         if term != self.term {
             return;
         }
-        self.sent.remove(id);
+        self.sent_at.remove(id);
         match reply {
             Reply::Has(number) => {
-                self.has.insert(id.clone(), (*number, now));
+                self.confirmed.insert(id.clone(), (*number, now));
             }
             Reply::Fenced | Reply::Lost => {
-                self.pause.insert(id.clone(), now + PAUSE);
+                self.retry_at.insert(id.clone(), now + RETRY_DELAY);
             }
         }
     }
--- a/crates/ashgauge/src/pending.rs
+++ b/crates/ashgauge/src/pending.rs
@@ -9,14 +9,14 @@
 use crate::placement::Assignment;
 use crate::revision::Era;
 use crate::routing::ServiceId;
-use crate::upstream::Span;
+use crate::upstream::LayerRange;
 
 /// A range that does not show yet, as one box tells it to others.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
-pub struct Unshown {
+pub struct PendingAssignment {
     /// The range and its engine.
     #[serde(flatten)]
-    pub range: Assignment,
+    pub assignment: Assignment,
     /// How much longer it may take to show, in milliseconds, from the moment
     /// of telling.
     pub left_ms: u64,
@@ -45,32 +45,32 @@
 /// assert!(there.span("e1").is_none());
 /// ```
 #[derive(Clone, Debug, Default)]
-pub struct Pending(HashMap<UpstreamId, (Span, Duration)>);
+pub struct PendingAssignments(HashMap<UpstreamId, (LayerRange, Duration)>);
 
-impl Pending {
+impl PendingAssignments {
     /// Notes ranges that are ordered now and may take `time` to show.
-    pub fn order(&mut self, now: Duration, ranges: &[Assignment], time: Duration) {
+    pub fn add(&mut self, now: Duration, ranges: &[Assignment], time: Duration) {
         for range in ranges {
-            self.0.insert(range.id.clone(), (range.span, now + time));
+            self.0.insert(range.id.clone(), (range.layers, now + time));
         }
     }
 
     /// Takes what another box told; what this box knows itself goes before it.
-    pub fn hear(&mut self, now: Duration, told: &[Unshown]) {
+    pub fn merge(&mut self, now: Duration, told: &[PendingAssignment]) {
         for unshown in told {
             let until = now + Duration::from_millis(unshown.left_ms);
-            let range = &unshown.range;
+            let range = &unshown.assignment;
             let known = self.0.entry(range.id.clone());
-            known.or_insert((range.span, until));
+            known.or_insert((range.layers, until));
         }
     }
 
     /// What other boxes are to know.
-    pub fn tell(&self, now: Duration) -> Vec<Unshown> {
-        let unshown = self.0.iter().map(|(id, (span, until))| Unshown {
-            range: Assignment {
+    pub fn snapshot(&self, now: Duration) -> Vec<PendingAssignment> {
+        let unshown = self.0.iter().map(|(id, (span, until))| PendingAssignment {
+            assignment: Assignment {
                 id: id.clone(),
-                span: *span,
+                layers: *span,
             },
             left_ms: until.saturating_sub(now).as_millis() as u64,
         });
@@ -84,12 +84,12 @@
 
     /// Forgets ranges for which `is_open` says no: those that show, or whose
     /// engine is gone.
-    pub fn keep(&mut self, is_open: impl Fn(&str, Span) -> bool) {
+    pub fn retain(&mut self, is_open: impl Fn(&str, LayerRange) -> bool) {
         self.0.retain(|id, (span, _)| is_open(id, *span));
     }
 
     /// The range that an engine was ordered to hold and does not show yet.
-    pub fn span(&self, id: &str) -> Option<Span> {
+    pub fn layers(&self, id: &str) -> Option<LayerRange> {
         self.0.get(id).map(|(span, _)| *span)
     }
 }
@@ -113,23 +113,23 @@
 /// assert!(!rounds.lacks_orders(&"model".into(), 1, 3));
 /// ```
 #[derive(Clone, Debug, Default)]
-pub struct Rounds(HashMap<ServiceId, (Era, u64)>);
+pub struct OrderRounds(HashMap<ServiceId, (Era, u64)>);
 
-impl Rounds {
+impl OrderRounds {
     /// Whether a stored round is later than the last one heard of.
-    pub fn lacks(&self, service: &ServiceId, era: Era, round: u64) -> bool {
+    pub fn is_newer(&self, service: &ServiceId, era: Era, round: u64) -> bool {
         self.last(service) < (era, round)
     }
 
     /// Whether a box's own stored round may not have been ordered: its writing was not
     /// answered, or the process ended before the orders.
-    pub fn lacks_orders(&self, service: &ServiceId, era: Era, round: u64) -> bool {
+    pub fn may_be_unsent(&self, service: &ServiceId, era: Era, round: u64) -> bool {
         let is_same = self.0.get(service).is_none_or(|(known, _)| *known == era);
-        is_same && self.lacks(service, era, round)
+        is_same && self.is_newer(service, era, round)
     }
 
     /// Notes a round.
-    pub fn note(&mut self, service: ServiceId, era: Era, round: u64) {
+    pub fn record(&mut self, service: ServiceId, era: Era, round: u64) {
         self.0.insert(service, (era, round));
     }
 
--- a/crates/ashgauge/src/permit/mod.rs
+++ b/crates/ashgauge/src/permit/mod.rs
@@ -11,10 +11,10 @@
 mod passed;
 mod schedule;
 
-pub use grants::{Grants, Place};
-pub use limits::{Limits, Rates, Told};
-pub use passed::Passed;
-pub use schedule::Schedule;
+pub use grants::{IssuerRank, PermitBuckets};
+pub use limits::{LimitRates, LimitReport, UpstreamLimits};
+pub use passed::SkippedBoxes;
+pub use schedule::RetrySchedule;
 
 use std::cmp::Reverse;
 use std::time::Duration;
@@ -25,88 +25,92 @@
 use crate::ident::{BoxId, UpstreamKey};
 
 /// Least and most time for which an upstream is left alone once no permit was given.
-const CLOSED_RANGE: (Duration, Duration) = (Duration::from_millis(10), Duration::from_secs(5));
+const CLOSED_TIME_RANGE: (Duration, Duration) = (Duration::from_millis(10), Duration::from_secs(5));
 
 /// Number of an ask, chosen at random.
-pub type AskId = u64;
+pub type PermitRequestId = u64;
 
 /// Asks for one permit.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
-pub struct Ask {
+pub struct PermitRequest {
     /// The box that asks.
     pub from: BoxId,
     /// Number of the ask.
-    pub id: AskId,
+    pub id: PermitRequestId,
     /// What it knows of the upstream's limit.
-    pub told: Told,
+    #[serde(rename = "told")]
+    pub limit: LimitReport,
 }
 
 /// Answers an ask.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
-pub struct Reply {
+pub struct PermitReply {
     /// The box that answers.
     pub from: BoxId,
     /// The ask that it answers.
-    pub id: AskId,
+    pub id: PermitRequestId,
     /// Whether the request may go out.
     pub verdict: Verdict,
     /// What the answering box knows of the upstream's limit.
-    pub told: Option<Told>,
+    #[serde(rename = "told")]
+    pub limit: Option<LimitReport>,
 }
 
 /// Whether one request may go to an upstream.
 #[derive(Clone, Copy, Debug, PartialEq, Serialize, Deserialize)]
 pub enum Verdict {
     /// It may.
-    Given,
+    #[serde(rename = "Given")]
+    Granted,
     /// The upstream names no limit any more.
-    Free,
+    #[serde(rename = "Free")]
+    Unlimited,
     /// Not before so many milliseconds.
     Wait(u32),
 }
 
 /// Who decides on a permit.
 #[derive(Clone, Debug, PartialEq)]
-pub enum Giver {
+pub enum Issuer {
     /// The box that needs it.
-    Own(Place),
+    Local(IssuerRank),
     /// Another box, which is to be asked.
-    Other(BoxId),
+    Remote(BoxId),
 }
 
 /// Who decides on a permit that the box `own` needs at `now`, among so many `boxes`.
 ///
 /// `order` is that of [`givers`], `silent` the box that has just not answered; `hears`
 /// tells whether another box is there.
-pub fn giver(
+pub fn choose_issuer(
     now: Duration,
     own: &str,
     boxes: u32,
     order: &[BoxId],
-    passed: &Passed,
+    passed: &SkippedBoxes,
     silent: Option<&BoxId>,
     hears: impl Fn(&BoxId) -> bool,
-) -> Giver {
-    let is_asked = |id: &&BoxId| !passed.holds(now, id) && Some(*id) != silent;
+) -> Issuer {
+    let is_asked = |id: &&BoxId| !passed.is_skipped(now, id) && Some(*id) != silent;
     match order.iter().find(is_asked) {
-        Some(id) if **id == *own => Giver::Own(place(own, order, hears)),
-        Some(id) => Giver::Other(id.clone()),
-        None => Giver::Own(Place::Alone(boxes)),
+        Some(id) if **id == *own => Issuer::Local(issuer_rank(own, order, hears)),
+        Some(id) => Issuer::Remote(id.clone()),
+        None => Issuer::Local(IssuerRank::Isolated(boxes)),
     }
 }
 
 /// What the box `own` is among those that may give permits.
-pub fn place(own: &str, order: &[BoxId], hears: impl Fn(&BoxId) -> bool) -> Place {
+pub fn issuer_rank(own: &str, order: &[BoxId], hears: impl Fn(&BoxId) -> bool) -> IssuerRank {
     let before = order.iter().take_while(|id| ***id != *own);
-    Place::behind(before.filter(|id| hears(id)).count())
+    IssuerRank::from_preceding(before.filter(|id| hears(id)).count())
 }
 
 /// How long an upstream is left alone after an ask, or after one that nobody answered;
 /// nothing if the request may go out.
-pub fn closed_time(verdict: Option<Verdict>) -> Option<Duration> {
-    let (least, most) = CLOSED_RANGE;
+pub fn closed_for(verdict: Option<Verdict>) -> Option<Duration> {
+    let (least, most) = CLOSED_TIME_RANGE;
     match verdict {
-        Some(Verdict::Given | Verdict::Free) => None,
+        Some(Verdict::Granted | Verdict::Unlimited) => None,
         Some(Verdict::Wait(ms)) => Some(Duration::from_millis(ms.into()).clamp(least, most)),
         None => Some(least),
     }
@@ -126,7 +130,7 @@
 /// let rest: Vec<_> = boxes.into_iter().filter(|b| *b != all[0]).collect();
 /// assert_eq!(givers(7, &rest), all[1..]);
 /// ```
-pub fn givers(key: UpstreamKey, boxes: &[BoxId]) -> Vec<BoxId> {
+pub fn issuer_order(key: UpstreamKey, boxes: &[BoxId]) -> Vec<BoxId> {
     let mut ordered = boxes.to_vec();
     let weight = |id: &BoxId| xxh3_64_with_seed(id.as_bytes(), key.into());
     ordered.sort_by_cached_key(|id| Reverse(weight(id)));
--- a/crates/ashgauge/src/permit/passed.rs
+++ b/crates/ashgauge/src/permit/passed.rs
@@ -7,14 +7,14 @@
 
 /// Asks in a row without an answer after which a box is passed over: one datagram may be
 /// lost, and a box that is only slow must not count as gone.
-const MISSES_MOST: u32 = 2;
+const MAX_MISSES: u32 = 2;
 
 /// How long it is passed over before it is asked again; doubled each time.
-const PASS_FIRST: Duration = Duration::from_secs(1);
+const INITIAL_SKIP_TIME: Duration = Duration::from_secs(1);
 
 /// Longest time for which it is passed over: boxes that are gone for good stay listed, and
 /// one that comes back is needed again.
-const PASS_MOST: Duration = Duration::from_secs(4);
+const MAX_SKIP_TIME: Duration = Duration::from_secs(4);
 
 /// Boxes that did not answer lately.
 ///
@@ -33,7 +33,7 @@
 /// assert!(!passed.holds(second * 2, "b1"));
 /// ```
 #[derive(Clone, Debug, Default)]
-pub struct Passed {
+pub struct SkippedBoxes {
     boxes: HashMap<BoxId, Misses>,
 }
 
@@ -41,18 +41,18 @@
 struct Misses {
     count: u32,
     /// How long it was passed over last.
-    time: Duration,
-    until: Duration,
+    skip_time: Duration,
+    skipped_until: Duration,
 }
 
-impl Passed {
+impl SkippedBoxes {
     /// Notes that a box did not answer.
-    pub fn miss(&mut self, now: Duration, id: &BoxId) {
+    pub fn record_miss(&mut self, now: Duration, id: &BoxId) {
         let misses = self.boxes.entry(id.clone()).or_default();
         misses.count += 1;
-        if misses.count >= MISSES_MOST {
-            misses.time = (misses.time * 2).clamp(PASS_FIRST, PASS_MOST);
-            misses.until = now + misses.time;
+        if misses.count >= MAX_MISSES {
+            misses.skip_time = (misses.skip_time * 2).clamp(INITIAL_SKIP_TIME, MAX_SKIP_TIME);
+            misses.skipped_until = now + misses.skip_time;
         }
     }
 
@@ -62,7 +62,7 @@
     }
 
     /// Whether a box is passed over.
-    pub fn holds(&self, now: Duration, id: &str) -> bool {
-        self.boxes.get(id).is_some_and(|m| now < m.until)
+    pub fn is_skipped(&self, now: Duration, id: &str) -> bool {
+        self.boxes.get(id).is_some_and(|m| now < m.skipped_until)
     }
 }
--- a/crates/ashgauge/src/permit/schedule.rs
+++ b/crates/ashgauge/src/permit/schedule.rs
@@ -6,7 +6,7 @@
 use crate::routing::ServiceId;
 
 /// Longest time that a caller is told.
-const BACK_MOST: Duration = Duration::from_secs(30);
+const MAX_RETRY_AFTER: Duration = Duration::from_secs(30);
 
 /// Turns that callers were told to come back at, by service.
 ///
@@ -25,24 +25,24 @@
 /// assert_eq!(schedule.next(second, &"notes".into(), second, 2.0), second * 2);
 /// ```
 #[derive(Clone, Debug, Default)]
-pub struct Schedule {
+pub struct RetrySchedule {
     next: HashMap<ServiceId, Duration>,
 }
 
-impl Schedule {
+impl RetrySchedule {
     /// Time after which a caller comes back where nothing is taken for `wait`, and then
     /// `rate` requests a second of those that this box refuses.
-    pub fn next(
+    pub fn retry_after(
         &mut self,
         now: Duration,
         service: &ServiceId,
         wait: Duration,
         rate: f64,
     ) -> Duration {
-        let gap = Duration::try_from_secs_f64(1.0 / rate).unwrap_or(BACK_MOST);
+        let gap = Duration::try_from_secs_f64(1.0 / rate).unwrap_or(MAX_RETRY_AFTER);
         let next = self.next.entry(service.clone()).or_default();
-        let turn = (*next).max(now + wait) + gap.min(BACK_MOST);
-        *next = turn.min(now + BACK_MOST);
+        let turn = (*next).max(now + wait) + gap.min(MAX_RETRY_AFTER);
+        *next = turn.min(now + MAX_RETRY_AFTER);
         *next - now
     }
 }
--- a/crates/ashgauge/src/pipes.rs
+++ b/crates/ashgauge/src/pipes.rs
@@ -5,26 +5,28 @@
 use std::time::Duration;
 
 /// Time over which the use of pipes is averaged.
-const PIPE_TIME: Duration = Duration::from_secs(1);
+const AVERAGING_WINDOW: Duration = Duration::from_secs(1);
 
 /// How much this box has sent over the pipes between data centres lately.
 ///
 /// The boxes do alike, so each takes the fleet's use to be its own times their
 /// number.
 #[derive(Clone, Debug, Default)]
-pub struct Pipes(HashMap<(Arc<str>, Arc<str>), (f64, Duration)>);
+pub struct WanUsage(HashMap<(Arc<str>, Arc<str>), (f64, Duration)>);
 
-impl Pipes {
+impl WanUsage {
     /// Notes that `mb` megabytes go from one data centre to another.
     pub fn note(&mut self, now: Duration, from: &Arc<str>, to: &Arc<str>, mb: f64) {
         let entry = self.0.entry(pair(from, to)).or_insert((0.0, now));
-        *entry = (fade(*entry, now) + mb, now);
+        *entry = (decayed(*entry, now) + mb, now);
     }
 
     /// Megabytes a second that this box sends between two data centres.
     pub fn rate(&self, now: Duration, a: &Arc<str>, b: &Arc<str>) -> f64 {
         let used = self.0.get(&pair(a, b));
-        used.map_or(0.0, |used| fade(*used, now) / PIPE_TIME.as_secs_f64())
+        used.map_or(0.0, |used| {
+            decayed(*used, now) / AVERAGING_WINDOW.as_secs_f64()
+        })
     }
 }
 
@@ -36,7 +38,7 @@
     }
 }
 
-fn fade((mb, at): (f64, Duration), now: Duration) -> f64 {
+fn decayed((mb, at): (f64, Duration), now: Duration) -> f64 {
     let age = now.saturating_sub(at).as_secs_f64();
-    mb * (-age / PIPE_TIME.as_secs_f64()).exp()
+    mb * (-age / AVERAGING_WINDOW.as_secs_f64()).exp()
 }
--- a/crates/ashgauge/src/placement.rs
+++ b/crates/ashgauge/src/placement.rs
@@ -14,51 +14,51 @@
 use crate::member::UpstreamId;
 use crate::rate;
 use crate::routing::Model;
-use crate::upstream::Span;
+use crate::upstream::LayerRange;
 
 /// Least and largest share of an engine's memory that weights may take.
 ///
 /// What is left holds requests: a larger share leaves room for too few of them, a
 /// smaller one for too few layers.
-const FILL_LEAST: f64 = 0.5;
-const FILL_MOST: f64 = 0.78;
+const MIN_WEIGHT_SHARE: f64 = 0.5;
+const MAX_WEIGHT_SHARE: f64 = 0.78;
 
 /// Distance of the shares that are weighed: engines hold whole layers, so a
 /// hundredth of a small one's memory may be a layer more.
-const FILL_STEP: f64 = 0.01;
+const WEIGHT_SHARE_STEP: f64 = 0.01;
 
 /// Least share in a data centre with memory for a second copy of every layer,
 /// and that of its fast cards: chains prefer them.
-const FILL_SPARE: f64 = 0.60;
+const MIN_SPARE_SHARE: f64 = 0.60;
 
 /// Copies of the model in a data centre at which no more memory is given to
 /// weights: one chain, and second holders for some of the layers.
-const COPIES: f64 = 1.15;
+const TARGET_COPIES: f64 = 1.15;
 
 /// The same where the memory allows a second copy of every layer: the loss of
 /// any engine then leaves a chain in the data centre, and the loss of most
 /// pairs.
-const COPIES_SPARE: f64 = 2.4;
+const TARGET_SPARE_COPIES: f64 = 2.4;
 
 /// Copies that the memory must allow for that.
-const COPIES_SECOND: f64 = 2.0;
+const MIN_SPARE_COPIES: f64 = 2.0;
 
 /// An accelerator counts as fast if the slowest kind takes this many times as
 /// long for a step.
 const FAST_RATIO: f64 = 4.0;
 
 /// Requests of usual size for which an engine's memory counts as one holder.
-const HOLDER_REQUESTS: f64 = 100.0;
+const REQUESTS_PER_HOLDER: f64 = 100.0;
 
 /// Holders for which one engine counts at most: its processor bounds it too.
-const HOLDERS_MOST: f64 = 2.0;
+const MAX_HOLDER_WEIGHT: f64 = 2.0;
 
 /// The same in a data centre with memory for a second copy of every layer:
 /// however much room an engine has, its loss leaves one holder less.
-const HOLDERS_SPARE: f64 = 1.0;
+const SPARE_HOLDER_WEIGHT: f64 = 1.0;
 
 /// Weight of a layer's holders within a data centre, against all holders.
-const HERE_WEIGHT: f64 = 1.0;
+const LOCAL_WEIGHT: f64 = 1.0;
 
 /// Smooths the worth of holders, so that a layer without any is not worth
 /// everything else together.
@@ -67,37 +67,37 @@
 /// Least gain for which an engine that holds layers is given others: about
 /// what a second holder for one or two layers is worth. Loading is priced and
 /// takes the engine away for seconds.
-const MOVE_LEAST: f64 = 0.6;
+const MIN_MOVE_GAIN: f64 = 0.6;
 
 /// More gain that a move must bring for each layer that it loads: loading
 /// takes the engine away for that much longer.
-const MOVE_LAYER: f64 = 0.06;
+const MOVE_LAYER_COST: f64 = 0.06;
 
 /// Orders under way with which more engines may be moved; what moves take away
 /// meanwhile must not be missed.
-const MOVES_MOST: usize = 4;
+const MAX_MOVES: usize = 4;
 
 /// Other holders that a layer must have for one to give it up: as many in its data
 /// centre, or anywhere if there are fewer here. One is a chain for what comes
 /// meanwhile; elsewhere the next loss must leave one.
-const LEFT_HERE: i32 = 1;
-const LEFT_ANYWHERE: i32 = 2;
+const MIN_LOCAL_HOLDERS: i32 = 1;
+const MIN_TOTAL_HOLDERS: i32 = 2;
 
 /// Share by which a range is worth more for each end that it has in common
 /// with another engine's: chains then have fewer stages.
-const ALIGNED_SHARE: f64 = 0.04;
+const ALIGNMENT_BONUS: f64 = 0.04;
 
 /// An engine as placement sees it.
 #[derive(Clone, Debug)]
-pub struct Seat {
+pub struct PlacedEngine {
     /// Its id.
     pub id: UpstreamId,
     /// Data centre.
-    pub place: Arc<str>,
+    pub data_centre: Arc<str>,
     /// Kind of accelerator.
-    pub card: String,
+    pub accelerator: String,
     /// Layers that it holds or was ordered to hold.
-    pub span: Option<Span>,
+    pub layers: Option<LayerRange>,
     /// Whether it may be given other layers now.
     pub movable: bool,
 }
@@ -108,7 +108,8 @@
     /// The engine.
     pub id: UpstreamId,
     /// What it is to hold.
-    pub span: Span,
+    #[serde(rename = "span")]
+    pub layers: LayerRange,
 }
 
 /// Chooses ranges for all engines that hold nothing, and another range for
@@ -116,20 +117,20 @@
 ///
 /// The same seats bring the same ranges, in whatever order they are given.
 /// No engine gets more layers than [`capacity`] allows.
-pub fn plan(model: &Model, seats: &[Seat]) -> Vec<Assignment> {
-    let mut board = Board::new(model, seats);
+pub fn plan(model: &Model, seats: &[PlacedEngine]) -> Vec<Assignment> {
+    let mut board = PlacementState::new(model, seats);
     let mut out = Vec::new();
-    for at in 0..board.seats.len() {
-        if board.seats[at].span.is_some() {
+    for at in 0..board.engines.len() {
+        if board.engines[at].layers.is_some() {
             continue;
         }
-        if let Some((span, _)) = board.best_span(at) {
+        if let Some((span, _)) = board.best_range(at) {
             out.push(board.assign(at, span));
         }
     }
     // Moves are judged by what those before have brought.
-    let under_way = out.len() + board.seats.iter().filter(|s| !s.movable).count();
-    for _ in under_way..MOVES_MOST {
+    let under_way = out.len() + board.engines.iter().filter(|s| !s.movable).count();
+    for _ in under_way..MAX_MOVES {
         let Some((at, span)) = board.best_move() else {
             break;
         };
@@ -150,8 +151,8 @@
 /// assert!(is_whole(4, spans.into_iter()));
 /// assert!(!is_whole(5, spans.into_iter()));
 /// ```
-pub fn is_whole(layers: Layer, spans: impl Iterator<Item = Span>) -> bool {
-    let mut spans: Vec<Span> = spans.collect();
+pub fn covers_model(layers: Layer, spans: impl Iterator<Item = LayerRange>) -> bool {
+    let mut spans: Vec<LayerRange> = spans.collect();
     spans.sort_by_key(|s| s.first);
     let reach = spans
         .iter()
@@ -164,140 +165,140 @@
 
 /// Layers that a kind of accelerator may hold if weights take at most `fill`
 /// of its memory; 0 for a kind that the configuration does not tell.
-pub fn capacity(model: &Model, card: &str, fill: f64) -> Layer {
-    let memory = model.cards.get(card).map_or(0.0, |c| c.memory_mb);
+pub fn layer_capacity(model: &Model, card: &str, fill: f64) -> Layer {
+    let memory = model.accelerators.get(card).map_or(0.0, |c| c.memory_mb);
     let layers = (memory * fill / model.layer_mb.max(1e-9)).floor();
     (layers as Layer).min(model.layers)
 }
 
 /// Holders of each layer within `place`, or anywhere, counted by their memory
 /// for requests.
-pub fn cover(model: &Model, seats: &[Seat], place: Option<&str>) -> Vec<f64> {
-    let board = Board::new(model, seats);
+pub fn layer_coverage(model: &Model, seats: &[PlacedEngine], place: Option<&str>) -> Vec<f64> {
+    let board = PlacementState::new(model, seats);
     match place {
-        Some(place) => match board.sites.get(place) {
-            Some(site) => site.cover.clone(),
+        Some(place) => match board.data_centres.get(place) {
+            Some(site) => site.coverage.clone(),
             None => vec![0.0; model.layers as usize],
         },
-        None => board.all,
+        None => board.coverage,
     }
 }
 
 /// The engines with what has to be known of them together, kept up to date
 /// while ranges change: plans are made several times a second on a fraction of
 /// a core.
-struct Board<'a> {
+struct PlacementState<'a> {
     model: &'a Model,
     /// Fastest first, then the largest memory, then by id: chains of fast engines
     /// alone hold memory for less time than mixed ones.
-    seats: Vec<Seat>,
+    engines: Vec<PlacedEngine>,
     /// Holders of each layer.
-    all: Vec<f64>,
+    coverage: Vec<f64>,
     /// Engines that show each layer: were ordered nothing else meanwhile.
-    shown: Vec<i32>,
+    announced: Vec<i32>,
     /// Data centres by name.
-    sites: HashMap<Arc<str>, Site>,
+    data_centres: HashMap<Arc<str>, DataCentre>,
 }
 
 /// A data centre.
-struct Site {
+struct DataCentre {
     /// Whether its memory allows a second copy of every layer.
-    is_rich: bool,
+    allows_second: bool,
     /// Share of an engine's memory that weights may take.
-    fill: f64,
+    weight_share: f64,
     /// Holders of each layer.
-    cover: Vec<f64>,
+    coverage: Vec<f64>,
     /// Engines that show each layer.
-    shown: Vec<i32>,
+    announced: Vec<i32>,
     /// Ends of engines' ranges before each layer and behind the last one.
-    edges: Vec<i32>,
+    range_ends: Vec<i32>,
 }
 
-impl<'a> Board<'a> {
-    fn new(model: &'a Model, seats: &[Seat]) -> Self {
+impl<'a> PlacementState<'a> {
+    fn new(model: &'a Model, seats: &[PlacedEngine]) -> Self {
         let mut seats = seats.to_vec();
         seats.sort_by(|a, b| {
-            let size = |s: &Seat| memory(model, s);
+            let size = |s: &PlacedEngine| memory_mb(model, s);
             let faster = step_factor(model, a).total_cmp(&step_factor(model, b));
             let larger = size(b).total_cmp(&size(a));
             faster.then(larger).then_with(|| a.id.cmp(&b.id))
         });
         let mut sites = HashMap::new();
         for seat in &seats {
-            let place = &seat.place;
+            let place = &seat.data_centre;
             if !sites.contains_key(place) {
-                sites.insert(place.clone(), Site::new(model, &seats, place));
+                sites.insert(place.clone(), DataCentre::new(model, &seats, place));
             }
         }
-        let mut board = Board {
+        let mut board = PlacementState {
             model,
-            seats,
-            all: vec![0.0; model.layers as usize],
-            shown: vec![0; model.layers as usize],
-            sites,
+            engines: seats,
+            coverage: vec![0.0; model.layers as usize],
+            announced: vec![0; model.layers as usize],
+            data_centres: sites,
         };
-        for at in 0..board.seats.len() {
-            board.count(at, 1.0);
+        for at in 0..board.engines.len() {
+            board.update_coverage(at, 1.0);
         }
         board
     }
 
     /// Adds an engine's range to the covers, or takes it away.
-    fn count(&mut self, at: usize, sign: f64) {
-        let seat = &self.seats[at];
-        let Some(span) = seat.span else {
+    fn update_coverage(&mut self, at: usize, sign: f64) {
+        let seat = &self.engines[at];
+        let Some(span) = seat.layers else {
             return;
         };
-        let more = sign * self.holders(seat, span.len());
+        let more = sign * self.holder_weight(seat, span.len());
         let shown = if seat.movable { sign as i32 } else { 0 };
-        let Some(site) = self.sites.get_mut(&seat.place) else {
+        let Some(site) = self.data_centres.get_mut(&seat.data_centre) else {
             return;
         };
         for edge in [span.first, span.end] {
-            site.edges[edge.min(self.model.layers) as usize] += sign as i32;
+            site.range_ends[edge.min(self.model.layers) as usize] += sign as i32;
         }
         for layer in span.first..span.end.min(self.model.layers) {
-            site.cover[layer as usize] += more;
-            site.shown[layer as usize] += shown;
-            self.all[layer as usize] += more;
-            self.shown[layer as usize] += shown;
+            site.coverage[layer as usize] += more;
+            site.announced[layer as usize] += shown;
+            self.coverage[layer as usize] += more;
+            self.announced[layer as usize] += shown;
         }
     }
 
-    fn set_span(&mut self, at: usize, span: Option<Span>) {
-        self.count(at, -1.0);
-        self.seats[at].span = span;
-        self.count(at, 1.0);
+    fn set_layers(&mut self, at: usize, span: Option<LayerRange>) {
+        self.update_coverage(at, -1.0);
+        self.engines[at].layers = span;
+        self.update_coverage(at, 1.0);
     }
 
     /// Orders an engine to hold a range, which it does not show yet.
-    fn assign(&mut self, at: usize, span: Span) -> Assignment {
-        self.set_span(at, None);
-        self.seats[at].movable = false;
-        self.set_span(at, Some(span));
-        let id = self.seats[at].id.clone();
-        Assignment { id, span }
+    fn assign(&mut self, at: usize, span: LayerRange) -> Assignment {
+        self.set_layers(at, None);
+        self.engines[at].movable = false;
+        self.set_layers(at, Some(span));
+        let id = self.engines[at].id.clone();
+        Assignment { id, layers: span }
     }
 
     /// The move of one engine that gains most, if it gains enough: its index
     /// and new range.
-    fn best_move(&mut self) -> Option<(usize, Span)> {
-        let mut best: Option<(f64, usize, Span)> = None;
-        for at in 0..self.seats.len() {
-            let Some(old) = self.seats[at].span.filter(|_| self.seats[at].movable) else {
+    fn best_move(&mut self) -> Option<(usize, LayerRange)> {
+        let mut best: Option<(f64, usize, LayerRange)> = None;
+        for at in 0..self.engines.len() {
+            let Some(old) = self.engines[at].layers.filter(|_| self.engines[at].movable) else {
                 continue;
             };
-            self.set_span(at, None);
-            let found = self.best_span(at);
-            let kept = self.gain(at, old);
-            self.set_span(at, Some(old));
+            self.set_layers(at, None);
+            let found = self.best_range(at);
+            let kept = self.range_gain(at, old);
+            self.set_layers(at, Some(old));
             let Some((span, gained)) = found else {
                 continue;
             };
-            let loaded = (span.first..span.end).filter(|l| !old.holds(*l)).count();
-            let more = gained - kept - MOVE_LAYER * loaded as f64;
-            let is_best = more >= MOVE_LEAST && best.is_none_or(|(most, ..)| more > most);
-            if is_best && self.can_give_up(at, old, span) {
+            let loaded = (span.first..span.end).filter(|l| !old.contains(*l)).count();
+            let more = gained - kept - MOVE_LAYER_COST * loaded as f64;
+            let is_best = more >= MIN_MOVE_GAIN && best.is_none_or(|(most, ..)| more > most);
+            if is_best && self.can_release(at, old, span) {
                 best = Some((more, at, span));
             }
         }
@@ -311,47 +312,50 @@
     /// shows seconds later, when what passes has ended and the layers are loaded;
     /// so does what others were ordered. Moves that count on such ranges leave a fleet
     /// without a whole chain meanwhile.
-    fn can_give_up(&self, at: usize, old: Span, new: Span) -> bool {
-        let here = self.sites.get(&self.seats[at].place).map(|s| &s.shown[..]);
+    fn can_release(&self, at: usize, old: LayerRange, new: LayerRange) -> bool {
+        let here = self
+            .data_centres
+            .get(&self.engines[at].data_centre)
+            .map(|s| &s.announced[..]);
         let others = |shown: &[i32], l: Layer| shown[l as usize] - 1;
         let end = old.end.min(self.model.layers);
-        let mut given_up = (old.first..end).filter(|l| !new.holds(*l));
+        let mut given_up = (old.first..end).filter(|l| !new.contains(*l));
         given_up.all(|l| {
             let near = here.map_or(0, |shown| others(shown, l));
-            near >= LEFT_HERE || others(&self.shown, l) >= LEFT_ANYWHERE
+            near >= MIN_LOCAL_HOLDERS || others(&self.announced, l) >= MIN_TOTAL_HOLDERS
         })
     }
 
     /// The range for an engine that gains most, and the gain; the lowest of
     /// those that gain the same.
-    fn best_span(&self, at: usize) -> Option<(Span, f64)> {
-        let seat = &self.seats[at];
+    fn best_range(&self, at: usize) -> Option<(LayerRange, f64)> {
+        let seat = &self.engines[at];
         let layers = self.model.layers;
-        let site = self.sites.get(&seat.place)?;
-        let fill = match site.is_rich && is_fast(self.model, &seat.card) {
-            true => FILL_SPARE,
-            false => site.fill,
+        let site = self.data_centres.get(&seat.data_centre)?;
+        let fill = match site.allows_second && is_fast(self.model, &seat.accelerator) {
+            true => MIN_SPARE_SHARE,
+            false => site.weight_share,
         };
-        let len = capacity(self.model, &seat.card, fill);
+        let len = layer_capacity(self.model, &seat.accelerator, fill);
         if len == 0 {
             return None;
         }
-        let sums = running_sums(&self.layer_gains(at, len));
-        let mut best: Option<(Span, f64, f64)> = None;
+        let sums = prefix_sums(&self.layer_gains(at, len));
+        let mut best: Option<(LayerRange, f64, f64)> = None;
         for first in 0..=layers - len {
             let end = first + len;
             let sum = sums[end as usize] - sums[first as usize];
-            let aligned = u32::from(site.is_edge(first)) + u32::from(site.is_edge(end));
-            let worth = sum * (1.0 + ALIGNED_SHARE * f64::from(aligned));
+            let aligned = u32::from(site.is_range_end(first)) + u32::from(site.is_range_end(end));
+            let worth = sum * (1.0 + ALIGNMENT_BONUS * f64::from(aligned));
             if best.is_none_or(|(_, _, most)| worth > most + 1e-9) {
-                best = Some((Span { first, end }, sum, worth));
+                best = Some((LayerRange { first, end }, sum, worth));
             }
         }
         best.map(|(span, sum, _)| (span, sum))
     }
 
     /// What an engine gains by holding a range, if it holds nothing else.
-    fn gain(&self, at: usize, span: Span) -> f64 {
+    fn range_gain(&self, at: usize, span: LayerRange) -> f64 {
         let gains = self.layer_gains(at, span.len());
         gains[span.first as usize..span.end as usize].iter().sum()
     }
@@ -359,62 +363,74 @@
     /// What each layer gains by one more holder, which holds `len` layers in
     /// all.
     fn layer_gains(&self, at: usize, len: Layer) -> Vec<f64> {
-        let seat = &self.seats[at];
-        let more = self.holders(seat, len);
-        let here = self.sites.get(&seat.place).map_or(&[][..], |s| &s.cover);
+        let seat = &self.engines[at];
+        let more = self.holder_weight(seat, len);
+        let here = self
+            .data_centres
+            .get(&seat.data_centre)
+            .map_or(&[][..], |s| &s.coverage);
         // Holders are worth -1 / (holders + SMOOTHING).
         let gain = |holders: &f64| {
             let smooth = holders + SMOOTHING;
             more / (smooth * (smooth + more))
         };
-        let layers = here.iter().zip(&self.all);
-        let layers = layers.map(|(here, all)| gain(all) + HERE_WEIGHT * gain(here));
+        let layers = here.iter().zip(&self.coverage);
+        let layers = layers.map(|(here, all)| gain(all) + LOCAL_WEIGHT * gain(here));
         layers.collect()
     }
 
     /// For how many holders an engine counts that holds `len` layers: its
     /// memory for requests bounds how much of the load it takes.
-    fn holders(&self, seat: &Seat, len: Layer) -> f64 {
-        let is_rich = self.sites.get(&seat.place).is_some_and(|s| s.is_rich);
-        let most = if is_rich { HOLDERS_SPARE } else { HOLDERS_MOST };
-        (self.model.room(&seat.card, len) / HOLDER_REQUESTS).min(most)
+    fn holder_weight(&self, seat: &PlacedEngine, len: Layer) -> f64 {
+        let is_rich = self
+            .data_centres
+            .get(&seat.data_centre)
+            .is_some_and(|s| s.allows_second);
+        let most = if is_rich {
+            SPARE_HOLDER_WEIGHT
+        } else {
+            MAX_HOLDER_WEIGHT
+        };
+        (self.model.request_capacity(&seat.accelerator, len) / REQUESTS_PER_HOLDER).min(most)
     }
 }
 
-impl Site {
-    fn new(model: &Model, seats: &[Seat], place: &str) -> Self {
+impl DataCentre {
+    fn new(model: &Model, seats: &[PlacedEngine], place: &str) -> Self {
         let held = |fill: f64| -> f64 {
-            let here = seats.iter().filter(|s| *s.place == *place);
-            here.map(|s| f64::from(capacity(model, &s.card, fill)))
+            let here = seats.iter().filter(|s| *s.data_centre == *place);
+            here.map(|s| f64::from(layer_capacity(model, &s.accelerator, fill)))
                 .sum()
         };
         let layers = f64::from(model.layers);
-        let is_rich = held(FILL_MOST) >= COPIES_SECOND * layers;
+        let is_rich = held(MAX_WEIGHT_SHARE) >= MIN_SPARE_COPIES * layers;
         let fill = match is_rich {
             true => {
-                let enough = |fill: &f64| held(*fill) >= COPIES_SPARE * layers;
-                fills(FILL_SPARE).find(enough).unwrap_or(FILL_MOST)
+                let enough = |fill: &f64| held(*fill) >= TARGET_SPARE_COPIES * layers;
+                weight_shares(MIN_SPARE_SHARE)
+                    .find(enough)
+                    .unwrap_or(MAX_WEIGHT_SHARE)
             }
-            false => best_fill(model, seats, place, |fill| held(fill) / layers),
+            false => best_weight_share(model, seats, place, |fill| held(fill) / layers),
         };
-        Site {
-            is_rich,
-            fill,
-            cover: vec![0.0; model.layers as usize],
-            shown: vec![0; model.layers as usize],
-            edges: vec![0; model.layers as usize + 1],
+        DataCentre {
+            allows_second: is_rich,
+            weight_share: fill,
+            coverage: vec![0.0; model.layers as usize],
+            announced: vec![0; model.layers as usize],
+            range_ends: vec![0; model.layers as usize + 1],
         }
     }
 
     /// Whether some engine here, or the model, begins with a layer or ends before it.
-    fn is_edge(&self, layer: Layer) -> bool {
-        let ends = [0, self.edges.len() - 1].contains(&(layer as usize));
-        ends || self.edges[layer as usize] > 0
+    fn is_range_end(&self, layer: Layer) -> bool {
+        let ends = [0, self.range_ends.len() - 1].contains(&(layer as usize));
+        ends || self.range_ends[layer as usize] > 0
     }
 }
 
 /// Sums of all values before each one, and of all.
-fn running_sums(values: &[f64]) -> Vec<f64> {
+fn prefix_sums(values: &[f64]) -> Vec<f64> {
     let mut sum = 0.0;
     let sums = values.iter().map(|value| {
         sum += value;
@@ -424,17 +440,22 @@
 }
 
 /// Shares of memory that weights may take, from `least` up.
-fn fills(least: f64) -> impl Iterator<Item = f64> {
-    let steps = ((FILL_MOST - least) / FILL_STEP).round() as u32;
-    (0..=steps).map(move |n| least + FILL_STEP * f64::from(n))
+fn weight_shares(least: f64) -> impl Iterator<Item = f64> {
+    let steps = ((MAX_WEIGHT_SHARE - least) / WEIGHT_SHARE_STEP).round() as u32;
+    (0..=steps).map(move |n| least + WEIGHT_SHARE_STEP * f64::from(n))
 }
 
 /// The share of memory for weights at which a data centre carries most, if it
 /// holds [`COPIES`] of the model; `copies` gives how many it holds.
-fn best_fill(model: &Model, seats: &[Seat], place: &str, copies: impl Fn(f64) -> f64) -> f64 {
-    let mut best = (0.0, FILL_MOST);
-    for fill in fills(FILL_LEAST).filter(|fill| copies(*fill) >= COPIES) {
-        let rate = site_rate(model, seats, place, fill);
+fn best_weight_share(
+    model: &Model,
+    seats: &[PlacedEngine],
+    place: &str,
+    copies: impl Fn(f64) -> f64,
+) -> f64 {
+    let mut best = (0.0, MAX_WEIGHT_SHARE);
+    for fill in weight_shares(MIN_WEIGHT_SHARE).filter(|fill| copies(*fill) >= TARGET_COPIES) {
+        let rate = data_centre_rate(model, seats, place, fill);
         if rate > best.0 {
             best = (rate, fill);
         }
@@ -444,17 +465,17 @@
 
 /// Requests a second that a data centre carries in chains of its engines, the
 /// fastest together.
-fn site_rate(model: &Model, seats: &[Seat], place: &str, fill: f64) -> f64 {
+fn data_centre_rate(model: &Model, seats: &[PlacedEngine], place: &str, fill: f64) -> f64 {
     let (mut rate, mut parts, mut missing) = (0.0, Vec::new(), model.layers);
-    for seat in seats.iter().filter(|s| *s.place == *place) {
-        let layers = capacity(model, &seat.card, fill).min(missing);
+    for seat in seats.iter().filter(|s| *s.data_centre == *place) {
+        let layers = layer_capacity(model, &seat.accelerator, fill).min(missing);
         if layers == 0 {
             continue;
         }
-        parts.push((seat.card.as_str(), layers));
+        parts.push((seat.accelerator.as_str(), layers));
         missing -= layers;
         if missing == 0 {
-            rate += rate::chain_rate(model, &parts);
+            rate += rate::chain_throughput(model, &parts);
             (parts, missing) = (Vec::new(), model.layers);
         }
     }
@@ -464,17 +485,20 @@
 /// Whether chains prefer an engine for its speed, so that it needs room for
 /// most of a data centre's requests.
 fn is_fast(model: &Model, card: &str) -> bool {
-    let slowest = model.cards.values().map(|c| c.step_factor);
+    let slowest = model.accelerators.values().map(|c| c.step_factor);
     let slowest = slowest.fold(0.0, f64::max);
-    let card = model.cards.get(card);
+    let card = model.accelerators.get(card);
     card.is_some_and(|c| c.step_factor * FAST_RATIO <= slowest)
 }
 
-fn step_factor(model: &Model, seat: &Seat) -> f64 {
-    let card = model.cards.get(&seat.card);
+fn step_factor(model: &Model, seat: &PlacedEngine) -> f64 {
+    let card = model.accelerators.get(&seat.accelerator);
     card.map_or(f64::INFINITY, |c| c.step_factor)
 }
 
-fn memory(model: &Model, seat: &Seat) -> f64 {
-    model.cards.get(&seat.card).map_or(0.0, |c| c.memory_mb)
+fn memory_mb(model: &Model, seat: &PlacedEngine) -> f64 {
+    model
+        .accelerators
+        .get(&seat.accelerator)
+        .map_or(0.0, |c| c.memory_mb)
 }
--- a/crates/ashgauge/src/policy.rs
+++ b/crates/ashgauge/src/policy.rs
@@ -8,7 +8,7 @@
 use subtle::ConstantTimeEq;
 
 use crate::member::UpstreamId;
-use crate::order::Goal;
+use crate::order::DesiredState;
 use crate::table::{Cell, Table, Version};
 
 /// Name of a team.
@@ -17,8 +17,8 @@
 /// SHA-256 of a caller's bearer key.
 pub type KeyHash = [u8; 32];
 
-const QUEUE_DEFAULT: usize = 64;
-const DEADLINE_DEFAULT: Duration = Duration::from_secs(60);
+const DEFAULT_QUEUE_LIMIT: usize = 64;
+const DEFAULT_DEADLINE: Duration = Duration::from_secs(60);
 
 /// One team's weights and limits.
 #[derive(Clone, Debug)]
@@ -30,9 +30,9 @@
     /// Share within the tier.
     pub weight: f64,
     /// Tokens a second over the fleet, if limited.
-    pub rate: Option<f64>,
+    pub token_rate: Option<f64>,
     /// Requests that may wait on one box.
-    pub queue: usize,
+    pub queue_limit: usize,
 }
 
 /// What a route leads to.
@@ -63,11 +63,11 @@
     /// Routes by name.
     pub routes: HashMap<String, Route>,
     /// Floor share by tier rank, 0 to 1.
-    pub floors: HashMap<u32, f64>,
+    pub tier_floors: HashMap<u32, f64>,
     /// Wanted states of upstreams.
-    pub goals: BTreeMap<UpstreamId, Goal>,
-    teams: HashMap<u64, Vec<(KeyHash, Arc<Team>)>>,
-    names: HashMap<TeamId, Arc<Team>>,
+    pub goals: BTreeMap<UpstreamId, DesiredState>,
+    teams_by_key: HashMap<u64, Vec<(KeyHash, Arc<Team>)>>,
+    teams_by_name: HashMap<TeamId, Arc<Team>>,
 }
 
 /// Hashes a caller's bearer key.
@@ -99,25 +99,25 @@
     /// Candidates share the hash's first eight bytes and are compared in
     /// constant time.
     pub fn find_team(&self, hash: &KeyHash) -> Option<&Arc<Team>> {
-        let same = self.teams.get(&prefix(hash))?;
+        let same = self.teams_by_key.get(&hash_prefix(hash))?;
         let found = same.iter().find(|(h, _)| bool::from(h.ct_eq(hash)));
         found.map(|(_, t)| t)
     }
 
     /// Returns a team by name.
     pub fn team(&self, id: &str) -> Option<&Arc<Team>> {
-        self.names.get(id)
+        self.teams_by_name.get(id)
     }
 
     /// Number of teams.
     pub fn team_count(&self) -> usize {
-        self.names.len()
+        self.teams_by_name.len()
     }
 
     /// Finds the service route with the longest path prefix of `path`.
     pub fn find_service(&self, path: &str) -> Option<&str> {
         let prefix = |r: &Route| match &r.target {
-            Target::Service(p) if under(path, p) => Some(p.len()),
+            Target::Service(p) if is_under(path, p) => Some(p.len()),
             _ => None,
         };
         let matches = self
@@ -128,80 +128,81 @@
     }
 
     fn add_tier(&mut self, table: &Table, row: &str) {
-        let rank = number(table, row, "rank").unwrap_or(0.0) as u32;
-        let floor = number(table, row, "floor").unwrap_or(0.0).min(1.0);
-        self.floors.insert(rank, floor);
+        let rank = number_cell(table, row, "rank").unwrap_or(0.0) as u32;
+        let floor = number_cell(table, row, "floor").unwrap_or(0.0).min(1.0);
+        self.tier_floors.insert(rank, floor);
     }
 
     fn add_team(&mut self, table: &Table, row: &str, name: &str) {
-        let tier = text(table, row, "tier").unwrap_or_default();
-        let rank = number(table, &format!("tier/{tier}"), "rank").unwrap_or(0.0);
+        let tier = text_cell(table, row, "tier").unwrap_or_default();
+        let rank = number_cell(table, &format!("tier/{tier}"), "rank").unwrap_or(0.0);
         let team = Arc::new(Team {
             id: name.into(),
             rank: rank as u32,
-            weight: number(table, row, "weight").unwrap_or(1.0),
-            rate: number(table, row, "rate").filter(|r| *r > 0.0),
-            queue: number(table, row, "queue").map_or(QUEUE_DEFAULT, |n| n as usize),
+            weight: number_cell(table, row, "weight").unwrap_or(1.0),
+            token_rate: number_cell(table, row, "rate").filter(|r| *r > 0.0),
+            queue_limit: number_cell(table, row, "queue")
+                .map_or(DEFAULT_QUEUE_LIMIT, |n| n as usize),
         });
-        self.names.insert(team.id.clone(), team.clone());
-        if let Some(hash) = text(table, row, "key").and_then(parse_hash) {
-            self.teams
-                .entry(prefix(&hash))
+        self.teams_by_name.insert(team.id.clone(), team.clone());
+        if let Some(hash) = text_cell(table, row, "key").and_then(parse_hash) {
+            self.teams_by_key
+                .entry(hash_prefix(&hash))
                 .or_default()
                 .push((hash, team));
         }
     }
 
     fn add_goal(&mut self, table: &Table, row: &str, name: &str) {
-        let get = |column| text(table, row, column).map(String::from);
-        let goal = Goal {
-            number: 0,
+        let get = |column| text_cell(table, row, column).map(String::from);
+        let goal = DesiredState {
+            hash: 0,
             load: get("load"),
             adapter: get("adapter"),
             version: get("version"),
             role: get("role"),
         };
-        self.goals.insert(name.into(), goal.numbered());
+        self.goals.insert(name.into(), goal.with_hash());
     }
 
     fn add_route(&mut self, table: &Table, row: &str, name: &str) {
-        let target = match text(table, row, "kind") {
+        let target = match text_cell(table, row, "kind") {
             Some("service") => {
-                let path = text(table, row, "path").map_or(format!("/{name}"), String::from);
+                let path = text_cell(table, row, "path").map_or(format!("/{name}"), String::from);
                 Target::Service(path)
             }
-            _ => Target::Model(number(table, row, "layers").unwrap_or(1.0) as u32),
+            _ => Target::Model(number_cell(table, row, "layers").unwrap_or(1.0) as u32),
         };
-        let deadline = number(table, row, "deadline");
+        let deadline = number_cell(table, row, "deadline");
         let route = Route {
             target,
-            repeatable: text(table, row, "repeat") != Some("no"),
-            deadline: deadline.map_or(DEADLINE_DEFAULT, |ms| Duration::from_millis(ms as u64)),
+            repeatable: text_cell(table, row, "repeat") != Some("no"),
+            deadline: deadline.map_or(DEFAULT_DEADLINE, |ms| Duration::from_millis(ms as u64)),
         };
         self.routes.insert(name.into(), route);
     }
 }
 
-fn under(path: &str, prefix: &str) -> bool {
+fn is_under(path: &str, prefix: &str) -> bool {
     let rest = path.strip_prefix(prefix);
     rest.is_some_and(|r| r.is_empty() || r.starts_with('/') || r.starts_with('?'))
 }
 
-fn number(table: &Table, row: &str, column: &str) -> Option<f64> {
+fn number_cell(table: &Table, row: &str, column: &str) -> Option<f64> {
     match table.cell(row, column) {
         Some(Cell::Number(n)) => Some(*n),
         _ => None,
     }
 }
 
-fn text<'a>(table: &'a Table, row: &str, column: &str) -> Option<&'a str> {
+fn text_cell<'a>(table: &'a Table, row: &str, column: &str) -> Option<&'a str> {
     match table.cell(row, column) {
         Some(Cell::Text(s)) => Some(s),
         _ => None,
     }
 }
 
-fn prefix(hash: &KeyHash) -> u64 {
+fn hash_prefix(hash: &KeyHash) -> u64 {
     u64::from_le_bytes(std::array::from_fn(|i| hash[i]))
 }
 
--- a/crates/ashgauge/src/pressure.rs
+++ b/crates/ashgauge/src/pressure.rs
@@ -2,15 +2,15 @@
 
 use crate::cost;
 use crate::routing::Model;
-use crate::scene::{Scene, Total};
+use crate::scene::{EstimatedLoad, SelectionContext};
 use crate::upstream::Upstream;
 
 /// Part by which requests stay longer at full engines where the configuration does not tell
 /// it: 850 us for a pass and 3.82 us more for each of some 180 requests.
-const GROWTH_USUAL: f64 = 0.8;
+const DEFAULT_SLOWDOWN: f64 = 0.8;
 
 /// Least and most of that part: figures of engines may be wrong.
-const GROWTH_RANGE: (f64, f64) = (0.2, 2.0);
+const SLOWDOWN_RANGE: (f64, f64) = (0.2, 2.0);
 
 /// What all boxes have on the engines of a service, as shares of what these can take.
 #[derive(Clone, Copy, Debug, Default, PartialEq)]
@@ -27,32 +27,35 @@
 impl Pressure {
     /// What a box knows of the engines: the shares of those that take requests, and the
     /// requests on all of them, as those on engines that take no more still run.
-    pub fn of(scene: &Scene, model: &Model) -> Self {
+    pub fn from_context(scene: &SelectionContext, model: &Model) -> Self {
         let layers = model.layers as usize;
         let (mut used, mut room) = (vec![0.0; layers], vec![0.0; layers]);
         let (mut requests, mut leads, mut slots) = (0.0, 0.0, 0.0);
-        for entry in scene.roster.of(scene.service) {
+        for entry in scene.registry.of_service(scene.service) {
             let Some(held) = entry.upstream.layers else {
                 continue;
             };
-            let total = Total::of(scene, entry);
-            requests += total.leads;
+            let total = EstimatedLoad::estimate(scene, entry);
+            requests += total.head_requests;
             if !entry.takes_requests(scene.now) {
                 continue;
             }
             if held.first == 0 {
-                leads += total.leads;
+                leads += total.head_requests;
                 slots += f64::from(entry.upstream.slots);
             }
             let each = f64::from(held.len().max(1));
-            let (tokens, memory) = (total.tokens, cost::memory(model, entry, held));
+            let (tokens, memory) = (
+                total.token_layers,
+                cost::memory_capacity(model, entry, held),
+            );
             let end = (held.end as usize).min(layers);
             for layer in (held.first as usize).min(end)..end {
                 used[layer] += tokens / each;
                 room[layer] += memory / each;
             }
         }
-        let once = counted_once(scene);
+        let once = overcount_factor(scene);
         let shares = used
             .iter()
             .zip(&room)
@@ -65,33 +68,37 @@
     }
 
     /// The share that is nearest to its bound.
-    pub fn most(&self) -> f64 {
+    pub fn max_share(&self) -> f64 {
         self.memory.max(self.slots)
     }
 }
 
 /// Part by which requests stay longer at full engines than at empty ones: a pass takes more
 /// time for each request in it.
-pub fn growth<'a>(model: &Model, engines: impl Iterator<Item = &'a Upstream>) -> f64 {
-    let (prompt, answer) = (f64::from(model.prompt), f64::from(model.answer));
+pub fn full_slowdown<'a>(model: &Model, engines: impl Iterator<Item = &'a Upstream>) -> f64 {
+    let (prompt, answer) = (
+        f64::from(model.typical_prompt),
+        f64::from(model.typical_output),
+    );
     // Room is told for requests with all of their answer; they have half of it on average.
     let part_there = (prompt + answer / 2.0) / (prompt + answer).max(1.0);
-    let held = engines.filter_map(|e| Some(model.room(e.card.as_deref()?, e.layers?.len())));
+    let held = engines
+        .filter_map(|e| Some(model.request_capacity(e.accelerator.as_deref()?, e.layers?.len())));
     let held = held.map(|room| (room / part_there).min(f64::from(model.slots)));
     let (sum, count) = held.fold((0.0, 0.0), |(sum, count), held| (sum + held, count + 1.0));
-    let more = model.step_request.as_secs_f64() * sum / count;
-    let growth = more / model.step.as_secs_f64();
-    let (least, most) = GROWTH_RANGE;
+    let more = model.step_per_request.as_secs_f64() * sum / count;
+    let growth = more / model.step_time.as_secs_f64();
+    let (least, most) = SLOWDOWN_RANGE;
     match growth > 0.0 && growth.is_finite() {
         true => growth.clamp(least, most),
-        false => GROWTH_USUAL,
+        false => DEFAULT_SLOWDOWN,
     }
 }
 
 /// Factor on what was heard, where more boxes were heard than there are: after a start of
 /// all of them some tell for themselves and are in a hub's sum as well, for some seconds.
-fn counted_once(scene: &Scene) -> f64 {
-    let heard = scene.shares.boxes() as f64 + 1.0;
+fn overcount_factor(scene: &SelectionContext) -> f64 {
+    let heard = scene.fleet_load.boxes() as f64 + 1.0;
     (scene.boxes / heard).min(1.0)
 }
 
--- a/crates/ashgauge/src/progress.rs
+++ b/crates/ashgauge/src/progress.rs
@@ -18,19 +18,19 @@
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct Progress {
     /// Tokens of the whole answer, as the caller expects.
-    pub answer: u32,
+    pub answer_tokens: u32,
     /// Events that have come.
     pub events: u64,
     /// Learned time between two events, in seconds.
-    pub pause: f64,
+    pub event_gap: f64,
 }
 
 impl Progress {
     /// Time until the answer's end, if each event holds so many tokens.
-    pub fn left(&self, event_tokens: u32) -> Duration {
-        let events = f64::from(self.answer) / f64::from(event_tokens.max(1));
+    pub fn time_left(&self, event_tokens: u32) -> Duration {
+        let events = f64::from(self.answer_tokens) / f64::from(event_tokens.max(1));
         let missing = (events - self.events as f64).max(0.0);
-        Duration::from_secs_f64(missing * self.pause)
+        Duration::from_secs_f64(missing * self.event_gap)
     }
 
     /// Whether the stream ends by itself within `time`, so that it need not be
@@ -41,6 +41,6 @@
     /// streams after a planned move of two engines, by the boxes' lines. An
     /// event was taken for one token there, and left all of them on the way.
     pub fn ends_within(&self, event_tokens: u32, time: Duration) -> bool {
-        self.left(event_tokens) < time
+        self.time_left(event_tokens) < time
     }
 }
--- a/crates/ashgauge/src/quarantine.rs
+++ b/crates/ashgauge/src/quarantine.rs
@@ -14,51 +14,52 @@
 use crate::digest::Digest;
 
 /// Upstreams lost under a request after which it is held back; the users' figure.
-const LOST_MOST: usize = 3;
+const MAX_LOSSES: usize = 3;
 
 /// Time from a run's first event after which it has not ended its upstream. Requests
 /// that do so took 3 to 96 ms from when they began to run; a longer time lays more
 /// losses to requests that only ran beside them.
-const PROVEN_TIME: Duration = Duration::from_millis(500);
+const SAFE_RUN_TIME: Duration = Duration::from_millis(500);
 
 /// How long a request is held back before it is tried again, and how long a loss
 /// counts: long against what a caller goes on for and operators need to look into it.
-pub const HOLD_TIME: Duration = Duration::from_secs(3600);
+pub const QUARANTINE_TIME: Duration = Duration::from_secs(3600);
 
 /// Requests whose losses are kept, at 100 bytes or so each.
-const SUSPECTS_MOST: usize = 4096;
+const MAX_SUSPECTS: usize = 4096;
 
 /// Requests that are held back at most, at 30 bytes or so each.
-const HELD_MOST: usize = 4096;
+const MAX_QUARANTINED: usize = 4096;
 
 /// How long a box tells the others of a loss: several words to each, of which some
 /// may be lost.
-const TELL_TIME: Duration = Duration::from_secs(14);
+const GOSSIP_TIME: Duration = Duration::from_secs(14);
 
 /// Losses in one report, the newest ones: 1 kB or so.
-const LOST_TOLD: usize = 128;
+const MAX_REPORT_LOSSES: usize = 128;
 
 /// Held requests in one report: 300 bytes or so.
-const HELD_TOLD: usize = 32;
+const MAX_REPORT_HELD: usize = 32;
 
 /// Losses that are kept to be told.
-const TOLD_MOST: usize = 1024;
+const MAX_GOSSIP_LOSSES: usize = 1024;
 
 /// Number that stands for one start of an upstream.
-pub type StartKey = u32;
+pub type InstanceKey = u32;
 
 /// An upstream was lost while it ran a request.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash, Serialize, Deserialize)]
-pub struct Lost {
+pub struct InstanceLoss {
     /// The request.
     pub digest: Digest,
     /// The upstream's start that was lost.
-    pub start: StartKey,
+    #[serde(rename = "start")]
+    pub instance: InstanceKey,
 }
 
 /// A request that is held back, as one box tells it to others.
 #[derive(Clone, Copy, Debug, PartialEq, Serialize, Deserialize)]
-pub struct Held {
+pub struct QuarantinedRequest {
     /// The request.
     pub digest: Digest,
     /// For how much longer, in whole seconds, from the moment of telling.
@@ -69,17 +70,18 @@
 #[derive(Clone, Debug, Default, PartialEq, Serialize, Deserialize)]
 pub struct Report {
     /// Losses that it saw or heard of a short while ago.
-    pub lost: Vec<Lost>,
+    #[serde(rename = "lost")]
+    pub losses: Vec<InstanceLoss>,
     /// Requests that are held back.
-    pub held: Vec<Held>,
+    pub held: Vec<QuarantinedRequest>,
 }
 
 /// The losses under one request.
 #[derive(Clone, Debug)]
 struct Suspect {
-    starts: Vec<StartKey>,
+    instances: Vec<InstanceKey>,
     /// When the last was noted.
-    at: Duration,
+    last_loss: Duration,
 }
 
 /// What is known of requests that may end upstreams.
@@ -102,21 +104,21 @@
 pub struct Quarantine {
     suspects: HashMap<Digest, Suspect>,
     /// Until when each request is held back.
-    held: HashMap<Digest, Duration>,
+    quarantined: HashMap<Digest, Duration>,
     /// Losses that this box tells others.
-    told: Vec<Told>,
+    gossip: Vec<GossipLoss>,
     /// Losses that may be found any moment, one for each check of an upstream.
-    checks: Vec<Lost>,
+    checks: Vec<InstanceLoss>,
 }
 
 /// A loss that is told to others.
 #[derive(Clone, Copy, Debug)]
-struct Told {
-    lost: Lost,
+struct GossipLoss {
+    loss: InstanceLoss,
     /// Since when.
     since: Duration,
     /// Whom.
-    to: Audience,
+    audience: Audience,
 }
 
 /// Whom a box tells what it knows.
@@ -125,35 +127,35 @@
     /// All: those that tell each other, and those that it hands on to.
     All,
     /// Those only that hear of others by this box.
-    Below,
+    Downstream,
 }
 
 /// The number of an upstream's start: its id, and when it was born if it says so.
-pub fn start_key(id: &str, born: Option<u64>) -> StartKey {
-    xxh3_64_with_seed(id.as_bytes(), born.unwrap_or_default()) as StartKey
+pub fn instance_key(id: &str, born: Option<u64>) -> InstanceKey {
+    xxh3_64_with_seed(id.as_bytes(), born.unwrap_or_default()) as InstanceKey
 }
 
 /// Whether a run that brought its first event at `first`, and one at `last`, has shown
 /// that the request does not end its upstream.
-pub fn is_proven(first: Duration, last: Duration) -> bool {
-    last >= first + PROVEN_TIME
+pub fn is_safe_run(first: Duration, last: Duration) -> bool {
+    last >= first + SAFE_RUN_TIME
 }
 
 impl Quarantine {
     /// Notes a loss that this box saw; returns whether the request is held back from
     /// now on.
-    pub fn note(&mut self, now: Duration, lost: Lost) -> bool {
-        self.tell(now, lost, Audience::All);
-        self.add(now, lost)
+    pub fn record_loss(&mut self, now: Duration, lost: InstanceLoss) -> bool {
+        self.enqueue(now, lost, Audience::All);
+        self.add_loss(now, lost)
     }
 
     /// Notes that a check of an upstream began: a run of the request broke off on it.
-    pub fn begin_check(&mut self, lost: Lost) {
+    pub fn begin_check(&mut self, lost: InstanceLoss) {
         self.checks.push(lost);
     }
 
     /// Notes that the check ended, whatever it found.
-    pub fn end_check(&mut self, lost: Lost) {
+    pub fn end_check(&mut self, lost: InstanceLoss) {
         if let Some(at) = self.checks.iter().position(|check| *check == lost) {
             self.checks.swap_remove(at);
         }
@@ -175,49 +177,55 @@
     /// quarantine.end_check(lost[0]);
     /// assert!(!quarantine.is_in_doubt(7));
     /// ```
-    pub fn is_in_doubt(&self, digest: Digest) -> bool {
+    pub fn may_be_quarantined(&self, digest: Digest) -> bool {
         let found = self.suspects.get(&digest);
-        let mut starts = found.map_or_else(Vec::new, |s| s.starts.clone());
+        let mut starts = found.map_or_else(Vec::new, |s| s.instances.clone());
         for check in self.checks.iter().filter(|check| check.digest == digest) {
-            if !starts.contains(&check.start) {
-                starts.push(check.start);
+            if !starts.contains(&check.instance) {
+                starts.push(check.instance);
             }
         }
-        starts.len() >= LOST_MOST
+        starts.len() >= MAX_LOSSES
     }
 
     /// Tells others what another box has told, as they do not hear it; returns
     /// whether there is something new to tell.
-    pub fn hand_on(&mut self, now: Duration, report: &Report, to: Audience) -> bool {
-        let is_told = |told: &Told, lost: &Lost| told.lost == *lost && now < told.since + TELL_TIME;
-        let news = report.lost.iter();
-        let news = news.filter(|lost| !self.told.iter().any(|told| is_told(told, lost)));
-        let news: Vec<Lost> = news.copied().collect();
-        news.iter().for_each(|lost| self.tell(now, *lost, to));
+    pub fn forward(&mut self, now: Duration, report: &Report, to: Audience) -> bool {
+        let is_told = |told: &GossipLoss, lost: &InstanceLoss| {
+            told.loss == *lost && now < told.since + GOSSIP_TIME
+        };
+        let news = report.losses.iter();
+        let news = news.filter(|lost| !self.gossip.iter().any(|told| is_told(told, lost)));
+        let news: Vec<InstanceLoss> = news.copied().collect();
+        news.iter().for_each(|lost| self.enqueue(now, *lost, to));
         !news.is_empty()
     }
 
-    fn tell(&mut self, now: Duration, lost: Lost, to: Audience) {
-        self.told.retain(|told| now < told.since + TELL_TIME);
-        if self.told.len() >= TOLD_MOST {
-            self.told.remove(0);
+    fn enqueue(&mut self, now: Duration, lost: InstanceLoss, to: Audience) {
+        self.gossip.retain(|told| now < told.since + GOSSIP_TIME);
+        if self.gossip.len() >= MAX_GOSSIP_LOSSES {
+            self.gossip.remove(0);
         }
         let since = now;
-        self.told.push(Told { lost, since, to });
+        self.gossip.push(GossipLoss {
+            loss: lost,
+            since,
+            audience: to,
+        });
     }
 
     /// Takes what another box told; returns the requests that are held back from now
     /// on.
-    pub fn hear(&mut self, now: Duration, report: &Report) -> Vec<Digest> {
+    pub fn merge(&mut self, now: Duration, report: &Report) -> Vec<Digest> {
         let mut news = Vec::new();
-        for lost in &report.lost {
-            if self.add(now, *lost) {
+        for lost in &report.losses {
+            if self.add_loss(now, *lost) {
                 news.push(lost.digest);
             }
         }
         for held in &report.held {
             let left = Duration::from_secs(held.left_s.into());
-            if self.hold(now, held.digest, left) {
+            if self.quarantine(now, held.digest, left) {
                 news.push(held.digest);
             }
         }
@@ -228,23 +236,23 @@
     ///
     /// A time that boxes hand on never grows, as it is told in whole seconds that are
     /// left, so each hold lapses.
-    pub fn hold(&mut self, now: Duration, digest: Digest, left: Duration) -> bool {
-        let until = now + left.min(HOLD_TIME);
+    pub fn quarantine(&mut self, now: Duration, digest: Digest, left: Duration) -> bool {
+        let until = now + left.min(QUARANTINE_TIME);
         if until <= now {
             return false;
         }
         self.suspects.remove(&digest);
         let is_new = self.time_left(now, digest).is_none();
-        if is_new && self.held.len() >= HELD_MOST {
-            drop_least(&mut self.held, |until| *until);
+        if is_new && self.quarantined.len() >= MAX_QUARANTINED {
+            evict_min(&mut self.quarantined, |until| *until);
         }
-        let known = self.held.entry(digest).or_insert(until);
+        let known = self.quarantined.entry(digest).or_insert(until);
         *known = until.max(*known);
         is_new
     }
 
     /// Forgets the losses under a request that an upstream has run well.
-    pub fn clear(&mut self, digest: Digest) {
+    pub fn clear_losses(&mut self, digest: Digest) {
         self.suspects.remove(&digest);
     }
 
@@ -255,69 +263,72 @@
 
     /// For how much longer a request is held back, if it is.
     pub fn time_left(&self, now: Duration, digest: Digest) -> Option<Duration> {
-        let until = self.held.get(&digest)?;
+        let until = self.quarantined.get(&digest)?;
         let left = until.saturating_sub(now);
         (!left.is_zero()).then_some(left)
     }
 
     /// Requests that are held back, those with the most time left first.
-    pub fn held(&self, now: Duration) -> Vec<(Digest, Duration)> {
+    pub fn quarantined(&self, now: Duration) -> Vec<(Digest, Duration)> {
         let left = |(digest, until): (&Digest, &Duration)| (*digest, until.saturating_sub(now));
-        let mut held: Vec<_> = self.held.iter().map(left).collect();
+        let mut held: Vec<_> = self.quarantined.iter().map(left).collect();
         held.retain(|(_, left)| !left.is_zero());
         held.sort_unstable_by_key(|(digest, left)| (std::cmp::Reverse(*left), *digest));
         held
     }
 
     /// Requests under which upstreams were lost that are not held back.
-    pub fn suspects(&self) -> usize {
+    pub fn suspect_count(&self) -> usize {
         self.suspects.len()
     }
 
     /// What the boxes of an audience are to know; of many held requests some, in
     /// turns by `turn`.
     pub fn report(&self, now: Duration, turn: u64, to: Audience) -> Report {
-        let recent = self.told.iter().rev();
-        let recent = recent.filter(|told| now < told.since + TELL_TIME);
-        let recent = recent.filter(|told| to == Audience::Below || told.to == to);
-        let held = self.held(now);
-        let skipped = (turn as usize).wrapping_mul(HELD_TOLD) % held.len().max(1);
+        let recent = self.gossip.iter().rev();
+        let recent = recent.filter(|told| now < told.since + GOSSIP_TIME);
+        let recent = recent.filter(|told| to == Audience::Downstream || told.audience == to);
+        let held = self.quarantined(now);
+        let skipped = (turn as usize).wrapping_mul(MAX_REPORT_HELD) % held.len().max(1);
         let told = held.iter().cycle().skip(skipped);
-        let told = told.take(held.len().min(HELD_TOLD));
+        let told = told.take(held.len().min(MAX_REPORT_HELD));
         Report {
-            lost: recent.map(|told| told.lost).take(LOST_TOLD).collect(),
-            held: told.map(Held::of).collect(),
+            losses: recent
+                .map(|told| told.loss)
+                .take(MAX_REPORT_LOSSES)
+                .collect(),
+            held: told.map(QuarantinedRequest::new).collect(),
         }
     }
 
     /// Adds a loss to those of its request; returns whether that holds it back.
-    fn add(&mut self, now: Duration, lost: Lost) -> bool {
+    fn add_loss(&mut self, now: Duration, lost: InstanceLoss) -> bool {
         if self.time_left(now, lost.digest).is_some() {
             return false;
         }
-        if !self.suspects.contains_key(&lost.digest) && self.suspects.len() >= SUSPECTS_MOST {
+        if !self.suspects.contains_key(&lost.digest) && self.suspects.len() >= MAX_SUSPECTS {
             // What was lost under fewest and longest ago says least.
-            drop_least(&mut self.suspects, |s| (s.starts.len(), s.at));
+            evict_min(&mut self.suspects, |s| (s.instances.len(), s.last_loss));
         }
         let suspect = self.suspects.entry(lost.digest).or_insert(Suspect {
-            starts: Vec::new(),
-            at: now,
+            instances: Vec::new(),
+            last_loss: now,
         });
-        if now >= suspect.at + HOLD_TIME {
-            suspect.starts.clear();
+        if now >= suspect.last_loss + QUARANTINE_TIME {
+            suspect.instances.clear();
         }
-        if !suspect.starts.contains(&lost.start) {
-            suspect.starts.push(lost.start);
-            suspect.at = now;
+        if !suspect.instances.contains(&lost.instance) {
+            suspect.instances.push(lost.instance);
+            suspect.last_loss = now;
         }
-        let holds = suspect.starts.len() >= LOST_MOST;
-        holds && self.hold(now, lost.digest, HOLD_TIME)
+        let holds = suspect.instances.len() >= MAX_LOSSES;
+        holds && self.quarantine(now, lost.digest, QUARANTINE_TIME)
     }
 }
 
-impl Held {
-    fn of((digest, left): &(Digest, Duration)) -> Self {
-        Held {
+impl QuarantinedRequest {
+    fn new((digest, left): &(Digest, Duration)) -> Self {
+        QuarantinedRequest {
             digest: *digest,
             left_s: left.as_secs().try_into().unwrap_or(u32::MAX),
         }
@@ -327,12 +338,12 @@
 impl Report {
     /// Whether there is nothing to tell.
     pub fn is_empty(&self) -> bool {
-        self.lost.is_empty() && self.held.is_empty()
+        self.losses.is_empty() && self.held.is_empty()
     }
 }
 
 /// Drops the entry with the least rank.
-fn drop_least<V, R: Ord>(entries: &mut HashMap<Digest, V>, rank: impl Fn(&V) -> R) {
+fn evict_min<V, R: Ord>(entries: &mut HashMap<Digest, V>, rank: impl Fn(&V) -> R) {
     let least = entries.iter().min_by_key(|(digest, v)| (rank(v), **digest));
     if let Some(digest) = least.map(|(digest, _)| *digest) {
         entries.remove(&digest);
--- a/crates/ashgauge/src/question.rs
+++ b/crates/ashgauge/src/question.rs
@@ -15,50 +15,53 @@
 use crate::member::BoxId;
 use crate::mirror::{Revision, Update};
 use crate::permit;
-use crate::quarantine::{Report, StartKey};
-use crate::share::Word;
+use crate::quarantine::{InstanceKey, Report};
+use crate::share::LoadReport;
 
 /// Number of a question, chosen at random.
-pub type QuestionId = u64;
+pub type QueryId = u64;
 
 /// What a box sends another in one datagram.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub enum Datagram {
     /// What a box has on the upstreams.
-    Load(Word),
+    Load(LoadReport),
     /// What do you know?
-    Question(Question),
+    #[serde(rename = "Question")]
+    Query(Query),
     /// What this box knows.
     Answer(Answer),
     /// The box with this name knows something new.
-    News(BoxId),
+    #[serde(rename = "News")]
+    Changed(BoxId),
     /// What the box with this name knows of requests that end upstreams.
     Losses(BoxId, Report),
     /// May a request go to an upstream that names a limit?
-    AskPermit(permit::Ask),
+    AskPermit(permit::PermitRequest),
     /// Whether it may.
-    Permit(permit::Reply),
+    Permit(permit::PermitReply),
     /// Engines that accept no connections, as the box with this name found or was told; at
     /// most [`crate::suspicion::SUSPECTS_TOLD`].
-    Suspects(BoxId, Vec<StartKey>),
+    Suspects(BoxId, Vec<InstanceKey>),
 }
 
 /// Asks what another box knows.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
-pub struct Question {
+pub struct Query {
     /// The box that asks.
     pub from: BoxId,
     /// Number of the question.
-    pub id: QuestionId,
+    pub id: QueryId,
     /// Revision up to which it knows everything.
     pub after: Revision,
     /// Ticket of an answer that was too large for a datagram.
-    pub ticket: Option<Ticket>,
+    #[serde(rename = "ticket")]
+    pub fetch_token: Option<FetchToken>,
 }
 
 /// Lets a box fetch an answer over a connection. It is sent to the address that
 /// the box announced, so nobody else has it.
-pub type Ticket = u64;
+pub type FetchToken = u64;
 
 /// What a box knows.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
@@ -66,39 +69,45 @@
     /// The box that answers.
     pub from: BoxId,
     /// The question that it answers.
-    pub id: QuestionId,
+    pub id: QueryId,
     /// How many boxes it knows of; 0 if it has not counted them.
     pub boxes: u32,
     /// What it says.
-    pub body: Body,
+    pub body: AnswerBody,
 }
 
 /// What an answer says.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
-pub enum Body {
+pub enum AnswerBody {
     /// The box knows nothing yet.
-    Nothing {
+    #[serde(rename = "Nothing")]
+    Empty {
         /// How long ago it asked the store, if that held nothing to know.
-        asked: Option<Duration>,
+        #[serde(rename = "asked")]
+        asked_ago: Option<Duration>,
     },
     /// What the asking box lacks.
-    Known {
+    #[serde(rename = "Known")]
+    Update {
         /// Age of the proof that it is still so.
         age: Duration,
         /// What it lacks.
         update: Update,
     },
     /// The same in few bytes, for an answer that is fetched.
-    Packed {
+    #[serde(rename = "Packed")]
+    Compressed {
         /// Age of the proof that it is still so.
         age: Duration,
         /// The update, packed.
         bytes: Vec<u8>,
     },
     /// It is too large for a datagram.
-    Large {
+    #[serde(rename = "Large")]
+    TooLarge {
         /// Lets it be fetched.
-        ticket: Ticket,
+        #[serde(rename = "ticket")]
+        fetch_token: FetchToken,
         /// Its size in bytes.
         bytes: u64,
     },
@@ -106,7 +115,7 @@
 
 /// Moment as of which an answer proves what a box knows, by the clock of the
 /// box that asked; nothing if that is before its clock began.
-pub fn proved(asked: Duration, age: Duration) -> Option<Duration> {
+pub fn proven_at(asked: Duration, age: Duration) -> Option<Duration> {
     asked.checked_sub(age)
 }
 
@@ -115,11 +124,13 @@
     pub fn from(&self) -> &BoxId {
         match self {
             Datagram::Load(word) => &word.from,
-            Datagram::Question(question) => &question.from,
+            Datagram::Query(question) => &question.from,
             Datagram::Answer(answer) => &answer.from,
             Datagram::AskPermit(ask) => &ask.from,
             Datagram::Permit(reply) => &reply.from,
-            Datagram::News(from) | Datagram::Losses(from, _) | Datagram::Suspects(from, _) => from,
+            Datagram::Changed(from) | Datagram::Losses(from, _) | Datagram::Suspects(from, _) => {
+                from
+            }
         }
     }
 }
--- a/crates/ashgauge/src/queue.rs
+++ b/crates/ashgauge/src/queue.rs
@@ -9,7 +9,7 @@
 pub type RequestId = u64;
 
 /// Tokens after which old service counts half in the floor shares.
-const FLOOR_WINDOW: f64 = 100_000.0;
+const FLOOR_WINDOW_TOKENS: f64 = 100_000.0;
 
 /// Weight of the newest gap in the learned drain rate.
 const DRAIN_GAIN: f64 = 0.05;
@@ -39,22 +39,22 @@
 pub struct Queue {
     tiers: BTreeMap<u32, Tier>,
     len: usize,
-    tokens: f64,
-    rate: f64,
-    last: Option<Duration>,
+    queued_tokens: f64,
+    drain_rate: f64,
+    last_pop: Option<Duration>,
 }
 
 #[derive(Debug, Default)]
 struct Tier {
-    teams: BTreeMap<TeamId, Lane>,
-    clock: f64,
-    served: f64,
+    teams: BTreeMap<TeamId, TeamQueue>,
+    virtual_time: f64,
+    served_tokens: f64,
     waiting: usize,
 }
 
 #[derive(Debug, Default)]
-struct Lane {
-    start: f64,
+struct TeamQueue {
+    virtual_start: f64,
     jobs: VecDeque<Job>,
 }
 
@@ -78,26 +78,26 @@
     /// Adds a request.
     pub fn push(&mut self, job: Job) {
         let tier = self.tiers.entry(job.rank).or_default();
-        let clock = tier.clock;
+        let clock = tier.virtual_time;
         let lane = tier.teams.entry(job.team.clone()).or_default();
         if lane.jobs.is_empty() {
-            lane.start = lane.start.max(clock);
+            lane.virtual_start = lane.virtual_start.max(clock);
         }
         self.len += 1;
-        self.tokens += job.cost;
+        self.queued_tokens += job.cost;
         tier.waiting += 1;
         lane.jobs.push_back(job);
     }
 
     /// Puts a request back at the head of its team, as if never taken.
-    pub fn unpop(&mut self, job: Job) {
+    pub fn push_front(&mut self, job: Job) {
         let tier = self.tiers.entry(job.rank).or_default();
-        tier.served -= job.cost;
+        tier.served_tokens -= job.cost;
         tier.waiting += 1;
         let lane = tier.teams.entry(job.team.clone()).or_default();
-        lane.start -= job.cost / job.weight;
+        lane.virtual_start -= job.cost / job.weight;
         self.len += 1;
-        self.tokens += job.cost;
+        self.queued_tokens += job.cost;
         lane.jobs.push_front(job);
     }
 
@@ -110,13 +110,13 @@
         floors: &HashMap<u32, f64>,
         mut allowed: impl FnMut(&Job) -> bool,
     ) -> Option<Job> {
-        for rank in self.order(floors) {
+        for rank in self.tier_order(floors) {
             let tier = self.tiers.get_mut(&rank)?;
             let Some(job) = tier.pop(&mut allowed) else {
                 continue;
             };
-            self.took(&job);
-            self.learn(now, job.cost);
+            self.account_pop(&job);
+            self.update_drain_rate(now, job.cost);
             return Some(job);
         }
         None
@@ -133,38 +133,41 @@
     }
 
     /// Corrects a team's virtual time once the true cost is known.
-    pub fn settle(&mut self, job: &Job, cost: f64) {
+    pub fn correct_cost(&mut self, job: &Job, cost: f64) {
         let Some(tier) = self.tiers.get_mut(&job.rank) else {
             return;
         };
-        tier.served += cost - job.cost;
-        let clock = tier.clock;
+        tier.served_tokens += cost - job.cost;
+        let clock = tier.virtual_time;
         if let Some(lane) = tier.teams.get_mut(&job.team) {
-            lane.start = (lane.start + (cost - job.cost) / job.weight).max(clock);
+            lane.virtual_start = (lane.virtual_start + (cost - job.cost) / job.weight).max(clock);
         }
-        tier.forget();
+        tier.drop_idle();
     }
 
     /// Expected wait of a team's new request, from the drain rate.
     ///
     /// Ahead are the higher tiers, and of its own tier what is served while
     /// the team's own requests are, by its weight.
-    pub fn wait(&self, rank: u32, team: &str, weight: f64) -> Duration {
-        if self.rate <= 0.0 {
+    pub fn expected_wait(&self, rank: u32, team: &str, weight: f64) -> Duration {
+        if self.drain_rate <= 0.0 {
             return Duration::ZERO;
         }
-        let higher: f64 = self.tiers.range(..rank).map(|(_, t)| t.cost()).sum();
-        let own = self.tiers.get(&rank).map_or(0.0, |t| t.ahead(team, weight));
-        Duration::from_secs_f64(((higher + own) / self.rate).min(3600.0))
+        let higher: f64 = self.tiers.range(..rank).map(|(_, t)| t.queued_cost()).sum();
+        let own = self
+            .tiers
+            .get(&rank)
+            .map_or(0.0, |t| t.cost_ahead(team, weight));
+        Duration::from_secs_f64(((higher + own) / self.drain_rate).min(3600.0))
     }
 
-    fn order(&self, floors: &HashMap<u32, f64>) -> Vec<u32> {
-        let total: f64 = self.tiers.values().map(|t| t.served).sum();
+    fn tier_order(&self, floors: &HashMap<u32, f64>) -> Vec<u32> {
+        let total: f64 = self.tiers.values().map(|t| t.served_tokens).sum();
         let mut order = Vec::with_capacity(self.tiers.len());
         let waiting = || self.tiers.iter().filter(|(_, t)| t.waiting > 0);
         for (rank, tier) in waiting().skip(1) {
             let floor = floors.get(rank).copied().unwrap_or(0.0);
-            if total > 0.0 && tier.served < floor * total {
+            if total > 0.0 && tier.served_tokens < floor * total {
                 order.push(*rank);
             }
         }
@@ -172,31 +175,31 @@
         order
     }
 
-    fn took(&mut self, job: &Job) {
+    fn account_pop(&mut self, job: &Job) {
         self.len -= 1;
-        self.tokens -= job.cost;
-        let total: f64 = self.tiers.values().map(|t| t.served).sum();
-        if total > FLOOR_WINDOW {
-            self.tiers.values_mut().for_each(|t| t.served /= 2.0);
+        self.queued_tokens -= job.cost;
+        let total: f64 = self.tiers.values().map(|t| t.served_tokens).sum();
+        if total > FLOOR_WINDOW_TOKENS {
+            self.tiers.values_mut().for_each(|t| t.served_tokens /= 2.0);
         }
     }
 
-    fn learn(&mut self, now: Duration, cost: f64) {
-        let Some(last) = self.last.replace(now) else {
+    fn update_drain_rate(&mut self, now: Duration, cost: f64) {
+        let Some(last) = self.last_pop.replace(now) else {
             return;
         };
         let gap = now.saturating_sub(last).as_secs_f64().max(1e-6);
         // An average of gaps, not of rates: bursts would else count too much.
         let gap_per_token = gap / cost.max(1.0);
-        let old = if self.rate > 0.0 {
-            1.0 / self.rate
+        let old = if self.drain_rate > 0.0 {
+            1.0 / self.drain_rate
         } else {
             gap_per_token
         };
-        self.rate = 1.0 / (old + DRAIN_GAIN * (gap_per_token - old)).max(1e-9);
+        self.drain_rate = 1.0 / (old + DRAIN_GAIN * (gap_per_token - old)).max(1e-9);
         if self.is_empty() {
             // Idle time says nothing of how fast a backlog would drain.
-            self.last = None;
+            self.last_pop = None;
         }
     }
 
@@ -210,10 +213,10 @@
                 tier.waiting -= gone.len();
                 out.extend(gone);
             }
-            tier.forget();
+            tier.drop_idle();
         }
         self.len -= out.len();
-        self.tokens -= out.iter().map(|j| j.cost).sum::<f64>();
+        self.queued_tokens -= out.iter().map(|j| j.cost).sum::<f64>();
         out
     }
 }
@@ -226,23 +229,23 @@
                 continue;
             };
             // The name breaks ties, so that equal inputs give equal order.
-            let sooner = best.is_none_or(|(s, t)| (lane.start, team) < (s, t));
+            let sooner = best.is_none_or(|(s, t)| (lane.virtual_start, team) < (s, t));
             if sooner && allowed(job) {
-                best = Some((lane.start, team));
+                best = Some((lane.virtual_start, team));
             }
         }
         let team = best?.1.clone();
         let lane = self.teams.get_mut(&team)?;
         let job = lane.jobs.pop_front()?;
-        self.clock = self.clock.max(lane.start);
-        lane.start += job.cost / job.weight;
-        self.served += job.cost;
+        self.virtual_time = self.virtual_time.max(lane.virtual_start);
+        lane.virtual_start += job.cost / job.weight;
+        self.served_tokens += job.cost;
         self.waiting -= 1;
         Some(job)
     }
 
     /// Cost that is served before a new request of the team.
-    fn ahead(&self, team: &str, weight: f64) -> f64 {
+    fn cost_ahead(&self, team: &str, weight: f64) -> f64 {
         let mut weights = weight;
         let (mut own, mut all) = (0.0, 0.0);
         for (id, lane) in &self.teams {
@@ -262,15 +265,15 @@
         (own * weights / weight).min(all * 2.0)
     }
 
-    fn cost(&self) -> f64 {
+    fn queued_cost(&self) -> f64 {
         let jobs = self.teams.values().flat_map(|l| &l.jobs);
         jobs.map(|j| j.cost).sum()
     }
 
     /// Drops idle teams whose virtual time is past.
-    fn forget(&mut self) {
-        let clock = self.clock;
+    fn drop_idle(&mut self) {
+        let clock = self.virtual_time;
         self.teams
-            .retain(|_, l| !l.jobs.is_empty() || l.start > clock);
+            .retain(|_, l| !l.jobs.is_empty() || l.virtual_start > clock);
     }
 }
--- a/crates/ashgauge/src/reader.rs
+++ b/crates/ashgauge/src/reader.rs
@@ -17,36 +17,36 @@
 
 /// Readers that the whole fleet has at least, so that the loss of one leaves
 /// others that know everything.
-const READERS_LEAST: usize = 3;
+const MIN_READERS: usize = 3;
 
 /// Boxes that one reader informs at least, however slow its link.
-const BOXES_LEAST: usize = 30;
+const MIN_READER_BOXES: usize = 30;
 
 /// The same at most: each keeps a connection open for a moment when all start.
-pub const BOXES_MOST: usize = 100;
+pub const MAX_READER_BOXES: usize = 100;
 
 /// Mbit/s of a reader's link for each box that it informs: a whole copy takes a few
 /// Mbit, and all boxes are to have theirs within two seconds.
-const LINK_EACH: usize = 2;
+const MBPS_PER_BOX: usize = 2;
 
 /// Boxes besides the readers that are asked when none of those answers.
 const SPARE_SOURCES: usize = 1;
 
 /// Boxes that are asked in one round at most: more would only take longer.
-const SOURCES_MOST: usize = 5;
+const MAX_SOURCES: usize = 5;
 
 /// How long a box that did not answer is passed over; doubled each time.
-const SILENT_FIRST: Duration = Duration::from_secs(1);
+const MIN_BACKOFF: Duration = Duration::from_secs(1);
 
 /// Longest time for which it is passed over: boxes that are gone for good stay
 /// listed.
-const SILENT_MOST: Duration = Duration::from_secs(30);
+const MAX_BACKOFF: Duration = Duration::from_secs(30);
 
 /// Seed of the weights by which boxes become readers.
 const READER_SEED: u64 = 1;
 
 /// Fastest link that is told from others, in Mbit/s.
-const LINK_MOST: u32 = 999_999;
+const MAX_LINK_MBPS: u32 = 999_999;
 
 /// A box of the fleet, as it announced itself.
 #[derive(Clone, Debug, PartialEq)]
@@ -54,21 +54,21 @@
     /// Its name.
     pub id: BoxId,
     /// Its data centre.
-    pub place: Arc<str>,
+    pub data_centre: Arc<str>,
     /// What its link carries, in Mbit/s; 0 if it did not say.
-    pub link: u32,
+    pub link_mbps: u32,
 }
 
 /// Boxes that did not answer lately.
 #[derive(Debug, Default)]
-pub struct Silences {
-    boxes: HashMap<BoxId, Silence>,
+pub struct Backoffs {
+    boxes: HashMap<BoxId, Backoff>,
 }
 
 #[derive(Clone, Copy, Debug)]
-struct Silence {
+struct Backoff {
     until: Duration,
-    time: Duration,
+    delay: Duration,
 }
 
 /// What a box knows of the fleet.
@@ -77,31 +77,32 @@
     /// Boxes that may read: those that all boxes know.
     pub candidates: Vec<Member>,
     /// How many boxes there are.
-    pub boxes: usize,
+    pub box_count: usize,
     /// Readers, if not the usual number of them.
-    pub readers: Option<usize>,
+    pub reader_count: Option<usize>,
 }
 
 /// The readers, as one box sees them.
 #[derive(Clone, Debug, Default, PartialEq)]
 pub struct Readers {
     /// Whether this box is one.
-    pub is_own: bool,
+    pub includes_self: bool,
     /// Whether there are boxes that do not read.
-    pub is_shared: bool,
+    pub has_followers: bool,
     /// All of them.
-    pub all: Vec<BoxId>,
+    pub ids: Vec<BoxId>,
     /// Boxes to ask, the first first.
     pub sources: Vec<BoxId>,
 }
 
-impl Silences {
+impl Backoffs {
     /// Notes that a box did not answer.
-    pub fn note(&mut self, now: Duration, id: &BoxId) {
+    pub fn back_off(&mut self, now: Duration, id: &BoxId) {
         let before = self.boxes.get(id);
-        let time = before.map_or(SILENT_FIRST, |s| (s.time * 2).min(SILENT_MOST));
+        let time = before.map_or(MIN_BACKOFF, |s| (s.delay * 2).min(MAX_BACKOFF));
         let until = now + time;
-        self.boxes.insert(id.clone(), Silence { until, time });
+        self.boxes
+            .insert(id.clone(), Backoff { until, delay: time });
     }
 
     /// Notes that a box answered.
@@ -110,7 +111,7 @@
     }
 
     /// Whether a box is passed over.
-    pub fn holds(&self, now: Duration, id: &str) -> bool {
+    pub fn is_backed_off(&self, now: Duration, id: &str) -> bool {
         self.boxes.get(id).is_some_and(|s| now < s.until)
     }
 }
@@ -125,8 +126,8 @@
 ///
 /// assert!(listing(1000, "z") < listing(20, "a"));
 /// ```
-pub fn listing(link: u32, id: &str) -> String {
-    let slowness = LINK_MOST - link.min(LINK_MOST);
+pub fn listing_key(link: u32, id: &str) -> String {
+    let slowness = MAX_LINK_MBPS - link.min(MAX_LINK_MBPS);
     let weight = u64::MAX - weight(id, READER_SEED);
     format!("{slowness:06}-{weight:016x}-{id}")
 }
@@ -143,21 +144,23 @@
 /// assert_eq!(count(295, 3, std::iter::repeat(1000)), 3);
 /// assert_eq!(count(1, 1, std::iter::repeat(20)), 1);
 /// ```
-pub fn count(boxes: usize, places: usize, links: impl Iterator<Item = u32>) -> usize {
+pub fn reader_count(boxes: usize, places: usize, links: impl Iterator<Item = u32>) -> usize {
     // One in each data centre that is worth it, so that most need not ask far away.
-    let least = places.min(boxes.div_ceil(BOXES_LEAST)).max(READERS_LEAST);
+    let least = places
+        .min(boxes.div_ceil(MIN_READER_BOXES))
+        .max(MIN_READERS);
     let mut informed = 0;
     let needed = links.take_while(|link| {
         let lacks = informed < boxes;
-        informed += informs(*link);
+        informed += box_capacity(*link);
         lacks
     });
     needed.take(boxes).count().max(least).min(boxes)
 }
 
 /// Boxes that a reader with this link informs.
-fn informs(link: u32) -> usize {
-    (link as usize / LINK_EACH).clamp(BOXES_LEAST, BOXES_MOST)
+fn box_capacity(link: u32) -> usize {
+    (link as usize / MBPS_PER_BOX).clamp(MIN_READER_BOXES, MAX_READER_BOXES)
 }
 
 /// Chooses the readers among a fleet's candidates, and whom the box `me` asks.
@@ -178,36 +181,45 @@
 /// let readers: Vec<_> = fleet.candidates.iter().filter(|m| choose(m).is_own).collect();
 /// assert_eq!(readers.len(), 1);
 /// ```
-pub fn choose(me: &Member, fleet: &Fleet, silences: &Silences, now: Duration) -> Readers {
-    let heard = |m: &&Member| m.id == me.id || !silences.holds(now, &m.id);
+pub fn choose(me: &Member, fleet: &Fleet, silences: &Backoffs, now: Duration) -> Readers {
+    let heard = |m: &&Member| m.id == me.id || !silences.is_backed_off(now, &m.id);
     let ranked = rank(fleet.candidates.iter().filter(heard).collect());
     let usual = || {
-        let places: HashSet<&str> = ranked.iter().map(|m| &*m.place).collect();
-        count(fleet.boxes, places.len(), ranked.iter().map(|m| m.link))
+        let places: HashSet<&str> = ranked.iter().map(|m| &*m.data_centre).collect();
+        reader_count(
+            fleet.box_count,
+            places.len(),
+            ranked.iter().map(|m| m.link_mbps),
+        )
     };
-    let most = fleet.readers.unwrap_or_else(usual).max(1);
+    let most = fleet.reader_count.unwrap_or_else(usual).max(1);
     let readers = &ranked[..most.min(ranked.len())];
     let mut sources: Vec<&Member> = readers.to_vec();
     // Questions go to the nearest, and are spread over those.
-    sources.sort_by_cached_key(|m| (m.place != me.place, Reverse(pair_weight(me, &m.id))));
+    sources.sort_by_cached_key(|m| {
+        (
+            m.data_centre != me.data_centre,
+            Reverse(pair_weight(me, &m.id)),
+        )
+    });
     sources.extend(ranked.iter().skip(most).take(SPARE_SOURCES));
     let sources = sources.iter().filter(|m| m.id != me.id);
     Readers {
-        is_own: readers.iter().any(|m| m.id == me.id),
-        is_shared: ranked.len().max(fleet.boxes) > most,
-        all: readers.iter().map(|m| m.id.clone()).collect(),
-        sources: sources.map(|m| m.id.clone()).take(SOURCES_MOST).collect(),
+        includes_self: readers.iter().any(|m| m.id == me.id),
+        has_followers: ranked.len().max(fleet.box_count) > most,
+        ids: readers.iter().map(|m| m.id.clone()).collect(),
+        sources: sources.map(|m| m.id.clone()).take(MAX_SOURCES).collect(),
     }
 }
 
 /// Boxes in the order in which they become readers: those with fast links first, as
 /// after the loss of all boxes a slow one takes seconds to inform the others.
 fn rank(mut boxes: Vec<&Member>) -> Vec<&Member> {
-    boxes.sort_by_cached_key(|m| Reverse((m.link, weight(&m.id, READER_SEED))));
+    boxes.sort_by_cached_key(|m| Reverse((m.link_mbps, weight(&m.id, READER_SEED))));
     let mut turns: HashMap<&str, usize> = HashMap::new();
     let mut ranked = Vec::with_capacity(boxes.len());
     for member in boxes {
-        let turn = turns.entry(&*member.place).or_default();
+        let turn = turns.entry(&*member.data_centre).or_default();
         *turn += 1;
         ranked.push((*turn, member));
     }
--- a/crates/ashgauge/src/record.rs
+++ b/crates/ashgauge/src/record.rs
@@ -3,7 +3,7 @@
 use serde::{Deserialize, Serialize};
 
 use crate::chain::{Layer, Stage};
-use crate::clock::Stamp;
+use crate::clock::Timestamp;
 use crate::member::{BoxId, UpstreamId};
 use crate::queue::RequestId;
 use crate::table::Version;
@@ -12,29 +12,31 @@
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub struct Record {
     /// When, on the merged time line.
-    pub at: Stamp,
+    pub at: Timestamp,
     /// The box.
-    pub node: BoxId,
+    #[serde(rename = "node")]
+    pub box_id: BoxId,
     /// The request it belongs to, if any.
     #[serde(default, skip_serializing_if = "Option::is_none")]
     pub request: Option<RequestId>,
     /// What it was.
     #[serde(flatten)]
-    pub what: What,
+    pub kind: RecordKind,
 }
 
 /// Kinds of records.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 #[serde(tag = "event", rename_all = "snake_case")]
 #[allow(missing_docs)]
-pub enum What {
+pub enum RecordKind {
     Arrived {
         team: String,
         route: String,
     },
     Claimed {
         key: String,
-        verdict: String,
+        #[serde(rename = "verdict")]
+        result: String,
     },
     Queued {
         waiting: usize,
@@ -101,6 +103,7 @@
         inflight: usize,
     },
     Suspected {
-        node: BoxId,
+        #[serde(rename = "node")]
+        box_id: BoxId,
     },
 }
--- a/crates/ashgauge/src/report.rs
+++ b/crates/ashgauge/src/report.rs
@@ -10,17 +10,17 @@
 
 /// Least time between two reports of changes. Near its bound a level may change with each
 /// computation, 20 times a second.
-const REPORT_EVERY: Duration = Duration::from_secs(1);
+const MIN_REPORT_INTERVAL: Duration = Duration::from_secs(1);
 
 /// What a level was computed from.
 #[derive(Clone, Debug, PartialEq)]
-pub struct Basis {
+pub struct LevelInputs {
     /// Requests a second that are estimated to be asked for by class, the most urgent first.
     pub classes: Vec<(Class, f64)>,
     /// Requests a second that may begin over all boxes; infinite if nothing limits them.
-    pub allowed: f64,
+    pub allowed_rate: f64,
     /// Requests a second that end as long as the engines are used as they are.
-    pub ends: f64,
+    pub completion_rate: f64,
     /// Use of the engines, as it is estimated to be now.
     pub pressure: Pressure,
     /// How old what is known of other boxes is.
@@ -29,7 +29,7 @@
     pub boxes: usize,
 }
 
-impl Basis {
+impl LevelInputs {
     /// The basis of a level for these demands.
     ///
     /// # Example
@@ -55,10 +55,10 @@
         for (source, demand) in demands {
             *classes.entry(source.class).or_default() += demand.rate();
         }
-        Basis {
+        LevelInputs {
             classes: classes.into_iter().collect(),
-            allowed: level::allowed(&pressure, ends),
-            ends,
+            allowed_rate: level::allowed_rate(&pressure, ends),
+            completion_rate: ends,
             pressure,
             age,
             boxes,
@@ -66,39 +66,39 @@
     }
 
     /// Requests a second that are asked for, over all classes.
-    pub fn asked(&self) -> f64 {
+    pub fn demand_rate(&self) -> f64 {
         self.classes.iter().map(|(_, rate)| rate).sum()
     }
 
     /// How many classes with demand are ahead of this one.
-    pub fn before(&self, class: Class) -> usize {
+    pub fn classes_before(&self, class: Class) -> usize {
         self.classes.iter().filter(|(c, _)| *c < class).count()
     }
 }
 
 /// How a level differs from the one that was reported last.
 #[derive(Clone, Copy, Debug, PartialEq)]
-pub enum Change {
+pub enum LevelChange {
     /// All classes were admitted before.
-    Began,
+    Started,
     /// Another class was the last to be admitted.
-    Moved,
+    ClassChanged,
     /// All classes are admitted again; the level lasted so long.
     Ended(Duration),
 }
 
 /// Decides when a change of a level is reported.
 #[derive(Debug, Default)]
-pub struct Report {
+pub struct ChangeReporter {
     /// Class of the level that was reported last.
     class: Option<Class>,
     /// When that was.
-    told: Option<Duration>,
+    last_reported: Option<Duration>,
     /// When the first level of this overload was reported.
-    began: Duration,
+    started: Duration,
 }
 
-impl Report {
+impl ChangeReporter {
     /// The change to report now, if there is one and the last report is old enough. A change
     /// that comes too early is reported by a later call if it still holds.
     ///
@@ -115,21 +115,23 @@
     /// assert_eq!(report.change(second, None), None);
     /// assert_eq!(report.change(second * 2, None), Some(Change::Ended(second)));
     /// ```
-    pub fn change(&mut self, now: Duration, class: Option<Class>) -> Option<Change> {
-        let is_early = self.told.is_some_and(|told| now < told + REPORT_EVERY);
+    pub fn change(&mut self, now: Duration, class: Option<Class>) -> Option<LevelChange> {
+        let is_early = self
+            .last_reported
+            .is_some_and(|told| now < told + MIN_REPORT_INTERVAL);
         if class == self.class || is_early {
             return None;
         }
         let change = match (self.class, class) {
-            (None, _) => Change::Began,
-            (Some(_), Some(_)) => Change::Moved,
-            (Some(_), None) => Change::Ended(now.saturating_sub(self.began)),
+            (None, _) => LevelChange::Started,
+            (Some(_), Some(_)) => LevelChange::ClassChanged,
+            (Some(_), None) => LevelChange::Ended(now.saturating_sub(self.started)),
         };
-        if change == Change::Began {
-            self.began = now;
+        if change == LevelChange::Started {
+            self.started = now;
         }
         self.class = class;
-        self.told = Some(now);
+        self.last_reported = Some(now);
         Some(change)
     }
 }
--- a/crates/ashgauge/src/revision.rs
+++ b/crates/ashgauge/src/revision.rs
@@ -16,8 +16,8 @@
 const COUNT_BITS: u32 = 44;
 
 /// Largest count, and largest era, that a revision holds.
-const COUNT_MOST: u64 = (1 << COUNT_BITS) - 1;
-const ERA_MOST: Era = (1 << (u64::BITS - COUNT_BITS)) - 1;
+const MAX_COUNT: u64 = (1 << COUNT_BITS) - 1;
+const MAX_ERA: Era = (1 << (u64::BITS - COUNT_BITS)) - 1;
 
 /// The revision of a change that the store counts as `count` in an era.
 ///
@@ -30,8 +30,8 @@
 /// assert!(revision(1, 60) > revision(0, 97));
 /// assert_eq!((era(revision(3, 60)), count(revision(3, 60))), (3, 60));
 /// ```
-pub fn revision(era: Era, count: u64) -> Revision {
-    era.min(ERA_MOST) << COUNT_BITS | count.min(COUNT_MOST)
+pub fn from_parts(era: Era, count: u64) -> Revision {
+    era.min(MAX_ERA) << COUNT_BITS | count.min(MAX_COUNT)
 }
 
 /// The era of a revision.
@@ -41,5 +41,5 @@
 
 /// What the store counts a revision as.
 pub fn count(revision: Revision) -> u64 {
-    revision & COUNT_MOST
+    revision & MAX_COUNT
 }
--- a/crates/ashgauge/src/scene.rs
+++ b/crates/ashgauge/src/scene.rs
@@ -5,63 +5,63 @@
 
 use rand::Rng;
 
-use crate::entry::Entry;
-use crate::pipes::Pipes;
-use crate::roster::Roster;
-use crate::shape::Shape;
-use crate::share::Shares;
+use crate::entry::UpstreamState;
+use crate::pipes::WanUsage;
+use crate::roster::UpstreamRegistry;
+use crate::shape::RequestSize;
+use crate::share::FleetLoad;
 
 /// Costs are spread by this share at random, so that boxes that know the same
 /// do not all choose the same.
-const SPREAD: f64 = 0.08;
+const COST_JITTER: f64 = 0.08;
 
 /// The same where boxes choose together: what they choose now is in no word of
 /// theirs yet, and the same two would read all streams of a lost engine anew.
-const SPREAD_TOGETHER: f64 = 0.4;
+const SIMULTANEOUS_COST_JITTER: f64 = 0.4;
 
 /// What is chosen from, and by whom.
 #[derive(Clone, Copy)]
-pub struct Scene<'a> {
+pub struct SelectionContext<'a> {
     /// The upstreams.
-    pub roster: &'a Roster,
+    pub registry: &'a UpstreamRegistry,
     /// What crosses between data centres.
-    pub pipes: &'a Pipes,
+    pub wan_usage: &'a WanUsage,
     /// What the other boxes have on the upstreams.
-    pub shares: &'a Shares,
+    pub fleet_load: &'a FleetLoad,
     /// Name of the service.
     pub service: &'a str,
     /// Data centre of the box.
-    pub place: &'a Arc<str>,
+    pub data_centre: &'a Arc<str>,
     /// Time between two words of a box in another data centre.
-    pub lag: Duration,
+    pub remote_interval: Duration,
     /// Boxes of the fleet, this one included.
     pub boxes: f64,
     /// Boxes in one data centre, on average.
-    pub neighbours: f64,
+    pub local_boxes: f64,
     /// Time that requests stay on the service's upstreams.
-    pub stay: Duration,
+    pub request_duration: Duration,
     /// Whether the other boxes choose at the same moment for the same cause, such
     /// as the loss of an engine that all of them use.
-    pub together: bool,
+    pub simultaneous: bool,
     /// What the request has to read and to write; `None` for a usual one.
-    pub shape: Option<Shape>,
+    pub size: Option<RequestSize>,
     /// Time of the choice.
     pub now: Duration,
 }
 
-impl Scene<'_> {
+impl SelectionContext<'_> {
     /// The service's upstreams in the box's data centre that may be used.
-    pub(crate) fn near(&self) -> impl Iterator<Item = &Entry> {
-        let all = self.roster.of(self.service);
-        all.filter(|e| e.upstream.place == *self.place && e.is_usable(self.now))
+    pub(crate) fn local_upstreams(&self) -> impl Iterator<Item = &UpstreamState> {
+        let all = self.registry.of_service(self.service);
+        all.filter(|e| e.upstream.data_centre == *self.data_centre && e.is_usable(self.now))
     }
 
     /// A factor on a cost, so that boxes do not all choose the same.
     pub(crate) fn jitter(&self, rng: &mut impl Rng) -> f64 {
-        let spread = if self.together {
-            SPREAD_TOGETHER
+        let spread = if self.simultaneous {
+            SIMULTANEOUS_COST_JITTER
         } else {
-            SPREAD
+            COST_JITTER
         };
         1.0 + spread * rng.random_range(-1.0..1.0)
     }
@@ -72,40 +72,40 @@
 /// Boxes that were not heard lately are taken to do as those that were: all of
 /// them, or the part of them that stands in the upstream's data centre if it is
 /// this box's own.
-pub(crate) struct Total {
+pub(crate) struct EstimatedLoad {
     pub requests: f64,
-    pub leads: f64,
-    pub tokens: f64,
+    pub head_requests: f64,
+    pub token_layers: f64,
     /// Seconds for which it has prompts to read.
-    pub reading: f64,
+    pub prefill_seconds: f64,
 }
 
-impl Total {
-    pub fn of(scene: &Scene, entry: &Entry) -> Self {
-        let own = entry.used(scene.now);
+impl EstimatedLoad {
+    pub fn estimate(scene: &SelectionContext, entry: &UpstreamState) -> Self {
+        let own = entry.usage(scene.now);
         let mut known = own;
-        known.add(&scene.shares.others(&entry.upstream.id));
-        let likes = likes(scene, entry);
-        let heard = scene.shares.boxes() as f64 + 1.0;
+        known.add(&scene.fleet_load.others(&entry.upstream.id));
+        let likes = similar_boxes(scene, entry);
+        let heard = scene.fleet_load.boxes() as f64 + 1.0;
         let unheard = (likes / heard).max(1.0);
-        let told = f64::from(known.reading) * unheard;
-        let alike = match scene.together {
-            true => f64::from(own.reading) * likes,
+        let told = f64::from(known.prefill_ms) * unheard;
+        let alike = match scene.simultaneous {
+            true => f64::from(own.prefill_ms) * likes,
             false => 0.0,
         };
-        Total {
+        EstimatedLoad {
             requests: f64::from(known.requests) * unheard,
-            leads: f64::from(known.leads) * unheard,
-            tokens: f64::from(known.tokens) * unheard,
-            reading: told.max(alike) / 1e3,
+            head_requests: f64::from(known.head_requests) * unheard,
+            token_layers: f64::from(known.token_layers) * unheard,
+            prefill_seconds: told.max(alike) / 1e3,
         }
     }
 }
 
 /// Boxes that are taken to use an engine as this one does.
-fn likes(scene: &Scene, entry: &Entry) -> f64 {
-    match entry.upstream.place == *scene.place {
-        true => scene.neighbours,
+fn similar_boxes(scene: &SelectionContext, entry: &UpstreamState) -> f64 {
+    match entry.upstream.data_centre == *scene.data_centre {
+        true => scene.local_boxes,
         false => scene.boxes,
     }
 }
--- a/crates/ashgauge/src/silence.rs
+++ b/crates/ashgauge/src/silence.rs
@@ -3,17 +3,17 @@
 use std::time::Duration;
 
 /// Weight of the newest pause in a stream's pace.
-const PACE_WEIGHT: f64 = 0.2;
+const GAP_WEIGHT: f64 = 0.2;
 
 /// A stream counts as silent after this multiple of its own pace.
 ///
 /// At 1.6 and a least silence of 60 ms losses were found after 85 ms, not 152 (by
 /// the boxes' lines), but the pauses stayed as long, as engines were reading
 /// anew; engines that are only slow were asked eighteen times as often.
-const PACE_FACTOR: f64 = 2.5;
+const GAP_FACTOR: f64 = 2.5;
 
 /// Doublings of the time between checks at most.
-const DOUBLINGS_MOST: u32 = 5;
+const MAX_DOUBLINGS: u32 = 5;
 
 /// What is known of a stream's silence.
 ///
@@ -33,67 +33,67 @@
 /// assert_eq!(silence.due(ms(250), ms(100)), ms(190 + 500));
 /// ```
 #[derive(Clone, Copy, Debug, PartialEq)]
-pub struct Silence {
+pub struct SilenceTimer {
     /// When something last came, or a repair began to count anew.
-    heard: Duration,
+    last_event: Duration,
     /// Learned time between two pieces, in seconds; nothing before the second.
-    pace: Option<f64>,
+    event_gap: Option<f64>,
     /// Whether a piece has come.
-    begun: bool,
+    started: bool,
     /// Checks of the engines since something last came.
     checks: u32,
 }
 
-impl Silence {
+impl SilenceTimer {
     /// A stream of which nothing has come yet.
     pub fn new(now: Duration) -> Self {
-        Silence {
-            heard: now,
-            pace: None,
-            begun: false,
+        SilenceTimer {
+            last_event: now,
+            event_gap: None,
+            started: false,
             checks: 0,
         }
     }
 
     /// Notes that a piece came.
-    pub fn hear(&mut self, now: Duration) {
-        let pause = (now - self.heard).as_secs_f64();
-        if self.begun {
-            let pace = self.pace.unwrap_or(pause);
-            self.pace = Some(pace + PACE_WEIGHT * (pause - pace));
+    pub fn record_event(&mut self, now: Duration) {
+        let pause = (now - self.last_event).as_secs_f64();
+        if self.started {
+            let pace = self.event_gap.unwrap_or(pause);
+            self.event_gap = Some(pace + GAP_WEIGHT * (pause - pace));
         }
-        self.begun = true;
-        self.restart(now);
+        self.started = true;
+        self.reset(now);
     }
 
     /// Counts the silence from now on, as the stream was led elsewhere.
-    pub fn restart(&mut self, now: Duration) {
-        self.heard = now;
+    pub fn reset(&mut self, now: Duration) {
+        self.last_event = now;
         self.checks = 0;
     }
 
     /// Notes that a check of the engines found nothing.
-    pub fn note_check(&mut self) {
+    pub fn record_check(&mut self) {
         self.checks += 1;
     }
 
     /// When something last came.
-    pub fn heard(&self) -> Duration {
-        self.heard
+    pub fn last_event(&self) -> Duration {
+        self.last_event
     }
 
     /// Learned time between two pieces, in seconds; 0 if it is not known.
-    pub fn pace(&self) -> f64 {
-        self.pace.unwrap_or(0.0)
+    pub fn event_gap(&self) -> f64 {
+        self.event_gap.unwrap_or(0.0)
     }
 
     /// When the engines are to be checked; `first` is the least silence before
     /// the first piece, `least` that between two. It doubles with each check in
     /// vain: the cause is none that a check finds, such as long prompts.
-    pub fn due(&self, first: Duration, least: Duration) -> Duration {
-        let least = if self.begun { least } else { first };
-        let silence = Duration::from_secs_f64(self.pace() * PACE_FACTOR).max(least);
-        self.heard + silence * 2u32.pow(self.checks.min(DOUBLINGS_MOST))
+    pub fn next_check(&self, first: Duration, least: Duration) -> Duration {
+        let least = if self.started { least } else { first };
+        let silence = Duration::from_secs_f64(self.event_gap() * GAP_FACTOR).max(least);
+        self.last_event + silence * 2u32.pow(self.checks.min(MAX_DOUBLINGS))
     }
 
     /// As [`Silence::due`], but one of the checks comes after a silence of `most`, if the
@@ -111,11 +111,11 @@
     /// silence.note_check();
     /// assert_eq!(silence.due_within(ms(800), ms(100), ms(1300)), ms(1300));
     /// ```
-    pub fn due_within(&self, first: Duration, least: Duration, most: Duration) -> Duration {
-        let due = self.due(first, least);
+    pub fn next_check_within(&self, first: Duration, least: Duration, most: Duration) -> Duration {
+        let due = self.next_check(first, least);
         let checks = self.checks.saturating_sub(1);
-        let before = Silence { checks, ..*self }.due(first, least);
-        let end = self.heard + most;
+        let before = SilenceTimer { checks, ..*self }.next_check(first, least);
+        let end = self.last_event + most;
         match before < end {
             true => due.min(end),
             false => due,
--- a/crates/ashgauge/src/slack.rs
+++ b/crates/ashgauge/src/slack.rs
@@ -8,16 +8,16 @@
 pub enum Slack {
     /// Its caller has a part of the answer and waits for the next event: late
     /// after a pause that is nearly over.
-    Short,
+    Streaming,
     /// It may still be in time.
-    Ample,
+    OnTime,
     /// It is late whatever is done, but its answer is still wanted.
     Late,
 }
 
 /// Least part of a route's time that callers wait for a first attempt: their own limits
 /// differ by up to a seventh of it, and who was refused stays away for as long or longer.
-const PATIENCE_LEAST: f64 = 0.85;
+const MIN_FIRST_PATIENCE: f64 = 0.85;
 
 /// Whether a caller who waits so much longer has made the request before.
 ///
@@ -31,8 +31,8 @@
 /// assert!(!is_repeat(second * 18, second * 20));
 /// assert!(is_repeat(second * 16, second * 20));
 /// ```
-pub fn is_repeat(patience: Duration, timeout: Duration) -> bool {
-    patience < timeout.mul_f64(PATIENCE_LEAST)
+pub fn is_retry(patience: Duration, timeout: Duration) -> bool {
+    patience < timeout.mul_f64(MIN_FIRST_PATIENCE)
 }
 
 impl Slack {
@@ -50,10 +50,10 @@
     /// assert_eq!(Slack::of(timeout, timeout, aim), Slack::Ample);
     /// assert_eq!(Slack::of(second * 18, timeout, aim), Slack::Late);
     /// ```
-    pub fn of(patience: Duration, timeout: Duration, aim: Duration) -> Self {
+    pub fn before_first_event(patience: Duration, timeout: Duration, aim: Duration) -> Self {
         match timeout.saturating_sub(patience) >= aim {
             true => Slack::Late,
-            false => Slack::Ample,
+            false => Slack::OnTime,
         }
     }
 }
@@ -73,10 +73,10 @@
 /// assert!(order(1, Slack::Ample) < order(1, Slack::Late));
 /// assert!(order(1, Slack::Late) < order(3, Slack::Ample));
 /// ```
-pub fn order(rank: u32, slack: Slack) -> u32 {
+pub fn engine_priority(rank: u32, slack: Slack) -> u32 {
     match slack {
-        Slack::Short => rank.saturating_sub(1),
-        Slack::Ample => rank,
+        Slack::Streaming => rank.saturating_sub(1),
+        Slack::OnTime => rank,
         Slack::Late => rank.saturating_add(1),
     }
 }
--- a/crates/ashgauge/src/stay.rs
+++ b/crates/ashgauge/src/stay.rs
@@ -3,11 +3,11 @@
 use std::time::Duration;
 
 /// Weight of the newest request in the learned time.
-const LEARN: f64 = 0.05;
+const ALPHA: f64 = 0.05;
 
 /// Time that is assumed before the first request has ended: the users' answers
 /// take 1.7 to 2.9 s.
-const FIRST: Duration = Duration::from_secs(2);
+const INITIAL_DURATION: Duration = Duration::from_secs(2);
 
 /// Learned time from a request's arrival to its end.
 ///
@@ -23,18 +23,18 @@
 /// assert!(stay.mean() < Duration::from_millis(1010));
 /// ```
 #[derive(Clone, Copy, Debug)]
-pub struct Stay(f64);
+pub struct RequestDuration(f64);
 
-impl Default for Stay {
+impl Default for RequestDuration {
     fn default() -> Self {
-        Stay(FIRST.as_secs_f64())
+        RequestDuration(INITIAL_DURATION.as_secs_f64())
     }
 }
 
-impl Stay {
+impl RequestDuration {
     /// Notes that a request ended well after this time.
-    pub fn note(&mut self, took: Duration) {
-        self.0 += LEARN * (took.as_secs_f64() - self.0);
+    pub fn record(&mut self, took: Duration) {
+        self.0 += ALPHA * (took.as_secs_f64() - self.0);
     }
 
     /// The learned time.
--- a/crates/ashgauge/src/suspension.rs
+++ b/crates/ashgauge/src/suspension.rs
@@ -8,7 +8,7 @@
 
 /// Difference between the clocks from which on the machine was suspended: far more than
 /// two reads one after the other take.
-const LEAST: Duration = Duration::from_millis(50);
+const MIN_SUSPENSION: Duration = Duration::from_millis(50);
 
 /// Compares the steady clock with one that counts suspensions.
 ///
@@ -24,23 +24,29 @@
 /// assert_eq!(suspension.look(second * 7, second * 105), Some(second * 3));
 /// ```
 #[derive(Clone, Copy, Debug)]
-pub struct Suspension {
-    steady: Duration,
-    whole: Duration,
+pub struct SuspensionDetector {
+    monotonic: Duration,
+    boottime: Duration,
 }
 
-impl Suspension {
+impl SuspensionDetector {
     /// Begins at a reading of the steady clock, and one of the clock that counts all.
     pub fn new(steady: Duration, whole: Duration) -> Self {
-        Suspension { steady, whole }
+        SuspensionDetector {
+            monotonic: steady,
+            boottime: whole,
+        }
     }
 
     /// How long the machine was suspended since the last look, if it was.
-    pub fn look(&mut self, steady: Duration, whole: Duration) -> Option<Duration> {
-        let ran = steady.saturating_sub(self.steady);
-        let passed = whole.saturating_sub(self.whole);
-        *self = Suspension { steady, whole };
+    pub fn check(&mut self, steady: Duration, whole: Duration) -> Option<Duration> {
+        let ran = steady.saturating_sub(self.monotonic);
+        let passed = whole.saturating_sub(self.boottime);
+        *self = SuspensionDetector {
+            monotonic: steady,
+            boottime: whole,
+        };
         let stood = passed.saturating_sub(ran);
-        (stood >= LEAST).then_some(stood)
+        (stood >= MIN_SUSPENSION).then_some(stood)
     }
 }
--- a/crates/ashgauge/src/suspicion.rs
+++ b/crates/ashgauge/src/suspicion.rs
@@ -7,21 +7,21 @@
 use std::collections::HashMap;
 use std::time::Duration;
 
-use crate::quarantine::{Audience, StartKey};
+use crate::quarantine::{Audience, InstanceKey};
 
 /// How long an engine that was told of is not told of again, and one that was checked is
 /// not checked again for another box's report. Each box thus connects at most twice a
 /// second to an engine that others falsely report.
-pub const REPEAT_TIME: Duration = Duration::from_millis(500);
+pub const MIN_REPEAT_INTERVAL: Duration = Duration::from_millis(500);
 
 /// Engines in one notification: 170 bytes or so.
-pub const SUSPECTS_TOLD: usize = 32;
+pub const MAX_SUSPECTS_SENT: usize = 32;
 
 /// Engines of which something is kept, at 40 bytes or so each.
-pub const ENTRIES_MOST: usize = 256;
+pub const MAX_ENTRIES: usize = 256;
 
 /// Checks of reported engines that are under way at one time.
-pub const CHECKS_MOST: usize = 8;
+pub const MAX_CHECKS: usize = 8;
 
 /// What a box has sent, forwarded and checked a moment ago, by engine.
 ///
@@ -41,43 +41,48 @@
 /// assert!(!suspicions.note(now, lost));
 /// ```
 #[derive(Clone, Debug, Default)]
-pub struct Suspicions {
-    entries: HashMap<StartKey, Entry>,
-    checks: usize,
+pub struct SuspectReports {
+    entries: HashMap<InstanceKey, Entry>,
+    active_checks: usize,
 }
 
 /// What was done about one start of an engine.
 #[derive(Clone, Copy, Debug, Default)]
 struct Entry {
     /// When this box found it, or first heard of it from another.
-    told: Option<Duration>,
+    reported: Option<Duration>,
     /// Whom to tell of it, until that is done.
     pending: Option<Audience>,
     /// When it was last checked for another box's report.
     checked: Option<Duration>,
 }
 
-impl Suspicions {
+impl SuspectReports {
     /// Notes an engine that this box found to accept no connections; returns whether there
     /// is something to send. One that another box has just told of is known to all.
-    pub fn note(&mut self, now: Duration, start: StartKey) -> bool {
-        self.tell(now, start, Some(Audience::All))
+    pub fn record_found(&mut self, now: Duration, start: InstanceKey) -> bool {
+        self.record_entry(now, start, Some(Audience::All))
     }
 
     /// Notes that another box has told of an engine; returns whether there is something to
     /// forward to `audience`.
-    pub fn hear(&mut self, now: Duration, start: StartKey, audience: Option<Audience>) -> bool {
-        self.tell(now, start, audience)
+    pub fn record_report(
+        &mut self,
+        now: Duration,
+        start: InstanceKey,
+        audience: Option<Audience>,
+    ) -> bool {
+        self.record_entry(now, start, audience)
     }
 
     /// Takes out what is to be sent now, the oldest first; at most [`SUSPECTS_TOLD`].
-    pub fn take(&mut self, now: Duration) -> Vec<(StartKey, Audience)> {
+    pub fn take_pending(&mut self, now: Duration) -> Vec<(InstanceKey, Audience)> {
         self.expire(now);
         let waiting = self.entries.iter();
-        let waiting = waiting.filter_map(|(start, e)| Some((e.told?, *start, e.pending?)));
+        let waiting = waiting.filter_map(|(start, e)| Some((e.reported?, *start, e.pending?)));
         let mut waiting: Vec<_> = waiting.collect();
         waiting.sort_unstable_by_key(|(told, start, _)| (*told, *start));
-        waiting.truncate(SUSPECTS_TOLD);
+        waiting.truncate(MAX_SUSPECTS_SENT);
         let told = waiting.into_iter().map(|(_, start, to)| (start, to));
         let told: Vec<_> = told.collect();
         for (start, _) in &told {
@@ -94,10 +99,10 @@
     pub fn begin_check(
         &mut self,
         now: Duration,
-        start: StartKey,
+        start: InstanceKey,
         has_budget: impl FnOnce() -> bool,
     ) -> bool {
-        if self.checks >= CHECKS_MOST {
+        if self.active_checks >= MAX_CHECKS {
             return false;
         }
         let Some(entry) = self.entry(now, start) else {
@@ -107,18 +112,18 @@
             return false;
         }
         entry.checked = Some(now);
-        self.checks += 1;
+        self.active_checks += 1;
         true
     }
 
     /// Notes that a check has ended.
     pub fn end_check(&mut self) {
-        self.checks = self.checks.saturating_sub(1);
+        self.active_checks = self.active_checks.saturating_sub(1);
     }
 
     /// Checks that are under way.
-    pub fn checks(&self) -> usize {
-        self.checks
+    pub fn active_checks(&self) -> usize {
+        self.active_checks
     }
 
     /// Engines of which something is kept.
@@ -131,23 +136,28 @@
         self.entries.is_empty()
     }
 
-    fn tell(&mut self, now: Duration, start: StartKey, audience: Option<Audience>) -> bool {
+    fn record_entry(
+        &mut self,
+        now: Duration,
+        start: InstanceKey,
+        audience: Option<Audience>,
+    ) -> bool {
         let Some(entry) = self.entry(now, start) else {
             return false;
         };
-        if is_recent(now, entry.told) {
+        if is_recent(now, entry.reported) {
             return false;
         }
-        entry.told = Some(now);
+        entry.reported = Some(now);
         entry.pending = audience;
         audience.is_some()
     }
 
     /// The entry of an engine; none if there are too many others. Those that are there are
     /// not dropped for it: whoever reports many engines would have each told of anew.
-    fn entry(&mut self, now: Duration, start: StartKey) -> Option<&mut Entry> {
+    fn entry(&mut self, now: Duration, start: InstanceKey) -> Option<&mut Entry> {
         self.expire(now);
-        if self.entries.len() >= ENTRIES_MOST && !self.entries.contains_key(&start) {
+        if self.entries.len() >= MAX_ENTRIES && !self.entries.contains_key(&start) {
             return None;
         }
         Some(self.entries.entry(start).or_default())
@@ -157,10 +167,10 @@
     /// too late to be of use.
     fn expire(&mut self, now: Duration) {
         self.entries
-            .retain(|_, e| is_recent(now, e.told) || is_recent(now, e.checked));
+            .retain(|_, e| is_recent(now, e.reported) || is_recent(now, e.checked));
     }
 }
 
 fn is_recent(now: Duration, at: Option<Duration>) -> bool {
-    at.is_some_and(|at| now < at + REPEAT_TIME)
+    at.is_some_and(|at| now < at + MIN_REPEAT_INTERVAL)
 }
