--- a/crates/ashgauge/src/table.rs
+++ b/crates/ashgauge/src/table.rs
@@ -4,7 +4,7 @@
 
 use serde::{Deserialize, Serialize};
 
-use crate::error::{Code, Error, Result};
+use crate::error::{Error, ErrorKind, Result};
 
 /// Version of an object in the platform's store; 0 means "not there".
 pub type Version = u64;
@@ -13,7 +13,7 @@
 ///
 /// An answer lost after its write took effect is settled by finding the
 /// edit's id here, so the number bounds how many edits may come in between.
-pub const HISTORY: usize = 200;
+pub const MAX_EDITS: usize = 200;
 
 /// Value of one cell.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
@@ -27,13 +27,13 @@
 
 /// What a column accepts.
 #[derive(Clone, Copy, Debug, PartialEq)]
-pub enum Kind {
+pub enum ColumnKind {
     /// A number of at least the given value.
     Number(f64),
     /// Free text.
     Text,
     /// One of the given words.
-    Word(&'static [&'static str]),
+    OneOf(&'static [&'static str]),
     /// A SHA-256 in 64 hexadecimal digits.
     Hash,
 }
@@ -42,11 +42,11 @@
 #[derive(Clone, Copy, Debug)]
 pub struct Column {
     /// Kind of row: `team`, `tier`, `route` or `upstream`.
-    pub row: &'static str,
+    pub row_kind: &'static str,
     /// Name of the column.
     pub name: &'static str,
     /// What it accepts.
-    pub kind: Kind,
+    pub kind: ColumnKind,
     /// Whether each such row must have it.
     pub required: bool,
     /// Meaning and unit, for help texts.
@@ -56,12 +56,12 @@
 const fn column(
     row: &'static str,
     name: &'static str,
-    kind: Kind,
+    kind: ColumnKind,
     required: bool,
     help: &'static str,
 ) -> Column {
     Column {
-        row,
+        row_kind: row,
         name,
         kind,
         required,
@@ -72,22 +72,22 @@
 /// Every column there is.
 #[rustfmt::skip]
 pub const COLUMNS: &[Column] = &[
-    column("tier", "rank", Kind::Number(0.0), true, "order between tiers, 0 goes first"),
-    column("tier", "floor", Kind::Number(0.0), false, "share of tokens kept for the tier, 0 to 1"),
-    column("team", "tier", Kind::Text, true, "name of the team's tier"),
-    column("team", "weight", Kind::Number(0.001), true, "share within the tier"),
-    column("team", "rate", Kind::Number(0.0), false, "tokens a second over the whole fleet"),
-    column("team", "queue", Kind::Number(1.0), false, "requests that may wait on one box"),
-    column("team", "key", Kind::Hash, true, "SHA-256 of the bearer key, in hexadecimal"),
-    column("route", "kind", Kind::Word(&["model", "service"]), true, "model or service"),
-    column("route", "layers", Kind::Number(1.0), false, "layers of the model"),
-    column("route", "path", Kind::Text, false, "path prefix of a service"),
-    column("route", "repeat", Kind::Word(&["yes", "no"]), false, "whether a request may be sent twice"),
-    column("upstream", "load", Kind::Text, false, "layers to hold, such as chat:0-8"),
-    column("upstream", "adapter", Kind::Text, false, "adapter to load"),
-    column("upstream", "version", Kind::Text, false, "version of the weights"),
-    column("upstream", "role", Kind::Text, false, "role, such as prefill or decode"),
-    column("route", "deadline", Kind::Number(1.0), false, "longest time for a request, in milliseconds"),
+    column("tier", "rank", ColumnKind::Number(0.0), true, "order between tiers, 0 goes first"),
+    column("tier", "floor", ColumnKind::Number(0.0), false, "share of tokens kept for the tier, 0 to 1"),
+    column("team", "tier", ColumnKind::Text, true, "name of the team's tier"),
+    column("team", "weight", ColumnKind::Number(0.001), true, "share within the tier"),
+    column("team", "rate", ColumnKind::Number(0.0), false, "tokens a second over the whole fleet"),
+    column("team", "queue", ColumnKind::Number(1.0), false, "requests that may wait on one box"),
+    column("team", "key", ColumnKind::Hash, true, "SHA-256 of the bearer key, in hexadecimal"),
+    column("route", "kind", ColumnKind::OneOf(&["model", "service"]), true, "model or service"),
+    column("route", "layers", ColumnKind::Number(1.0), false, "layers of the model"),
+    column("route", "path", ColumnKind::Text, false, "path prefix of a service"),
+    column("route", "repeat", ColumnKind::OneOf(&["yes", "no"]), false, "whether a request may be sent twice"),
+    column("upstream", "load", ColumnKind::Text, false, "layers to hold, such as chat:0-8"),
+    column("upstream", "adapter", ColumnKind::Text, false, "adapter to load"),
+    column("upstream", "version", ColumnKind::Text, false, "version of the weights"),
+    column("upstream", "role", ColumnKind::Text, false, "role, such as prefill or decode"),
+    column("route", "deadline", ColumnKind::Number(1.0), false, "longest time for a request, in milliseconds"),
 ];
 
 /// One cell's change, with the value its operator saw.
@@ -113,7 +113,8 @@
     /// When it was made, in milliseconds since 1970.
     pub at: u64,
     /// The cells.
-    pub cells: Vec<Change>,
+    #[serde(rename = "cells")]
+    pub changes: Vec<Change>,
 }
 
 /// All rows, and the last edits that made them.
@@ -130,9 +131,9 @@
 /// # Errors
 ///
 /// Fails if the text is not a table.
-pub fn from_value(value: &serde_json::Value) -> Result<Table> {
+pub fn from_json(value: &serde_json::Value) -> Result<Table> {
     serde::Deserialize::deserialize(value).map_err(|e| {
-        Error::new(Code::Decode {
+        Error::new(ErrorKind::Decode {
             what: "the table",
             cause: e.to_string(),
         })
@@ -158,7 +159,7 @@
     }
 
     /// Returns true if the edit is part of this table's history.
-    pub fn holds(&self, id: &str) -> bool {
+    pub fn contains_edit(&self, id: &str) -> bool {
         self.edits.iter().any(|e| e.id == id)
     }
 
@@ -189,17 +190,17 @@
     /// Fails with a conflict that names the other's value, or if the table
     /// would not be valid.
     pub fn apply(&self, edit: &Edit) -> Result<Table> {
-        if self.holds(&edit.id) {
+        if self.contains_edit(&edit.id) {
             return Ok(self.clone());
         }
         let mut next = self.clone();
-        for change in &edit.cells {
-            self.compare(change)?;
-            next.write(change);
+        for change in &edit.changes {
+            self.check_unchanged(change)?;
+            next.apply_change(change);
         }
-        next.check()?;
+        next.validate()?;
         next.edits.push(edit.clone());
-        let extra = next.edits.len().saturating_sub(HISTORY);
+        let extra = next.edits.len().saturating_sub(MAX_EDITS);
         next.edits.drain(..extra);
         Ok(next)
     }
@@ -209,46 +210,46 @@
     /// # Errors
     ///
     /// Fails on the first bad cell, with its place and the remedy.
-    pub fn check(&self) -> Result<()> {
+    pub fn validate(&self) -> Result<()> {
         for (row, cells) in &self.rows {
             let kind = row_kind(row)?;
             for (name, cell) in cells {
                 check_cell(row, kind, name, cell)?;
             }
-            for c in COLUMNS.iter().filter(|c| c.row == kind && c.required) {
+            for c in COLUMNS.iter().filter(|c| c.row_kind == kind && c.required) {
                 if !cells.contains_key(c.name) {
-                    return Err(Error::new(Code::MissingCell {
+                    return Err(Error::new(ErrorKind::MissingCell {
                         row: row.clone(),
                         column: c.name,
                     }));
                 }
             }
-            self.check_tier(row, cells)?;
+            self.check_tier_ref(row, cells)?;
         }
         Ok(())
     }
 
-    fn check_tier(&self, row: &str, cells: &BTreeMap<String, Cell>) -> Result<()> {
+    fn check_tier_ref(&self, row: &str, cells: &BTreeMap<String, Cell>) -> Result<()> {
         let Some(Cell::Text(tier)) = cells.get("tier") else {
             return Ok(());
         };
         if self.rows.contains_key(&format!("tier/{tier}")) {
             return Ok(());
         }
-        Err(Error::new(Code::Dangling {
+        Err(Error::new(ErrorKind::DanglingRef {
             row: row.into(),
             column: "tier",
             target: tier.clone(),
         }))
     }
 
-    fn compare(&self, change: &Change) -> Result<()> {
+    fn check_unchanged(&self, change: &Change) -> Result<()> {
         let current = self.cell(&change.row, &change.column);
         if current == change.seen.as_ref() {
             return Ok(());
         }
         let who = self.last_editor(&change.row, &change.column);
-        Err(Error::new(Code::Conflict {
+        Err(Error::new(ErrorKind::Conflict {
             row: change.row.clone(),
             column: change.column.clone(),
             value: current.map_or("empty".into(), Cell::to_string),
@@ -257,7 +258,7 @@
     }
 
     fn last_editor(&self, row: &str, column: &str) -> Option<&str> {
-        let touches = |e: &&Edit| e.cells.iter().any(|c| c.row == row && c.column == column);
+        let touches = |e: &&Edit| e.changes.iter().any(|c| c.row == row && c.column == column);
         self.edits
             .iter()
             .rev()
@@ -265,7 +266,7 @@
             .map(|e| e.who.as_str())
     }
 
-    fn write(&mut self, change: &Change) {
+    fn apply_change(&mut self, change: &Change) {
         match &change.value {
             Some(v) => {
                 let cells = self.rows.entry(change.row.clone()).or_default();
@@ -303,9 +304,9 @@
 }
 
 fn row_kind(row: &str) -> Result<&str> {
-    let unknown = || Error::new(Code::UnknownRow { row: row.into() });
+    let unknown = || Error::new(ErrorKind::UnknownRow { row: row.into() });
     let (kind, name) = row.split_once('/').ok_or_else(unknown)?;
-    let known = COLUMNS.iter().any(|c| c.row == kind);
+    let known = COLUMNS.iter().any(|c| c.row_kind == kind);
     if known && !name.is_empty() {
         Ok(kind)
     } else {
@@ -314,26 +315,31 @@
 }
 
 fn check_cell(row: &str, kind: &str, name: &str, cell: &Cell) -> Result<()> {
-    let Some(c) = COLUMNS.iter().find(|c| c.row == kind && c.name == name) else {
-        return Err(Error::new(Code::UnknownColumn {
+    let Some(c) = COLUMNS
+        .iter()
+        .find(|c| c.row_kind == kind && c.name == name)
+    else {
+        return Err(Error::new(ErrorKind::UnknownColumn {
             row: row.into(),
             column: name.into(),
         }));
     };
     let need = match (c.kind, cell) {
-        (Kind::Number(least), Cell::Number(n)) if *n >= least && n.is_finite() => return Ok(()),
-        (Kind::Text, Cell::Text(_)) => return Ok(()),
-        (Kind::Word(words), Cell::Text(s)) if words.contains(&s.as_str()) => return Ok(()),
-        (Kind::Hash, Cell::Text(s)) if is_hash(s) => return Ok(()),
-        (Kind::Number(_), _) => "a number that is large enough",
-        (Kind::Text, _) => "text",
-        (Kind::Word(_), _) => "one of the words of its column",
-        (Kind::Hash, _) => "a SHA-256 in 64 hexadecimal digits",
+        (ColumnKind::Number(least), Cell::Number(n)) if *n >= least && n.is_finite() => {
+            return Ok(());
+        }
+        (ColumnKind::Text, Cell::Text(_)) => return Ok(()),
+        (ColumnKind::OneOf(words), Cell::Text(s)) if words.contains(&s.as_str()) => return Ok(()),
+        (ColumnKind::Hash, Cell::Text(s)) if is_hash(s) => return Ok(()),
+        (ColumnKind::Number(_), _) => "a number that is large enough",
+        (ColumnKind::Text, _) => "text",
+        (ColumnKind::OneOf(_), _) => "one of the words of its column",
+        (ColumnKind::Hash, _) => "a SHA-256 in 64 hexadecimal digits",
     };
-    Err(Error::new(Code::BadCell {
+    Err(Error::new(ErrorKind::BadCell {
         row: row.into(),
         column: name.into(),
-        need,
+        expected: need,
     }))
 }
 
--- a/crates/ashgauge/src/upstream.rs
+++ b/crates/ashgauge/src/upstream.rs
@@ -13,28 +13,31 @@
     pub id: UpstreamId,
     /// When it started, in Unix milliseconds, if it says so; it may start again under
     /// the id that it had.
-    pub born: Option<u64>,
+    #[serde(rename = "born")]
+    pub started_ms: Option<u64>,
     /// Service that it belongs to.
     pub service: ServiceId,
     /// Address.
     pub addr: String,
     /// Data centre.
-    pub place: Arc<str>,
+    #[serde(rename = "place")]
+    pub data_centre: Arc<str>,
     /// Requests that it works on at once.
     pub slots: u32,
     /// Whether it is leaving and takes nothing new.
     pub leaving: bool,
     /// Kind of accelerator, if it is a model engine.
-    pub card: Option<String>,
+    #[serde(rename = "card")]
+    pub accelerator: Option<String>,
     /// Layers that it holds.
-    pub layers: Option<Span>,
+    pub layers: Option<LayerRange>,
     /// Models that it holds.
     pub models: Vec<String>,
 }
 
 /// A range of layers, `first..end`.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash, serde::Serialize, serde::Deserialize)]
-pub struct Span {
+pub struct LayerRange {
     /// First layer.
     pub first: Layer,
     /// Layer after the last.
@@ -44,8 +47,8 @@
 impl Upstream {
     /// What holds of an upstream that announced `before`, and now this by an entry that may
     /// be older. Within one start none stops to leave, or gives up all of its layers.
-    pub fn after(self, before: &Upstream) -> Self {
-        if self.born != before.born {
+    pub fn merge_previous(self, before: &Upstream) -> Self {
+        if self.started_ms != before.started_ms {
             return self;
         }
         Upstream {
@@ -56,7 +59,7 @@
     }
 }
 
-impl Span {
+impl LayerRange {
     /// Number of layers.
     pub fn len(&self) -> Layer {
         self.end.saturating_sub(self.first)
@@ -68,12 +71,12 @@
     }
 
     /// Whether it holds a layer.
-    pub fn holds(&self, layer: Layer) -> bool {
+    pub fn contains(&self, layer: Layer) -> bool {
         (self.first..self.end).contains(&layer)
     }
 
     /// Whether the ranges share a layer.
-    pub fn overlaps(&self, other: &Span) -> bool {
+    pub fn overlaps(&self, other: &LayerRange) -> bool {
         self.first < other.end && other.first < self.end
     }
 }
--- a/crates/ashgauge/tests/chain.rs
+++ b/crates/ashgauge/tests/chain.rs
@@ -4,19 +4,19 @@
 
 use std::cell::Cell;
 
-use ashgauge::chain::{Edge, Stage, cheapest, cheapest_across, covers};
+use ashgauge::chain::{Edge, Stage, cheapest_chain, cheapest_crossing_chain, covers};
 use proptest::prelude::*;
 
 fn edges() -> impl Strategy<Value = Vec<Edge>> {
     let edge = (0u32..12, 1u32..12, 0.0f64..0.1, 0.001f64..0.05);
     prop::collection::vec(edge, 1..10).prop_map(|all| {
         let make = |(n, (first, len, fixed, layer)): (usize, (u32, u32, f64, f64))| Edge {
-            place: 0,
+            data_centre: 0,
             upstream: format!("engine-{n}").into(),
             first,
             end: first + len,
-            fixed,
-            layer,
+            fixed_cost: fixed,
+            layer_cost: layer,
         };
         all.into_iter().enumerate().map(make).collect()
     })
@@ -25,7 +25,7 @@
 fn cost(stages: &[Stage], edges: &[Edge]) -> f64 {
     let of = |s: &Stage| {
         let e = edges.iter().find(|e| e.upstream == s.upstream).unwrap();
-        e.fixed + e.layer * f64::from(s.end - s.first)
+        e.fixed_cost + e.layer_cost * f64::from(s.end - s.first)
     };
     stages.iter().map(of).sum()
 }
@@ -39,7 +39,7 @@
     for e in edges.iter().filter(|e| e.first <= first && first < e.end) {
         for to in first + 1..=e.end.min(end) {
             let rest = least(to, end, edges);
-            best = best.min(e.fixed + e.layer * f64::from(to - first) + rest);
+            best = best.min(e.fixed_cost + e.layer_cost * f64::from(to - first) + rest);
         }
     }
     best
@@ -52,7 +52,7 @@
     fn chain_covers_each_layer_once_within_its_engines(edges in edges(), first in 0u32..4, len in 1u32..8) {
         let end = first + len;
         let held = |l: u32| edges.iter().any(|e| e.first <= l && l < e.end);
-        match cheapest(first, end, &edges) {
+        match cheapest_chain(first, end, &edges) {
             Some(stages) => {
                 prop_assert!(covers(first, end, &stages), "{stages:?}");
                 for s in &stages {
@@ -66,7 +66,7 @@
 
     #[test]
     fn chain_is_the_cheapest(edges in edges().prop_filter("few", |e| e.len() < 6), len in 1u32..7) {
-        if let Some(stages) = cheapest(2, 2 + len, &edges) {
+        if let Some(stages) = cheapest_chain(2, 2 + len, &edges) {
             let (found, best) = (cost(&stages, &edges), least(2, 2 + len, &edges));
             prop_assert!((found - best).abs() < 1e-9, "{found} for {best}");
         }
@@ -81,16 +81,16 @@
         upstream: id.into(),
         first,
         end,
-        fixed,
-        layer,
-        place: 0,
+        fixed_cost: fixed,
+        layer_cost: layer,
+        data_centre: 0,
     };
     let edges = [
         edge("wide", 0, 10, 0.1, 1.0),
         edge("fast", 4, 6, 0.01, 0.01),
         edge("tail", 6, 10, 5.0, 1.0),
     ];
-    let stages = cheapest(0, 10, &edges).expect("a chain");
+    let stages = cheapest_chain(0, 10, &edges).expect("a chain");
     assert!(covers(0, 10, &stages));
     let wide = stages.iter().filter(|s| &*s.upstream == "wide").count();
     assert_eq!(wide, 1, "{stages:?}");
@@ -101,17 +101,17 @@
 #[test]
 fn ways_between_places_are_weighed_once_for_all_engines() {
     let edge = |n: u32| Edge {
-        place: n as usize % 5,
+        data_centre: n as usize % 5,
         upstream: format!("engine-{n}").into(),
         first: n % 72,
         end: n % 72 + 8,
-        fixed: 0.1,
-        layer: 0.001,
+        fixed_cost: 0.1,
+        layer_cost: 0.001,
     };
     let asked = |engines: u32| {
         let edges: Vec<Edge> = (0..engines).map(edge).collect();
         let asked = Cell::new(0);
-        let chain = cheapest_across(0, 79, &edges, |from, to| {
+        let chain = cheapest_crossing_chain(0, 79, &edges, |from, to| {
             asked.set(asked.get() + 1);
             if from == Some(to) { 0.0 } else { 0.3 }
         });
--- a/crates/ashgauge/tests/choice_closed.rs
+++ b/crates/ashgauge/tests/choice_closed.rs
@@ -6,9 +6,9 @@
 use std::time::Duration;
 
 use ashgauge::choice::{self};
-use ashgauge::pipes::Pipes;
-use ashgauge::roster::Roster;
-use ashgauge::share::Shares;
+use ashgauge::pipes::WanUsage;
+use ashgauge::roster::UpstreamRegistry;
+use ashgauge::share::FleetLoad;
 use engines::{model, placed, scene};
 use rand::SeedableRng;
 use rand::rngs::SmallRng;
@@ -17,9 +17,9 @@
 /// stream that goes on; where layers are left to such engines only, there is none.
 #[test]
 fn no_chain_has_an_engine_at_rest() {
-    let (pipes, shares, place) = (Pipes::default(), Shares::default(), Arc::from("a"));
+    let (pipes, shares, place) = (WanUsage::default(), FleetLoad::default(), Arc::from("a"));
     let now = scene(&placed(), &pipes, &shares, &place).now;
-    let span = choice::whole(80);
+    let span = choice::all_layers(80);
     for seed in 0..20 {
         let mut roster = placed();
         let mut rng = SmallRng::seed_from_u64(seed);
@@ -28,19 +28,20 @@
         let mut chosen = Vec::new();
         loop {
             let scene = scene(&roster, &pipes, &shares, &place);
-            let Some(stages) = choice::chain(&scene, &model(), span, &[], None, &mut rng) else {
+            let Some(stages) = choice::select_chain(&scene, &model(), span, &[], None, &mut rng)
+            else {
                 break;
             };
             let again = stages.iter().find(|s| chosen.contains(&s.upstream));
             assert!(again.is_none(), "{again:?} rests");
             for stage in stages {
-                roster.note_rest(now, &stage.upstream, rest);
+                roster.note_backoff(now, &stage.upstream, rest);
                 chosen.push(stage.upstream);
             }
             rest += Duration::from_secs(1);
         }
         let scene = scene(&roster, &pipes, &shares, &place);
-        let left = choice::rest_left(&scene, Some(&model()), &mut rng);
+        let left = choice::backoff_left(&scene, Some(&model()), &mut rng);
         assert_eq!(left, Some(Duration::from_secs(10)));
     }
 }
@@ -49,54 +50,55 @@
 /// nothing else leads, it is told when it takes the next one.
 #[test]
 fn closed_engine_leads_no_chain() {
-    let (pipes, shares, place) = (Pipes::default(), Shares::default(), Arc::from("a"));
+    let (pipes, shares, place) = (WanUsage::default(), FleetLoad::default(), Arc::from("a"));
     let mut roster = placed();
     let now = scene(&roster, &pipes, &shares, &place).now;
-    let (span, second) = (choice::whole(80), Duration::from_secs(1));
+    let (span, second) = (choice::all_layers(80), Duration::from_secs(1));
     let mut rng = SmallRng::seed_from_u64(1);
-    let leads = |e: &ashgauge::entry::Entry| e.upstream.layers.is_some_and(|l| l.first == 0);
-    let all: Vec<_> = roster.all().cloned().collect();
+    let leads =
+        |e: &ashgauge::entry::UpstreamState| e.upstream.layers.is_some_and(|l| l.first == 0);
+    let all: Vec<_> = roster.iter().cloned().collect();
     let behind = all
         .iter()
         .filter(|e| e.upstream.layers.is_some() && !leads(e));
-    behind.for_each(|e| roster.close(now, &e.upstream.id, second * 9));
+    behind.for_each(|e| roster.block(now, &e.upstream.id, second * 9));
     let mut led = 0;
     loop {
         let scene = scene(&roster, &pipes, &shares, &place);
-        let Some(stages) = choice::chain(&scene, &model(), span, &[], None, &mut rng) else {
+        let Some(stages) = choice::select_chain(&scene, &model(), span, &[], None, &mut rng) else {
             break;
         };
         led += 1;
-        roster.close(now, &stages[0].upstream, second * (10 - led));
+        roster.block(now, &stages[0].upstream, second * (10 - led));
     }
     assert!(led >= 2, "{led}");
     let scene = scene(&roster, &pipes, &shares, &place);
-    let left = choice::rest_left(&scene, Some(&model()), &mut rng);
+    let left = choice::backoff_left(&scene, Some(&model()), &mut rng);
     assert_eq!(left, Some(second * (10 - led)));
 }
 
 /// The time to come back is told only if rest is what stands in the way.
 #[test]
 fn rest_is_not_told_while_there_is_a_way() {
-    let (pipes, shares, place) = (Pipes::default(), Shares::default(), Arc::from("a"));
+    let (pipes, shares, place) = (WanUsage::default(), FleetLoad::default(), Arc::from("a"));
     let mut rng = SmallRng::seed_from_u64(1);
-    let mut roster = Roster::default();
+    let mut roster = UpstreamRegistry::default();
     let second = Duration::from_secs(1);
-    let left = |roster: &Roster, rng: &mut SmallRng| {
+    let left = |roster: &UpstreamRegistry, rng: &mut SmallRng| {
         let scene = scene(roster, &pipes, &shares, &place);
-        choice::rest_left(&scene, None, rng)
+        choice::backoff_left(&scene, None, rng)
     };
     assert_eq!(left(&roster, &mut rng), None);
     let now = scene(&roster, &pipes, &shares, &place).now;
     for id in ["e1", "e2"] {
         roster.put(engines::upstream(id, "a", "small", None, 1));
     }
-    roster.note_rest(now, "e1", second * 3);
+    roster.note_backoff(now, "e1", second * 3);
     assert_eq!(left(&roster, &mut rng), None);
-    roster.note_rest(now, "e2", second * 2);
+    roster.note_backoff(now, "e2", second * 2);
     assert_eq!(left(&roster, &mut rng), Some(second * 2));
     assert_eq!(
-        choice::upstream(&scene(&roster, &pipes, &shares, &place), &[], &mut rng),
+        choice::select_upstream(&scene(&roster, &pipes, &shares, &place), &[], &mut rng),
         None
     );
 }
--- a/crates/ashgauge/tests/claim.rs
+++ b/crates/ashgauge/tests/claim.rs
@@ -5,7 +5,9 @@
 use std::collections::{BTreeMap, HashMap, HashSet};
 use std::time::Duration;
 
-use ashgauge::claim::{Claims, Config, Entries, ShardId, Step, Verdict, Written};
+use ashgauge::claim::{
+    ClaimAction, ClaimResult, Claims, Config, ShardId, StoredShard, WriteResult,
+};
 use proptest::prelude::*;
 
 const BOXES: usize = 3;
@@ -13,9 +15,9 @@
 fn config() -> Config {
     Config {
         shards: 2,
-        keep: Duration::from_secs(1000),
-        interval: Duration::from_millis(5),
-        patience: Duration::from_millis(60),
+        retention: Duration::from_secs(1000),
+        write_interval: Duration::from_millis(5),
+        timeout: Duration::from_millis(60),
     }
 }
 
@@ -23,31 +25,31 @@
 #[derive(Clone)]
 enum Call {
     Read(usize, ShardId),
-    Write(usize, ShardId, u64, Entries),
+    Write(usize, ShardId, u64, StoredShard),
 }
 
 #[derive(Default)]
 struct World {
-    store: HashMap<ShardId, (u64, Entries)>,
+    store: HashMap<ShardId, (u64, StoredShard)>,
     calls: Vec<Call>,
     /// Writes that may take effect long after their box gave up on them.
-    late: Vec<(ShardId, u64, Entries)>,
+    late: Vec<(ShardId, u64, StoredShard)>,
     granted: BTreeMap<String, Vec<String>>,
     told: HashSet<String>,
     keys: HashMap<String, String>,
 }
 
 impl World {
-    fn take(&mut self, node: usize, steps: Vec<Step>) {
+    fn take(&mut self, node: usize, steps: Vec<ClaimAction>) {
         for step in steps {
             match step {
-                Step::Read(shard) => self.calls.push(Call::Read(node, shard)),
-                Step::Write(shard, version, entries) => {
+                ClaimAction::Read(shard) => self.calls.push(Call::Read(node, shard)),
+                ClaimAction::Write(shard, version, entries) => {
                     self.calls.push(Call::Write(node, shard, version, entries));
                 }
-                Step::Tell(id, verdict) => {
+                ClaimAction::Respond(id, verdict) => {
                     assert!(self.told.insert(id.clone()), "{id} was told twice");
-                    if verdict == Verdict::Granted {
+                    if verdict == ClaimResult::Granted {
                         let key = self.keys[&id].clone();
                         self.granted.entry(key).or_default().push(id);
                     }
@@ -56,13 +58,13 @@
         }
     }
 
-    fn write(&mut self, shard: ShardId, version: u64, entries: &Entries) -> Written {
+    fn write(&mut self, shard: ShardId, version: u64, entries: &StoredShard) -> WriteResult {
         let current = self.store.get(&shard).map_or(0, |(v, _)| *v);
         if current != version {
-            return Written::Conflict;
+            return WriteResult::Conflict;
         }
         self.store.insert(shard, (version + 1, entries.clone()));
-        Written::Done(version + 1)
+        WriteResult::Done(version + 1)
     }
 }
 
@@ -83,7 +85,7 @@
                 0..=2 => {
                     let (key, id) = (format!("key-{key}"), format!("claim-{n}"));
                     world.keys.insert(id.clone(), key.clone());
-                    let out = boxes[*node].ask(now, wall, &key, &id);
+                    let out = boxes[*node].claim(now, wall, &key, &id);
                     world.take(*node, out);
                 }
                 3 => {
@@ -101,7 +103,7 @@
                         Call::Read(b, shard) => {
                             let stored = world.store.get(&shard).cloned().unwrap_or_default();
                             let answer = (*step != 5).then_some(stored);
-                            let out = boxes[b].read(now, wall, shard, answer);
+                            let out = boxes[b].on_read(now, wall, shard, answer);
                             world.take(b, out);
                         }
                         Call::Write(b, shard, version, entries) => {
@@ -109,17 +111,17 @@
                                 // Lost on the way; it may still arrive.
                                 5 => {
                                     world.late.push((shard, version, entries.clone()));
-                                    Written::Unknown
+                                    WriteResult::Unknown
                                 }
                                 // Took effect, and the answer was lost.
                                 6 => {
                                     world.write(shard, version, &entries);
-                                    Written::Unknown
+                                    WriteResult::Unknown
                                 }
-                                7 => Written::Refused,
+                                7 => WriteResult::Refused,
                                 _ => world.write(shard, version, &entries),
                             };
-                            let out = boxes[b].written(now, wall, shard, entries, result);
+                            let out = boxes[b].on_written(now, wall, shard, entries, result);
                             world.take(b, out);
                         }
                     }
@@ -135,53 +137,59 @@
 
 #[test]
 fn key_is_free_again_after_a_request_that_did_not_run() {
-    use ashgauge::claim::Stage;
+    use ashgauge::claim::ClaimState;
     let mut claims = Claims::new(config());
     let ms = Duration::from_millis;
-    let steps = claims.ask(ms(0), 1, "k", "a");
-    let Step::Read(shard) = steps[0] else {
+    let steps = claims.claim(ms(0), 1, "k", "a");
+    let ClaimAction::Read(shard) = steps[0] else {
         panic!("{steps:?}")
     };
-    let steps = claims.read(ms(1), 1, shard, Some((0, Entries::default())));
-    let Step::Write(_, 0, entries) = steps[0].clone() else {
+    let steps = claims.on_read(ms(1), 1, shard, Some((0, StoredShard::default())));
+    let ClaimAction::Write(_, 0, entries) = steps[0].clone() else {
         panic!("{steps:?}")
     };
-    let steps = claims.written(ms(2), 1, shard, entries, Written::Done(1));
-    assert_eq!(steps, [Step::Tell("a".into(), Verdict::Granted)]);
-    claims.finish("k", "a", Stage::NotRun);
-    let steps = claims.ask(ms(3), 1, "k", "b");
-    let Step::Write(_, 1, entries) = steps[0].clone() else {
+    let steps = claims.on_written(ms(2), 1, shard, entries, WriteResult::Done(1));
+    assert_eq!(
+        steps,
+        [ClaimAction::Respond("a".into(), ClaimResult::Granted)]
+    );
+    claims.update_state("k", "a", ClaimState::NotRun);
+    let steps = claims.claim(ms(3), 1, "k", "b");
+    let ClaimAction::Write(_, 1, entries) = steps[0].clone() else {
         panic!("{steps:?}")
     };
-    let steps = claims.written(ms(51), 1, shard, entries, Written::Done(2));
-    assert_eq!(steps, [Step::Tell("b".into(), Verdict::Granted)]);
+    let steps = claims.on_written(ms(51), 1, shard, entries, WriteResult::Done(2));
+    assert_eq!(
+        steps,
+        [ClaimAction::Respond("b".into(), ClaimResult::Granted)]
+    );
 }
 
 #[test]
 fn calm_shard_writes_at_once_and_a_busy_one_each_interval() {
     let mut claims = Claims::new(Config {
-        interval: Duration::from_millis(100),
-        patience: Duration::from_secs(60),
+        write_interval: Duration::from_millis(100),
+        timeout: Duration::from_secs(60),
         shards: 1,
         ..config()
     });
     let (mut version, mut writes) = (0, Vec::new());
     for ms in 0..1000u64 {
         let now = Duration::from_millis(ms);
-        let mut steps = claims.ask(now, 1, &format!("key-{ms}"), &format!("claim-{ms}"));
+        let mut steps = claims.claim(now, 1, &format!("key-{ms}"), &format!("claim-{ms}"));
         while let Some(step) = steps.pop() {
             match step {
-                Step::Read(shard) => {
-                    steps.extend(claims.read(now, 1, shard, Some((0, Entries::default()))));
+                ClaimAction::Read(shard) => {
+                    steps.extend(claims.on_read(now, 1, shard, Some((0, StoredShard::default()))));
                 }
-                Step::Write(shard, of, entries) => {
+                ClaimAction::Write(shard, of, entries) => {
                     assert_eq!(of, version);
                     version += 1;
                     writes.push(ms);
-                    let done = Written::Done(version);
-                    steps.extend(claims.written(now, 1, shard, entries, done));
+                    let done = WriteResult::Done(version);
+                    steps.extend(claims.on_written(now, 1, shard, entries, done));
                 }
-                Step::Tell(_, verdict) => assert_eq!(verdict, Verdict::Granted),
+                ClaimAction::Respond(_, verdict) => assert_eq!(verdict, ClaimResult::Granted),
             }
         }
     }
@@ -192,20 +200,20 @@
 #[test]
 fn silent_platform_is_not_asked_over_and_over() {
     let mut claims = Claims::new(Config {
-        interval: Duration::from_millis(100),
+        write_interval: Duration::from_millis(100),
         shards: 1,
         ..config()
     });
-    claims.finish("k", "a", ashgauge::claim::Stage::Done);
+    claims.update_state("k", "a", ashgauge::claim::ClaimState::Done);
     let mut reads = 0;
     for ms in (0..4000).step_by(10) {
         let now = Duration::from_millis(ms);
         for step in claims.tick(now, 1) {
-            let Step::Read(shard) = step else {
+            let ClaimAction::Read(shard) = step else {
                 panic!("{step:?}")
             };
             reads += 1;
-            assert!(claims.read(now, 1, shard, None).is_empty());
+            assert!(claims.on_read(now, 1, shard, None).is_empty());
         }
     }
     assert!(reads <= 11, "{reads} reads in 4 s");
@@ -214,7 +222,7 @@
 #[test]
 fn keys_with_their_time_spread_over_slices_and_others_do_not() {
     let claims = Claims::new(Config {
-        keep: Duration::from_secs(3600),
+        retention: Duration::from_secs(3600),
         ..config()
     });
     let key = |seconds: u64, n: u64| {
@@ -226,7 +234,7 @@
         )
     };
     let shards = |seconds| (0..200).map(move |n| (seconds, n));
-    let of = |(seconds, n)| claims.shard(&key(seconds, n));
+    let of = |(seconds, n)| claims.shard_of(&key(seconds, n));
     let early: HashSet<ShardId> = shards(1_800_000_000).map(of).collect();
     let same: HashSet<ShardId> = shards(1_800_000_009).map(of).collect();
     let later: HashSet<ShardId> = shards(1_800_000_010).map(of).collect();
@@ -236,5 +244,5 @@
     // The slice of a key that is still kept is never shared by a new one.
     let last: HashSet<ShardId> = shards(1_800_003_600).map(of).collect();
     assert!(early.is_disjoint(&last));
-    assert!((0..200).all(|n| claims.shard(&format!("team/note-{n}")) < 2));
+    assert!((0..200).all(|n| claims.shard_of(&format!("team/note-{n}")) < 2));
 }
--- a/crates/ashgauge/tests/common/mod.rs
+++ b/crates/ashgauge/tests/common/mod.rs
@@ -3,7 +3,7 @@
 // Each test uses a part of it.
 #![allow(dead_code)]
 
-use ashgauge::share::{Scope, Uses, Word};
+use ashgauge::share::{LoadReport, Scope, UsageList};
 use proptest::test_runner::{Config, RngSeed};
 use rand::RngCore;
 
@@ -18,14 +18,14 @@
 }
 
 /// The first word of a box, which tells its own uses of upstreams and nothing else.
-pub fn word(from: &str, uses: Uses) -> Word {
-    Word {
+pub fn word(from: &str, uses: UsageList) -> LoadReport {
+    LoadReport {
         from: from.into(),
         boot: 1,
-        number: 1,
+        sequence: 1,
         scope: Scope::Own,
         boxes: 1,
-        uses,
+        usage: uses,
         suspects: Vec::new(),
         limits: Vec::new(),
         flows: Default::default(),
--- a/crates/ashgauge/tests/cost.rs
+++ b/crates/ashgauge/tests/cost.rs
@@ -7,11 +7,11 @@
 
 use ashgauge::choice;
 use ashgauge::forecast::forecast;
-use ashgauge::pipes::Pipes;
+use ashgauge::pipes::WanUsage;
 use ashgauge::placement::plan;
 use ashgauge::routing::Model;
-use ashgauge::scene::Scene;
-use ashgauge::share::Shares;
+use ashgauge::scene::SelectionContext;
+use ashgauge::share::FleetLoad;
 use engines::{fleet, model, scene, twins};
 use rand::SeedableRng;
 use rand::rngs::SmallRng;
@@ -28,8 +28,8 @@
 fn absurd_models() -> impl Iterator<Item = Model> {
     absurd_times().flat_map(|step_request| {
         absurd_times().map(move |step| Model {
-            step,
-            step_request,
+            step_time: step,
+            step_per_request: step_request,
             ..model()
         })
     })
@@ -41,19 +41,19 @@
 fn absurd_step_times_end_no_choice() {
     let mut roster = twins();
     for id in ["a1", "a2", "b1", "b2"] {
-        (0..100).for_each(|_| roster.begin(id, 900 * 40));
+        (0..100).for_each(|_| roster.begin_request(id, 900 * 40));
     }
-    let (pipes, shares, place) = (Pipes::default(), Shares::default(), Arc::from("a"));
+    let (pipes, shares, place) = (WanUsage::default(), FleetLoad::default(), Arc::from("a"));
     let mut rng = SmallRng::seed_from_u64(1);
     for model in absurd_models() {
         for together in [false, true] {
-            let scene = Scene {
-                together,
+            let scene = SelectionContext {
+                simultaneous: together,
                 ..scene(&roster, &pipes, &shares, &place)
             };
-            let span = choice::whole(model.layers);
-            let stages = choice::chain(&scene, &model, span, &[], None, &mut rng);
-            let (step, request) = (model.step, model.step_request);
+            let span = choice::all_layers(model.layers);
+            let stages = choice::select_chain(&scene, &model, span, &[], None, &mut rng);
+            let (step, request) = (model.step_time, model.step_per_request);
             let stages = stages.unwrap_or_else(|| panic!("no chain: {step:?}, {request:?}"));
             forecast(&scene, &model, &stages, 0);
         }
--- a/crates/ashgauge/tests/estimate.rs
+++ b/crates/ashgauge/tests/estimate.rs
@@ -5,11 +5,11 @@
 use std::time::Duration;
 
 use ashgauge::class::Class;
-use ashgauge::demand::{Demand, Demands, Source, Teams, key};
-use ashgauge::estimate::{Estimate, Estimator, Known};
+use ashgauge::demand::{Demand, DemandSource, Demands, TeamSketch, key};
+use ashgauge::estimate::{Estimate, Estimator, Observation};
 use ashgauge::pressure::{self, Pressure};
-use ashgauge::routing::{Card, Model};
-use ashgauge::upstream::{Span, Upstream};
+use ashgauge::routing::{Accelerator, Model};
+use ashgauge::upstream::{LayerRange, Upstream};
 use proptest::prelude::*;
 
 /// Time between two estimates.
@@ -22,7 +22,7 @@
 const BOUND: f64 = 800.0;
 
 fn demands(rate: f64) -> Demands {
-    let source = Source {
+    let source = DemandSource {
         service: key("model"),
         class: Class::default(),
         team: Some(1),
@@ -31,24 +31,24 @@
     let demand = Demand {
         rate,
         work: rate,
-        teams: Teams::one(1),
+        teams: TeamSketch::single(1),
     };
     vec![(source, demand)]
 }
 
-fn known(asked: f64, requests: f64, ends: f64) -> Known {
-    Known {
+fn known(asked: f64, requests: f64, ends: f64) -> Observation {
+    Observation {
         demands: demands(asked),
         pressure: Pressure {
             requests,
             memory: requests / BOUND,
             slots: 0.0,
         },
-        ends,
+        completion_rate: ends,
         boxes: 86.0,
         age: AGE,
-        every: Duration::from_millis(100),
-        growth: 0.8,
+        report_interval: Duration::from_millis(100),
+        full_slowdown: 0.8,
     }
 }
 
@@ -61,15 +61,15 @@
 
 impl Clock {
     /// Estimates at the next step, and notes how many may begin.
-    fn step(&mut self, known: &Known, allowed: f64) -> Estimate {
+    fn step(&mut self, known: &Observation, allowed: f64) -> Estimate {
         self.now += STEP;
         let estimate = self.estimator.estimate(self.now, known);
-        self.estimator.note_allowed(self.now, allowed);
+        self.estimator.record_allowed_rate(self.now, allowed);
         estimate
     }
 
     /// The same for some seconds; returns the last estimate.
-    fn steps(&mut self, seconds: f64, known: &Known, allowed: f64) -> Estimate {
+    fn steps(&mut self, seconds: f64, known: &Observation, allowed: f64) -> Estimate {
         let steps = (seconds / STEP.as_secs_f64()).round() as usize;
         let last = (0..steps).map(|_| self.step(known, allowed)).last();
         last.expect("a step")
@@ -93,7 +93,7 @@
     let estimate = clock.steps(10.0, &known(1600.0, 700.0, 350.0), 350.0);
     assert_near(estimate.pressure.requests, 700.0, 0.05);
     assert_near(estimate.pressure.memory, 700.0 / BOUND, 0.05);
-    assert_near(estimate.ends, 350.0, 0.05);
+    assert_near(estimate.completion_rate, 350.0, 0.05);
     assert_near(asked(&estimate), 1600.0, 0.01);
 }
 
@@ -118,7 +118,7 @@
     let left = |growth| {
         let mut clock = Clock::default();
         let mut known = known(200.0, 280.0, 200.0);
-        known.growth = growth;
+        known.full_slowdown = growth;
         clock.steps(5.0, &known, f64::INFINITY);
         known.pressure.requests = 1200.0;
         known.pressure.memory = 1.5;
@@ -210,7 +210,7 @@
     clock.steps(2.0, &known(1600.0, 4e9, 2000.0), 350.0);
     let estimate = clock.steps(3.0, &known(1600.0, 700.0, 350.0), 350.0);
     assert_near(estimate.pressure.requests, 700.0, 0.1);
-    assert_near(estimate.ends, 350.0, 0.2);
+    assert_near(estimate.completion_rate, 350.0, 0.2);
 }
 
 /// Guards against requests that count as still there after a pause, as all that was known
@@ -236,7 +236,11 @@
     clock.steps(0.2, &half, 350.0);
     let mut rates = Vec::new();
     for _ in 0..40 {
-        rates.push(clock.step(&known(1600.0, 700.0, 350.0), 350.0).ends);
+        rates.push(
+            clock
+                .step(&known(1600.0, 700.0, 350.0), 350.0)
+                .completion_rate,
+        );
     }
     assert!(
         rates.iter().all(|r| (280.0..420.0).contains(r)),
@@ -258,13 +262,13 @@
             now += Duration::from_millis(ms / 10);
             let mut known = known(f64::from(rate) / 1e3, requests, ends);
             known.pressure.memory = growth;
-            (known.growth, known.boxes) = (growth, boxes);
+            (known.full_slowdown, known.boxes) = (growth, boxes);
             known.age = Duration::from_millis(ms);
             let estimate = estimator.estimate(now, &known);
-            estimator.note_allowed(now, requests);
+            estimator.record_allowed_rate(now, requests);
             prop_assert!(estimate.pressure.requests >= 0.0);
             prop_assert!(estimate.pressure.requests < 1e14);
-            prop_assert!(estimate.ends.is_finite());
+            prop_assert!(estimate.completion_rate.is_finite());
             prop_assert!(asked(&estimate) <= 4.01 * f64::from(rate) / 1e3);
         }
         let state = format!("{estimator:?}");
@@ -275,14 +279,14 @@
 fn engine(card: &str, layers: u16) -> Upstream {
     Upstream {
         id: "engine".into(),
-        born: None,
+        started_ms: None,
         service: "model".into(),
         addr: String::new(),
-        place: "here".into(),
+        data_centre: "here".into(),
         slots: 192,
         leaving: false,
-        card: Some(card.into()),
-        layers: Some(Span {
+        accelerator: Some(card.into()),
+        layers: Some(LayerRange {
             first: 0,
             end: layers.into(),
         }),
@@ -295,12 +299,12 @@
 fn growth_is_bounded() {
     let model = engines::model();
     let engines = [engine("large", 30), engine("medium", 14)];
-    let of = |model: &Model| pressure::growth(model, engines.iter());
+    let of = |model: &Model| pressure::full_slowdown(model, engines.iter());
     assert!((0.4..1.0).contains(&of(&model)), "{}", of(&model));
     let without = |step, step_request| {
         of(&Model {
-            step,
-            step_request,
+            step_time: step,
+            step_per_request: step_request,
             ..model.clone()
         })
     };
@@ -310,24 +314,24 @@
         without(none, most),
         without(most, none),
         without(most, most),
-        without(model.step, none),
+        without(model.step_time, none),
         of(&Model {
             token_mb: f64::NAN,
             ..model.clone()
         }),
         of(&Model {
-            cards: [(
+            accelerators: [(
                 "large".to_string(),
-                Card {
+                Accelerator {
                     memory_mb: -1.0,
                     step_factor: 1.0,
-                    read_factor: 1.0,
+                    prefill_factor: 1.0,
                 },
             )]
             .into(),
             ..model.clone()
         }),
-        pressure::growth(&model, std::iter::empty()),
+        pressure::full_slowdown(&model, std::iter::empty()),
     ] {
         assert!((0.2..=2.0).contains(&growth), "{growth}");
     }
--- a/crates/ashgauge/tests/fleet/mod.rs
+++ b/crates/ashgauge/tests/fleet/mod.rs
@@ -14,12 +14,12 @@
 use std::time::Duration;
 
 use ashgauge::class::Class;
-use ashgauge::demand::{self, Flows, Meter, Source};
-use ashgauge::estimate::{Estimator, Known};
+use ashgauge::demand::{self, DemandMeter, DemandSource, Traffic};
+use ashgauge::estimate::{Estimator, Observation};
 use ashgauge::hub;
-use ashgauge::level::{self, Gate, Level};
+use ashgauge::level::{self, AdmissionGate, AdmissionLevel};
 use ashgauge::pressure::Pressure;
-use ashgauge::share::{self, Scope, Shares, Sum, Use, Word};
+use ashgauge::share::{self, FleetLoad, LoadReport, LoadSum, Scope, Usage};
 use rand::rngs::SmallRng;
 use rand::{Rng, SeedableRng};
 
@@ -75,7 +75,7 @@
     /// All words arrive again.
     Heal,
     /// A box adds this to what it tells.
-    Lie(usize, Sum),
+    Lie(usize, LoadSum),
 }
 
 /// A fleet and its load.
@@ -120,21 +120,21 @@
 /// What all boxes told at one time.
 struct Round {
     number: u64,
-    parts: Vec<Option<Sum>>,
-    total: Sum,
+    parts: Vec<Option<LoadSum>>,
+    total: LoadSum,
 }
 
 #[derive(Default)]
 struct Node {
-    meter: Meter,
-    gate: Gate,
+    meter: DemandMeter,
+    gate: AdmissionGate,
     estimator: Estimator,
-    shares: Shares,
+    shares: FleetLoad,
     reckoned: Option<Duration>,
     heard: u64,
     held: f64,
     count: u32,
-    lie: Option<Sum>,
+    lie: Option<LoadSum>,
     is_dead: bool,
 }
 
@@ -231,17 +231,17 @@
         }
         let from = &self.run.callers[caller];
         let class = Class::new(Some(0), from.route, is_back);
-        let (team, work) = (from.team, demand::work(size, USUAL));
+        let (team, work) = (from.team, demand::relative_work(size, USUAL));
         let service = demand::key(SERVICE);
-        let source = Source {
+        let source = DemandSource {
             service,
             class,
             team: Some(team),
         };
-        self.nodes[at_box].meter.note(self.now, source, work);
+        self.nodes[at_box].meter.record(self.now, source, work);
         self.reckon(at_box);
         let start = self.rng.random_range(0.0..1.0);
-        let is_in = !self.run.sheds || self.nodes[at_box].gate.admits(class, team, start);
+        let is_in = !self.run.sheds || self.nodes[at_box].gate.admit(class, team, start);
         self.seen.push(Seen {
             caller,
             at: self.now.as_secs_f64(),
@@ -253,7 +253,7 @@
         if is_in {
             self.begin(at_box, size);
         } else if self.run.returns && !is_back {
-            let after = level::back_after(PATIENCE, self.rng.random_range(0.0..1.0));
+            let after = level::retry_after(PATIENCE, self.rng.random_range(0.0..1.0));
             self.push(after.as_secs_f64(), Event::Return(caller, at_box, size));
         }
     }
@@ -280,7 +280,7 @@
         }
         node.held -= memory;
         node.count -= 1;
-        node.meter.note_end(self.now, demand::key(SERVICE));
+        node.meter.record_completion(self.now, demand::key(SERVICE));
         self.engines.end(memory);
         if in_time {
             self.seen[seen].served = Some(self.now.as_secs_f64());
@@ -291,7 +291,7 @@
     fn tell(&mut self) {
         let now = self.now;
         let parts = self.nodes.iter_mut().map(|node| node.part(now));
-        let parts: Vec<Option<Sum>> = parts.collect();
+        let parts: Vec<Option<LoadSum>> = parts.collect();
         self.rounds += 1;
         let round = Round {
             number: self.rounds,
@@ -314,7 +314,7 @@
         if self.mute {
             return;
         }
-        if !hub::is_small(self.run.boxes) {
+        if !hub::is_full_mesh(self.run.boxes) {
             self.round = Some((self.now, round));
             return;
         }
@@ -324,7 +324,7 @@
                 if let Some(part) = part.as_ref().filter(|_| from != n && side(from) == side(n)) {
                     let id = format!("box-{from}").into();
                     let word = word(id, Scope::Own, round.number, part.clone());
-                    node.shares.hear(self.now, word);
+                    node.shares.apply(self.now, word);
                 }
             }
         }
@@ -339,13 +339,13 @@
         if let Some((at, round)) = self.round.as_ref().filter(|(_, r)| r.number > node.heard) {
             node.heard = round.number;
             let others = without(&round.total, round.parts[at_box].as_ref());
-            let word = word("hub".into(), Scope::Near, round.number, others.fit());
-            node.shares.hear(*at, word);
+            let word = word("hub".into(), Scope::Local, round.number, others.truncated());
+            node.shares.apply(*at, word);
         }
         let lag = Duration::from_secs_f64(self.run.age);
         node.shares.expire(now, lag);
         let level = node.level(now, self.run.boxes, lag);
-        node.gate.set(now, level);
+        node.gate.set_level(now, level);
     }
 
     fn fail(&mut self, fault: Fault) {
@@ -366,67 +366,67 @@
 
 impl Node {
     /// What it tells.
-    fn part(&mut self, now: Duration) -> Option<Sum> {
+    fn part(&mut self, now: Duration) -> Option<LoadSum> {
         if self.is_dead {
             return None;
         }
-        let used = Use {
+        let used = Usage {
             requests: self.count,
-            leads: self.count,
-            tokens: (self.held * 1e3).max(0.0) as u32,
-            reading: 0,
+            head_requests: self.count,
+            token_layers: (self.held * 1e3).max(0.0) as u32,
+            prefill_ms: 0,
         };
-        let own = Sum {
+        let own = LoadSum {
             boxes: 1,
-            uses: vec![(share::key(ENGINES), used)],
+            usage: vec![(share::upstream_key(ENGINES), used)],
             suspects: Vec::new(),
-            flows: self.meter.flows(now).fit(),
+            flows: self.meter.traffic(now).truncated(),
             slow: Vec::new(),
         };
         Some(self.lie.clone().unwrap_or(own))
     }
 
     /// The level by what it knows; boxes that it does not hear count as those it does.
-    fn level(&mut self, now: Duration, boxes: usize, age: Duration) -> Option<Level> {
+    fn level(&mut self, now: Duration, boxes: usize, age: Duration) -> Option<AdmissionLevel> {
         let heard = self.shares.boxes() as f64;
-        let unheard = self.shares.present(boxes as f64) / (heard + 1.0);
-        let own = self.meter.flows(now);
+        let unheard = self.shares.present_boxes(boxes as f64) / (heard + 1.0);
+        let own = self.meter.traffic(now);
         let flows = self.shares.flows(&own);
         let mut demands = flows.demands_of(demand::key(SERVICE));
         for (_, demand) in &mut demands {
-            *demand = demand.times(unheard);
+            *demand = demand.scaled(unheard);
         }
         let others = self.shares.others(ENGINES);
-        let held = self.held + f64::from(others.tokens) / 1e3;
+        let held = self.held + f64::from(others.token_layers) / 1e3;
         let pressure = Pressure {
-            requests: (f64::from(self.count) + f64::from(others.leads)) * unheard,
+            requests: (f64::from(self.count) + f64::from(others.head_requests)) * unheard,
             memory: held * unheard / BOUND,
             slots: 0.0,
         };
-        let known = Known {
+        let known = Observation {
             demands,
             pressure,
-            ends: flows.ends_of(demand::key(SERVICE)) * unheard,
-            boxes: self.shares.present(boxes as f64),
+            completion_rate: flows.completion_rate(demand::key(SERVICE)) * unheard,
+            boxes: self.shares.present_boxes(boxes as f64),
             age: age.mul_f64(heard / (heard + 1.0)),
-            every: Duration::from_secs_f64(TELL),
-            growth: GROWTH,
+            report_interval: Duration::from_secs_f64(TELL),
+            full_slowdown: GROWTH,
         };
         let estimate = self.estimator.estimate(now, &known);
-        let allowed = level::allowed(&estimate.pressure, estimate.ends);
-        self.estimator.note_allowed(now, allowed);
-        Level::new(&estimate.demands, allowed)
+        let allowed = level::allowed_rate(&estimate.pressure, estimate.completion_rate);
+        self.estimator.record_allowed_rate(now, allowed);
+        AdmissionLevel::new(&estimate.demands, allowed)
     }
 }
 
-fn word(from: Arc<str>, scope: Scope, number: u64, sum: Sum) -> Word {
-    Word {
+fn word(from: Arc<str>, scope: Scope, number: u64, sum: LoadSum) -> LoadReport {
+    LoadReport {
         from,
         boot: 1,
-        number,
+        sequence: number,
         scope,
         boxes: sum.boxes,
-        uses: sum.uses,
+        usage: sum.usage,
         suspects: Vec::new(),
         limits: Vec::new(),
         flows: sum.flows,
@@ -436,45 +436,45 @@
 
 /// The number that stands for the engines in words.
 pub fn engines_key() -> share::UpstreamKey {
-    share::key(ENGINES)
+    share::upstream_key(ENGINES)
 }
 
 /// Mean work of a caller's requests.
 fn mean_work(size: Size) -> f64 {
     let draws = (0..1000).map(|n| (f64::from(n) + 0.5) / 1000.0);
     draws
-        .map(|draw| demand::work(size(draw), USUAL))
+        .map(|draw| demand::relative_work(size(draw), USUAL))
         .sum::<f64>()
         / 1000.0
 }
 
 /// What some boxes have together.
-fn add<'a>(parts: impl Iterator<Item = &'a Sum> + Clone) -> Sum {
-    let mut used = Use::default();
+fn add<'a>(parts: impl Iterator<Item = &'a LoadSum> + Clone) -> LoadSum {
+    let mut used = Usage::default();
     parts
         .clone()
-        .flat_map(|p| &p.uses)
+        .flat_map(|p| &p.usage)
         .for_each(|(_, u)| used.add(u));
-    Sum {
+    LoadSum {
         boxes: parts.clone().map(|p| p.boxes).sum(),
-        uses: vec![(share::key(ENGINES), used)],
+        usage: vec![(share::upstream_key(ENGINES), used)],
         suspects: Vec::new(),
-        flows: Flows::sum(parts.map(|p| &p.flows)),
+        flows: Traffic::sum(parts.map(|p| &p.flows)),
         slow: Vec::new(),
     }
 }
 
 /// A sum without what one box told of itself.
-fn without(sum: &Sum, part: Option<&Sum>) -> Sum {
+fn without(sum: &LoadSum, part: Option<&LoadSum>) -> LoadSum {
     let mut rest = sum.clone();
     let Some(part) = part else {
         return rest;
     };
     rest.boxes -= part.boxes;
-    rest.flows = rest.flows.without(&part.flows);
-    for ((_, rest), (_, less)) in rest.uses.iter_mut().zip(&part.uses) {
-        rest.leads = rest.leads.saturating_sub(less.leads);
-        rest.tokens = rest.tokens.saturating_sub(less.tokens);
+    rest.flows = rest.flows.minus(&part.flows);
+    for ((_, rest), (_, less)) in rest.usage.iter_mut().zip(&part.usage) {
+        rest.head_requests = rest.head_requests.saturating_sub(less.head_requests);
+        rest.token_layers = rest.token_layers.saturating_sub(less.token_layers);
     }
     rest
 }
--- a/crates/ashgauge/tests/forecast.rs
+++ b/crates/ashgauge/tests/forecast.rs
@@ -7,13 +7,13 @@
 use std::time::Duration;
 
 use ashgauge::chain::Stage;
-use ashgauge::forecast::{Calibration, FORECAST_MOST, Forecast, forecast, patience};
-use ashgauge::pipes::Pipes;
-use ashgauge::roster::Roster;
-use ashgauge::routing::{Card, Model};
-use ashgauge::scene::Scene;
-use ashgauge::share::{Shares, Use, key};
-use ashgauge::upstream::Span;
+use ashgauge::forecast::{Calibration, Forecast, MAX_FORECAST, check_delay, forecast};
+use ashgauge::pipes::WanUsage;
+use ashgauge::roster::UpstreamRegistry;
+use ashgauge::routing::{Accelerator, Model};
+use ashgauge::scene::SelectionContext;
+use ashgauge::share::{FleetLoad, Usage, upstream_key};
+use ashgauge::upstream::LayerRange;
 use engines::{model, scene, twins, upstream};
 use proptest::prelude::*;
 
@@ -38,12 +38,12 @@
 }
 
 /// Forecasts as a single box that hears no others.
-fn alone(roster: &Roster, model: &Model, stages: &[Stage], prompt: u32) -> Forecast {
-    let (pipes, shares, place) = (Pipes::default(), Shares::default(), Arc::from("a"));
+fn alone(roster: &UpstreamRegistry, model: &Model, stages: &[Stage], prompt: u32) -> Forecast {
+    let (pipes, shares, place) = (WanUsage::default(), FleetLoad::default(), Arc::from("a"));
     let scene = scene(roster, &pipes, &shares, &place);
-    let scene = Scene {
+    let scene = SelectionContext {
         boxes: 1.0,
-        neighbours: 1.0,
+        local_boxes: 1.0,
         ..scene
     };
     forecast(&scene, model, stages, prompt)
@@ -59,8 +59,8 @@
 fn idle_chain_takes_its_reading_and_its_passes() {
     let idle = alone(&twins(), &model(), &chain(), PROMPT);
     let (read, pass) = (772.0 / 196_000.0, 0.000_85 * 1.4 * 2.0);
-    assert!(is_near(idle.pause, 1.5 * pass), "{idle:?}");
-    assert!(is_near(idle.first, read + 1.5 * pass), "{idle:?}");
+    assert!(is_near(idle.event_gap, 1.5 * pass), "{idle:?}");
+    assert!(is_near(idle.first_event, read + 1.5 * pass), "{idle:?}");
 }
 
 /// Streams behind long prompts were checked as if their engines were lost.
@@ -68,13 +68,13 @@
 fn prompts_that_are_queued_come_before() {
     let (mut roster, model) = (twins(), model());
     let idle = alone(&roster, &model, &chain(), PROMPT);
-    roster.note_reading(NOW, "a1", 0.4);
-    roster.note_reading(NOW, "b1", 0.3);
-    roster.note_reading(NOW, "a2", 9.0);
+    roster.note_prefill(NOW, "a1", 0.4);
+    roster.note_prefill(NOW, "b1", 0.3);
+    roster.note_prefill(NOW, "a2", 9.0);
     let busy = alone(&roster, &model, &chain(), PROMPT);
-    let more = (busy.first - idle.first).as_secs_f64();
+    let more = (busy.first_event - idle.first_event).as_secs_f64();
     assert!((more - 0.7).abs() < 2e-3, "{more}");
-    assert_eq!(busy.pause, idle.pause);
+    assert_eq!(busy.event_gap, idle.event_gap);
 }
 
 /// Near their limit engines take a few times as long for a pass, in which the requests
@@ -82,41 +82,44 @@
 #[test]
 fn requests_of_all_boxes_make_passes_longer() {
     let (roster, model) = (twins(), model());
-    let (pipes, mut shares, place) = (Pipes::default(), Shares::default(), Arc::from("a"));
+    let (pipes, mut shares, place) = (WanUsage::default(), FleetLoad::default(), Arc::from("a"));
     let uses = ["a1", "b1"].map(|id| {
-        let used = Use {
+        let used = Usage {
             requests: 1000,
-            reading: 250,
-            ..Use::default()
+            prefill_ms: 250,
+            ..Usage::default()
         };
-        (key(id), used)
+        (upstream_key(id), used)
     });
-    assert!(shares.hear(NOW, common::word("box-2", uses.into())));
+    assert!(shares.apply(NOW, common::word("box-2", uses.into())));
     let scene = scene(&roster, &pipes, &shares, &place);
-    let scene = Scene {
+    let scene = SelectionContext {
         boxes: 2.0,
-        neighbours: 2.0,
+        local_boxes: 2.0,
         ..scene
     };
     let full = forecast(&scene, &model, &chain(), PROMPT);
     let pass = (0.000_85 + 1000.0 * 3.82e-6) * 1.4 * 2.0;
-    assert!(is_near(full.pause, 1.5 * pass), "{full:?}");
+    assert!(is_near(full.event_gap, 1.5 * pass), "{full:?}");
     let read = 772.0 / 196_000.0;
-    assert!(is_near(full.first, 0.5 + read + 1.5 * pass), "{full:?}");
+    assert!(
+        is_near(full.first_event, 0.5 + read + 1.5 * pass),
+        "{full:?}"
+    );
 }
 
 /// The types of accelerators differ more in reading than in writing, or less.
 #[test]
 fn kinds_of_engines_read_and_write_at_their_own_rates() {
     let mut roster = twins();
-    let held = Span { first: 0, end: 40 };
+    let held = LayerRange { first: 0, end: 40 };
     roster.put(upstream("slow", "a", "small", Some(held), 7));
     let stages = [stage("slow", 0, 40), stage("b1", 40, 80)];
     let slow = alone(&roster, &model(), &stages, PROMPT);
     let pass = 0.000_85 * 2.0 * (16.0 + 1.4) / 2.0;
     let read = 772.0 / 196_000.0 * (8.2 + 1.0) / 2.0;
-    assert!(is_near(slow.pause, 1.5 * pass), "{slow:?}");
-    assert!(is_near(slow.first, read + 1.5 * pass), "{slow:?}");
+    assert!(is_near(slow.event_gap, 1.5 * pass), "{slow:?}");
+    assert!(is_near(slow.first_event, read + 1.5 * pass), "{slow:?}");
 }
 
 /// An engine that says that it is slow was checked again and again.
@@ -127,8 +130,11 @@
     roster.note_slow(NOW, "a1", 5.0);
     roster.note_slow(NOW, "b1", 5.0);
     let slow = alone(&roster, &model, &chain(), PROMPT);
-    assert!(is_near(slow.first, idle.first.as_secs_f64() * 5.0));
-    assert!(is_near(slow.pause, idle.pause.as_secs_f64() * 5.0));
+    assert!(is_near(
+        slow.first_event,
+        idle.first_event.as_secs_f64() * 5.0
+    ));
+    assert!(is_near(slow.event_gap, idle.event_gap.as_secs_f64() * 5.0));
 }
 
 /// A caller that does not say how long its prompt is sends no empty one.
@@ -136,15 +142,18 @@
 fn unknown_prompt_counts_as_the_usual() {
     let (roster, model) = (twins(), model());
     let unknown = alone(&roster, &model, &chain(), 0);
-    assert_eq!(unknown, alone(&roster, &model, &chain(), model.prompt));
+    assert_eq!(
+        unknown,
+        alone(&roster, &model, &chain(), model.typical_prompt)
+    );
 }
 
 /// A caller that names an absurd prompt would have its engines checked in an hour.
 #[test]
 fn absurd_prompt_gives_the_longest_forecast() {
     let absurd = alone(&twins(), &model(), &chain(), 1_000_000_000);
-    assert_eq!(absurd.first, FORECAST_MOST);
-    assert!(absurd.pause < Duration::from_millis(10));
+    assert_eq!(absurd.first_event, MAX_FORECAST);
+    assert!(absurd.event_gap < Duration::from_millis(10));
     assert_eq!(absurd.ratio(Duration::from_secs(1)), None);
 }
 
@@ -162,18 +171,21 @@
 #[test]
 fn calibration_learns_how_late_events_come() {
     let forecast = Forecast {
-        first: Duration::from_millis(100),
-        pause: Duration::ZERO,
+        first_event: Duration::from_millis(100),
+        event_gap: Duration::ZERO,
     };
     let mut calibration = Calibration::default();
-    assert_eq!(calibration.apply(forecast.first), forecast.first);
+    assert_eq!(
+        calibration.apply(forecast.first_event),
+        forecast.first_event
+    );
     for _ in 0..200 {
         let ratio = forecast.ratio(Duration::from_millis(250)).expect("a ratio");
-        calibration.note(ratio);
+        calibration.record(ratio);
     }
     let factor = calibration.factor();
     assert!((factor - 2.5).abs() < 0.01, "{factor}");
-    let calibrated = calibration.apply(forecast.first);
+    let calibrated = calibration.apply(forecast.first_event);
     assert!(is_near(calibrated, 0.1 * factor), "{calibrated:?}");
 }
 
@@ -182,7 +194,7 @@
 #[test]
 fn one_late_event_changes_little() {
     let mut calibration = Calibration::default();
-    calibration.note(600.0);
+    calibration.record(600.0);
     let factor = calibration.factor();
     assert!((1.05..1.1).contains(&factor), "{factor}");
 }
@@ -193,8 +205,8 @@
 fn late_and_early_events_weigh_alike() {
     let mut calibration = Calibration::default();
     for _ in 0..200 {
-        calibration.note(2.0);
-        calibration.note(0.5);
+        calibration.record(2.0);
+        calibration.record(0.5);
     }
     let factor = calibration.factor();
     assert!((factor - 1.0).abs() < 0.05, "{factor}");
@@ -206,12 +218,12 @@
 fn calibration_is_bounded() {
     let (mut late, mut early) = (Calibration::default(), Calibration::default());
     for _ in 0..1000 {
-        late.note(1e6);
-        early.note(0.0);
+        late.record(1e6);
+        early.record(0.0);
     }
     assert!((late.factor() - 4.0).abs() < 1e-6);
     assert!((early.factor() - 0.25).abs() < 1e-6);
-    assert_eq!(late.apply(FORECAST_MOST), FORECAST_MOST);
+    assert_eq!(late.apply(MAX_FORECAST), MAX_FORECAST);
 }
 
 /// Whoever uses a forecast must be able to tell one that was never compared with
@@ -219,13 +231,17 @@
 #[test]
 fn spread_tells_how_sure_a_forecast_is() {
     let (mut even, mut uneven) = (Calibration::default(), Calibration::default());
-    assert!((even.spread() - 4.0).abs() < 1e-6);
+    assert!((even.error_factor() - 4.0).abs() < 1e-6);
     for n in 0..400 {
-        even.note(1.5);
-        uneven.note(if n % 2 == 0 { 3.0 } else { 1.0 / 3.0 });
+        even.record(1.5);
+        uneven.record(if n % 2 == 0 { 3.0 } else { 1.0 / 3.0 });
     }
-    assert!(even.spread() < 1.01, "{}", even.spread());
-    assert!((2.5..3.5).contains(&uneven.spread()), "{}", uneven.spread());
+    assert!(even.error_factor() < 1.01, "{}", even.error_factor());
+    assert!(
+        (2.5..3.5).contains(&uneven.error_factor()),
+        "{}",
+        uneven.error_factor()
+    );
 }
 
 /// Engines that told of a minute of work were never looked at, and their streams waited
@@ -233,11 +249,11 @@
 #[test]
 fn long_forecasts_do_not_put_checks_off_for_good() {
     let ms = Duration::from_millis;
-    assert_eq!(patience(FORECAST_MOST, ms(250), ms(1300)), ms(1300));
-    assert_eq!(patience(Duration::MAX, ms(250), ms(1300)), ms(1300));
+    assert_eq!(check_delay(MAX_FORECAST, ms(250), ms(1300)), ms(1300));
+    assert_eq!(check_delay(Duration::MAX, ms(250), ms(1300)), ms(1300));
     // A box that is set to wait for longer does so.
-    assert_eq!(patience(FORECAST_MOST, ms(3000), ms(1300)), ms(3000));
-    assert_eq!(patience(Duration::ZERO, ms(250), ms(1300)), ms(250));
+    assert_eq!(check_delay(MAX_FORECAST, ms(3000), ms(1300)), ms(3000));
+    assert_eq!(check_delay(Duration::ZERO, ms(250), ms(1300)), ms(250));
 }
 
 /// Any figure at all, the absurd ones often.
@@ -274,9 +290,18 @@
         read_rate in figure(),
         (step_factor, read_factor) in (figure(), figure()),
     ) -> Model {
-        let card = Card { memory_mb: 1.0, step_factor, read_factor };
+        let card = Accelerator { memory_mb: 1.0, step_factor, prefill_factor: read_factor };
         let cards = [("large".to_string(), card)].into();
-        Model { layers, step, step_request, event_tokens, prompt, read_rate, cards, ..model() }
+        Model {
+            layers,
+            step_time: step,
+            step_per_request: step_request,
+            event_tokens,
+            typical_prompt: prompt,
+            prefill_rate: read_rate,
+            accelerators: cards,
+            ..model()
+        }
     }
 }
 
@@ -292,18 +317,18 @@
         used in (count(), count()),
     ) {
         let mut roster = twins();
-        roster.note_reading(NOW, "a1", reading);
+        roster.note_prefill(NOW, "a1", reading);
         roster.note_slow(NOW, "a2", slowness);
-        let (pipes, mut shares, place) = (Pipes::default(), Shares::default(), Arc::from("a"));
+        let (pipes, mut shares, place) = (WanUsage::default(), FleetLoad::default(), Arc::from("a"));
         let (requests, reading) = used;
-        let uses = vec![(key("a1"), Use { requests, reading, ..Use::default() })];
-        shares.hear(NOW, common::word("box-2", uses));
+        let uses = vec![(upstream_key("a1"), Usage { requests, prefill_ms: reading, ..Usage::default() })];
+        shares.apply(NOW, common::word("box-2", uses));
         let scene = scene(&roster, &pipes, &shares, &place);
-        let scene = Scene { boxes, neighbours, ..scene };
+        let scene = SelectionContext { boxes, local_boxes: neighbours, ..scene };
         let stages: Vec<_> = spans.iter().map(|(id, from, to)| stage(id, *from, *to)).collect();
         let bounded = forecast(&scene, &model, &stages, prompt);
-        prop_assert!(bounded.first <= FORECAST_MOST);
-        prop_assert!(bounded.pause <= bounded.first);
+        prop_assert!(bounded.first_event <= MAX_FORECAST);
+        prop_assert!(bounded.event_gap <= bounded.first_event);
         if let Some(ratio) = bounded.ratio(Duration::from_secs(1)) {
             prop_assert!(ratio.is_finite() && ratio > 0.0, "{ratio}");
         }
@@ -316,9 +341,9 @@
         time in time(),
     ) {
         let mut calibration = Calibration::default();
-        ratios.iter().for_each(|ratio| calibration.note(*ratio));
+        ratios.iter().for_each(|ratio| calibration.record(*ratio));
         prop_assert!((0.2499..=4.001).contains(&calibration.factor()));
-        prop_assert!((1.0..=16.001).contains(&calibration.spread()));
-        prop_assert!(calibration.apply(time) <= FORECAST_MOST);
+        prop_assert!((1.0..=16.001).contains(&calibration.error_factor()));
+        prop_assert!(calibration.apply(time) <= MAX_FORECAST);
     }
 }
--- a/crates/ashgauge/tests/golden.rs
+++ b/crates/ashgauge/tests/golden.rs
@@ -9,9 +9,11 @@
 use std::sync::Arc;
 use std::time::Duration;
 
-use ashgauge::claim::Written;
-use ashgauge::member::{BoxEntry, Hold, Listing, State, UpstreamEntry};
-use ashgauge::node::{Content, Fault, Object, Order, Ran, Run, Token, Work};
+use ashgauge::claim::WriteResult;
+use ashgauge::member::{BoxEntry, HeldLayers, MemberList, MemberState, UpstreamEntry};
+use ashgauge::node::{
+    IncomingRequest, ObjectKey, ObjectValue, StageResult, StageRun, Token, UpstreamError, Work,
+};
 use ashgauge::policy::hash_key;
 use ashgauge::table::{Cell, Change, Edit, Table, Version};
 use ashgauge::{Action, Config, Event, Node};
@@ -30,28 +32,28 @@
     log: String,
 }
 
-fn listing() -> Listing {
+fn listing() -> MemberList {
     let node = |n: usize| BoxEntry {
         id: format!("box-{n}").into(),
-        peer: format!("peer-{n}"),
-        operator: format!("operator-{n}"),
+        peer_addr: format!("peer-{n}"),
+        operator_addr: format!("operator-{n}"),
         data_centre: "talca".into(),
-        state: State::Live,
+        state: MemberState::Live,
     };
     let engine = |id: &str, first, end| UpstreamEntry {
         id: id.into(),
         addr: format!("{id}:1"),
         data_centre: "talca".into(),
-        holds: vec![Hold {
+        holds: vec![HeldLayers {
             model: "chat".into(),
             first,
             end,
         }],
         service: None,
         fenced: true,
-        state: State::Live,
+        state: MemberState::Live,
     };
-    Listing {
+    MemberList {
         version: 1,
         boxes: vec![node(0), node(1)],
         upstreams: vec![engine("a", 0, 2), engine("b", 2, 4), engine("c", 2, 4)],
@@ -62,8 +64,8 @@
     fn new(boxes: usize) -> Self {
         let node = |n: usize| {
             let mut config = Config::new(&format!("box-{n}"), 1);
-            config.addr = format!("peer-{n}");
-            config.wall = 1_000_000;
+            config.peer_addr = format!("peer-{n}");
+            config.epoch_ms = 1_000_000;
             Node::new(config)
         };
         let mut world = World {
@@ -78,8 +80,8 @@
             world.events.push_back((
                 n,
                 Event::Read(
-                    Object::Table,
-                    Some((1, Some(Content::Table(Arc::new(table(4)))))),
+                    ObjectKey::Table,
+                    Some((1, Some(ObjectValue::Table(Arc::new(table(4)))))),
                 ),
             ));
             world.events.push_back((n, Event::Listed(listing())));
@@ -119,28 +121,28 @@
     fn act(&mut self, n: usize, action: Action) {
         let event = match action {
             Action::Run(run) => self.engine(run),
-            Action::Read(Object::Table) => {
-                let content = Content::Table(self.store.1.clone());
-                Event::Read(Object::Table, Some((self.store.0, Some(content))))
+            Action::Read(ObjectKey::Table) => {
+                let content = ObjectValue::Table(self.store.1.clone());
+                Event::Read(ObjectKey::Table, Some((self.store.0, Some(content))))
             }
-            Action::Write(object, version, Content::Table(next)) => {
+            Action::Write(object, version, ObjectValue::Table(next)) => {
                 let result = if version == self.store.0 {
                     self.store = (version + 1, next.clone());
-                    Written::Done(version + 1)
+                    WriteResult::Done(version + 1)
                 } else {
-                    Written::Conflict
+                    WriteResult::Conflict
                 };
-                Event::Written(object, Content::Table(next), result)
+                Event::Written(object, ObjectValue::Table(next), result)
             }
             _ => return,
         };
         self.events.push_back((n, event));
     }
 
-    fn engine(&self, run: Run) -> Event {
+    fn engine(&self, run: StageRun) -> Event {
         if self.dead == Some(&*run.upstream) {
-            let fault = Fault::Lost("connection reset".into());
-            return Event::RunFailed(run.id, run.session, run.start, fault);
+            let fault = UpstreamError::Lost("connection reset".into());
+            return Event::StageFailed(run.id, run.session, run.start, fault);
         }
         let outputs: Vec<u64> = run.inputs.iter().map(|x| x + 1).collect();
         let token = outputs.last().filter(|_| run.end == 4).map(|x| Token {
@@ -148,7 +150,7 @@
             text: format!("<{x}>"),
             end: false,
         });
-        Event::Ran(Ran {
+        Event::StageDone(StageResult {
             id: run.id,
             session: run.session,
             start: run.start,
@@ -160,19 +162,19 @@
     }
 
     fn arrive(&mut self, id: u64, most: u32) {
-        let order = Order {
+        let order = IncomingRequest {
             id,
             key_hash: hash_key("k"),
             work: Work::Generate {
                 model: "chat".into(),
                 prompt: vec![7, 8],
-                most,
+                max_tokens: most,
             },
-            key: None,
+            idempotency_key: None,
             repeatable: true,
             timeout: None,
         };
-        self.events.push_back((0, Event::Arrive(order)));
+        self.events.push_back((0, Event::RequestArrived(order)));
     }
 }
 
@@ -224,7 +226,7 @@
             id: who.into(),
             who: who.into(),
             at: 0,
-            cells: vec![change],
+            changes: vec![change],
         };
         world.events.push_back((n, Event::Edit(1, edit)));
     }
--- a/crates/ashgauge/tests/handoff.rs
+++ b/crates/ashgauge/tests/handoff.rs
@@ -4,16 +4,16 @@
 
 use std::time::Duration;
 
-use ashgauge::handoff::{End, Handoff, Next, Outcome};
-use ashgauge::retry::{Allowance, Window};
+use ashgauge::handoff::{Attempts, Decision, FailureKind, SendOutcome};
+use ashgauge::retry::{Allowance, SlidingBudget};
 use proptest::prelude::*;
 
-fn outcomes() -> impl Strategy<Value = Vec<(Outcome, u64)>> {
+fn outcomes() -> impl Strategy<Value = Vec<(SendOutcome, u64)>> {
     let outcome = prop::sample::select(vec![
-        Outcome::NotSent,
-        Outcome::NotRun,
-        Outcome::Failed,
-        Outcome::Lost,
+        SendOutcome::NotSent,
+        SendOutcome::NotRun,
+        SendOutcome::Failed,
+        SendOutcome::Lost,
     ]);
     prop::collection::vec((outcome, 0..400u64), 1..12)
 }
@@ -25,28 +25,28 @@
     /// at most; no more upstreams run it than are allowed.
     #[test]
     fn promises_hold(outcomes in outcomes(), attempts in 1..4u32, repeat: bool) {
-        let mut handoff = Handoff::new(Duration::from_secs(1), attempts, repeat);
+        let mut handoff = Attempts::new(Duration::from_secs(1), attempts, repeat);
         let mut now = Duration::ZERO;
         let mut may_have_run = 0;
         for (n, (outcome, ms)) in outcomes.into_iter().enumerate() {
-            handoff.send(format!("u{n}").into());
+            handoff.record_send(format!("u{n}").into());
             now += Duration::from_millis(ms);
-            if matches!(outcome, Outcome::Failed | Outcome::Lost) {
+            if matches!(outcome, SendOutcome::Failed | SendOutcome::Lost) {
                 may_have_run += 1;
             }
             prop_assert!(may_have_run <= attempts);
             prop_assert!(repeat || may_have_run <= 1);
-            match handoff.after(now, outcome, || true) {
-                Next::Again => prop_assert!(now < Duration::from_secs(1)),
-                Next::PassOn => {
-                    prop_assert_eq!(outcome, Outcome::Failed);
+            match handoff.decide(now, outcome, || true) {
+                Decision::Resend => prop_assert!(now < Duration::from_secs(1)),
+                Decision::Forward => {
+                    prop_assert_eq!(outcome, SendOutcome::Failed);
                     return Ok(());
                 }
-                Next::End(End::NotRun) => {
+                Decision::Fail(FailureKind::NotRun) => {
                     prop_assert_eq!(may_have_run, 0);
                     return Ok(());
                 }
-                Next::End(_) => {
+                Decision::Fail(_) => {
                     prop_assert!(may_have_run > 0);
                     return Ok(());
                 }
@@ -62,8 +62,8 @@
     ) {
         let window = Duration::from_secs(10);
         let allowance = Allowance { window, ratio: 0.2, extra: 40.0 };
-        let mut node = Window::new(allowance, Duration::ZERO, 0.0);
-        node.share_with(5);
+        let mut node = SlidingBudget::new(allowance, Duration::ZERO, 0.0);
+        node.set_boxes(5);
         let mut boxes = vec![node; 5];
         let mut now = Duration::ZERO;
         let mut firsts = Vec::new();
@@ -71,9 +71,9 @@
         for (node, ms, retry) in events {
             now += Duration::from_millis(ms);
             if !retry {
-                boxes[node].earn(now);
+                boxes[node].deposit(now);
                 firsts.push(now);
-            } else if boxes[node].take(now) {
+            } else if boxes[node].withdraw(now) {
                 retries.push(now);
             }
         }
@@ -92,17 +92,17 @@
 
 #[test]
 fn exhausted_budget_ends_the_request() {
-    let mut handoff = Handoff::new(Duration::from_secs(1), 2, true);
-    handoff.send("u1".into());
-    let next = handoff.after(Duration::ZERO, Outcome::NotRun, || false);
-    assert_eq!(next, Next::End(End::NotRun));
+    let mut handoff = Attempts::new(Duration::from_secs(1), 2, true);
+    handoff.record_send("u1".into());
+    let next = handoff.decide(Duration::ZERO, SendOutcome::NotRun, || false);
+    assert_eq!(next, Decision::Fail(FailureKind::NotRun));
 }
 
 #[test]
 fn end_of_the_time_is_told() {
-    let mut handoff = Handoff::new(Duration::from_secs(1), 2, true);
-    handoff.send("u1".into());
+    let mut handoff = Attempts::new(Duration::from_secs(1), 2, true);
+    handoff.record_send("u1".into());
     let late = Duration::from_secs(1);
-    let next = handoff.after(late, Outcome::Lost, || true);
-    assert_eq!(next, Next::End(End::Late));
+    let next = handoff.decide(late, SendOutcome::Lost, || true);
+    assert_eq!(next, Decision::Fail(FailureKind::DeadlineExceeded));
 }
--- a/crates/ashgauge/tests/hub.rs
+++ b/crates/ashgauge/tests/hub.rs
@@ -5,11 +5,11 @@
 use std::collections::HashMap;
 use std::time::Duration;
 
-use ashgauge::hub::{self, FAR_TIME, NEAR_TIME, Role};
+use ashgauge::hub::{self, LOCAL_INTERVAL, REMOTE_INTERVAL, Role};
 use ashgauge::member::BoxId;
 use ashgauge::question::Datagram;
-use ashgauge::reader::{self, Fleet, Member, Readers, Silences};
-use ashgauge::share::{Scope, Shares, Sum, Use, Uses, Word};
+use ashgauge::reader::{self, Backoffs, Fleet, Member, Readers};
+use ashgauge::share::{FleetLoad, LoadReport, LoadSum, Scope, Usage, UsageList};
 use proptest::prelude::*;
 use rand::rngs::SmallRng;
 use rand::{Rng, SeedableRng};
@@ -25,8 +25,8 @@
 fn members(boxes: usize) -> Vec<Member> {
     let member = |n: usize| Member {
         id: format!("box-{n}").into(),
-        place: format!("place-{}", n % 5).into(),
-        link: if n % 20 < 5 { 1000 } else { 20 },
+        data_centre: format!("place-{}", n % 5).into(),
+        link_mbps: if n % 20 < 5 { 1000 } else { 20 },
     };
     (0..boxes).map(member).collect()
 }
@@ -34,22 +34,22 @@
 fn see(me: &Member, members: &[Member]) -> Readers {
     let fleet = Fleet {
         candidates: members.to_vec(),
-        boxes: members.len(),
-        readers: None,
+        box_count: members.len(),
+        reader_count: None,
     };
-    reader::choose(me, &fleet, &Silences::default(), NOW)
+    reader::choose(me, &fleet, &Backoffs::default(), NOW)
 }
 
 /// A few upstreams, each with some requests.
-fn uses(rng: &mut SmallRng, upstreams: u32) -> Uses {
-    let mut uses: Uses = (0..7)
+fn uses(rng: &mut SmallRng, upstreams: u32) -> UsageList {
+    let mut uses: UsageList = (0..7)
         .map(|_| {
             let requests = rng.random_range(1..9);
-            let used = Use {
+            let used = Usage {
                 requests,
-                leads: requests / 2,
-                tokens: requests * 900,
-                reading: requests,
+                head_requests: requests / 2,
+                token_layers: requests * 900,
+                prefill_ms: requests,
             };
             (rng.random_range(0..upstreams), used)
         })
@@ -59,30 +59,30 @@
     uses
 }
 
-fn own(uses: &Uses) -> Sum {
-    Sum {
+fn own(uses: &UsageList) -> LoadSum {
+    LoadSum {
         boxes: 1,
-        uses: uses.clone(),
+        usage: uses.clone(),
         suspects: Vec::new(),
         flows: Default::default(),
         slow: Vec::new(),
     }
 }
 
-fn word(from: &BoxId, scope: Scope, sum: Sum) -> Word {
-    Word {
+fn word(from: &BoxId, scope: Scope, sum: LoadSum) -> LoadReport {
+    LoadReport {
         scope,
         boxes: sum.boxes,
         suspects: sum.suspects,
-        ..common::word(from, sum.uses)
+        ..common::word(from, sum.usage)
     }
 }
 
 /// A fleet in which each box has told once what it has.
 struct Fleets {
     members: Vec<Member>,
-    uses: HashMap<BoxId, Uses>,
-    shares: HashMap<BoxId, Shares>,
+    uses: HashMap<BoxId, UsageList>,
+    shares: HashMap<BoxId, FleetLoad>,
     hubs: Vec<BoxId>,
     /// Largest word.
     largest: usize,
@@ -93,7 +93,7 @@
     fn tell(boxes: usize, upstreams: u32) -> Self {
         let mut rng = SmallRng::seed_from_u64(7);
         let members = members(boxes);
-        let all = see(&members[0], &members).all;
+        let all = see(&members[0], &members).ids;
         let mut fleet = Fleets {
             uses: HashMap::new(),
             shares: HashMap::new(),
@@ -105,11 +105,11 @@
             fleet
                 .uses
                 .insert(member.id.clone(), uses(&mut rng, upstreams));
-            fleet.shares.insert(member.id, Shares::default());
+            fleet.shares.insert(member.id, FleetLoad::default());
         }
         let mut leaves: HashMap<BoxId, Vec<BoxId>> = HashMap::new();
         let hubs_at = |place: &str| {
-            let hubs = fleet.members.iter().filter(|m| &*m.place == place);
+            let hubs = fleet.members.iter().filter(|m| &*m.data_centre == place);
             let hubs = hubs.filter(|m| fleet.hubs.contains(&m.id));
             hubs.map(|m| m.id.clone()).collect::<Vec<_>>()
         };
@@ -126,35 +126,35 @@
         }
         for hub in fleet.hubs.clone() {
             let is_hub = |id: &str| fleet.hubs.iter().any(|h| **h == *id);
-            let below = fleet.shares[&hub].below(own(&fleet.uses[&hub]), is_hub);
+            let below = fleet.shares[&hub].subtree_sum(own(&fleet.uses[&hub]), is_hub);
             for other in fleet.hubs.clone().iter().filter(|other| **other != hub) {
-                fleet.hear(other, word(&hub, Scope::Own, below.clone().fit()));
+                fleet.hear(other, word(&hub, Scope::Own, below.clone().truncated()));
             }
         }
         for hub in fleet.hubs.clone() {
-            let whole = fleet.shares[&hub].all(own(&fleet.uses[&hub]));
+            let whole = fleet.shares[&hub].fleet_sum(own(&fleet.uses[&hub]));
             let leaves = leaves.remove(&hub).unwrap_or_default();
             for leaf in leaves.into_iter().step_by(LEAVES_EACH) {
-                for scope in hub::below() {
-                    let part = whole.only(|key| hub::is_told(scope, key, key % 5 == 0));
+                for scope in hub::leaf_scopes() {
+                    let part = whole.filtered(|key| hub::is_in_scope(scope, key, key % 5 == 0));
                     let part = fleet.shares[&hub].without(&part, &leaf);
-                    fleet.hear(&leaf, word(&hub, scope, part.fit()));
+                    fleet.hear(&leaf, word(&hub, scope, part.truncated()));
                 }
             }
         }
         fleet
     }
 
-    fn hear(&mut self, to: &BoxId, word: Word) {
+    fn hear(&mut self, to: &BoxId, word: LoadReport) {
         let bytes = postcard::to_allocvec(&Datagram::Load(word.clone())).expect("a datagram");
         self.largest = self.largest.max(bytes.len());
         let shares = self.shares.get_mut(to).expect("a box");
-        assert!(shares.hear(NOW, word));
+        assert!(shares.apply(NOW, word));
     }
 
     /// What all boxes but one have on each upstream.
-    fn truth(&self, but: &BoxId) -> HashMap<u32, Use> {
-        let mut sums: HashMap<u32, Use> = HashMap::new();
+    fn truth(&self, but: &BoxId) -> HashMap<u32, Usage> {
+        let mut sums: HashMap<u32, Usage> = HashMap::new();
         for (_, uses) in self.uses.iter().filter(|(id, _)| *id != but) {
             for (key, used) in uses {
                 sums.entry(*key).or_default().add(used);
@@ -174,7 +174,11 @@
         .filter(|(_, shares)| shares.boxes() == 1999);
     let mut count = 0;
     for (id, shares) in informed {
-        let known: HashMap<u32, Use> = shares.all(Sum::default()).uses.into_iter().collect();
+        let known: HashMap<u32, Usage> = shares
+            .fleet_sum(LoadSum::default())
+            .usage
+            .into_iter()
+            .collect();
         assert_eq!(known, fleet.truth(id), "{id}");
         count += 1;
     }
@@ -194,7 +198,7 @@
             .hubs
             .iter()
             .map(|hub| fleet.shares[hub].senders().count());
-        assert!(most.max() <= Some(2 * reader::BOXES_MOST + fleet.hubs.len()));
+        assert!(most.max() <= Some(2 * reader::MAX_READER_BOXES + fleet.hubs.len()));
     }
 }
 
@@ -207,15 +211,15 @@
         let near = |ids: &[BoxId]| {
             let near = members
                 .iter()
-                .filter(|m| ids.contains(&m.id) && m.place == members[0].place);
+                .filter(|m| ids.contains(&m.id) && m.data_centre == members[0].data_centre);
             near.count()
         };
         let all: Vec<BoxId> = members.iter().map(|m| m.id.clone()).collect();
         let age = match hub::role(boxes, &readers) {
-            Role::Peer => Role::Peer.times(near(&all), boxes).0,
+            Role::Peer => Role::Peer.intervals(near(&all), boxes).0,
             _ => {
-                let up = Role::Leaf(all[0].clone()).times(1, 1).0;
-                up + Role::Hub.times(near(&readers.all), readers.all.len()).0 + NEAR_TIME
+                let up = Role::Leaf(all[0].clone()).intervals(1, 1).0;
+                up + Role::Hub.intervals(near(&readers.ids), readers.ids.len()).0 + LOCAL_INTERVAL
             }
         };
         assert!(
@@ -223,37 +227,37 @@
             "{age:?} at {boxes} boxes"
         );
     }
-    assert!(Role::Leaf("hub".into()).lag(1) <= FAR_TIME);
+    assert!(Role::Leaf("hub".into()).remote_interval(1) <= REMOTE_INTERVAL);
 }
 
 /// Whoever goes over to another hub does not count what both told.
 #[test]
 fn sums_of_two_hubs_are_not_added() {
-    let mut shares = Shares::default();
+    let mut shares = FleetLoad::default();
     let used = vec![(
         1,
-        Use {
+        Usage {
             requests: 4,
-            ..Use::default()
+            ..Usage::default()
         },
     )];
-    let sum = |boxes: u32| Sum {
+    let sum = |boxes: u32| LoadSum {
         boxes,
-        uses: used.clone(),
+        usage: used.clone(),
         suspects: Vec::new(),
         flows: Default::default(),
         slow: Vec::new(),
     };
-    shares.hear(NOW, word(&"first".into(), Scope::Near, sum(90)));
-    shares.hear(NOW, word(&"first".into(), Scope::Far(0), sum(90)));
-    shares.hear(NOW, word(&"second".into(), Scope::Near, sum(95)));
+    shares.apply(NOW, word(&"first".into(), Scope::Local, sum(90)));
+    shares.apply(NOW, word(&"first".into(), Scope::Remote(0), sum(90)));
+    shares.apply(NOW, word(&"second".into(), Scope::Local, sum(95)));
     assert_eq!(shares.boxes(), 95);
-    let known = shares.all(Sum::default());
-    assert_eq!(known.uses[0].1.requests, 8);
+    let known = shares.fleet_sum(LoadSum::default());
+    assert_eq!(known.usage[0].1.requests, 8);
     // The box has become a hub itself, which the second tells its own part only.
-    shares.hear(NOW, word(&"second".into(), Scope::Own, sum(40)));
-    let known = shares.all(Sum::default());
-    assert_eq!(known.uses[0].1.requests, 8);
+    shares.apply(NOW, word(&"second".into(), Scope::Own, sum(40)));
+    let known = shares.fleet_sum(LoadSum::default());
+    assert_eq!(known.usage[0].1.requests, 8);
     assert_eq!(shares.boxes(), 40);
 }
 
@@ -264,20 +268,20 @@
     #[test]
     fn sum_without_a_box_is_that_of_the_others(seed in any::<u64>(), boxes in 1usize..12) {
         let mut rng = SmallRng::seed_from_u64(seed);
-        let told: Vec<(BoxId, Uses)> = (0..boxes)
+        let told: Vec<(BoxId, UsageList)> = (0..boxes)
             .map(|n| (BoxId::from(format!("box-{n}")), uses(&mut rng, 12)))
             .collect();
-        let mut hub = Shares::default();
+        let mut hub = FleetLoad::default();
         for (id, uses) in &told {
-            hub.hear(NOW, word(id, Scope::Own, own(uses)));
+            hub.apply(NOW, word(id, Scope::Own, own(uses)));
         }
-        let whole = hub.all(Sum::default());
+        let whole = hub.fleet_sum(LoadSum::default());
         for (id, _) in &told {
-            let mut others = Shares::default();
+            let mut others = FleetLoad::default();
             for (other, uses) in told.iter().filter(|(other, _)| other != id) {
-                others.hear(NOW, word(other, Scope::Own, own(uses)));
+                others.apply(NOW, word(other, Scope::Own, own(uses)));
             }
-            prop_assert_eq!(hub.without(&whole, id), others.all(Sum::default()));
+            prop_assert_eq!(hub.without(&whole, id), others.fleet_sum(LoadSum::default()));
         }
     }
 }
--- a/crates/ashgauge/tests/knowledge.rs
+++ b/crates/ashgauge/tests/knowledge.rs
@@ -5,11 +5,11 @@
 
 use std::time::Duration;
 
-use ashgauge::events::{Whole, cut};
-use ashgauge::fresh::{Freshness, Ledger};
-use ashgauge::notice::Absent;
-use ashgauge::roster::Roster;
-use ashgauge::routing::{Access, Bounds, Route, Routing, Team};
+use ashgauge::events::{CompleteEvents, scan_complete};
+use ashgauge::fresh::{Freshness, RevisionTracker};
+use ashgauge::notice::AbsentNotices;
+use ashgauge::roster::UpstreamRegistry;
+use ashgauge::routing::{Access, ClientLimits, Route, RoutingConfig, Team};
 use ashgauge::upstream::Upstream;
 use engines::upstream;
 use proptest::prelude::*;
@@ -21,18 +21,18 @@
         name: name.into(),
         host: host.into(),
         prefix: prefix.into(),
-        repeat: true,
+        idempotent: true,
         stream: None,
         timeout: SECOND,
-        aim: SECOND,
-        rank: 1,
-        split: vec![("s".into(), 1.0)],
-        attempts: 1,
-        open: name == "open",
+        target_latency: SECOND,
+        priority: 1,
+        traffic_split: vec![("s".into(), 1.0)],
+        max_attempts: 1,
+        allow_anonymous: name == "open",
     }
 }
 
-fn routing() -> Routing {
+fn routing() -> RoutingConfig {
     let routes = vec![
         route("short", "a.example", "/x/"),
         route("long", "a.example", "/x/y/"),
@@ -41,16 +41,22 @@
     ];
     let team = Team {
         name: "payroll".into(),
-        rank: None,
+        priority: None,
         keys: vec!["k1".into(), "k2".into()],
     };
-    Routing::new(7, routes, Vec::new(), Some(vec![team]), Bounds::default())
+    RoutingConfig::new(
+        7,
+        routes,
+        Vec::new(),
+        Some(vec![team]),
+        ClientLimits::default(),
+    )
 }
 
 #[test]
 fn longest_prefix_of_the_host_wins() {
     let routing = routing();
-    let find = |host: &str, path: &str| routing.find(host, path).map(|r| r.name.clone());
+    let find = |host: &str, path: &str| routing.find_route(host, path).map(|r| r.name.clone());
     assert_eq!(find("a.example", "/x/y/z").as_deref(), Some("long"));
     assert_eq!(find("a.example", "/x/z").as_deref(), Some("short"));
     assert_eq!(find("b.example", "/x/y/").as_deref(), Some("other"));
@@ -62,21 +68,21 @@
 #[test]
 fn keys_lead_to_teams() {
     let routing = routing();
-    let closed = routing.find("a.example", "/x/").expect("a route");
-    let open = routing.find("a.example", "/open/").expect("a route");
-    let team = |key| match routing.access(closed, key) {
+    let closed = routing.find_route("a.example", "/x/").expect("a route");
+    let open = routing.find_route("a.example", "/open/").expect("a route");
+    let team = |key| match routing.authorize(closed, key) {
         Access::Team(team) => Some(team.name.clone()),
         _ => None,
     };
     assert_eq!(team(Some("k2")).as_deref(), Some("payroll"));
-    assert_eq!(routing.access(closed, Some("k3")), Access::Denied);
-    assert_eq!(routing.access(closed, None), Access::Denied);
-    assert_eq!(routing.access(open, None), Access::Open);
+    assert_eq!(routing.authorize(closed, Some("k3")), Access::Denied);
+    assert_eq!(routing.authorize(closed, None), Access::Denied);
+    assert_eq!(routing.authorize(open, None), Access::Anonymous);
 }
 
 #[test]
 fn upstream_missing_after_an_outage_may_come_back() {
-    let mut roster = Roster::default();
+    let mut roster = UpstreamRegistry::default();
     let engines = [
         upstream("e1", "a", "small", None, 1),
         upstream("e2", "a", "small", None, 2),
@@ -84,7 +90,8 @@
     engines.iter().for_each(|e| roster.put(e.clone()));
     let now = SECOND * 10;
     roster.replace(now, vec![engines[0].clone()], false);
-    let usable = |roster: &Roster, id: &str, now| roster.get(id).map(|e| e.is_usable(now));
+    let usable =
+        |roster: &UpstreamRegistry, id: &str, now| roster.get(id).map(|e| e.is_usable(now));
     assert_eq!(usable(&roster, "e2", now), Some(false));
     roster.expire(now + SECOND);
     roster.put(engines[1].clone());
@@ -96,21 +103,22 @@
 
 #[test]
 fn suspect_is_left_out_for_a_while() {
-    let mut roster = Roster::default();
+    let mut roster = UpstreamRegistry::default();
     roster.put(upstream("e1", "a", "small", None, 1));
-    assert!(roster.suspect(SECOND, "e1"));
-    assert!(!roster.suspect(SECOND, "e1"));
-    let usable = |roster: &Roster, now| roster.get("e1").is_some_and(|e| e.is_usable(now));
+    assert!(roster.mark_suspect(SECOND, "e1"));
+    assert!(!roster.mark_suspect(SECOND, "e1"));
+    let usable =
+        |roster: &UpstreamRegistry, now| roster.get("e1").is_some_and(|e| e.is_usable(now));
     assert!(!usable(&roster, SECOND * 2));
     assert!(usable(&roster, SECOND * 6));
-    roster.suspect(SECOND * 6, "e1");
-    roster.learn(SECOND, "e1", SECOND);
+    roster.mark_suspect(SECOND * 6, "e1");
+    roster.record_latency(SECOND, "e1", SECOND);
     assert!(usable(&roster, SECOND * 6));
 }
 
 fn born(id: &str, born: u64) -> Upstream {
     Upstream {
-        born: Some(born),
+        started_ms: Some(born),
         ..upstream(id, "a", "small", None, 1)
     }
 }
@@ -119,25 +127,28 @@
 /// and taken to be slow and full, for what its last start had done.
 #[test]
 fn new_start_under_an_id_begins_anew() {
-    let mut roster = Roster::default();
+    let mut roster = UpstreamRegistry::default();
     roster.put(born("e1", 1));
-    roster.begin("e1", 700);
-    roster.suspect(SECOND, "e1");
+    roster.begin_request("e1", 700);
+    roster.mark_suspect(SECOND, "e1");
     roster.note_full(SECOND, "e1");
     roster.note_slow(SECOND, "e1", 4.0);
-    roster.fail(SECOND, "e1");
+    roster.record_failure(SECOND, "e1");
     roster.put(born("e1", 1));
     let entry = roster.get("e1").expect("an entry");
     assert!(!entry.is_usable(SECOND), "it is the same start");
     roster.put(born("e1", 2));
     let entry = roster.get("e1").expect("an entry");
     assert!(entry.is_usable(SECOND) && !entry.is_full(SECOND));
-    assert_eq!((entry.slowness(SECOND), entry.failures(SECOND)), (1.0, 0.0));
+    assert_eq!(
+        (entry.slowness(SECOND), entry.failure_rate(SECOND)),
+        (1.0, 0.0)
+    );
     // Requests that ran on the start before it end as they were counted.
     assert_eq!(entry.inflight, 1);
-    roster.end("e1", 700);
+    roster.end_request("e1", 700);
     assert_eq!(
-        roster.get("e1").map(|e| (e.inflight, e.tokens)),
+        roster.get("e1").map(|e| (e.inflight, e.token_layers)),
         Some((0, 0))
     );
 }
@@ -146,12 +157,12 @@
 /// forgets entries in an outage. None of it ends a rest, which the upstream counts on.
 #[test]
 fn rest_holds_whatever_becomes_of_the_entry() {
-    let mut roster = Roster::default();
+    let mut roster = UpstreamRegistry::default();
     let upstreams = [born("e1", 1), born("e2", 1)];
-    let rest = |roster: &Roster, now| roster.get("e1").and_then(|e| e.rest(now));
+    let rest = |roster: &UpstreamRegistry, now| roster.get("e1").and_then(|e| e.backoff(now));
     roster.replace(SECOND, upstreams.to_vec(), true);
-    roster.note_rest(SECOND, "e1", SECOND * 30);
-    roster.note_rest(SECOND, "e1", SECOND);
+    roster.note_backoff(SECOND, "e1", SECOND * 30);
+    roster.note_backoff(SECOND, "e1", SECOND);
     assert_eq!(rest(&roster, SECOND * 11), Some(SECOND * 20));
     roster.put(Upstream {
         slots: 7,
@@ -176,11 +187,11 @@
 /// Its entry may lapse while a request is on its way, and come back.
 #[test]
 fn rest_holds_though_the_entry_was_gone_as_it_was_asked_for() {
-    let mut roster = Roster::default();
-    roster.note_rest(SECOND, "e1", SECOND * 30);
+    let mut roster = UpstreamRegistry::default();
+    roster.note_backoff(SECOND, "e1", SECOND * 30);
     roster.put(born("e1", 1));
     let entry = roster.get("e1").expect("an entry");
-    assert_eq!(entry.rest(SECOND * 11), Some(SECOND * 20));
+    assert_eq!(entry.backoff(SECOND * 11), Some(SECOND * 20));
     assert!(entry.is_usable(SECOND) && !entry.takes_requests(SECOND));
 }
 
@@ -188,11 +199,11 @@
 /// store is away; an entry that calls it ready is older. A new start stays.
 #[test]
 fn leaving_holds_until_a_new_start() {
-    let mut roster = Roster::default();
+    let mut roster = UpstreamRegistry::default();
     roster.put(born("e1", 1));
     assert!(roster.note_leaving(SECOND, "e1"));
     assert!(!roster.note_leaving(SECOND, "e1"));
-    let leaving = |roster: &Roster| roster.get("e1").map(|e| e.is_leaving());
+    let leaving = |roster: &UpstreamRegistry| roster.get("e1").map(|e| e.is_leaving());
     roster.put(born("e1", 1));
     assert_eq!(leaving(&roster), Some(true));
     roster.remove(SECOND, "e1");
@@ -210,12 +221,12 @@
     /// However many upstreams come and go, what is kept of those that are gone ends.
     #[test]
     fn notices_of_upstreams_that_are_gone_end(steps in prop::collection::vec((0u8..8, 0u16..900), 1..200)) {
-        let mut absent = Absent::default();
+        let mut absent = AbsentNotices::default();
         let (mut now, mut last) = (Duration::ZERO, [None; 8]);
         for (id, pause) in steps {
             now += Duration::from_secs(pause.into());
             let name = format!("e{id}");
-            absent.change(now, &name, |n| n.note_rest(now, SECOND * 2000));
+            absent.update(now, &name, |n| n.extend_backoff(now, SECOND * 2000));
             last[usize::from(id)] = Some(now);
             let kept = last.iter().flatten().filter(|at| now < **at + SECOND * 600);
             prop_assert_eq!(absent.len(), kept.count());
@@ -226,9 +237,9 @@
 /// A rest of any length is no end of the box.
 #[test]
 fn longest_rest_is_counted() {
-    let mut roster = Roster::default();
+    let mut roster = UpstreamRegistry::default();
     roster.put(born("e1", 1));
-    roster.note_rest(SECOND, "e1", Duration::MAX);
+    roster.note_backoff(SECOND, "e1", Duration::MAX);
     assert!(
         roster
             .get("e1")
@@ -240,23 +251,23 @@
 /// is well again.
 #[test]
 fn failures_fade_while_an_upstream_is_avoided() {
-    let mut roster = Roster::default();
+    let mut roster = UpstreamRegistry::default();
     roster.put(upstream("e1", "a", "small", None, 1));
     for _ in 0..10 {
-        roster.fail(SECOND, "e1");
+        roster.record_failure(SECOND, "e1");
     }
-    let failures = |now| roster.get("e1").map_or(0.0, |e| e.failures(now));
+    let failures = |now| roster.get("e1").map_or(0.0, |e| e.failure_rate(now));
     assert!(failures(SECOND) > 0.9);
     assert!(failures(SECOND * 40) < 0.05);
 }
 
 #[test]
 fn reading_under_way_is_over_in_its_time() {
-    let mut roster = Roster::default();
+    let mut roster = UpstreamRegistry::default();
     roster.put(upstream("e1", "a", "small", None, 1));
-    roster.note_reading(SECOND, "e1", 1.0);
-    roster.note_reading(SECOND, "e1", 0.5);
-    let backlog = |now| roster.get("e1").map_or(9.0, |e| e.backlog(now));
+    roster.note_prefill(SECOND, "e1", 1.0);
+    roster.note_prefill(SECOND, "e1", 0.5);
+    let backlog = |now| roster.get("e1").map_or(9.0, |e| e.prefill_backlog(now));
     assert!((backlog(SECOND * 2) - 0.5).abs() < 1e-9);
     assert_eq!(backlog(SECOND * 3), 0.0);
 }
@@ -291,7 +302,7 @@
         }
         now += Duration::from_millis(frozen);
         let age = now - latest.expect("a question");
-        prop_assert_eq!(fresh.holds(now), age <= most);
+        prop_assert_eq!(fresh.is_fresh(now), age <= most);
     }
 
     /// A revision counts as covered only if every change up to it was read.
@@ -301,9 +312,9 @@
         base in 0..20u64,
         asked in 0..60u64,
     ) {
-        let mut ledger = Ledger::default();
-        ledger.read_all(base);
-        read.iter().for_each(|r| ledger.add(*r));
+        let mut ledger = RevisionTracker::default();
+        ledger.mark_read_to(base);
+        read.iter().for_each(|r| ledger.mark_read(*r));
         let all = (base + 1..=asked).all(|r| read.contains(&r));
         prop_assert_eq!(ledger.covers(asked), all);
     }
@@ -327,10 +338,10 @@
             let end = (at + piece).min(kept.len());
             buffer.extend_from_slice(&kept[at..end]);
             at = end;
-            let whole = cut(&buffer);
+            let whole = scan_complete(&buffer);
             if whole.count > 0 {
-                prop_assert_eq!(whole.first, Some(last + 1));
-                last = whole.last.expect("an id");
+                prop_assert_eq!(whole.first_id, Some(last + 1));
+                last = whole.last_id.expect("an id");
             }
             out.extend(buffer.drain(..whole.len));
         }
@@ -343,14 +354,14 @@
 #[test]
 fn comments_are_no_events() {
     let bytes = b": waiting\n\n:\r\n\r\n: first\nid: 1\ndata: a\n\n: ";
-    let whole = cut(bytes);
-    assert_eq!((whole.count, whole.last), (1, Some(1)));
+    let whole = scan_complete(bytes);
+    assert_eq!((whole.count, whole.last_id), (1, Some(1)));
     assert_eq!(whole.len, bytes.len() - 2);
     assert_eq!(
-        cut(&bytes[..11]),
-        Whole {
+        scan_complete(&bytes[..11]),
+        CompleteEvents {
             len: 11,
-            ..Whole::default()
+            ..CompleteEvents::default()
         }
     );
 }
@@ -359,11 +370,11 @@
 /// though most of them had just served other streams.
 #[test]
 fn upstream_that_was_just_heard_needs_no_probe() {
-    let mut roster = Roster::default();
+    let mut roster = UpstreamRegistry::default();
     roster.put(upstream("e1", "a", "small", None, 1));
-    let heard = |roster: &Roster, now| roster.get("e1").is_some_and(|e| e.was_heard(now));
+    let heard = |roster: &UpstreamRegistry, now| roster.get("e1").is_some_and(|e| e.is_active(now));
     assert!(!heard(&roster, SECOND));
-    roster.hear(SECOND, "e1");
+    roster.note_activity(SECOND, "e1");
     assert!(heard(&roster, SECOND + Duration::from_millis(50)));
     assert!(!heard(&roster, SECOND + Duration::from_millis(70)));
 }
@@ -372,18 +383,18 @@
 /// well, where other streams had heard it a moment ago; those streams may go on.
 #[test]
 fn upstream_that_takes_no_connection_gets_nothing_new_and_keeps_what_it_has() {
-    let mut roster = Roster::default();
+    let mut roster = UpstreamRegistry::default();
     roster.put(upstream("e1", "a", "large", None, 1));
-    roster.hear(SECOND, "e1");
-    roster.note_shut(SECOND, "e1");
+    roster.note_activity(SECOND, "e1");
+    roster.note_unreachable(SECOND, "e1");
     let entry = roster.get("e1").expect("an entry");
     assert!(!entry.takes_requests(SECOND));
     assert!(entry.is_usable(SECOND) && !entry.is_suspect(SECOND));
     assert!(entry.takes_requests(SECOND * 2));
     // A new start is another engine.
-    roster.note_shut(SECOND * 3, "e1");
+    roster.note_unreachable(SECOND * 3, "e1");
     let mut born = upstream("e1", "a", "large", None, 1);
-    born.born = Some(7);
+    born.started_ms = Some(7);
     roster.put(born);
     assert!(
         roster
--- a/crates/ashgauge/tests/lease.rs
+++ b/crates/ashgauge/tests/lease.rs
@@ -5,25 +5,25 @@
 use std::collections::HashMap;
 use std::time::Duration;
 
-use ashgauge::claim::Written;
-use ashgauge::lease::{Lease, Step, Stored};
+use ashgauge::claim::WriteResult;
+use ashgauge::lease::{Lease, LeaseAction, StoredLease};
 use proptest::prelude::*;
 
 const TTL: Duration = Duration::from_millis(1000);
 
 enum Call {
     Read(usize),
-    Write(usize, u64, Stored),
+    Write(usize, u64, StoredLease),
     /// A write's answer, on its way back since the write took effect.
-    Answer(usize, Written),
+    Answer(usize, WriteResult),
 }
 
-fn write(store: &mut (u64, Stored), version: u64, next: &Stored) -> Written {
+fn write(store: &mut (u64, StoredLease), version: u64, next: &StoredLease) -> WriteResult {
     if store.0 != version {
-        return Written::Conflict;
+        return WriteResult::Conflict;
     }
     *store = (version + 1, next.clone());
-    Written::Done(version + 1)
+    WriteResult::Done(version + 1)
 }
 
 proptest! {
@@ -33,7 +33,7 @@
     fn one_holder_at_a_time_and_terms_of_its_own(
         steps in prop::collection::vec((0usize..3, 0u8..8, 0u16..200, any::<u16>()), 50..400),
     ) {
-        let mut store = (0, Stored::default());
+        let mut store = (0, StoredLease::default());
         let mut boxes: Vec<Lease> =
             (0..3).map(|n| Lease::new(format!("box-{n}.1"), TTL)).collect();
         let mut calls: Vec<Call> = Vec::new();
@@ -42,27 +42,27 @@
         for (node, luck, wait, pick) in steps {
             now += Duration::from_millis(u64::from(wait));
             match boxes[node].tick(now) {
-                Some(Step::Read) => calls.push(Call::Read(node)),
-                Some(Step::Write(version, next)) => calls.push(Call::Write(node, version, next)),
+                Some(LeaseAction::Read) => calls.push(Call::Read(node)),
+                Some(LeaseAction::Write(version, next)) => calls.push(Call::Write(node, version, next)),
                 None => {}
             }
             // A box may be paused for long between asking and the answer.
             if !calls.is_empty() && luck > 0 {
                 match calls.swap_remove(usize::from(pick) % calls.len()) {
-                    Call::Read(b) => boxes[b].read(now, (luck > 1).then(|| store.clone())),
+                    Call::Read(b) => boxes[b].on_read(now, (luck > 1).then(|| store.clone())),
                     Call::Write(b, version, next) => {
                         let result = match luck {
-                            1 => Written::Unknown,
+                            1 => WriteResult::Unknown,
                             2 => {
                                 write(&mut store, version, &next);
-                                Written::Unknown
+                                WriteResult::Unknown
                             }
-                            3 => Written::Refused,
+                            3 => WriteResult::Refused,
                             _ => write(&mut store, version, &next),
                         };
                         calls.push(Call::Answer(b, result));
                     }
-                    Call::Answer(b, result) => boxes[b].written(now, result),
+                    Call::Answer(b, result) => boxes[b].on_written(now, result),
                 }
             }
             let holders: Vec<(usize, u64)> =
--- a/crates/ashgauge/tests/level.rs
+++ b/crates/ashgauge/tests/level.rs
@@ -3,15 +3,15 @@
 use std::time::Duration;
 
 use ashgauge::class::{Class, Ranks};
-use ashgauge::demand::{Demand, Demands, Flows, Meter, Source, Teams, key};
-use ashgauge::level::{Gate, Level};
+use ashgauge::demand::{Demand, DemandMeter, DemandSource, Demands, TeamSketch, Traffic, key};
+use ashgauge::level::{AdmissionGate, AdmissionLevel};
 
 fn class(route: u32, back: bool) -> Class {
     Class::new(Some(0), route, back)
 }
 
-fn source(route: u32, back: bool, team: &str) -> Source {
-    Source {
+fn source(route: u32, back: bool, team: &str) -> DemandSource {
+    DemandSource {
         service: key("model"),
         class: class(route, back),
         team: Some(key(team)),
@@ -23,7 +23,7 @@
         let demand = Demand {
             rate: rate * 1000,
             work: rate * 1000,
-            teams: Teams::one(key(team)),
+            teams: TeamSketch::single(key(team)),
         };
         (source(*route, *back, team), demand)
     };
@@ -38,8 +38,8 @@
         (1, false, "a", 50),
         (2, false, "a", 100),
     ]);
-    assert_eq!(Level::new(&asked, 250.0), None);
-    let level = Level::new(&asked, 130.0).expect("a level");
+    assert_eq!(AdmissionLevel::new(&asked, 250.0), None);
+    let level = AdmissionLevel::new(&asked, 130.0).expect("a level");
     assert_eq!(level.share(class(0, false), key("a")), 1.0);
     assert_eq!(level.share(class(1, false), key("a")), 1.0);
     assert!((level.share(class(2, false), key("a")) - 0.3).abs() < 0.01);
@@ -54,7 +54,7 @@
         (0, false, "large", 40),
         (0, false, "small", 10),
     ]);
-    let level = Level::new(&asked, 120.0).expect("a level");
+    let level = AdmissionLevel::new(&asked, 120.0).expect("a level");
     assert_eq!(level.share(class(0, false), key("small")), 1.0);
     assert_eq!(level.share(class(0, false), key("large")), 1.0);
     let part = level.share(class(0, false), key("floods"));
@@ -66,11 +66,11 @@
 #[test]
 fn boxes_with_one_request_each_let_the_right_part_in() {
     let asked = demands(&[(0, false, "a", 1000)]);
-    let level = Level::new(&asked, 200.0);
+    let level = AdmissionLevel::new(&asked, 200.0);
     let is_in = |n: u32| {
-        let mut gate = Gate::default();
-        gate.set(Duration::ZERO, level.clone());
-        gate.admits(class(0, false), key("a"), f64::from(n) / 1000.0)
+        let mut gate = AdmissionGate::default();
+        gate.set_level(Duration::ZERO, level.clone());
+        gate.admit(class(0, false), key("a"), f64::from(n) / 1000.0)
     };
     let let_in = (0..1000).filter(|n| is_in(*n)).count();
     assert!((180..=220).contains(&let_in), "{let_in}");
@@ -79,18 +79,18 @@
 /// A word must fit into a datagram, however many teams there are.
 #[test]
 fn small_teams_are_told_together() {
-    let mut meter = Meter::default();
+    let mut meter = DemandMeter::default();
     for n in 0..1700 {
         let team = format!("team-{n}");
         let times = if n < 10 { 200 } else { 1 };
-        (0..times).for_each(|_| meter.note(Duration::ZERO, source(0, false, &team), 1.0));
+        (0..times).for_each(|_| meter.record(Duration::ZERO, source(0, false, &team), 1.0));
     }
-    let all = meter.flows(Duration::ZERO);
-    let told = all.clone().fit();
+    let all = meter.traffic(Duration::ZERO);
+    let told = all.clone().truncated();
     assert!(told.demands.len() <= 64);
-    let sum = |flows: &Flows| flows.demands.iter().map(|(_, d)| d.rate()).sum::<f64>();
+    let sum = |flows: &Traffic| flows.demands.iter().map(|(_, d)| d.rate()).sum::<f64>();
     assert!((sum(&told) / sum(&all) - 1.0).abs() < 0.01);
-    let level = Level::new(&told.demands, sum(&all) * 0.9).expect("a level");
+    let level = AdmissionLevel::new(&told.demands, sum(&all) * 0.9).expect("a level");
     let small = level.share(class(0, false), key("team-1000"));
     assert!(small > 0.95, "{small}");
     assert!(level.share(class(0, false), key("team-3")) < 1.0);
@@ -99,23 +99,23 @@
 /// What a hub hands on to a box must not hold that box's own demand twice.
 #[test]
 fn flows_without_a_part_are_the_rest() {
-    let mut meters = [Meter::default(), Meter::default()];
-    meters[0].note(Duration::ZERO, source(0, false, "a"), 1.0);
-    meters[1].note(Duration::ZERO, source(0, false, "a"), 1.0);
-    meters[1].note(Duration::ZERO, source(1, false, "b"), 1.0);
-    meters[1].note_end(Duration::ZERO, key("model"));
-    let [one, other] = meters.each_mut().map(|m| m.flows(Duration::ZERO));
-    let sum = Flows::sum([&one, &other].into_iter());
-    let rest = sum.clone().without(&one);
+    let mut meters = [DemandMeter::default(), DemandMeter::default()];
+    meters[0].record(Duration::ZERO, source(0, false, "a"), 1.0);
+    meters[1].record(Duration::ZERO, source(0, false, "a"), 1.0);
+    meters[1].record(Duration::ZERO, source(1, false, "b"), 1.0);
+    meters[1].record_completion(Duration::ZERO, key("model"));
+    let [one, other] = meters.each_mut().map(|m| m.traffic(Duration::ZERO));
+    let sum = Traffic::sum([&one, &other].into_iter());
+    let rest = sum.clone().minus(&one);
     assert_eq!(rest.demands, other.demands);
-    assert_eq!(rest.ends_of(key("model")), 1.0);
+    assert_eq!(rest.completion_rate(key("model")), 1.0);
 }
 
 #[test]
 fn ranks_of_routes_switch_shedding_on() {
-    assert!(!Ranks::new(&[Some(0), Some(1)], &[1, 1]).differ());
-    assert!(Ranks::new(&[None], &[0, 1]).differ());
+    assert!(!Ranks::new(&[Some(0), Some(1)], &[1, 1]).routes_differ());
+    assert!(Ranks::new(&[None], &[0, 1]).routes_differ());
     let ranks = Ranks::new(&[Some(0), None], &[0, 1, 2]);
-    let orders = [0, 1, 2].map(|route| ranks.order(Class::new(None, route, false)));
+    let orders = [0, 1, 2].map(|route| ranks.priority(Class::new(None, route, false)));
     assert_eq!(orders, [1, 4, 5]);
 }
--- a/crates/ashgauge/tests/limit.rs
+++ b/crates/ashgauge/tests/limit.rs
@@ -4,7 +4,7 @@
 
 use std::time::Duration;
 
-use ashgauge::limit::Limits;
+use ashgauge::limit::TeamLimits;
 use ashgauge::member::BoxId;
 use ashgauge::policy::TeamId;
 use proptest::prelude::*;
@@ -16,8 +16,8 @@
     format!("box-{n}").into()
 }
 
-fn fleet(now: Duration, team: &TeamId) -> Vec<Limits> {
-    let mut boxes: Vec<Limits> = (0..BOXES).map(|_| Limits::default()).collect();
+fn fleet(now: Duration, team: &TeamId) -> Vec<TeamLimits> {
+    let mut boxes: Vec<TeamLimits> = (0..BOXES).map(|_| TeamLimits::default()).collect();
     for limits in &mut boxes {
         limits.set_share(now, team, LIMIT / BOXES as f64);
     }
@@ -38,7 +38,7 @@
         let mut flying: Vec<(usize, usize, f64, Duration)> = Vec::new();
         for (asker, lender, want, wait, luck) in steps {
             now += Duration::from_millis(u64::from(wait));
-            boxes[asker].demand(now, &team, f64::from(want));
+            boxes[asker].record_demand(now, &team, f64::from(want));
             let asked = now;
             now += Duration::from_millis(u64::from(luck) * 10);
             if asker != lender {
@@ -49,7 +49,7 @@
             if luck % 3 != 2 && !flying.is_empty() {
                 let n = usize::from(wait) % flying.len();
                 let (asker, lender, rate, asked) = flying.swap_remove(n);
-                boxes[asker].borrowed(now, &team, &id(lender), rate, asked);
+                boxes[asker].record_loan(now, &team, &id(lender), rate, asked);
             } else if luck == 8 {
                 flying.clear();
             }
@@ -63,7 +63,7 @@
     #[test]
     fn spending_follows_the_rate(costs in prop::collection::vec(1u32..200, 50..200)) {
         let team: TeamId = "team".into();
-        let mut limits = Limits::default();
+        let mut limits = TeamLimits::default();
         limits.set_share(Duration::ZERO, &team, LIMIT);
         let (mut spent, mut now) = (0.0, Duration::ZERO);
         for cost in costs {
@@ -85,14 +85,14 @@
     let mut boxes = fleet(now, &team);
     for _ in 0..100 {
         now += Duration::from_millis(100);
-        boxes[0].demand(now, &team, 300.0);
-        if boxes[0].due(now).is_empty() {
+        boxes[0].record_demand(now, &team, 300.0);
+        if boxes[0].teams_to_borrow(now).is_empty() {
             continue;
         }
         for lender in 1..BOXES {
-            let want = boxes[0].want(now, &team, &id(lender), BOXES - 1);
+            let want = boxes[0].wanted_rate(now, &team, &id(lender), BOXES - 1);
             let rate = boxes[lender].lend(now, &team, &id(0), want);
-            boxes[0].borrowed(now, &team, &id(lender), rate, now);
+            boxes[0].record_loan(now, &team, &id(lender), rate, now);
         }
     }
     let rate = boxes[0].rate(now, &team);
--- a/crates/ashgauge/tests/limited/mod.rs
+++ b/crates/ashgauge/tests/limited/mod.rs
@@ -5,7 +5,10 @@
 use std::time::Duration;
 
 use ashgauge::member::BoxId;
-use ashgauge::permit::{Giver, Grants, Limits, Passed, Verdict, closed_time, giver, givers, place};
+use ashgauge::permit::{
+    Issuer, PermitBuckets, SkippedBoxes, UpstreamLimits, Verdict, choose_issuer, closed_for,
+    issuer_order, issuer_rank,
+};
 use ashgauge::share;
 use rand::rngs::SmallRng;
 use rand::{Rng, SeedableRng};
@@ -61,9 +64,9 @@
 
 #[derive(Default)]
 pub struct Node {
-    limits: Limits,
-    grants: Grants,
-    passed: Passed,
+    limits: UpstreamLimits,
+    grants: PermitBuckets,
+    passed: SkippedBoxes,
     closed: f64,
     told: Option<f64>,
 }
@@ -138,7 +141,7 @@
             &names[..]
         };
         World {
-            order: givers(share::key(ID), all),
+            order: issuer_order(share::upstream_key(ID), all),
             nodes: names.iter().map(|_| Node::default()).collect(),
             names,
             run: run.clone(),
@@ -239,7 +242,7 @@
             } => {
                 if self.open.remove(&ask).is_some() {
                     let (now, id) = (at(self.now), self.names[giver].clone());
-                    self.nodes[by].passed.miss(now, &id);
+                    self.nodes[by].passed.record_miss(now, &id);
                     match again && self.reaches(by) {
                         true => self.ask(by, Some(giver)),
                         false => self.close(by, None),
@@ -258,7 +261,7 @@
                     return;
                 }
                 let now = at(self.now);
-                self.nodes[to].limits.note(now, ID, at(sent), rate);
+                self.nodes[to].limits.record(now, ID, at(sent), rate);
                 if rate.is_some() {
                     self.nodes[to].told.get_or_insert(self.now);
                 }
@@ -275,10 +278,10 @@
 
     /// Asks for a permit if one is needed, and not the box that was `silent`.
     fn ask(&mut self, n: usize, silent: Option<usize>) {
-        let (now, key) = (at(self.now), share::key(ID));
+        let (now, key) = (at(self.now), share::upstream_key(ID));
         let Some(told) = self.nodes[n]
             .limits
-            .told_of(now, key)
+            .report_of(now, key)
             .filter(|t| t.rate.is_some())
         else {
             return self.send(n);
@@ -287,7 +290,7 @@
         let hears = |id: &BoxId| self.hears(self.index(id));
         let node = &self.nodes[n];
         let silent = silent.map(|s| self.names[s].clone());
-        match giver(
+        match choose_issuer(
             now,
             &self.names[n],
             boxes,
@@ -296,12 +299,12 @@
             silent.as_ref(),
             hears,
         ) {
-            Giver::Own(place) => {
+            Issuer::Local(place) => {
                 let Node { limits, grants, .. } = &mut self.nodes[n];
                 let verdict = grants.decide(now, limits, told.key, place);
                 self.judge(n, verdict);
             }
-            Giver::Other(id) => {
+            Issuer::Remote(id) => {
                 let to = self.index(&id);
                 self.asks += 1;
                 let ask = self.asks;
@@ -328,17 +331,17 @@
         if !self.reaches(to) || !self.reaches(from) {
             return;
         }
-        let (now, key) = (at(self.now), share::key(ID));
-        if let Some(told) = self.nodes[from].limits.told_of(now, key) {
-            self.nodes[to].limits.hear(now, &[told]);
+        let (now, key) = (at(self.now), share::upstream_key(ID));
+        if let Some(told) = self.nodes[from].limits.report_of(now, key) {
+            self.nodes[to].limits.merge(now, &[told]);
         }
-        let place = place(&self.names[to], &self.order, |id| {
+        let place = issuer_rank(&self.names[to], &self.order, |id| {
             self.hears(self.index(id))
         });
         let Node { limits, grants, .. } = &mut self.nodes[to];
         let verdict = grants.decide(now, limits, key, place);
-        if let Some(told) = self.nodes[to].limits.told_of(now, key) {
-            self.nodes[from].limits.hear(now, &[told]);
+        if let Some(told) = self.nodes[to].limits.report_of(now, key) {
+            self.nodes[from].limits.merge(now, &[told]);
         }
         let time = self.now + self.delay();
         if !self.rng.random_bool(self.run.lossy) {
@@ -366,14 +369,14 @@
     }
 
     fn judge(&mut self, n: usize, verdict: Verdict) {
-        match closed_time(Some(verdict)) {
+        match closed_for(Some(verdict)) {
             None => self.send(n),
             Some(_) => self.close(n, Some(verdict)),
         }
     }
 
     fn close(&mut self, n: usize, verdict: Option<Verdict>) {
-        let time = closed_time(verdict).unwrap_or_default();
+        let time = closed_for(verdict).unwrap_or_default();
         self.nodes[n].closed = self.now + time.as_secs_f64();
     }
 
@@ -393,22 +396,22 @@
             self.push(self.now + every, Event::Words(n));
         }
         let now = at(self.now);
-        let mut hub = Limits::default();
+        let mut hub = UpstreamLimits::default();
         let tellers = if is_large {
             0..self.run.boxes
         } else {
             n..n + 1
         };
         for teller in tellers.filter(|t| self.reaches(*t)) {
-            hub.hear(now, &self.nodes[teller].limits.tell(now));
+            hub.merge(now, &self.nodes[teller].limits.reports(now));
         }
-        let told = hub.tell(now);
+        let told = hub.reports(now);
         if told.is_empty() {
             return;
         }
         for other in 0..self.run.boxes {
             if self.reaches(other) && !self.rng.random_bool(self.run.lossy) {
-                self.nodes[other].limits.hear(now, &told);
+                self.nodes[other].limits.merge(now, &told);
             }
         }
     }
--- a/crates/ashgauge/tests/merge.rs
+++ b/crates/ashgauge/tests/merge.rs
@@ -3,7 +3,7 @@
 
 mod common;
 
-use ashgauge::table::{Cell, Change, Edit, HISTORY, Table};
+use ashgauge::table::{Cell, Change, Edit, MAX_EDITS, Table};
 use proptest::prelude::*;
 
 const ROWS: [&str; 3] = ["tier/a", "tier/b", "tier/c"];
@@ -24,7 +24,7 @@
         id: format!("edit-{id}"),
         who: format!("operator-{id}"),
         at: 0,
-        cells: vec![Change {
+        changes: vec![Change {
             row: row.into(),
             column: column.into(),
             seen: base.cell(row, column).cloned(),
@@ -80,11 +80,13 @@
 #[test]
 fn history_is_bounded_and_keeps_the_newest() {
     let mut table = start();
-    for n in 0..HISTORY + 10 {
+    for n in 0..MAX_EDITS + 10 {
         table = table.apply(&edit(n, &table, 0, 0, n as u32 + 1)).unwrap();
     }
-    assert_eq!(table.edits.len(), HISTORY);
-    assert!(table.holds(&format!("edit-{}", HISTORY + 9)) && !table.holds("edit-9"));
+    assert_eq!(table.edits.len(), MAX_EDITS);
+    assert!(
+        table.contains_edit(&format!("edit-{}", MAX_EDITS + 9)) && !table.contains_edit("edit-9")
+    );
 }
 
 #[test]
@@ -128,7 +130,7 @@
             id: "e".into(),
             who: "o".into(),
             at: 0,
-            cells: vec![change],
+            changes: vec![change],
         };
         let error = table.apply(&edit).unwrap_err();
         assert!(error.to_string().contains(words), "{error}");
--- a/crates/ashgauge/tests/mirror.rs
+++ b/crates/ashgauge/tests/mirror.rs
@@ -5,7 +5,7 @@
 
 use std::collections::BTreeMap;
 
-use ashgauge::mirror::{Change, Mirror, Revision, Update, What};
+use ashgauge::mirror::{Change, ChangeKind, Mirror, Revision, Update};
 use ashgauge::upstream::Upstream;
 use engines::upstream;
 use proptest::prelude::*;
@@ -13,11 +13,11 @@
 /// The store's history: what each revision changed.
 #[derive(Default)]
 struct Store {
-    history: Vec<What>,
+    history: Vec<ChangeKind>,
 }
 
 impl Store {
-    fn change(&mut self, what: What) -> Revision {
+    fn change(&mut self, what: ChangeKind) -> Revision {
         self.history.push(what);
         self.at()
     }
@@ -32,9 +32,9 @@
         for (n, what) in self.history.iter().take(at as usize).enumerate() {
             let revision = n as Revision + 1;
             match what {
-                What::Put(u) => entries.insert(u.id.to_string(), (revision, Some(u.clone()))),
-                What::Gone(id) => entries.insert(id.to_string(), (revision, None)),
-                What::Config(_) => None,
+                ChangeKind::Put(u) => entries.insert(u.id.to_string(), (revision, Some(u.clone()))),
+                ChangeKind::Removed(id) => entries.insert(id.to_string(), (revision, None)),
+                ChangeKind::Config(_) => None,
             };
         }
         entries
@@ -49,8 +49,8 @@
 /// Reads everything, as a box does that begins to read; the configuration was
 /// read some revisions before the list.
 fn read_whole(mirror: &mut Mirror, store: &Store, before: u64) {
-    mirror.replace(store.at(), store.list());
-    mirror.read_all(store.at().saturating_sub(before));
+    mirror.replace_all(store.at(), store.list());
+    mirror.mark_read_to(store.at().saturating_sub(before));
 }
 
 /// Takes what a watch brings.
@@ -59,9 +59,9 @@
     for (n, what) in store.history.iter().enumerate().skip(from as usize) {
         let revision = n as Revision + 1;
         match what.clone() {
-            What::Put(u) => mirror.put(revision, u),
-            What::Gone(id) => mirror.remove(revision, &id),
-            What::Config(bytes) => mirror.set_config(revision, bytes),
+            ChangeKind::Put(u) => mirror.put(revision, u),
+            ChangeKind::Removed(id) => mirror.remove(revision, &id),
+            ChangeKind::Config(bytes) => mirror.set_config(revision, bytes),
         };
     }
 }
@@ -127,10 +127,10 @@
                 Step::Put(id, slots) => {
                     let mut entry = upstream(&format!("e{id}"), "a", "small", None, 1);
                     entry.slots = slots;
-                    store.change(What::Put(entry));
+                    store.change(ChangeKind::Put(entry));
                 }
                 Step::Gone(id) => {
-                    store.change(What::Gone(format!("e{id}").as_str().into()));
+                    store.change(ChangeKind::Removed(format!("e{id}").as_str().into()));
                 }
                 Step::Watch(n) if boxes[n].covered() > 0 => watch(&mut boxes[n], &store),
                 Step::Watch(n) => read_whole(&mut boxes[n], &store, 0),
@@ -142,7 +142,7 @@
                 Step::Ask(..) => {}
                 Step::Arrive(a, n) => {
                     if let Some(update) = answers[a].get(n % answers[a].len().max(1)).cloned() {
-                        boxes[a].take(update);
+                        boxes[a].apply(update);
                     }
                 }
                 Step::Restart(n) => {
@@ -162,50 +162,50 @@
 fn old_copy_takes_nothing_away() {
     let mut reader = Mirror::default();
     let entry = |id: &str| upstream(id, "a", "small", None, 1);
-    reader.replace(4, vec![(3, entry("e1"))]);
-    reader.read_all(4);
+    reader.replace_all(4, vec![(3, entry("e1"))]);
+    reader.mark_read_to(4);
     let old = reader.update(0, true);
-    assert!(old.whole);
+    assert!(old.is_full);
     let mut other = Mirror::default();
-    other.take(old.clone());
+    other.apply(old.clone());
     reader.put(5, entry("e2"));
-    other.take(reader.update(other.covered(), true));
+    other.apply(reader.update(other.covered(), true));
     assert_eq!(other.covered(), 5);
-    assert!(other.take(old).is_empty());
+    assert!(other.apply(old).is_empty());
     assert_eq!(other.upstreams().count(), 2);
 }
 
 #[test]
 fn what_is_gone_is_told_once() {
     let mut reader = Mirror::default();
-    reader.replace(2, vec![(1, upstream("e1", "a", "small", None, 1))]);
-    reader.read_all(2);
+    reader.replace_all(2, vec![(1, upstream("e1", "a", "small", None, 1))]);
+    reader.mark_read_to(2);
     let mut other = Mirror::default();
-    other.take(reader.update(0, true));
+    other.apply(reader.update(0, true));
     reader.remove(3, &"e1".into());
     let update = reader.update(other.covered(), true);
-    assert!(!update.whole);
+    assert!(!update.is_full);
     let gone = Change {
         revision: 3,
-        what: What::Gone("e1".into()),
+        kind: ChangeKind::Removed("e1".into()),
     };
-    assert_eq!(other.take(update.clone()), [gone]);
-    assert!(other.take(update).is_empty());
+    assert_eq!(other.apply(update.clone()), [gone]);
+    assert!(other.apply(update).is_empty());
 }
 
 /// The memory of removals is bounded; a box that missed more gets all.
 #[test]
 fn too_many_removals_are_replaced_by_the_whole() {
     let mut reader = Mirror::default();
-    reader.replace(1, Vec::new());
-    reader.read_all(1);
+    reader.replace_all(1, Vec::new());
+    reader.mark_read_to(1);
     for n in 0..3000u64 {
         let id = format!("e{n}");
         reader.put(2 + 2 * n, upstream(&id, "a", "small", None, 1));
         reader.remove(3 + 2 * n, &id.as_str().into());
     }
-    assert!(reader.update(1, true).whole);
-    assert!(!reader.update(6000, true).whole);
+    assert!(reader.update(1, true).is_full);
+    assert!(!reader.update(6000, true).is_full);
     assert!(reader.update(1, true).changes.is_empty());
 }
 
@@ -215,18 +215,18 @@
 fn removals_before_a_list_are_not_passed_over() {
     let entry = |id: &str| upstream(id, "a", "small", None, 1);
     let mut reader = Mirror::default();
-    reader.replace(10, vec![(2, entry("e1"))]);
-    reader.read_all(3);
+    reader.replace_all(10, vec![(2, entry("e1"))]);
+    reader.mark_read_to(3);
     let mut between = Mirror::default();
-    between.take(reader.update(0, true));
-    reader.read_all(12);
-    between.take(reader.update(between.covered(), true));
+    between.apply(reader.update(0, true));
+    reader.mark_read_to(12);
+    between.apply(reader.update(between.covered(), true));
     assert_eq!(between.covered(), 12);
     // `e2` was removed at 7.
     let mut late = Mirror::default();
-    late.replace(5, vec![(2, entry("e1")), (4, entry("e2"))]);
-    late.read_all(5);
-    late.take(between.update(late.covered(), true));
+    late.replace_all(5, vec![(2, entry("e1")), (4, entry("e2"))]);
+    late.mark_read_to(5);
+    late.apply(between.update(late.covered(), true));
     assert_eq!(late.covered(), 12);
     assert_eq!(late.upstreams().map(|u| &*u.id).collect::<Vec<_>>(), ["e1"]);
 }
@@ -237,10 +237,10 @@
 #[test]
 fn edition_changes_with_what_is_handed_on() {
     let mut mirror = Mirror::default();
-    mirror.replace(1, vec![(1, upstream("a", "p", "large", None, 1))]);
-    mirror.read_all(1);
+    mirror.replace_all(1, vec![(1, upstream("a", "p", "large", None, 1))]);
+    mirror.mark_read_to(1);
     let (covered, before) = (mirror.covered(), mirror.update(0, true));
-    let edition = mirror.edition();
+    let edition = mirror.generation();
     let leaving = Upstream {
         leaving: true,
         ..upstream("a", "p", "large", None, 1)
@@ -248,13 +248,13 @@
     assert!(mirror.put(5, leaving.clone()));
     assert_eq!(mirror.covered(), covered);
     assert_ne!(mirror.update(0, true), before);
-    assert_ne!(mirror.edition(), edition);
-    let edition = mirror.edition();
+    assert_ne!(mirror.generation(), edition);
+    let edition = mirror.generation();
     assert!(!mirror.put(5, leaving), "no news");
-    assert_eq!(mirror.edition(), edition);
+    assert_eq!(mirror.generation(), edition);
     assert!(mirror.remove(7, &"a".into()));
-    assert_ne!(mirror.edition(), edition);
-    let edition = mirror.edition();
+    assert_ne!(mirror.generation(), edition);
+    let edition = mirror.generation();
     assert!(mirror.set_config(9, b"routes".to_vec()));
-    assert_ne!(mirror.edition(), edition);
+    assert_ne!(mirror.generation(), edition);
 }
--- a/crates/ashgauge/tests/node.rs
+++ b/crates/ashgauge/tests/node.rs
@@ -8,10 +8,11 @@
 use std::sync::Arc;
 use std::time::Duration;
 
-use ashgauge::member::{BoxEntry, Hold, Listing, State, UpstreamEntry, UpstreamId};
+use ashgauge::member::{BoxEntry, HeldLayers, MemberList, MemberState, UpstreamEntry, UpstreamId};
 use ashgauge::message::Envelope;
 use ashgauge::node::{
-    Content, Fault, Object, Order, Outcome, Ran, Reason, Reply, Run, Token, Value, Work,
+    IncomingRequest, ObjectKey, ObjectValue, Outcome, RefusalReason, ReplyPart, StageResult,
+    StageRun, StageValue, Token, UpstreamError, Work,
 };
 use ashgauge::policy::hash_key;
 use ashgauge::table::Cell;
@@ -29,7 +30,7 @@
 }
 
 /// Runs a value through layers whose states it changes.
-fn through(states: &mut [u64], first: u32, input: Value) -> Value {
+fn through(states: &mut [u64], first: u32, input: StageValue) -> StageValue {
     let layers = states.iter_mut().zip(first..);
     layers.fold(input, |x, (state, layer)| {
         *state = mix(*state, x);
@@ -37,7 +38,7 @@
     })
 }
 
-fn reference(prompt: &[Value]) -> Vec<Value> {
+fn reference(prompt: &[StageValue]) -> Vec<StageValue> {
     let mut states = [0; LAYERS as usize];
     let mut last = 0;
     for x in prompt {
@@ -54,7 +55,7 @@
 struct Session {
     states: Vec<u64>,
     next: u32,
-    kept: Option<(u32, Vec<Value>, Vec<Value>)>,
+    kept: Option<(u32, Vec<StageValue>, Vec<StageValue>)>,
 }
 
 #[derive(Default)]
@@ -65,7 +66,7 @@
 }
 
 impl Engines {
-    fn run(&mut self, run: &Run) -> Result<Ran, Reason> {
+    fn run(&mut self, run: &StageRun) -> Result<StageResult, RefusalReason> {
         let name = (run.upstream.to_string(), run.id, run.session);
         if run.start == 0 {
             self.sessions
@@ -76,11 +77,15 @@
                     kept: None,
                 });
         }
-        let session = self.sessions.get_mut(&name).ok_or(Reason::NoSession)?;
-        let same = |k: &&(u32, Vec<Value>, Vec<Value>)| k.0 == run.start && k.1 == run.inputs;
+        let session = self
+            .sessions
+            .get_mut(&name)
+            .ok_or(RefusalReason::NoSession)?;
+        let same =
+            |k: &&(u32, Vec<StageValue>, Vec<StageValue>)| k.0 == run.start && k.1 == run.inputs;
         let outputs = match session.kept.as_ref().filter(same) {
             Some((_, _, outputs)) => outputs.clone(),
-            None if session.next != run.start => return Err(Reason::NoSession),
+            None if session.next != run.start => return Err(RefusalReason::NoSession),
             None => {
                 for position in run.start + run.rebuild..run.start + run.inputs.len() as u32 {
                     for layer in run.first..run.end {
@@ -100,7 +105,7 @@
             text: String::new(),
             end: false,
         });
-        Ok(Ran {
+        Ok(StageResult {
             id: run.id,
             session: run.session,
             start: run.start,
@@ -114,22 +119,22 @@
 
 #[derive(Default)]
 struct Caller {
-    tokens: Vec<Value>,
-    last: Option<Reply>,
+    tokens: Vec<StageValue>,
+    last: Option<ReplyPart>,
     repeatable: bool,
     touched: bool,
-    prompt: Vec<Value>,
+    prompt: Vec<StageValue>,
 }
 
-fn refused(reason: Reason) -> Fault {
-    Fault::Refused { reason, rest: None }
+fn refused(reason: RefusalReason) -> UpstreamError {
+    UpstreamError::Refused { reason, rest: None }
 }
 
 struct World {
     node: Node,
     now: Duration,
     engines: Engines,
-    runs: Vec<Run>,
+    runs: Vec<StageRun>,
     late: Vec<Event>,
     callers: BTreeMap<u64, Caller>,
     /// Messages to other boxes.
@@ -152,8 +157,8 @@
             callers: BTreeMap::new(),
             sent: Vec::new(),
         };
-        let content = Content::Table(Arc::new(table(LAYERS)));
-        world.feed(Event::Read(Object::Table, Some((1, Some(content)))));
+        let content = ObjectValue::Table(Arc::new(table(LAYERS)));
+        world.feed(Event::Read(ObjectKey::Table, Some((1, Some(content)))));
         world.feed(Event::Listed(listing(ranges)));
         world
     }
@@ -169,11 +174,11 @@
         }
     }
 
-    fn reply(&mut self, id: u64, reply: Reply) {
+    fn reply(&mut self, id: u64, reply: ReplyPart) {
         let caller = self.callers.get_mut(&id).unwrap();
         assert!(caller.last.is_none(), "a reply after the last one");
         match reply {
-            Reply::Token(token) => caller.tokens.push(token.id),
+            ReplyPart::Token(token) => caller.tokens.push(token.id),
             last => caller.last = Some(last),
         }
     }
@@ -182,22 +187,22 @@
         self.arrive_with(id, repeatable, vec![id, id + 1]);
     }
 
-    fn arrive_with(&mut self, id: u64, repeatable: bool, prompt: Vec<Value>) {
+    fn arrive_with(&mut self, id: u64, repeatable: bool, prompt: Vec<StageValue>) {
         let caller = Caller {
             repeatable,
             prompt: prompt.clone(),
             ..Caller::default()
         };
         self.callers.insert(id, caller);
-        self.feed(Event::Arrive(Order {
+        self.feed(Event::RequestArrived(IncomingRequest {
             id,
             key_hash: hash_key("k"),
             work: Work::Generate {
                 model: "chat".into(),
                 prompt,
-                most: TOKENS,
+                max_tokens: TOKENS,
             },
-            key: None,
+            idempotency_key: None,
             repeatable,
             timeout: Some(Duration::from_secs(20)),
         }));
@@ -220,33 +225,33 @@
     }
 
     /// What becomes of one order on its way, by `luck`.
-    fn deliver(&mut self, run: Run, luck: u8) {
-        let failed = |fault| Event::RunFailed(run.id, run.session, run.start, fault);
+    fn deliver(&mut self, run: StageRun, luck: u8) {
+        let failed = |fault| Event::StageFailed(run.id, run.session, run.start, fault);
         let event = match luck {
-            0 => failed(Fault::NotSent("refused".into())),
-            1 => failed(refused(Reason::Busy)),
+            0 => failed(UpstreamError::NotSent("refused".into())),
+            1 => failed(refused(RefusalReason::Busy)),
             2 => {
                 // It ran, and the answer was lost.
                 self.touch(&run);
                 let _ = self.engines.run(&run);
-                failed(Fault::Lost("reset".into()))
+                failed(UpstreamError::Lost("reset".into()))
             }
             3 => {
                 self.touch(&run);
-                failed(Fault::Lost("reset".into()))
+                failed(UpstreamError::Lost("reset".into()))
             }
             4 => {
                 // The answer comes much later, or is what somebody else got.
                 self.touch(&run);
                 if let Ok(ran) = self.engines.run(&run) {
-                    self.late.push(Event::Ran(ran));
+                    self.late.push(Event::StageDone(ran));
                 }
                 return;
             }
             _ => {
                 self.touch(&run);
                 match self.engines.run(&run) {
-                    Ok(ran) => Event::Ran(ran),
+                    Ok(ran) => Event::StageDone(ran),
                     Err(reason) => failed(refused(reason)),
                 }
             }
@@ -254,7 +259,7 @@
         self.feed(event);
     }
 
-    fn touch(&mut self, run: &Run) {
+    fn touch(&mut self, run: &StageRun) {
         self.callers.get_mut(&run.id).unwrap().touched = true;
     }
 
@@ -266,8 +271,8 @@
                 "{id} got a wrong token"
             );
             match caller.last.as_ref().expect("a final answer") {
-                Reply::End { .. } => assert_eq!(caller.tokens, expected),
-                Reply::Refused(r) => {
+                ReplyPart::End { .. } => assert_eq!(caller.tokens, expected),
+                ReplyPart::Refused(r) => {
                     assert!(
                         r.outcome != Outcome::NotRun || !caller.touched,
                         "{id} did run"
@@ -295,28 +300,28 @@
     }
 }
 
-fn listing(ranges: &[(u32, u32)]) -> Listing {
+fn listing(ranges: &[(u32, u32)]) -> MemberList {
     let engine = |(n, &(first, end)): (usize, &(u32, u32))| UpstreamEntry {
         id: format!("engine-{n}").into(),
         addr: format!("engine-{n}:1"),
         data_centre: String::new(),
-        holds: vec![Hold {
+        holds: vec![HeldLayers {
             model: "chat".into(),
             first,
             end,
         }],
         service: None,
         fenced: true,
-        state: State::Live,
+        state: MemberState::Live,
     };
-    Listing {
+    MemberList {
         version: 1,
         boxes: vec![BoxEntry {
             id: "box-1".into(),
-            peer: "box-1:1".into(),
-            operator: "box-1:2".into(),
+            peer_addr: "box-1:1".into(),
+            operator_addr: "box-1:2".into(),
             data_centre: String::new(),
-            state: State::Live,
+            state: MemberState::Live,
         }],
         upstreams: ranges.iter().enumerate().map(engine).collect(),
     }
@@ -340,10 +345,10 @@
             }
             None => drop(next.rows.remove("route/chat")),
         }
-        let content = Content::Table(Arc::new(next));
-        world.feed(Event::Read(Object::Table, Some((2, Some(content)))));
+        let content = ObjectValue::Table(Arc::new(next));
+        world.feed(Event::Read(ObjectKey::Table, Some((2, Some(content)))));
         let told = world.callers.values().filter(|c| match &c.last {
-            Some(Reply::Refused(r)) => r.outcome == Outcome::NotRun && r.retry_after.is_some(),
+            Some(ReplyPart::Refused(r)) => r.outcome == Outcome::NotRun && r.retry_after.is_some(),
             _ => false,
         });
         assert_eq!(told.count(), waiting, "{kind:?}");
@@ -360,7 +365,7 @@
     }
     assert_eq!(ended.len(), 3, "{ended:?}");
     for (id, caller) in &world.callers {
-        let Some(Reply::Refused(refusal)) = &caller.last else {
+        let Some(ReplyPart::Refused(refusal)) = &caller.last else {
             panic!("{id}: {:?}", caller.last);
         };
         let outcome = if *id == 1 {
@@ -375,7 +380,7 @@
     world.feed(Event::Tick);
     let mut other = World::with(&[(0, LAYERS); 12]);
     for envelope in std::mem::take(&mut world.sent) {
-        other.feed(Event::Heard(envelope));
+        other.feed(Event::MessageReceived(envelope));
     }
     assert!(other.lose_all(1).is_empty());
     // Another one is served.
@@ -383,7 +388,10 @@
     while let Some(run) = world.runs.pop() {
         world.deliver(run, 9);
     }
-    assert!(matches!(world.callers[&5].last, Some(Reply::End { .. })));
+    assert!(matches!(
+        world.callers[&5].last,
+        Some(ReplyPart::End { .. })
+    ));
 }
 
 proptest! {
@@ -404,7 +412,7 @@
                 let id = 100 * (1 + u64::from(pick) % next);
                 if world.callers.get(&id).is_some_and(|c| c.last.is_none()) {
                     // The caller goes; what it would be told counts as told.
-                    world.feed(Event::Gone(id));
+                    world.feed(Event::CallerGone(id));
                     world.callers.remove(&id);
                     world.runs.retain(|r| r.id != id);
                     world.late.clear();
--- a/crates/ashgauge/tests/overload.rs
+++ b/crates/ashgauge/tests/overload.rs
@@ -5,7 +5,7 @@
 
 use std::ops::Range;
 
-use ashgauge::level::back_after;
+use ashgauge::level::retry_after;
 use fleet::load::{BEGIN, BOXES, END, GOODPUT_LEAST, LOADS, RECOVER, STEADY, burst, caller};
 use fleet::{PATIENCE, Run, Seen, World};
 
@@ -205,12 +205,12 @@
     for ms in [0, 1, 62, 500, 1000, 20_000, 600_000] {
         let patience = std::time::Duration::from_millis(ms);
         for draw in [-1.0, 0.0, 0.5, 1.0, 2.0] {
-            let after = back_after(patience, draw);
+            let after = retry_after(patience, draw);
             assert!(after <= patience / 3, "{ms} ms, {draw}: {after:?}");
             assert!(ms == 0 || after > std::time::Duration::ZERO, "{ms} ms");
         }
     }
-    assert!(back_after(PATIENCE, 0.0) >= std::time::Duration::from_secs(3));
+    assert!(retry_after(PATIENCE, 0.0) >= std::time::Duration::from_secs(3));
 }
 
 /// A refusal is truthful: what was refused has neither begun nor ended at engines. Load:
--- a/crates/ashgauge/tests/overload_faults.rs
+++ b/crates/ashgauge/tests/overload_faults.rs
@@ -5,8 +5,8 @@
 mod fleet;
 
 use ashgauge::class::Class;
-use ashgauge::demand::{self, Demand, Flows, Source, Teams};
-use ashgauge::share::{Sum, Use};
+use ashgauge::demand::{self, Demand, DemandSource, TeamSketch, Traffic};
+use ashgauge::share::{LoadSum, Usage};
 use fleet::load::{BEGIN, BOXES, END, GOODPUT_LEAST, RECOVER, burst};
 use fleet::{Fault, SERVICE, World};
 
@@ -75,26 +75,26 @@
 }
 
 /// What a box tells whose figures are wrong.
-fn absurd(demands: Vec<(u8, Demand)>, ends: u32, used: u32) -> Sum {
-    let source = |route| Source {
+fn absurd(demands: Vec<(u8, Demand)>, ends: u32, used: u32) -> LoadSum {
+    let source = |route| DemandSource {
         service: demand::key(SERVICE),
         class: Class::new(Some(0), u32::from(route), false),
         team: None,
     };
     let demands = demands.into_iter().map(|(r, d)| (source(r), d));
-    let uses = Use {
+    let uses = Usage {
         requests: used,
-        leads: used,
-        tokens: used,
-        reading: used,
+        head_requests: used,
+        token_layers: used,
+        prefill_ms: used,
     };
-    Sum {
+    LoadSum {
         boxes: 1,
-        uses: vec![(fleet::engines_key(), uses)],
+        usage: vec![(fleet::engines_key(), uses)],
         suspects: Vec::new(),
-        flows: Flows {
+        flows: Traffic {
             demands: demands.collect(),
-            ends: vec![(demand::key(SERVICE), ends)],
+            completions: vec![(demand::key(SERVICE), ends)],
         },
         slow: Vec::new(),
     }
@@ -116,7 +116,9 @@
     let all = Demand {
         rate: u32::MAX,
         work: u32::MAX,
-        teams: (0..9999).map(Teams::one).fold(Teams::default(), Teams::and),
+        teams: (0..9999)
+            .map(TeamSketch::single)
+            .fold(TeamSketch::default(), TeamSketch::union),
     };
     let lie = absurd(vec![(0, all), (1, all)], u32::MAX, u32::MAX);
     let world = failing(vec![
--- a/crates/ashgauge/tests/placement.rs
+++ b/crates/ashgauge/tests/placement.rs
@@ -3,16 +3,16 @@
 mod common;
 mod engines;
 
-use ashgauge::placement::{Seat, capacity, cover, plan};
-use ashgauge::rate::chain_rate;
-use ashgauge::routing::{Card, Model};
+use ashgauge::placement::{PlacedEngine, layer_capacity, layer_coverage, plan};
+use ashgauge::rate::chain_throughput;
+use ashgauge::routing::{Accelerator, Model};
 use engines::{apply, fleet, model, seats};
 use proptest::prelude::*;
 
 /// Largest share of memory that any plan gives to weights.
 const FILL_MOST: f64 = 0.78;
 
-fn settle(model: &Model, seats: &mut [Seat]) -> usize {
+fn settle(model: &Model, seats: &mut [PlacedEngine]) -> usize {
     for round in 0..200 {
         let assignments = plan(model, seats);
         if assignments.is_empty() {
@@ -29,7 +29,7 @@
     let assignments = plan(&model(), &seats);
     apply(&mut seats, &assignments);
     for place in ["a", "b", "c"] {
-        let cover = cover(&model(), &seats, Some(place));
+        let cover = layer_coverage(&model(), &seats, Some(place));
         assert!(cover.iter().all(|c| *c > 0.0), "{place}: {cover:?}");
     }
 }
@@ -49,10 +49,10 @@
     let mut seats = fleet();
     settle(&model(), &mut seats);
     // All holders of one layer are lost at once.
-    seats.retain(|s| !s.span.is_some_and(|span| span.holds(40)));
-    assert!(cover(&model(), &seats, None)[40] == 0.0);
+    seats.retain(|s| !s.layers.is_some_and(|span| span.contains(40)));
+    assert!(layer_coverage(&model(), &seats, None)[40] == 0.0);
     settle(&model(), &mut seats);
-    let cover = cover(&model(), &seats, None);
+    let cover = layer_coverage(&model(), &seats, None);
     assert!(cover.iter().all(|c| *c > 0.5), "{cover:?}");
 }
 
@@ -62,7 +62,7 @@
 fn few_engines_move_at_a_time() {
     let mut seats = fleet();
     settle(&model(), &mut seats);
-    seats.retain(|s| !s.span.is_some_and(|span| span.holds(40)));
+    seats.retain(|s| !s.layers.is_some_and(|span| span.contains(40)));
     for under_way in 0..6 {
         let mut seats = seats.clone();
         for seat in seats.iter_mut().take(under_way) {
@@ -87,22 +87,22 @@
     for lost in 0..seats.len() {
         let mut left = seats.clone();
         left.remove(lost);
-        let cover = cover(&model(), &left, Some("a"));
+        let cover = layer_coverage(&model(), &left, Some("a"));
         assert!(cover.iter().all(|c| *c > 0.0), "{lost}: {cover:?}");
     }
 }
 
 /// A model whose slowest cards take seven times as long as its fastest, and the
 /// engines of one data centre for it.
-fn mixed() -> (Model, Vec<Seat>) {
+fn mixed() -> (Model, Vec<PlacedEngine>) {
     let mut model = model();
-    let fast = model.cards["large"];
-    let card = |memory_mb, step_factor, read_factor| Card {
+    let fast = model.accelerators["large"];
+    let card = |memory_mb, step_factor, read_factor| Accelerator {
         memory_mb,
         step_factor,
-        read_factor,
+        prefill_factor: read_factor,
     };
-    model.cards = [
+    model.accelerators = [
         ("large".to_string(), fast),
         ("tiny".to_string(), card(14_400.0, 5.3, 7.9)),
         ("small".to_string(), card(21_600.0, 16.0, 8.2)),
@@ -121,16 +121,16 @@
     apply(&mut seats, &assignments);
     let fast: Vec<_> = seats
         .iter()
-        .filter(|s| s.card != "small")
+        .filter(|s| s.accelerator != "small")
         .cloned()
         .collect();
     let held = |layer| {
         fast.iter()
-            .filter(move |s| s.span.is_some_and(|x| x.holds(layer)))
+            .filter(move |s| s.layers.is_some_and(|x| x.contains(layer)))
     };
     let alone = (0..80).filter(|l| held(*l).count() == 1).count();
     let missing = (0..80).filter(|l| held(*l).count() == 0).count();
-    let spans: Vec<_> = seats.iter().map(|s| (&s.id, s.span)).collect();
+    let spans: Vec<_> = seats.iter().map(|s| (&s.id, s.layers)).collect();
     assert!(
         alone >= 70 && missing <= 6,
         "{alone} once, {missing} not: {spans:?}"
@@ -143,8 +143,8 @@
 fn share_of_memory_fits_whole_layers() {
     let (model, mut seats) = mixed();
     settle(&model, &mut seats);
-    let tiny = seats.iter().filter(|s| s.card == "tiny");
-    let lens: Vec<u32> = tiny.filter_map(|s| s.span).map(|s| s.len()).collect();
+    let tiny = seats.iter().filter(|s| s.accelerator == "tiny");
+    let lens: Vec<u32> = tiny.filter_map(|s| s.layers).map(|s| s.len()).collect();
     assert!(lens.iter().all(|len| *len == 5), "{lens:?}");
 }
 
@@ -155,15 +155,15 @@
         let mut parts = vec![("large", 30)];
         parts.extend(vec![("tiny", 5); tiny]);
         parts.extend(vec![("small", 5); small]);
-        chain_rate(&model, &parts)
+        chain_throughput(&model, &parts)
     };
     let (fast, mixed) = (chain(10, 0), chain(6, 4));
     assert!(fast > mixed && mixed > 0.0, "{fast} {mixed}");
     // A kind that the configuration does not tell carries nothing.
-    assert_eq!(chain_rate(&model, &[("unknown", 80)]), 0.0);
+    assert_eq!(chain_throughput(&model, &[("unknown", 80)]), 0.0);
 }
 
-fn any_seats() -> impl Strategy<Value = Vec<Seat>> {
+fn any_seats() -> impl Strategy<Value = Vec<PlacedEngine>> {
     let place = prop::sample::select(vec!["a", "b", "c", "d"]);
     let card = prop::sample::select(vec!["large", "medium", "small", "tiny", "unknown"]);
     let group = (place, card, 0..6usize);
@@ -183,9 +183,9 @@
         let model = model();
         settle(&model, &mut seats);
         for seat in &seats {
-            let held = seat.span.map_or(0, |s| s.len());
-            prop_assert!(held <= capacity(&model, &seat.card, FILL_MOST));
-            prop_assert!(seat.span.is_none_or(|s| s.end <= model.layers));
+            let held = seat.layers.map_or(0, |s| s.len());
+            prop_assert!(held <= layer_capacity(&model, &seat.accelerator, FILL_MOST));
+            prop_assert!(seat.layers.is_none_or(|s| s.end <= model.layers));
         }
     }
 
@@ -200,17 +200,17 @@
     #[test]
     fn all_layers_are_held_if_twice_the_memory_is_there(mut seats in any_seats()) {
         let model = model();
-        let most: u32 = seats.iter().map(|s| capacity(&model, &s.card, 0.6)).sum();
+        let most: u32 = seats.iter().map(|s| layer_capacity(&model, &s.accelerator, 0.6)).sum();
         prop_assume!(most >= 2 * model.layers);
         settle(&model, &mut seats);
-        let cover = cover(&model, &seats, None);
+        let cover = layer_coverage(&model, &seats, None);
         prop_assert!(cover.iter().all(|c| *c > 0.0), "{:?}", cover);
     }
 }
 
 /// Engines of a fleet where one was lost and an empty one ordered to hold the
 /// range of another, which it does not show yet; the second is that other.
-fn fleet_with_an_order(settled: &[Seat], lost: usize, other: usize) -> Vec<Seat> {
+fn fleet_with_an_order(settled: &[PlacedEngine], lost: usize, other: usize) -> Vec<PlacedEngine> {
     let mut seats = settled.to_vec();
     let mut ordered = seats[other].clone();
     ordered.id = "ordered".into();
@@ -221,11 +221,11 @@
 }
 
 /// Whether another engine of the data centre shows a layer, or two elsewhere.
-fn is_shown_without(seats: &[Seat], gone: &Seat, layer: u32) -> bool {
+fn is_shown_without(seats: &[PlacedEngine], gone: &PlacedEngine, layer: u32) -> bool {
     let others = seats.iter().filter(|s| s.id != gone.id && s.movable);
-    let holders = others.filter(|s| s.span.is_some_and(|h| h.holds(layer)));
-    let places: Vec<_> = holders.map(|s| &s.place).collect();
-    places.contains(&&gone.place) || places.len() > 1
+    let holders = others.filter(|s| s.layers.is_some_and(|h| h.contains(layer)));
+    let places: Vec<_> = holders.map(|s| &s.data_centre).collect();
+    places.contains(&&gone.data_centre) || places.len() > 1
 }
 
 /// While engines were replaced one after the other, moves counted on ranges that
@@ -242,9 +242,9 @@
             let orders = plan(&model, &seats);
             for order in &orders {
                 let seat = seats.iter().find(|s| s.id == order.id).expect("a seat");
-                let Some(old) = seat.span else { continue };
+                let Some(old) = seat.layers else { continue };
                 moves += 1;
-                let given_up = (old.first..old.end).filter(|l| !order.span.holds(*l));
+                let given_up = (old.first..old.end).filter(|l| !order.layers.contains(*l));
                 bare.extend(given_up.filter(|l| !is_shown_without(&seats, seat, *l)));
             }
         }
--- a/crates/ashgauge/tests/progress.rs
+++ b/crates/ashgauge/tests/progress.rs
@@ -14,9 +14,9 @@
 fn usual_streams_stay_until_their_end() {
     for answer in [172, 280, 285] {
         let progress = Progress {
-            answer,
+            answer_tokens: answer,
             events: 0,
-            pause: 0.025,
+            event_gap: 0.025,
         };
         assert!(progress.ends_within(5, DRAIN), "{answer} tokens");
     }
@@ -25,15 +25,15 @@
 #[test]
 fn long_or_slow_streams_are_led_away() {
     let long = Progress {
-        answer: 2000,
+        answer_tokens: 2000,
         events: 10,
-        pause: 0.025,
+        event_gap: 0.025,
     };
     assert!(!long.ends_within(5, DRAIN));
     let slow = Progress {
-        answer: 280,
+        answer_tokens: 280,
         events: 10,
-        pause: 0.1,
+        event_gap: 0.1,
     };
     assert!(!slow.ends_within(5, DRAIN));
 }
@@ -48,9 +48,9 @@
         pause in 0.0..1.0f64,
         event_tokens in 1u32..20,
     ) {
-        let progress = Progress { answer, events, pause };
+        let progress = Progress { answer_tokens: answer, events, event_gap: pause };
         let next = Progress { events: events + 1, ..progress };
-        prop_assert!(next.left(event_tokens) <= progress.left(event_tokens));
-        prop_assert!(progress.left(event_tokens + 1) <= progress.left(event_tokens));
+        prop_assert!(next.time_left(event_tokens) <= progress.time_left(event_tokens));
+        prop_assert!(progress.time_left(event_tokens + 1) <= progress.time_left(event_tokens));
     }
 }
--- a/crates/ashgauge/tests/quarantine.rs
+++ b/crates/ashgauge/tests/quarantine.rs
@@ -4,22 +4,23 @@
 
 use ashgauge::digest::Digest;
 use ashgauge::quarantine::{
-    Audience, HOLD_TIME, Held, Lost, Quarantine, Report, is_proven, start_key,
+    Audience, InstanceLoss, QUARANTINE_TIME, Quarantine, QuarantinedRequest, Report, instance_key,
+    is_safe_run,
 };
 use proptest::prelude::*;
 
 const SECOND: Duration = Duration::from_secs(1);
 
-fn lost(digest: Digest, engine: u32) -> Lost {
-    Lost {
+fn lost(digest: Digest, engine: u32) -> InstanceLoss {
+    InstanceLoss {
         digest,
-        start: start_key(&format!("e{engine}"), None),
+        instance: instance_key(&format!("e{engine}"), None),
     }
 }
 
-fn report(lost: &[Lost]) -> Report {
+fn report(lost: &[InstanceLoss]) -> Report {
     Report {
-        lost: lost.to_vec(),
+        losses: lost.to_vec(),
         held: Vec::new(),
     }
 }
@@ -29,13 +30,13 @@
 fn losses_of_all_boxes_count() {
     let mut boxes = [(); 3].map(|()| Quarantine::default());
     for (n, own) in boxes.iter_mut().enumerate() {
-        assert!(!own.note(SECOND, lost(7, n as u32)));
+        assert!(!own.record_loss(SECOND, lost(7, n as u32)));
     }
     let reports = boxes.each_ref().map(|b| b.report(SECOND, 0, Audience::All));
     for own in &mut boxes {
-        let news: Vec<_> = reports.iter().flat_map(|r| own.hear(SECOND, r)).collect();
+        let news: Vec<_> = reports.iter().flat_map(|r| own.merge(SECOND, r)).collect();
         assert_eq!(news, [7]);
-        assert_eq!(own.time_left(SECOND, 7), Some(HOLD_TIME));
+        assert_eq!(own.time_left(SECOND, 7), Some(QUARANTINE_TIME));
         assert_eq!(own.time_left(SECOND, 8), None);
     }
 }
@@ -45,29 +46,29 @@
 fn one_lost_engine_counts_once() {
     let mut own = Quarantine::default();
     for _ in 0..5 {
-        assert!(!own.note(SECOND, lost(7, 1)));
+        assert!(!own.record_loss(SECOND, lost(7, 1)));
         assert!(
-            own.hear(SECOND, &report(&[lost(7, 1), lost(7, 2)]))
+            own.merge(SECOND, &report(&[lost(7, 1), lost(7, 2)]))
                 .is_empty()
         );
     }
     assert_eq!(own.time_left(SECOND, 7), None);
-    assert!(own.note(SECOND, lost(7, 3)));
+    assert!(own.record_loss(SECOND, lost(7, 3)));
 }
 
 /// While upstreams are checked, others would be lost to sends of the same request.
 #[test]
 fn checks_count_until_they_end() {
     let mut own = Quarantine::default();
-    own.note(SECOND, lost(7, 1));
+    own.record_loss(SECOND, lost(7, 1));
     // Streams that break together check one engine at the same time.
     (0..3).for_each(|_| own.begin_check(lost(7, 2)));
     own.begin_check(lost(7, 1));
-    assert!(!own.is_in_doubt(7));
+    assert!(!own.may_be_quarantined(7));
     own.begin_check(lost(7, 3));
-    assert!(own.is_in_doubt(7) && !own.is_in_doubt(8));
+    assert!(own.may_be_quarantined(7) && !own.may_be_quarantined(8));
     own.end_check(lost(7, 3));
-    assert!(!own.is_in_doubt(7));
+    assert!(!own.may_be_quarantined(7));
 }
 
 /// An engine that starts again under its id is lost once more.
@@ -75,8 +76,14 @@
 fn each_start_of_an_engine_counts() {
     let mut own = Quarantine::default();
     let held = [None, Some(1), Some(2)].map(|born| {
-        let start = start_key("e1", born);
-        own.note(SECOND, Lost { digest: 7, start })
+        let start = instance_key("e1", born);
+        own.record_loss(
+            SECOND,
+            InstanceLoss {
+                digest: 7,
+                instance: start,
+            },
+        )
     });
     assert_eq!(held, [false, false, true]);
 }
@@ -84,18 +91,18 @@
 #[test]
 fn request_that_ran_well_begins_anew() {
     let mut own = Quarantine::default();
-    own.note(SECOND, lost(7, 1));
-    own.note(SECOND, lost(7, 2));
-    own.clear(7);
-    assert!(!own.note(SECOND, lost(7, 3)));
-    assert_eq!(own.suspects(), 1);
+    own.record_loss(SECOND, lost(7, 1));
+    own.record_loss(SECOND, lost(7, 2));
+    own.clear_losses(7);
+    assert!(!own.record_loss(SECOND, lost(7, 3)));
+    assert_eq!(own.suspect_count(), 1);
 }
 
 #[test]
 fn run_is_proven_by_the_time_that_it_brought_events() {
     let first = SECOND;
-    assert!(!is_proven(first, first + SECOND / 10));
-    assert!(is_proven(first, first + SECOND / 2));
+    assert!(!is_safe_run(first, first + SECOND / 10));
+    assert!(is_safe_run(first, first + SECOND / 2));
 }
 
 /// Boxes that told each other on for ever what another one had told them would never
@@ -103,26 +110,26 @@
 #[test]
 fn hold_lapses_however_often_it_is_told() {
     let mut boxes = [Quarantine::default(), Quarantine::default()];
-    boxes[0].hold(Duration::ZERO, 7, HOLD_TIME);
+    boxes[0].quarantine(Duration::ZERO, 7, QUARANTINE_TIME);
     let mut now = Duration::ZERO;
-    while now < HOLD_TIME {
+    while now < QUARANTINE_TIME {
         now += SECOND * 7 + SECOND / 3;
         let (left, right) = boxes.split_at_mut(1);
-        left[0].hear(now, &right[0].report(now, 0, Audience::All));
-        right[0].hear(now, &left[0].report(now, 0, Audience::All));
+        left[0].merge(now, &right[0].report(now, 0, Audience::All));
+        right[0].merge(now, &left[0].report(now, 0, Audience::All));
     }
-    assert_eq!(boxes.map(|b| b.time_left(HOLD_TIME, 7)), [None, None]);
+    assert_eq!(boxes.map(|b| b.time_left(QUARANTINE_TIME, 7)), [None, None]);
 }
 
 #[test]
 fn request_is_held_again_after_its_time() {
     let mut own = Quarantine::default();
-    assert!(own.hold(SECOND, 7, HOLD_TIME));
-    let later = SECOND * 2 + HOLD_TIME;
+    assert!(own.quarantine(SECOND, 7, QUARANTINE_TIME));
+    let later = SECOND * 2 + QUARANTINE_TIME;
     assert_eq!(own.time_left(later, 7), None);
-    let again = [4, 5, 6].map(|n| own.note(later, lost(7, n)));
+    let again = [4, 5, 6].map(|n| own.record_loss(later, lost(7, n)));
     assert_eq!(again, [false, false, true]);
-    assert_eq!(own.time_left(later, 7), Some(HOLD_TIME));
+    assert_eq!(own.time_left(later, 7), Some(QUARANTINE_TIME));
 }
 
 /// A box tells only so many at a time; those that started late must hear of all.
@@ -130,12 +137,12 @@
 fn all_held_requests_are_told_in_turns() {
     let (mut own, mut other) = (Quarantine::default(), Quarantine::default());
     for digest in 0..100 {
-        own.hold(SECOND, digest, HOLD_TIME);
+        own.quarantine(SECOND, digest, QUARANTINE_TIME);
     }
     for turn in 0..8 {
-        other.hear(SECOND, &own.report(SECOND, turn, Audience::All));
+        other.merge(SECOND, &own.report(SECOND, turn, Audience::All));
     }
-    assert_eq!(other.held(SECOND).len(), 100);
+    assert_eq!(other.quarantined(SECOND).len(), 100);
 }
 
 /// A caller can make any number of bodies; what is known of most must not grow with it,
@@ -143,29 +150,35 @@
 #[test]
 fn memory_is_bounded_and_keeps_those_lost_most() {
     let mut own = Quarantine::default();
-    own.note(SECOND, lost(7, 1));
-    own.note(SECOND, lost(7, 2));
+    own.record_loss(SECOND, lost(7, 1));
+    own.record_loss(SECOND, lost(7, 2));
     for digest in 100..6_100 {
-        own.note(SECOND * 2, lost(digest, 1));
+        own.record_loss(SECOND * 2, lost(digest, 1));
     }
-    assert!(own.suspects() <= 4096, "{}", own.suspects());
-    assert!(own.note(SECOND * 3, lost(7, 3)));
+    assert!(own.suspect_count() <= 4096, "{}", own.suspect_count());
+    assert!(own.record_loss(SECOND * 3, lost(7, 3)));
     for digest in 0..6_000 {
-        own.hold(SECOND, digest, HOLD_TIME);
+        own.quarantine(SECOND, digest, QUARANTINE_TIME);
     }
-    assert!(own.held(SECOND).len() <= 4096);
+    assert!(own.quarantined(SECOND).len() <= 4096);
 }
 
 /// What nobody should tell must not hold anything for ever.
 #[test]
 fn hold_that_is_told_is_bounded() {
     let mut own = Quarantine::default();
-    let held = vec![Held {
+    let held = vec![QuarantinedRequest {
         digest: 7,
         left_s: u32::MAX,
     }];
-    own.hear(SECOND, &Report { lost: vec![], held });
-    assert_eq!(own.time_left(SECOND, 7), Some(HOLD_TIME));
+    own.merge(
+        SECOND,
+        &Report {
+            losses: vec![],
+            held,
+        },
+    );
+    assert_eq!(own.time_left(SECOND, 7), Some(QUARANTINE_TIME));
 }
 
 proptest! {
@@ -175,20 +188,20 @@
         losses in prop::collection::vec((0u64..4, 0u32..5), 1..20),
         order in Just((0..40usize).collect::<Vec<_>>()).prop_shuffle(),
     ) {
-        let losses: Vec<Lost> = losses.into_iter().map(|(d, e)| lost(d, e)).collect();
+        let losses: Vec<InstanceLoss> = losses.into_iter().map(|(d, e)| lost(d, e)).collect();
         let (mut first, mut second) = (Quarantine::default(), Quarantine::default());
         for one in &losses {
-            first.note(SECOND, *one);
+            first.record_loss(SECOND, *one);
         }
         for n in order {
             let one = losses[n % losses.len()];
-            second.hear(SECOND, &report(&[one]));
+            second.merge(SECOND, &report(&[one]));
         }
         for one in &losses {
-            second.hear(SECOND, &report(&[*one]));
+            second.merge(SECOND, &report(&[*one]));
         }
-        prop_assert_eq!(first.held(SECOND), second.held(SECOND));
-        prop_assert_eq!(first.suspects(), second.suspects());
+        prop_assert_eq!(first.quarantined(SECOND), second.quarantined(SECOND));
+        prop_assert_eq!(first.suspect_count(), second.suspect_count());
     }
 
     /// No request is held back under which fewer than three starts were lost.
@@ -198,9 +211,9 @@
     ) {
         let mut own = Quarantine::default();
         for (digest, engine) in losses {
-            prop_assert!(!own.note(SECOND, lost(digest, engine)));
+            prop_assert!(!own.record_loss(SECOND, lost(digest, engine)));
         }
-        prop_assert!(own.held(SECOND).is_empty());
+        prop_assert!(own.quarantined(SECOND).is_empty());
     }
 }
 
@@ -211,13 +224,13 @@
     let mut leaf = Quarantine::default();
     let losses = [lost(7, 1), lost(7, 2), lost(7, 3)];
     let told = report(&losses);
-    assert!(hubs[0].hand_on(SECOND, &told, Audience::All));
+    assert!(hubs[0].forward(SECOND, &told, Audience::All));
     // The other hub tells its boxes, and no hub.
     let told = hubs[0].report(SECOND, 0, Audience::All);
-    assert!(hubs[1].hand_on(SECOND, &told, Audience::Below));
+    assert!(hubs[1].forward(SECOND, &told, Audience::Downstream));
     assert!(hubs[1].report(SECOND, 0, Audience::All).is_empty());
-    leaf.hear(SECOND, &hubs[1].report(SECOND, 0, Audience::Below));
+    leaf.merge(SECOND, &hubs[1].report(SECOND, 0, Audience::Downstream));
     assert!(leaf.time_left(SECOND, 7).is_some());
     // What goes round ends.
-    assert!(!hubs[1].hand_on(SECOND, &told, Audience::Below));
+    assert!(!hubs[1].forward(SECOND, &told, Audience::Downstream));
 }
--- a/crates/ashgauge/tests/question.rs
+++ b/crates/ashgauge/tests/question.rs
@@ -5,7 +5,7 @@
 use std::time::Duration;
 
 use ashgauge::fresh::Freshness;
-use ashgauge::question::proved;
+use ashgauge::question::proven_at;
 use proptest::prelude::*;
 
 const BOXES: usize = 4;
@@ -130,7 +130,7 @@
                 Event::Learn { who, asked, age, version } => {
                     let seat = &mut seats[who];
                     seat.version = seat.version.max(version);
-                    if let Some(moment) = proved(seat.clock(asked), age) {
+                    if let Some(moment) = proven_at(seat.clock(asked), age) {
                         seat.fresh.confirm(moment);
                     }
                 }
--- a/crates/ashgauge/tests/recovery.rs
+++ b/crates/ashgauge/tests/recovery.rs
@@ -2,12 +2,16 @@
 
 use std::time::Duration;
 
-use ashgauge::recovery::{Account, Use, goes_anyway};
+use ashgauge::recovery::{RecoveryAction, RecoveryBudget, stops_waiting};
 use proptest::prelude::*;
 use rand::rngs::SmallRng;
 use rand::{Rng, SeedableRng};
 
-const USES: [Use; 3] = [Use::Repair, Use::Resend, Use::Check];
+const USES: [RecoveryAction; 3] = [
+    RecoveryAction::Repair,
+    RecoveryAction::Resend,
+    RecoveryAction::Check,
+];
 
 /// Time between two reckonings of the pressure.
 const RECKON: Duration = Duration::from_millis(50);
@@ -25,27 +29,29 @@
 
 /// An account that has been under this pressure for two seconds, with so many requests
 /// a second.
-fn pressed(pressure: f64, requests: u64) -> Account {
-    let mut account = Account::default();
+fn pressed(pressure: f64, requests: u64) -> RecoveryBudget {
+    let mut account = RecoveryBudget::default();
     drive(&mut account, 0..2000, pressure, requests);
     account
 }
 
 /// Lets requests in and reckons the pressure for some milliseconds.
-fn drive(account: &mut Account, span: std::ops::Range<u64>, pressure: f64, requests: u64) {
+fn drive(account: &mut RecoveryBudget, span: std::ops::Range<u64>, pressure: f64, requests: u64) {
     for n in span {
         if n % 50 == 0 {
             account.set_pressure(at(n), pressure);
         }
         if requests > 0 && n % (1000 / requests) == 0 {
-            account.note_request(at(n));
+            account.record_request(at(n));
         }
     }
 }
 
 /// Takes as often as there is something; returns how often.
-fn drain(account: &mut Account, now: Duration, what: Use) -> usize {
-    (0..10_000).take_while(|_| account.take(now, what)).count()
+fn drain(account: &mut RecoveryBudget, now: Duration, what: RecoveryAction) -> usize {
+    (0..10_000)
+        .take_while(|_| account.withdraw(now, what))
+        .count()
 }
 
 /// At 2.2 times the load 32,000 checks were made for 18,400 requests; at most one for
@@ -57,7 +63,7 @@
         let mut checks = 0;
         for n in (2000..12_000).step_by(10) {
             drive(&mut account, n..n + 10, 1.0, requests);
-            checks += drain(&mut account, at(n + 9), Use::Check);
+            checks += drain(&mut account, at(n + 9), RecoveryAction::Check);
         }
         // One pool may have been full before.
         let most = 0.2 * (requests * 10) as f64 * 1.05 + 1.0;
@@ -75,7 +81,10 @@
 fn checks_without_pressure_find_a_lost_engine_at_once() {
     for pressure in [0.0, 0.3, 0.6] {
         let mut account = pressed(pressure, 10);
-        assert!(drain(&mut account, at(2000), Use::Check) >= 7, "{pressure}");
+        assert!(
+            drain(&mut account, at(2000), RecoveryAction::Check) >= 7,
+            "{pressure}"
+        );
     }
 }
 
@@ -93,8 +102,8 @@
         let before = waiting.len();
         let left = until.saturating_sub(at(n));
         waiting.retain(|_| {
-            let goes = account.take(at(n), Use::Repair);
-            !(goes || goes_anyway(left, LOOK, rng.random_range(0.0..1.0)))
+            let goes = account.withdraw(at(n), RecoveryAction::Repair);
+            !(goes || stops_waiting(left, LOOK, rng.random_range(0.0..1.0)))
         });
         in_looks.push(before - waiting.len());
     }
@@ -106,10 +115,10 @@
 /// A stream that waits for others is still led elsewhere before its caller leaves.
 #[test]
 fn no_stream_waits_longer_than_it_may() {
-    assert!(goes_anyway(Duration::ZERO, LOOK, 0.999_999));
-    assert!(goes_anyway(LOOK, LOOK, 0.999_999));
-    assert!(!goes_anyway(ms(1000), LOOK, 0.5));
-    assert!(goes_anyway(ms(1000), LOOK, 0.04));
+    assert!(stops_waiting(Duration::ZERO, LOOK, 0.999_999));
+    assert!(stops_waiting(LOOK, LOOK, 0.999_999));
+    assert!(!stops_waiting(ms(1000), LOOK, 0.5));
+    assert!(stops_waiting(ms(1000), LOOK, 0.04));
 }
 
 /// Streams that are silent as engines are slow once took what streams needed of which the
@@ -117,24 +126,24 @@
 #[test]
 fn less_useful_work_leaves_enough_for_repairs() {
     let mut account = pressed(1.0, 10);
-    drain(&mut account, at(2000), Use::Check);
-    drain(&mut account, at(2000), Use::Resend);
-    assert!(!account.take(at(2000), Use::Check));
-    assert!(!account.take(at(2000), Use::Resend));
-    assert!(account.take(at(2000), Use::Repair));
+    drain(&mut account, at(2000), RecoveryAction::Check);
+    drain(&mut account, at(2000), RecoveryAction::Resend);
+    assert!(!account.withdraw(at(2000), RecoveryAction::Check));
+    assert!(!account.withdraw(at(2000), RecoveryAction::Resend));
+    assert!(account.withdraw(at(2000), RecoveryAction::Repair));
 }
 
 /// A box whose streams only have parts uses all that there is for them.
 #[test]
 fn repairs_use_what_others_leave() {
     let (mut all, mut checks) = (pressed(0.0, 50), pressed(0.0, 50));
-    let repairs = drain(&mut all, at(2000), Use::Repair);
-    let checks = drain(&mut checks, at(2000), Use::Check);
+    let repairs = drain(&mut all, at(2000), RecoveryAction::Repair);
+    let checks = drain(&mut checks, at(2000), RecoveryAction::Check);
     assert!(
         (3 * checks..=5 * checks).contains(&repairs),
         "{repairs}, {checks}"
     );
-    assert!(!all.take(at(2000), Use::Check));
+    assert!(!all.withdraw(at(2000), RecoveryAction::Check));
 }
 
 /// The storm must not outlive the load: with the pressure gone all is there within a
@@ -163,8 +172,12 @@
         .for_each(|u| _ = drain(&mut account, at(2000), *u));
     assert!(account.pressure(at(2000)) > 0.9);
     assert_eq!(account.pressure(at(3000)), 0.0);
-    let there = drain(&mut Account::default(), at(0), Use::Repair);
-    assert_eq!(drain(&mut account, at(3000), Use::Repair), there);
+    let there = drain(
+        &mut RecoveryBudget::default(),
+        at(0),
+        RecoveryAction::Repair,
+    );
+    assert_eq!(drain(&mut account, at(3000), RecoveryAction::Repair), there);
 }
 
 /// An account into which no request ever pays must still let a box repair a stream.
@@ -175,10 +188,10 @@
     for _ in 0..100 {
         USES.iter()
             .for_each(|u| _ = drain(&mut account, at(now), *u));
-        assert!(!account.take(at(now), Use::Repair));
+        assert!(!account.withdraw(at(now), RecoveryAction::Repair));
         drive(&mut account, now..now + 1001, 1.0, 0);
         now += 1000;
-        assert!(account.take(at(now), Use::Repair), "{now}");
+        assert!(account.withdraw(at(now), RecoveryAction::Repair), "{now}");
     }
 }
 
@@ -205,10 +218,10 @@
 #[test]
 fn time_that_goes_back_pays_nothing() {
     let mut account = pressed(1.0, 10);
-    drain(&mut account, at(2000), Use::Repair);
+    drain(&mut account, at(2000), RecoveryAction::Repair);
     for n in 0..1000 {
         account.set_pressure(at(1000 + n % 2), 1.0);
-        assert!(!account.take(at(1000 + n % 2), Use::Repair));
+        assert!(!account.withdraw(at(1000 + n % 2), RecoveryAction::Repair));
     }
 }
 
@@ -218,7 +231,7 @@
     Wait(u64),
     Press(f64),
     Request,
-    Take(Use),
+    Take(RecoveryAction),
 }
 
 fn step() -> impl Strategy<Value = Step> {
@@ -236,7 +249,7 @@
     /// bounded by the requests and the time; and a second of rest brings one repair.
     #[test]
     fn account_is_bounded_and_orders_uses(steps in prop::collection::vec(step(), 1..400)) {
-        let mut account = Account::default();
+        let mut account = RecoveryBudget::default();
         let (mut now, mut requests, mut taken) = (0, 0u32, 0u32);
         for step in steps {
             match step {
@@ -244,12 +257,12 @@
                 Step::Press(pressure) => account.set_pressure(at(now), pressure),
                 Step::Request => {
                     requests += 1;
-                    account.note_request(at(now));
+                    account.record_request(at(now));
                 }
                 Step::Take(what) => {
-                    let may = USES.map(|u| account.has(at(now), u));
+                    let may = USES.map(|u| account.has_credit(at(now), u));
                     prop_assert!(may[0] >= may[1] && may[1] >= may[2]);
-                    let is_taken = account.take(at(now), what);
+                    let is_taken = account.withdraw(at(now), what);
                     prop_assert_eq!(is_taken, may[what as usize]);
                     taken += u32::from(is_taken);
                 }
@@ -261,6 +274,6 @@
         account.set_pressure(at(now), 1.0);
         let rest = (now..=now + 1000).step_by(RECKON.as_millis() as usize);
         rest.for_each(|n| account.set_pressure(at(n), 1.0));
-        prop_assert!(account.take(at(now + 1000), Use::Repair));
+        prop_assert!(account.withdraw(at(now + 1000), RecoveryAction::Repair));
     }
 }
--- a/crates/ashgauge/tests/report.rs
+++ b/crates/ashgauge/tests/report.rs
@@ -3,10 +3,10 @@
 use std::time::Duration;
 
 use ashgauge::class::Class;
-use ashgauge::demand::{Demand, Demands, Source, Teams, key};
-use ashgauge::level::Level;
+use ashgauge::demand::{Demand, DemandSource, Demands, TeamSketch, key};
+use ashgauge::level::AdmissionLevel;
 use ashgauge::pressure::Pressure;
-use ashgauge::report::{Basis, Change, Report};
+use ashgauge::report::{ChangeReporter, LevelChange, LevelInputs};
 
 fn class(route: u32) -> Class {
     Class::new(Some(0), route, false)
@@ -19,7 +19,7 @@
 /// A level whose class alternated with each computation wrote up to 20 lines a second.
 #[test]
 fn changes_are_told_once_a_second_at_most() {
-    let mut report = Report::default();
+    let mut report = ChangeReporter::default();
     let mut told = Vec::new();
     for step in 0..200 {
         let now = ms(step * 50);
@@ -36,33 +36,39 @@
 /// A level that ended within a second of its last line was never said to have ended.
 #[test]
 fn end_within_a_second_is_told_later() {
-    let mut report = Report::default();
+    let mut report = ChangeReporter::default();
     assert_eq!(report.change(ms(0), None), None);
-    assert_eq!(report.change(ms(100), Some(class(1))), Some(Change::Began));
+    assert_eq!(
+        report.change(ms(100), Some(class(1))),
+        Some(LevelChange::Started)
+    );
     assert_eq!(report.change(ms(600), None), None);
     let end = report.change(ms(1100), None);
-    assert_eq!(end, Some(Change::Ended(ms(1000))));
+    assert_eq!(end, Some(LevelChange::Ended(ms(1000))));
     assert_eq!(report.change(ms(3000), None), None);
 }
 
 /// A level that moves keeps its beginning.
 #[test]
 fn end_tells_how_long_the_level_lasted() {
-    let mut report = Report::default();
+    let mut report = ChangeReporter::default();
     report.change(ms(0), Some(class(2)));
-    assert_eq!(report.change(ms(2000), Some(class(1))), Some(Change::Moved));
+    assert_eq!(
+        report.change(ms(2000), Some(class(1))),
+        Some(LevelChange::ClassChanged)
+    );
     let end = report.change(ms(5000), None);
-    assert_eq!(end, Some(Change::Ended(ms(5000))));
+    assert_eq!(end, Some(LevelChange::Ended(ms(5000))));
 }
 
 fn demands(of: &[(u32, &str, u32)]) -> Demands {
     let demand = |(route, team, rate): &(u32, &str, u32)| {
-        let source = Source {
+        let source = DemandSource {
             service: key("model"),
             class: class(*route),
             team: Some(key(team)),
         };
-        let (rate, teams) = (rate * 1000, Teams::one(key(team)));
+        let (rate, teams) = (rate * 1000, TeamSketch::single(key(team)));
         let work = rate;
         (source, Demand { rate, work, teams })
     };
@@ -78,13 +84,17 @@
         memory: 0.87,
         slots: 0.1,
     };
-    let basis = Basis::new(&asked, pressure, 130.0, Duration::ZERO, 3);
+    let basis = LevelInputs::new(&asked, pressure, 130.0, Duration::ZERO, 3);
     let classes = [(class(0), 60.0), (class(1), 50.0), (class(2), 100.0)];
     assert_eq!(basis.classes, classes);
-    assert_eq!(basis.asked(), 210.0);
-    assert!((basis.allowed - 130.0).abs() < 1e-6, "{}", basis.allowed);
-    let level = Level::new(&asked, basis.allowed).map(|l| l.class);
+    assert_eq!(basis.demand_rate(), 210.0);
+    assert!(
+        (basis.allowed_rate - 130.0).abs() < 1e-6,
+        "{}",
+        basis.allowed_rate
+    );
+    let level = AdmissionLevel::new(&asked, basis.allowed_rate).map(|l| l.class);
     assert_eq!(level, Some(class(2)));
-    assert_eq!(basis.before(class(2)), 2);
-    assert_eq!(basis.before(class(0)), 0);
+    assert_eq!(basis.classes_before(class(2)), 2);
+    assert_eq!(basis.classes_before(class(0)), 0);
 }
--- a/crates/ashgauge/tests/reserve.rs
+++ b/crates/ashgauge/tests/reserve.rs
@@ -8,15 +8,15 @@
 use std::time::Duration;
 
 use ashgauge::chain::Stage;
-use ashgauge::choice::{self, Need, RESERVED};
+use ashgauge::choice::{self, RESERVED_SHARE, Requirements};
 use ashgauge::cost;
 use ashgauge::member::UpstreamId;
-use ashgauge::pipes::Pipes;
+use ashgauge::pipes::WanUsage;
 use ashgauge::placement::plan;
-use ashgauge::roster::Roster;
-use ashgauge::routing::{Card, Model};
-use ashgauge::scene::Scene;
-use ashgauge::share::{self, Shares, Use, Uses, Word};
+use ashgauge::roster::UpstreamRegistry;
+use ashgauge::routing::{Accelerator, Model};
+use ashgauge::scene::SelectionContext;
+use ashgauge::share::{self, FleetLoad, LoadReport, Usage, UsageList};
 use common::Fixed;
 use engines::{BOXES, apply, fleet, model, roster, scene};
 use rand::rngs::SmallRng;
@@ -27,23 +27,23 @@
 const CHOSEN_BEFORE: u64 = 9118701065628053531;
 
 /// The engines of a fleet, filled to different shares as a box of data centre `place` sees them.
-fn filled(place: &str, rng: &mut SmallRng) -> Roster {
+fn filled(place: &str, rng: &mut SmallRng) -> UpstreamRegistry {
     let model = model();
     let mut seats = fleet();
     let assignments = plan(&model, &seats);
     apply(&mut seats, &assignments);
     let mut roster = roster(&seats);
     for seat in &seats {
-        let Some(held) = seat.span else {
+        let Some(held) = seat.layers else {
             continue;
         };
         let entry = roster.get(&seat.id).expect("an engine");
-        let boxes = match *seat.place == *place {
+        let boxes = match *seat.data_centre == *place {
             true => BOXES / 3.0,
             false => BOXES,
         };
-        let room = cost::memory(&model, entry, held) / boxes;
-        roster.begin(&seat.id, (room * rng.random_range(0.5..1.1)) as u64);
+        let room = cost::memory_capacity(&model, entry, held) / boxes;
+        roster.begin_request(&seat.id, (room * rng.random_range(0.5..1.1)) as u64);
     }
     roster
 }
@@ -52,27 +52,37 @@
 /// reserve requests go where they went before there was one.
 #[test]
 fn choice_without_a_reserve_is_as_before() {
-    let need = Need {
+    let need = Requirements {
         tokens: 900,
-        limit: 0.9,
-        reserved: 0.0,
+        fill_limit: 0.9,
+        reserved_share: 0.0,
     };
     let (mut chains, mut found, mut changed) = (String::new(), 0, 0);
     for seed in 0..400 {
         let mut rng = SmallRng::seed_from_u64(seed);
         let place = Arc::from(["a", "b", "c"][seed as usize % 3]);
         let roster = filled(&place, &mut rng);
-        let (pipes, shares) = (Pipes::default(), Shares::default());
+        let (pipes, shares) = (WanUsage::default(), FleetLoad::default());
         let scene = scene(&roster, &pipes, &shares, &place);
         let draw = rng.random();
         let choose = |reserved| {
-            let need = Some(Need { reserved, ..need });
+            let need = Some(Requirements {
+                reserved_share: reserved,
+                ..need
+            });
             let mut draws = Fixed(draw);
-            choice::chain(&scene, &model(), choice::whole(80), &[], need, &mut draws)
+            choice::select_chain(
+                &scene,
+                &model(),
+                choice::all_layers(80),
+                &[],
+                need,
+                &mut draws,
+            )
         };
         let chain = choose(0.0);
         found += usize::from(chain.is_some());
-        changed += usize::from(choose(RESERVED) != chain);
+        changed += usize::from(choose(RESERVED_SHARE) != chain);
         let stages = chain.into_iter().flatten();
         let stages = stages.map(|s| format!("{} {}..{}, ", s.upstream, s.first, s.end));
         chains.extend(stages);
@@ -92,27 +102,27 @@
 const LIMIT: f64 = 0.92;
 
 /// A model of ten layers, and one engine for all of them in each of three data centres.
-fn three() -> (Model, Roster) {
+fn three() -> (Model, UpstreamRegistry) {
     let mut model = model();
     model.layers = 10;
-    let slow = Card {
+    let slow = Accelerator {
         memory_mb: 72_000.0,
         step_factor: 15.0,
-        read_factor: 15.0,
+        prefill_factor: 15.0,
     };
-    model.cards.insert("slow".into(), slow);
-    let mut roster = Roster::default();
+    model.accelerators.insert("slow".into(), slow);
+    let mut roster = UpstreamRegistry::default();
     for (n, (place, card)) in THREE.into_iter().enumerate() {
-        let all = Some(choice::whole(model.layers));
+        let all = Some(choice::all_layers(model.layers));
         roster.put(engines::upstream(place, place, card, all, n));
     }
     (model, roster)
 }
 
 /// What a box tells of its use of the engines at a time.
-fn word(from: &str, now: Duration, uses: Uses) -> Word {
-    Word {
-        number: now.as_millis() as u64,
+fn word(from: &str, now: Duration, uses: UsageList) -> LoadReport {
+    LoadReport {
+        sequence: now.as_millis() as u64,
         ..common::word(from, uses)
     }
 }
@@ -126,34 +136,34 @@
 /// The engine that a box of data centre `place` chooses in each of 20 draws.
 fn chosen(place: &str, filled: &Filled, reserved: f64) -> Option<String> {
     let (model, roster) = three();
-    let mut shares = Shares::default();
+    let mut shares = FleetLoad::default();
     let uses = THREE.iter().enumerate().map(|(n, (id, _))| {
         let entry = roster.get(id).expect("an engine");
-        let room = cost::memory(&model, entry, choice::whole(model.layers));
-        let used = Use {
+        let room = cost::memory_capacity(&model, entry, choice::all_layers(model.layers));
+        let used = Usage {
             requests: 1,
-            leads: (filled.slots[n] * LIMIT * f64::from(entry.upstream.slots)) as u32,
-            tokens: (filled.memory[n] * LIMIT * room) as u32,
-            reading: 0,
+            head_requests: (filled.slots[n] * LIMIT * f64::from(entry.upstream.slots)) as u32,
+            token_layers: (filled.memory[n] * LIMIT * room) as u32,
+            prefill_ms: 0,
         };
-        (share::key(id), used)
+        (share::upstream_key(id), used)
     });
     let now = Duration::from_secs(100);
-    assert!(shares.hear(now, word("box-2", now, uses.collect())));
-    let (pipes, place) = (Pipes::default(), Arc::from(place));
-    let scene = Scene {
+    assert!(shares.apply(now, word("box-2", now, uses.collect())));
+    let (pipes, place) = (WanUsage::default(), Arc::from(place));
+    let scene = SelectionContext {
         boxes: 2.0,
-        neighbours: 1.0,
+        local_boxes: 1.0,
         ..scene(&roster, &pipes, &shares, &place)
     };
-    let need = Some(Need {
+    let need = Some(Requirements {
         tokens: 10,
-        limit: LIMIT,
-        reserved,
+        fill_limit: LIMIT,
+        reserved_share: reserved,
     });
     let draw = |seed| -> Option<Vec<Stage>> {
         let mut rng = SmallRng::seed_from_u64(seed);
-        choice::chain(&scene, &model, choice::whole(10), &[], need, &mut rng)
+        choice::select_chain(&scene, &model, choice::all_layers(10), &[], need, &mut rng)
     };
     let first = draw(0);
     (1..20).for_each(|seed| assert_eq!(draw(seed), first));
@@ -174,9 +184,9 @@
     };
     for filled in [by_memory, by_slots] {
         assert_eq!(chosen("a", &filled, 0.0).as_deref(), Some("b"));
-        assert_eq!(chosen("a", &filled, RESERVED).as_deref(), Some("c"));
+        assert_eq!(chosen("a", &filled, RESERVED_SHARE).as_deref(), Some("c"));
         // Its own callers use what is reserved for them.
-        assert_eq!(chosen("b", &filled, RESERVED).as_deref(), Some("b"));
+        assert_eq!(chosen("b", &filled, RESERVED_SHARE).as_deref(), Some("b"));
     }
 }
 
@@ -192,13 +202,13 @@
         slots: [0.9, 1.0, 1.0],
     };
     for filled in [by_memory, by_slots] {
-        assert_eq!(chosen("a", &filled, RESERVED).as_deref(), Some("b"));
+        assert_eq!(chosen("a", &filled, RESERVED_SHARE).as_deref(), Some("b"));
     }
     let full = Filled {
         memory: [1.0; 3],
         slots: [0.0; 3],
     };
-    assert_eq!(chosen("a", &full, RESERVED), None);
+    assert_eq!(chosen("a", &full, RESERVED_SHARE), None);
 }
 
 /// The reserve is an eighth of the limit: at less than 7/8 of it a remote engine is used.
@@ -209,7 +219,10 @@
             memory: [share, 0.3, 1.0],
             slots: [0.0; 3],
         };
-        assert_eq!(chosen("a", &filled, RESERVED).as_deref(), Some(wanted));
+        assert_eq!(
+            chosen("a", &filled, RESERVED_SHARE).as_deref(),
+            Some(wanted)
+        );
     }
 }
 
@@ -237,9 +250,9 @@
 struct World {
     model: Model,
     reserved: f64,
-    boxes: Vec<(Arc<str>, Roster, Shares)>,
+    boxes: Vec<(Arc<str>, UpstreamRegistry, FleetLoad)>,
     /// Words on their way: when they arrive, from which box.
-    words: VecDeque<(Duration, usize, Word)>,
+    words: VecDeque<(Duration, usize, LoadReport)>,
     /// Requests under way: when they end, of which box, on which engine.
     ends: VecDeque<(Duration, usize, UpstreamId)>,
     rng: SmallRng,
@@ -249,8 +262,8 @@
 impl World {
     fn new(reserved: f64, seed: u64) -> Self {
         let (model, single) = three();
-        let mut roster = Roster::default();
-        for entry in single.all() {
+        let mut roster = UpstreamRegistry::default();
+        for entry in single.iter() {
             for n in 0..EACH {
                 let mut upstream = entry.upstream.clone();
                 upstream.id = format!("{}{n}", upstream.id).into();
@@ -262,7 +275,7 @@
             model,
             reserved,
             boxes: places
-                .map(|place| (place, roster.clone(), Shares::default()))
+                .map(|place| (place, roster.clone(), FleetLoad::default()))
                 .into(),
             words: VecDeque::new(),
             ends: VecDeque::new(),
@@ -273,14 +286,14 @@
 
     /// Requests each second that fill the engines of a data centre up to the limit.
     fn rate(&self) -> f64 {
-        let entry = self.boxes[0].1.all().next().expect("an engine");
-        let room = cost::memory(&self.model, entry, choice::whole(self.model.layers));
+        let entry = self.boxes[0].1.iter().next().expect("an engine");
+        let room = cost::memory_capacity(&self.model, entry, choice::all_layers(self.model.layers));
         LIMIT * room * EACH as f64 / self.tokens() as f64 / STAY.as_secs_f64()
     }
 
     /// Memory of a request, in tokens times layers.
     fn tokens(&self) -> u64 {
-        u64::from((self.model.prompt + self.model.answer / 2) * self.model.layers)
+        u64::from((self.model.typical_prompt + self.model.typical_output / 2) * self.model.layers)
     }
 
     /// Lets what is due happen: requests end, and words arrive.
@@ -288,14 +301,14 @@
         let tokens = self.tokens();
         while self.ends.front().is_some_and(|(at, ..)| *at <= self.now) {
             let (_, at, id) = self.ends.pop_front().expect("an end");
-            self.boxes[at].1.end(&id, tokens);
-            self.boxes[at].1.end_lead(&id);
+            self.boxes[at].1.end_request(&id, tokens);
+            self.boxes[at].1.end_head(&id);
         }
         while self.words.front().is_some_and(|(at, ..)| *at <= self.now) {
             let (_, from, word) = self.words.pop_front().expect("a word");
             for (at, (_, _, shares)) in self.boxes.iter_mut().enumerate() {
                 if at != from {
-                    shares.hear(self.now, word.clone());
+                    shares.apply(self.now, word.clone());
                 }
             }
         }
@@ -305,8 +318,8 @@
     fn tell(&mut self) {
         for (n, (place, roster, _)) in self.boxes.iter().enumerate() {
             let uses = roster
-                .all()
-                .map(|e| (share::key(&e.upstream.id), e.used(self.now)));
+                .iter()
+                .map(|e| (share::upstream_key(&e.upstream.id), e.usage(self.now)));
             let word = word(place, self.now, uses.collect());
             self.words.push_back((self.now + AGE, n, word));
         }
@@ -316,31 +329,34 @@
     fn arrive(&mut self, at: usize, served: &mut Served) {
         let tokens = self.tokens();
         let (place, roster, shares) = &mut self.boxes[at];
-        let pipes = Pipes::default();
-        let scene = Scene {
+        let pipes = WanUsage::default();
+        let scene = SelectionContext {
             boxes: 3.0,
-            neighbours: 1.0,
-            lag: AGE,
+            local_boxes: 1.0,
+            remote_interval: AGE,
             now: self.now,
             ..scene(roster, &pipes, shares, place)
         };
-        let need = Some(Need {
-            tokens: self.model.prompt + self.model.answer / 2,
-            limit: LIMIT,
-            reserved: self.reserved,
+        let need = Some(Requirements {
+            tokens: self.model.typical_prompt + self.model.typical_output / 2,
+            fill_limit: LIMIT,
+            reserved_share: self.reserved,
         });
-        let (model, all) = (&self.model, choice::whole(self.model.layers));
-        let Some(chain) = choice::chain(&scene, model, all, &[], need, &mut self.rng) else {
+        let (model, all) = (&self.model, choice::all_layers(self.model.layers));
+        let Some(chain) = choice::select_chain(&scene, model, all, &[], need, &mut self.rng) else {
             served.refused += 1;
             return;
         };
         let id = chain[0].upstream.clone();
-        match roster.get(&id).is_some_and(|e| e.upstream.place == *place) {
+        match roster
+            .get(&id)
+            .is_some_and(|e| e.upstream.data_centre == *place)
+        {
             true => served.near += 1,
             false => served.away += 1,
         }
-        roster.begin(&id, tokens);
-        roster.lead(&id);
+        roster.begin_request(&id, tokens);
+        roster.begin_head(&id);
         self.ends.push_back((self.now + STAY, at, id));
     }
 
@@ -392,7 +408,7 @@
 fn burst_elsewhere_leaves_engines_to_their_own_callers() {
     let near = |served: &Served| served.near as f64 / (served.near + served.away) as f64;
     let loads = [0.8, 0.3, 1.5];
-    let (without, with) = (sums(0.0, loads), sums(RESERVED, loads));
+    let (without, with) = (sums(0.0, loads), sums(RESERVED_SHARE, loads));
     println!("without a reserve {without:?}, with it {with:?}");
     let (before, after) = (near(&without[0]), near(&with[0]));
     assert!(before <= 0.56, "{before} without a reserve");
