--- a/crates/ashgauge/tests/retry.rs
+++ b/crates/ashgauge/tests/retry.rs
@@ -4,7 +4,7 @@
 
 use std::time::Duration;
 
-use ashgauge::retry::{Allowance, Window};
+use ashgauge::retry::{Allowance, SlidingBudget};
 use proptest::prelude::*;
 use rand::rngs::SmallRng;
 use rand::{Rng, SeedableRng};
@@ -24,7 +24,7 @@
 /// A fleet whose boxes share one allowance.
 struct Fleet {
     allowance: Allowance,
-    boxes: Vec<Window>,
+    boxes: Vec<SlidingBudget>,
     rng: SmallRng,
     now: Duration,
     /// First tries in each step so far.
@@ -34,9 +34,9 @@
 }
 
 /// Starts the process of a box, which has counted all.
-fn start(allowance: Allowance, boxes: u32, now: Duration, rounding: f64) -> Window {
-    let mut window = Window::new(allowance, now, rounding);
-    window.share_with(boxes);
+fn start(allowance: Allowance, boxes: u32, now: Duration, rounding: f64) -> SlidingBudget {
+    let mut window = SlidingBudget::new(allowance, now, rounding);
+    window.set_boxes(boxes);
     window
 }
 
@@ -78,8 +78,8 @@
         for _ in 0..requests {
             let at = self.rng.random_range(0..self.boxes.len());
             let node = &mut self.boxes[at];
-            node.earn(self.now);
-            retries += usize::from(fails && node.take(self.now));
+            node.deposit(self.now);
+            retries += usize::from(fails && node.withdraw(self.now));
         }
         self.firsts.push(requests as f64);
         self.retries.push(retries as f64);
@@ -187,10 +187,10 @@
         ratio: 0.0,
         extra: 100.0,
     };
-    let mut window = Window::new(allowance, Duration::ZERO, 0.0);
-    assert!(!window.take(WINDOW));
-    window.share_with(10);
-    let taken = (0..10).filter(|_| window.take(WINDOW)).count();
+    let mut window = SlidingBudget::new(allowance, Duration::ZERO, 0.0);
+    assert!(!window.withdraw(WINDOW));
+    window.set_boxes(10);
+    let taken = (0..10).filter(|_| window.withdraw(WINDOW)).count();
     assert_eq!(taken, 4);
 }
 
@@ -204,11 +204,11 @@
     };
     let mut window = start(allowance, 1, Duration::ZERO, 0.0);
     let now = 2 * WINDOW;
-    assert!((0..9).all(|_| window.take(now)));
+    assert!((0..9).all(|_| window.withdraw(now)));
     allowance.window = WINDOW / 2;
     window.set_allowance(now, allowance);
-    assert!(!window.take(now));
-    assert!(window.take(now + WINDOW));
+    assert!(!window.withdraw(now));
+    assert!(window.withdraw(now + WINDOW));
 }
 
 proptest! {
--- a/crates/ashgauge/tests/returns.rs
+++ b/crates/ashgauge/tests/returns.rs
@@ -6,8 +6,8 @@
 
 use ashgauge::member::UpstreamId;
 use ashgauge::mirror::Mirror;
-use ashgauge::revision::{Revision, era, revision};
-use ashgauge::upstream::{Span, Upstream};
+use ashgauge::revision::{Revision, era, from_parts};
+use ashgauge::upstream::{LayerRange, Upstream};
 use proptest::prelude::*;
 
 /// Upstreams of a run.
@@ -20,14 +20,14 @@
 fn upstream(id: &str, leaving: bool, layers: Option<u32>) -> Upstream {
     Upstream {
         id: id.into(),
-        born: Some(1),
+        started_ms: Some(1),
         service: "model".into(),
         addr: "10.0.0.1:80".into(),
-        place: Arc::from("a"),
+        data_centre: Arc::from("a"),
         slots: 8,
         leaving,
-        card: None,
-        layers: layers.map(|end| Span { first: 0, end }),
+        accelerator: None,
+        layers: layers.map(|end| LayerRange { first: 0, end }),
         models: Vec::new(),
     }
 }
@@ -44,7 +44,7 @@
 
 impl Store {
     fn at(&self) -> Revision {
-        revision(self.era, self.count)
+        from_parts(self.era, self.count)
     }
 
     fn put(&mut self, upstream: Upstream) {
@@ -66,7 +66,7 @@
     fn list(&self) -> Vec<(Revision, Upstream)> {
         let entries = self.entries.values();
         entries
-            .map(|(count, u)| (revision(self.era, *count), u.clone()))
+            .map(|(count, u)| (from_parts(self.era, *count), u.clone()))
             .collect()
     }
 }
@@ -140,16 +140,16 @@
 
     fn read(&mut self, n: usize) {
         let at = self.store.at();
-        self.boxes[n].replace(at, self.store.list());
-        self.boxes[n].read_all(at);
+        self.boxes[n].replace_all(at, self.store.list());
+        self.boxes[n].mark_read_to(at);
     }
 
     fn ask(&mut self, n: usize, of: usize) {
         let after = self.boxes[n].covered();
         let update = self.boxes[of].update(after, true);
         // What a box knows from before is no news to one that knows of the return.
-        if era(update.upto) >= era(after) {
-            self.boxes[n].take(update);
+        if era(update.up_to) >= era(after) {
+            self.boxes[n].apply(update);
         }
     }
 
@@ -157,7 +157,7 @@
         match step {
             Step::Leave(n) => self.change(*n, |u| u.leaving = true),
             Step::Place(n, end) => self.change(*n, |u| {
-                u.layers = Some(Span {
+                u.layers = Some(LayerRange {
                     first: 0,
                     end: *end,
                 });
@@ -232,7 +232,7 @@
         (0..READERS).for_each(|n| world.read(n));
         // Everybody has had the time to write again.
         for mirror in &mut world.boxes {
-            mirror.settle();
+            mirror.accept_restored();
         }
         (0..READERS).for_each(|n| world.read(n));
         for n in READERS..BOXES {
@@ -252,17 +252,17 @@
 #[test]
 fn later_era_goes_before_a_larger_count() {
     let mut reader = Mirror::default();
-    reader.replace(97, vec![(90, upstream("u1", false, None))]);
-    reader.read_all(97);
+    reader.replace_all(97, vec![(90, upstream("u1", false, None))]);
+    reader.mark_read_to(97);
     let mut asker = Mirror::default();
-    asker.take(reader.update(0, true));
+    asker.apply(reader.update(0, true));
     // The store is back at 93, and u1 begins to leave.
-    let (at, leaves) = (revision(1, 93), revision(1, 94));
-    reader.replace(at, vec![(revision(1, 90), upstream("u1", false, None))]);
-    reader.read_all(at);
+    let (at, leaves) = (from_parts(1, 93), from_parts(1, 94));
+    reader.replace_all(at, vec![(from_parts(1, 90), upstream("u1", false, None))]);
+    reader.mark_read_to(at);
     assert!(!asker.covers(at));
     reader.put(leaves, upstream("u1", true, None));
-    let news = asker.take(reader.update(asker.covered(), true));
+    let news = asker.apply(reader.update(asker.covered(), true));
     assert!(!news.is_empty());
     assert!(asker.upstream("u1").unwrap().leaving);
     assert!(asker.covers(leaves));
--- a/crates/ashgauge/tests/shape_spread.rs
+++ b/crates/ashgauge/tests/shape_spread.rs
@@ -8,14 +8,14 @@
 
 use ashgauge::choice;
 use ashgauge::cost;
-use ashgauge::entry::Entry;
+use ashgauge::entry::UpstreamState;
 use ashgauge::member::UpstreamId;
-use ashgauge::pipes::Pipes;
-use ashgauge::roster::Roster;
+use ashgauge::pipes::WanUsage;
+use ashgauge::roster::UpstreamRegistry;
 use ashgauge::routing::Model;
-use ashgauge::scene::Scene;
-use ashgauge::shape::Shape;
-use ashgauge::share::{self, Scope, Shares, Word};
+use ashgauge::scene::SelectionContext;
+use ashgauge::shape::RequestSize;
+use ashgauge::share::{self, FleetLoad, LoadReport, Scope};
 use engines::{model, scene};
 use rand::rngs::SmallRng;
 use rand::{Rng, SeedableRng};
@@ -35,10 +35,10 @@
 /// A data centre whose boxes choose engines for long prompts.
 struct World {
     model: Model,
-    shape: Shape,
-    boxes: Vec<(Roster, Shares)>,
+    shape: RequestSize,
+    boxes: Vec<(UpstreamRegistry, FleetLoad)>,
     /// Words on their way: when they arrive, from which box.
-    words: VecDeque<(Duration, (usize, Word))>,
+    words: VecDeque<(Duration, (usize, LoadReport))>,
     /// When requests end, of which box, on which engine.
     ends: VecDeque<(Duration, (usize, UpstreamId))>,
     /// Seconds for which each engine has prompts to read.
@@ -64,16 +64,16 @@
         model.layers = 10;
         // Memory is not what spreads them.
         model.token_mb = 0.02;
-        let mut roster = Roster::default();
+        let mut roster = UpstreamRegistry::default();
         for (n, card) in cards.iter().enumerate() {
-            let all = Some(choice::whole(model.layers));
+            let all = Some(choice::all_layers(model.layers));
             roster.put(engines::upstream(&n.to_string(), "a", card, all, n));
         }
         World {
-            shape: Shape::of(model.prompt * 8, model.answer, &model),
+            shape: RequestSize::clamped(model.typical_prompt * 8, model.typical_output, &model),
             model,
             boxes: (0..HERD)
-                .map(|_| (roster.clone(), Shares::default()))
+                .map(|_| (roster.clone(), FleetLoad::default()))
                 .collect(),
             words: VecDeque::new(),
             ends: VecDeque::new(),
@@ -87,30 +87,30 @@
 
     /// Memory that a request holds.
     fn tokens(&self) -> u64 {
-        u64::from((self.shape.prompt + self.shape.answer / 2) * self.model.layers)
+        u64::from((self.shape.prompt + self.shape.output / 2) * self.model.layers)
     }
 
     /// Lets a box choose for a request that arrives there.
     fn arrive(&mut self, at: usize) {
         let tokens = self.tokens();
         let (roster, shares) = &mut self.boxes[at];
-        let (pipes, place) = (Pipes::default(), Arc::from("a"));
-        let scene = Scene {
-            lag: AGE,
+        let (pipes, place) = (WanUsage::default(), Arc::from("a"));
+        let scene = SelectionContext {
+            remote_interval: AGE,
             boxes: HERD as f64,
-            neighbours: HERD as f64,
-            shape: Some(self.shape),
+            local_boxes: HERD as f64,
+            size: Some(self.shape),
             now: self.now,
             ..scene(roster, &pipes, shares, &place)
         };
-        let (model, all) = (&self.model, choice::whole(self.model.layers));
-        let chain = choice::chain(&scene, model, all, &[], None, &mut self.rng);
+        let (model, all) = (&self.model, choice::all_layers(self.model.layers));
+        let chain = choice::select_chain(&scene, model, all, &[], None, &mut self.rng);
         let id = chain.expect("a chain")[0].upstream.clone();
         let engine = roster.get(&id).expect("an engine");
-        let read = cost::reading_seconds(&scene, model, engine, all.len(), self.shape.prompt);
-        roster.note_reading(self.now, &id, read);
-        roster.begin(&id, tokens);
-        roster.lead(&id);
+        let read = cost::prefill_seconds(&scene, model, engine, all.len(), self.shape.prompt);
+        roster.note_prefill(self.now, &id, read);
+        roster.begin_request(&id, tokens);
+        roster.begin_head(&id);
         let n: usize = id.parse().expect("a number");
         self.queues[n] += read;
         self.given[n] += read;
@@ -123,13 +123,13 @@
     fn settle(&mut self) {
         let (now, tokens) = (self.now, self.tokens());
         for (at, id) in take_due(&mut self.ends, now) {
-            self.boxes[at].0.end(&id, tokens);
-            self.boxes[at].0.end_lead(&id);
+            self.boxes[at].0.end_request(&id, tokens);
+            self.boxes[at].0.end_head(&id);
         }
         for (from, word) in take_due(&mut self.words, now) {
             let others = self.boxes.iter_mut().enumerate();
             for (_, (_, shares)) in others.filter(|(at, _)| *at != from) {
-                shares.hear(now, word.clone());
+                shares.apply(now, word.clone());
             }
         }
     }
@@ -137,14 +137,14 @@
     /// Lets all boxes tell what they have.
     fn tell(&mut self) {
         for (n, (roster, _)) in self.boxes.iter().enumerate() {
-            let used = |e: &Entry| (share::key(&e.upstream.id), e.used(self.now));
-            let word = Word {
+            let used = |e: &UpstreamState| (share::upstream_key(&e.upstream.id), e.usage(self.now));
+            let word = LoadReport {
                 from: format!("box-{n}").into(),
                 boot: 1,
-                number: self.now.as_millis() as u64,
+                sequence: self.now.as_millis() as u64,
                 scope: Scope::Own,
                 boxes: 1,
-                uses: roster.all().map(used).collect(),
+                usage: roster.iter().map(used).collect(),
                 suspects: Vec::new(),
                 limits: Vec::new(),
                 flows: Default::default(),
@@ -182,12 +182,12 @@
     /// Long prompts a second that keep the engines reading for this part of their time.
     fn rate(&self, part: f64) -> f64 {
         let roster = &self.boxes[0].0;
-        let factor = |e: &Entry| {
-            let card = e.upstream.card.as_deref().expect("a card");
-            1.0 / self.model.cards[card].read_factor
+        let factor = |e: &UpstreamState| {
+            let card = e.upstream.accelerator.as_deref().expect("a card");
+            1.0 / self.model.accelerators[card].prefill_factor
         };
-        let rate: f64 = roster.all().map(factor).sum();
-        part * rate * self.model.read_rate / f64::from(self.shape.prompt)
+        let rate: f64 = roster.iter().map(factor).sum();
+        part * rate * self.model.prefill_rate / f64::from(self.shape.prompt)
     }
 
     /// Part of the requests that the busiest engine got.
--- a/crates/ashgauge/tests/share.rs
+++ b/crates/ashgauge/tests/share.rs
@@ -5,63 +5,66 @@
 use std::collections::HashMap;
 use std::time::Duration;
 
-use ashgauge::share::{self, Shares, Use, Word, tell_times};
+use ashgauge::share::{self, FleetLoad, LoadReport, Usage, report_intervals};
 use proptest::prelude::*;
 
 const SECOND: Duration = Duration::from_secs(1);
 
-fn word(from: u32, boot: u64, number: u64, requests: u32) -> Word {
-    let used = Use {
+fn word(from: u32, boot: u64, number: u64, requests: u32) -> LoadReport {
+    let used = Usage {
         requests,
-        leads: requests / 2,
-        tokens: requests * 900,
-        reading: requests,
+        head_requests: requests / 2,
+        token_layers: requests * 900,
+        prefill_ms: requests,
     };
-    Word {
+    LoadReport {
         boot,
-        number,
-        ..common::word(&format!("box-{from}"), vec![(share::key("e1"), used)])
+        sequence: number,
+        ..common::word(
+            &format!("box-{from}"),
+            vec![(share::upstream_key("e1"), used)],
+        )
     }
 }
 
 /// Time between two words where a box tells so many others.
 fn lag(others: usize) -> Duration {
-    tell_times(0, others).1
+    report_intervals(0, others).1
 }
 
 #[test]
 fn later_word_replaces_the_one_before() {
-    let mut shares = Shares::default();
-    assert!(shares.hear(SECOND, word(1, 7, 1, 10)));
-    assert!(shares.hear(SECOND, word(1, 7, 2, 4)));
+    let mut shares = FleetLoad::default();
+    assert!(shares.apply(SECOND, word(1, 7, 1, 10)));
+    assert!(shares.apply(SECOND, word(1, 7, 2, 4)));
     assert_eq!(shares.others("e1").requests, 4);
-    assert_eq!(shares.others("e2"), Use::default());
+    assert_eq!(shares.others("e2"), Usage::default());
 }
 
 /// Datagrams overtake each other.
 #[test]
 fn word_that_comes_late_is_dropped() {
-    let mut shares = Shares::default();
-    assert!(shares.hear(SECOND, word(1, 7, 2, 4)));
-    assert!(!shares.hear(SECOND, word(1, 7, 1, 10)));
-    assert!(!shares.hear(SECOND, word(1, 7, 2, 10)));
+    let mut shares = FleetLoad::default();
+    assert!(shares.apply(SECOND, word(1, 7, 2, 4)));
+    assert!(!shares.apply(SECOND, word(1, 7, 1, 10)));
+    assert!(!shares.apply(SECOND, word(1, 7, 2, 10)));
     assert_eq!(shares.others("e1").requests, 4);
 }
 
 /// A process that starts again counts its words from one.
 #[test]
 fn words_of_a_new_start_are_heard() {
-    let mut shares = Shares::default();
-    assert!(shares.hear(SECOND, word(1, 7, 900, 10)));
-    assert!(shares.hear(SECOND, word(1, 8, 1, 2)));
+    let mut shares = FleetLoad::default();
+    assert!(shares.apply(SECOND, word(1, 7, 900, 10)));
+    assert!(shares.apply(SECOND, word(1, 8, 1, 2)));
     assert_eq!(shares.others("e1").requests, 2);
 }
 
 #[test]
 fn box_that_falls_silent_is_forgotten() {
-    let mut shares = Shares::default();
-    shares.hear(SECOND, word(1, 7, 1, 10));
-    shares.hear(SECOND * 3, word(2, 7, 1, 5));
+    let mut shares = FleetLoad::default();
+    shares.apply(SECOND, word(1, 7, 1, 10));
+    shares.apply(SECOND * 3, word(2, 7, 1, 5));
     shares.expire(SECOND * 4, lag(2));
     assert_eq!(shares.boxes(), 1);
     assert_eq!(shares.others("e1").requests, 5);
@@ -71,7 +74,7 @@
 #[test]
 fn words_are_fewer_in_large_fleets() {
     for others in [1, 5, 58, 339, 2000] {
-        let (near, far) = tell_times(others / 3, others);
+        let (near, far) = report_intervals(others / 3, others);
         let sent = (others / 3) as f64 / near.as_secs_f64();
         let away = others as f64 / far.as_secs_f64();
         assert!(sent <= 251.0, "{sent} datagrams a second to {others}");
@@ -82,8 +85,8 @@
 /// In a large fleet words come seldom, and one that is late is no silence.
 #[test]
 fn seldom_words_are_kept_for_longer() {
-    let mut shares = Shares::default();
-    shares.hear(SECOND, word(1, 7, 1, 10));
+    let mut shares = FleetLoad::default();
+    shares.apply(SECOND, word(1, 7, 1, 10));
     shares.expire(SECOND * 8, lag(339));
     assert_eq!(shares.boxes(), 1);
     shares.expire(SECOND * 8, lag(5));
@@ -98,10 +101,10 @@
     fn sum_is_that_of_the_last_words(
         words in prop::collection::vec((0..5u32, 0..40u64, 0..100u32), 0..60),
     ) {
-        let mut shares = Shares::default();
+        let mut shares = FleetLoad::default();
         let mut last: HashMap<u32, (u64, u32)> = HashMap::new();
         for (from, number, requests) in words {
-            shares.hear(SECOND, word(from, 1, number, requests));
+            shares.apply(SECOND, word(from, 1, number, requests));
             let known = last.entry(from).or_insert((number, requests));
             if number > known.0 {
                 *known = (number, requests);
@@ -109,23 +112,23 @@
         }
         let sum: u32 = last.values().map(|(_, requests)| requests).sum();
         prop_assert_eq!(shares.others("e1").requests, sum);
-        prop_assert_eq!(shares.others("e1").tokens, sum * 900);
+        prop_assert_eq!(shares.others("e1").token_layers, sum * 900);
         prop_assert_eq!(shares.boxes(), last.len());
         shares.expire(SECOND * 9, lag(5));
-        prop_assert_eq!(shares.others("e1"), Use::default());
+        prop_assert_eq!(shares.others("e1"), Usage::default());
     }
 }
 
 /// A hub adds up how many boxes others tell for; two large figures made it overflow.
 #[test]
 fn absurd_numbers_of_boxes_do_not_overflow() {
-    let mut shares = Shares::default();
+    let mut shares = FleetLoad::default();
     for from in 0..2 {
         let mut word = word(from, 7, 1, 10);
         word.boxes = u32::MAX;
-        shares.hear(SECOND, word);
+        shares.apply(SECOND, word);
     }
-    let sum = shares.all(share::Sum::default());
+    let sum = shares.fleet_sum(share::LoadSum::default());
     assert_eq!(sum.boxes, u32::MAX);
 }
 
@@ -133,20 +136,20 @@
 /// the sums lacked what all others had told.
 #[test]
 fn largest_figures_of_one_box_leave_the_others_as_they_are() {
-    let mut shares = Shares::default();
-    shares.hear(SECOND, word(1, 7, 1, 10));
-    shares.hear(SECOND, word(2, 7, 1, 20));
-    let most = Use {
+    let mut shares = FleetLoad::default();
+    shares.apply(SECOND, word(1, 7, 1, 10));
+    shares.apply(SECOND, word(2, 7, 1, 20));
+    let most = Usage {
         requests: u32::MAX,
-        leads: u32::MAX,
-        tokens: u32::MAX,
-        reading: u32::MAX,
+        head_requests: u32::MAX,
+        token_layers: u32::MAX,
+        prefill_ms: u32::MAX,
     };
     let mut absurd = word(3, 7, 1, 0);
-    absurd.uses[0].1 = most;
-    shares.hear(SECOND, absurd);
+    absurd.usage[0].1 = most;
+    shares.apply(SECOND, absurd);
     assert_eq!(shares.others("e1"), most);
-    shares.hear(SECOND, word(3, 7, 2, 5));
+    shares.apply(SECOND, word(3, 7, 2, 5));
     let others = shares.others("e1");
-    assert_eq!((others.requests, others.tokens), (35, 35 * 900));
+    assert_eq!((others.requests, others.token_layers), (35, 35 * 900));
 }
--- a/crates/ashgauge/tests/silence.rs
+++ b/crates/ashgauge/tests/silence.rs
@@ -2,7 +2,7 @@
 
 use std::time::Duration;
 
-use ashgauge::silence::{Silence, next_wait};
+use ashgauge::silence::{SilenceTimer, next_wait};
 use proptest::prelude::*;
 
 const MOST: Duration = Duration::from_millis(1300);
@@ -23,10 +23,10 @@
 
 /// Silences after which a stream is checked of which nothing comes.
 fn checked_after(first: Duration, checks: usize) -> Vec<Duration> {
-    let mut silence = Silence::new(Duration::ZERO);
+    let mut silence = SilenceTimer::new(Duration::ZERO);
     let due = (0..checks).map(|_| {
-        let due = silence.due_within(first, Duration::from_millis(100), MOST);
-        silence.note_check();
+        let due = silence.next_check_within(first, Duration::from_millis(100), MOST);
+        silence.record_check();
         due
     });
     due.collect()
@@ -47,11 +47,11 @@
 #[test]
 fn checks_between_events_stay_as_they_are() {
     let ms = Duration::from_millis;
-    let mut silence = Silence::new(ms(0));
-    silence.hear(ms(90));
-    silence.hear(ms(190));
-    let due = silence.due(ms(900), ms(100));
-    assert_eq!(silence.due_within(ms(900), ms(100), MOST), due);
+    let mut silence = SilenceTimer::new(ms(0));
+    silence.record_event(ms(90));
+    silence.record_event(ms(190));
+    let due = silence.next_check(ms(900), ms(100));
+    assert_eq!(silence.next_check_within(ms(900), ms(100), MOST), due);
 }
 
 /// An answer that was lost is waited for as long as is meant, not for as long as
--- a/crates/ashgauge/tests/slow.rs
+++ b/crates/ashgauge/tests/slow.rs
@@ -5,7 +5,7 @@
 
 use std::time::Duration;
 
-use ashgauge::share::{self, Shares, Sum, Word};
+use ashgauge::share::{self, FleetLoad, LoadReport, LoadSum};
 
 const SECOND: Duration = Duration::from_secs(1);
 
@@ -15,13 +15,13 @@
 fn slow_engine_is_known_to_boxes_that_did_not_use_it() {
     let mut found = engines::twins();
     found.note_slow(SECOND, "a1", 12.0);
-    let slow = found.slow(SECOND, |service| service == "model");
+    let slow = found.slow_upstreams(SECOND, |service| service == "model");
     let mut others = engines::twins();
-    others.hear_slow(SECOND, &slow);
+    others.note_peer_slow(SECOND, &slow);
     assert_eq!(others.get("a1").expect("an engine").slowness(SECOND), 12.0);
     assert_eq!(others.get("a2").expect("an engine").slowness(SECOND), 1.0);
     // What was only heard is not told again, or it would never end.
-    assert!(others.slow(SECOND, |_| true).is_empty());
+    assert!(others.slow_upstreams(SECOND, |_| true).is_empty());
     assert_eq!(
         others.get("a1").expect("an engine").slowness(SECOND * 3),
         1.0
@@ -33,20 +33,20 @@
 fn engines_of_other_services_are_not_told() {
     let mut found = engines::twins();
     found.note_slow(SECOND, "a1", 12.0);
-    assert!(found.slow(SECOND, |_| false).is_empty());
+    assert!(found.slow_upstreams(SECOND, |_| false).is_empty());
 }
 
 /// Two boxes asked the same engine at different moments.
 #[test]
 fn larger_factor_counts_in_a_sum() {
-    let mut shares = Shares::default();
-    let key = share::key("a1");
+    let mut shares = FleetLoad::default();
+    let key = share::upstream_key("a1");
     for (n, factor) in [30, 120].into_iter().enumerate() {
-        let word = Word {
+        let word = LoadReport {
             slow: vec![(key, factor)],
             ..common::word(&format!("box-{n}"), Vec::new())
         };
-        assert!(shares.hear(SECOND, word));
+        assert!(shares.apply(SECOND, word));
     }
-    assert_eq!(shares.all(Sum::default()).slow, [(key, 120)]);
+    assert_eq!(shares.fleet_sum(LoadSum::default()).slow, [(key, 120)]);
 }
--- a/crates/ashgauge/tests/suspension.rs
+++ b/crates/ashgauge/tests/suspension.rs
@@ -3,7 +3,7 @@
 use std::time::Duration;
 
 use ashgauge::fresh::Freshness;
-use ashgauge::suspension::Suspension;
+use ashgauge::suspension::SuspensionDetector;
 use proptest::prelude::*;
 
 const SECOND: Duration = Duration::from_secs(1);
@@ -18,8 +18,8 @@
     by_steady.confirm(steady);
     by_whole.confirm(whole);
     let (steady, whole) = (steady + SECOND, whole + SECOND * 6);
-    assert!(by_steady.holds(steady));
-    assert!(!by_whole.holds(whole));
+    assert!(by_steady.is_fresh(steady));
+    assert!(!by_whole.is_fresh(whole));
 }
 
 proptest! {
@@ -28,14 +28,14 @@
     #[test]
     fn times_add_up(steps in prop::collection::vec((0u64..2_000, prop::option::of(60u64..9_000)), 0..40)) {
         let (mut steady, mut whole) = (SECOND, SECOND * 70);
-        let mut suspension = Suspension::new(steady, whole);
+        let mut suspension = SuspensionDetector::new(steady, whole);
         let (mut found, mut stood) = (Duration::ZERO, Duration::ZERO);
         for (ran, suspended) in steps {
             let time = Duration::from_millis(suspended.unwrap_or(0));
             steady += Duration::from_millis(ran);
             whole += Duration::from_millis(ran) + time;
             stood += time;
-            found += suspension.look(steady, whole).unwrap_or_default();
+            found += suspension.check(steady, whole).unwrap_or_default();
         }
         prop_assert_eq!(found, stood);
     }
@@ -44,12 +44,12 @@
     #[test]
     fn small_differences_are_none(steps in prop::collection::vec((0u64..2_000, 0u64..30), 0..40)) {
         let (mut steady, mut whole) = (SECOND, SECOND * 70);
-        let mut suspension = Suspension::new(steady, whole);
+        let mut suspension = SuspensionDetector::new(steady, whole);
         for (ran, apart) in steps {
             steady += Duration::from_millis(ran);
             whole += Duration::from_millis(ran);
             let read = whole + Duration::from_millis(apart);
-            prop_assert_eq!(suspension.look(steady, read), None);
+            prop_assert_eq!(suspension.check(steady, read), None);
         }
     }
 }
--- a/crates/ashgauge/tests/worst_load.rs
+++ b/crates/ashgauge/tests/worst_load.rs
@@ -10,25 +10,25 @@
 
 use ashgauge::choice;
 use ashgauge::cost;
-use ashgauge::entry::Entry;
+use ashgauge::entry::UpstreamState;
 use ashgauge::member::UpstreamId;
-use ashgauge::pipes::Pipes;
-use ashgauge::roster::Roster;
-use ashgauge::routing::Card;
-use ashgauge::scene::Scene;
-use ashgauge::share::Shares;
-use ashgauge::upstream::Span;
+use ashgauge::pipes::WanUsage;
+use ashgauge::roster::UpstreamRegistry;
+use ashgauge::routing::Accelerator;
+use ashgauge::scene::SelectionContext;
+use ashgauge::share::FleetLoad;
+use ashgauge::upstream::LayerRange;
 use engines::{BOXES, model, scene, twins};
 use rand::SeedableRng;
 use rand::rngs::SmallRng;
 
 /// Words of 72 other boxes from before the loss, when these engines had nothing
 /// to read.
-fn heard_before() -> Shares {
-    let mut shares = Shares::default();
+fn heard_before() -> FleetLoad {
+    let mut shares = FleetLoad::default();
     for n in 0..72 {
         let word = common::word(&format!("box-{n}"), Vec::new());
-        assert!(shares.hear(Duration::from_secs(100), word));
+        assert!(shares.apply(Duration::from_secs(100), word));
     }
     shares
 }
@@ -63,36 +63,36 @@
     let kinds = [("writer", 2.4, 3.2), ("reader", 5.6, 2.7)];
     for (name, step_factor, read_factor) in kinds {
         let memory_mb = 72_000.0;
-        let card = Card {
+        let card = Accelerator {
             memory_mb,
             step_factor,
-            read_factor,
+            prefill_factor: read_factor,
         };
-        model.cards.insert(name.into(), card);
+        model.accelerators.insert(name.into(), card);
     }
-    let all = choice::whole(model.layers);
+    let all = choice::all_layers(model.layers);
     let place: Arc<str> = "a".into();
-    let (pipes, shares) = (Pipes::default(), heard_before());
+    let (pipes, shares) = (WanUsage::default(), heard_before());
     let mut taken = [0.0; 4];
     for seed in seeds {
         let mut rng = SmallRng::seed_from_u64(seed);
-        let mut roster = Roster::default();
+        let mut roster = UpstreamRegistry::default();
         for (n, (place, card)) in engines.iter().enumerate() {
             roster.put(engines::upstream(&n.to_string(), place, card, Some(all), n));
         }
         for _ in 0..streams {
-            let scene = Scene {
-                together,
-                lag: Duration::from_secs(1),
+            let scene = SelectionContext {
+                simultaneous: together,
+                remote_interval: Duration::from_secs(1),
                 boxes: 73.0,
-                neighbours: 24.0,
+                local_boxes: 24.0,
                 ..scene(&roster, &pipes, &shares, &place)
             };
-            let chain = choice::chain(&scene, &model, all, &[], None, &mut rng).unwrap();
+            let chain = choice::select_chain(&scene, &model, all, &[], None, &mut rng).unwrap();
             let id = chain[0].upstream.clone();
             let (now, entry) = (scene.now, roster.get(&id).unwrap());
-            let seconds = cost::reading_seconds(&scene, &model, entry, all.len(), 900);
-            roster.note_reading(now, &id, seconds);
+            let seconds = cost::prefill_seconds(&scene, &model, entry, all.len(), 900);
+            roster.note_prefill(now, &id, seconds);
             taken[id.parse::<usize>().unwrap()] += 1.0;
         }
     }
@@ -140,25 +140,26 @@
 fn engine_that_reads_much_leaves_requests_to_others() {
     let mut model = model();
     model.layers = 10;
-    model.read_rate = 100_000.0;
-    let all = choice::whole(model.layers);
-    let mut roster = Roster::default();
+    model.prefill_rate = 100_000.0;
+    let all = choice::all_layers(model.layers);
+    let mut roster = UpstreamRegistry::default();
     roster.put(engines::upstream("fast", "a", "large", Some(all), 1));
     for n in 0..4 {
         let id = format!("other-{n}");
         roster.put(engines::upstream(&id, "a", "medium", Some(all), 2 + n));
     }
-    let (pipes, shares, place) = (Pipes::default(), Shares::default(), Arc::from("a"));
+    let (pipes, shares, place) = (WanUsage::default(), FleetLoad::default(), Arc::from("a"));
     let mut rng = SmallRng::seed_from_u64(1);
     let neighbours = BOXES / 3.0;
     for _ in 0..(180.0 / neighbours) as usize {
         let scene = scene(&roster, &pipes, &shares, &place);
-        let stages = choice::chain(&scene, &model, all, &[], None, &mut rng).expect("a chain");
-        roster.begin(&stages[0].upstream, 100 * 10);
+        let stages =
+            choice::select_chain(&scene, &model, all, &[], None, &mut rng).expect("a chain");
+        roster.begin_request(&stages[0].upstream, 100 * 10);
     }
     let fast = roster.get("fast").expect("an engine");
     let rate = f64::from(fast.inflight) * neighbours / 2.0;
-    let part = rate * f64::from(model.prompt) / model.read_rate;
+    let part = rate * f64::from(model.typical_prompt) / model.prefill_rate;
     assert!(part <= 0.5, "it reads {part} of its time");
     assert!(
         part >= 0.2,
@@ -172,20 +173,24 @@
 fn chain_does_not_cross_around_an_engine_that_reads_much() {
     let mut model = model();
     model.layers = 10;
-    model.read_rate = 20_000.0;
-    let (first, rest) = (Span { first: 0, end: 5 }, Span { first: 5, end: 10 });
-    let mut roster = Roster::default();
+    model.prefill_rate = 20_000.0;
+    let (first, rest) = (
+        LayerRange { first: 0, end: 5 },
+        LayerRange { first: 5, end: 10 },
+    );
+    let mut roster = UpstreamRegistry::default();
     let engines = [("a1", "a", first), ("a2", "a", rest), ("b2", "b", rest)];
     for (n, (id, place, span)) in engines.into_iter().enumerate() {
         roster.put(engines::upstream(id, place, "large", Some(span), n));
     }
-    (0..40).for_each(|_| roster.begin("a2", 100));
-    let (pipes, shares, place) = (Pipes::default(), Shares::default(), Arc::from("a"));
+    (0..40).for_each(|_| roster.begin_request("a2", 100));
+    let (pipes, shares, place) = (WanUsage::default(), FleetLoad::default(), Arc::from("a"));
     let scene = scene(&roster, &pipes, &shares, &place);
-    let all = choice::whole(model.layers);
+    let all = choice::all_layers(model.layers);
     for seed in 0..20 {
         let mut rng = SmallRng::seed_from_u64(seed);
-        let chain = choice::chain(&scene, &model, all, &[], None, &mut rng).expect("a chain");
+        let chain =
+            choice::select_chain(&scene, &model, all, &[], None, &mut rng).expect("a chain");
         assert_eq!(&*chain[1].upstream, "a2");
     }
 }
@@ -195,8 +200,11 @@
 fn chosen_when_filling(copies: usize, seed: u64) -> UpstreamId {
     let mut model = model();
     model.layers = 10;
-    let (first, rest) = (Span { first: 0, end: 5 }, Span { first: 5, end: 10 });
-    let mut roster = Roster::default();
+    let (first, rest) = (
+        LayerRange { first: 0, end: 5 },
+        LayerRange { first: 5, end: 10 },
+    );
+    let mut roster = UpstreamRegistry::default();
     roster.put(engines::upstream("fast", "a", "large", Some(first), 1));
     roster.put(engines::upstream("slow", "a", "small", Some(first), 2));
     for n in 0..copies {
@@ -205,13 +213,13 @@
     }
     let neighbours = BOXES / 3.0;
     let fast = roster.get("fast").expect("an engine");
-    let used = cost::memory(&model, fast, first) * 0.8 / neighbours;
-    roster.begin("fast", used as u64);
-    let (pipes, shares, place) = (Pipes::default(), Shares::default(), Arc::from("a"));
+    let used = cost::memory_capacity(&model, fast, first) * 0.8 / neighbours;
+    roster.begin_request("fast", used as u64);
+    let (pipes, shares, place) = (WanUsage::default(), FleetLoad::default(), Arc::from("a"));
     let scene = scene(&roster, &pipes, &shares, &place);
     let mut rng = SmallRng::seed_from_u64(seed);
-    let all = choice::whole(model.layers);
-    let chain = choice::chain(&scene, &model, all, &[], None, &mut rng);
+    let all = choice::all_layers(model.layers);
+    let chain = choice::select_chain(&scene, &model, all, &[], None, &mut rng);
     chain.expect("a chain")[0].upstream.clone()
 }
 
@@ -231,22 +239,24 @@
 fn room_near_is_counted_over_the_data_centre_alone() {
     let model = model();
     let mut roster = twins();
-    let held = Some(Span { first: 0, end: 40 });
+    let held = Some(LayerRange { first: 0, end: 40 });
     roster.put(engines::upstream("far", "b", "large", held, 4));
-    roster.begin("far", 1_000_000);
-    let (pipes, shares, place) = (Pipes::default(), Shares::default(), Arc::from("a"));
-    let filled = |roster: &Roster| {
+    roster.begin_request("far", 1_000_000);
+    let (pipes, shares, place) = (WanUsage::default(), FleetLoad::default(), Arc::from("a"));
+    let filled = |roster: &UpstreamRegistry| {
         let scene = scene(roster, &pipes, &shares, &place);
-        choice::filled_near(&scene, &model)
+        choice::local_utilization(&scene, &model)
     };
     assert_eq!(filled(&roster), 0.0);
     let near: f64 = {
-        let here = roster.all().filter(|e| *e.upstream.place == *"a");
-        let room = |e: &Entry| cost::memory(&model, e, e.upstream.layers.expect("layers"));
+        let here = roster.iter().filter(|e| *e.upstream.data_centre == *"a");
+        let room = |e: &UpstreamState| {
+            cost::memory_capacity(&model, e, e.upstream.layers.expect("layers"))
+        };
         here.map(room).sum()
     };
-    roster.begin("a1", (near / 2.0 / (BOXES / 3.0)) as u64);
+    roster.begin_request("a1", (near / 2.0 / (BOXES / 3.0)) as u64);
     let half = filled(&roster);
     assert!((half - 0.5).abs() < 0.01, "{half}");
-    assert_eq!(filled(&Roster::default()), 1.0);
+    assert_eq!(filled(&UpstreamRegistry::default()), 1.0);
 }
--- a/crates/ashgauged/src/actor.rs
+++ b/crates/ashgauged/src/actor.rs
@@ -4,12 +4,12 @@
 use std::sync::Arc;
 use std::time::{Duration, Instant};
 
-use ashgauge::editor::{Answer, Ticket};
-use ashgauge::node::{Order, Reply, Status};
+use ashgauge::editor::{EditResult, WaiterId};
+use ashgauge::node::{IncomingRequest, ReplyPart, Status};
 use ashgauge::queue::RequestId;
 use ashgauge::table::Edit;
 use ashgauge::{Action, Config, Event, Node};
-use operator::{BoxesAnswer, TableAnswer};
+use operator::{BoxesResponse, TableResponse};
 use ractor::{Actor, ActorProcessingErr, ActorRef};
 use tokio::sync::{mpsc, oneshot};
 
@@ -18,45 +18,45 @@
 use crate::timeline::Timeline;
 
 /// Time between ticks of the node.
-const TICK: Duration = Duration::from_millis(10);
+const TICK_INTERVAL: Duration = Duration::from_millis(10);
 
 /// What the node's actor is asked.
 pub enum Msg {
     /// An event for the node.
     Event(Event),
     /// A caller's request; its parts go to the sender, its id to the other.
-    Arrive(
-        Order,
-        mpsc::UnboundedSender<Reply>,
+    Request(
+        IncomingRequest,
+        mpsc::UnboundedSender<ReplyPart>,
         oneshot::Sender<RequestId>,
     ),
     /// An operator's edit.
-    Edit(Edit, oneshot::Sender<Answer>),
+    Edit(Edit, oneshot::Sender<EditResult>),
     /// The node's state.
     Status(oneshot::Sender<Status>),
     /// The table in force.
-    Table(oneshot::Sender<TableAnswer>),
+    Table(oneshot::Sender<TableResponse>),
     /// The boxes of the list.
-    Boxes(oneshot::Sender<BoxesAnswer>),
+    Boxes(oneshot::Sender<BoxesResponse>),
     /// Whether the balancer may send requests.
     Ready(oneshot::Sender<bool>),
     /// Whether a draining node is empty.
     Drained(oneshot::Sender<bool>),
     /// Whether a drain was asked for on the operators' port.
-    Stopping(oneshot::Sender<()>),
+    DrainAsked(oneshot::Sender<()>),
 }
 
 /// The actor.
 pub struct NodeActor;
 
 /// What the actor starts from.
-pub struct Start {
+pub struct NodeArgs {
     /// Settings of the node.
     pub config: Config,
     /// Settings of the daemon.
     pub settings: Settings,
     /// Sender to the other boxes.
-    pub peers: peer::Peers,
+    pub peers: peer::PeerClient,
     /// The time line.
     pub timeline: Arc<Timeline>,
 }
@@ -64,36 +64,36 @@
 /// The actor's state.
 pub struct State {
     node: Node,
-    epoch: Instant,
+    started: Instant,
     io: Io,
-    callers: HashMap<RequestId, mpsc::UnboundedSender<Reply>>,
-    tickets: HashMap<Ticket, oneshot::Sender<Answer>>,
-    stopping: Vec<oneshot::Sender<()>>,
-    next: u64,
+    callers: HashMap<RequestId, mpsc::UnboundedSender<ReplyPart>>,
+    pending_edits: HashMap<WaiterId, oneshot::Sender<EditResult>>,
+    drain_waiters: Vec<oneshot::Sender<()>>,
+    last_id: u64,
     timeline: Arc<Timeline>,
 }
 
 impl Actor for NodeActor {
     type Msg = Msg;
     type State = State;
-    type Arguments = Start;
+    type Arguments = NodeArgs;
 
     async fn pre_start(
         &self,
         myself: ActorRef<Msg>,
-        start: Start,
+        start: NodeArgs,
     ) -> Result<State, ActorProcessingErr> {
         let io = Io::new(myself.clone(), &start);
-        io.follow_platform();
-        myself.send_interval(TICK, || Msg::Event(Event::Tick));
+        io.watch_platform();
+        myself.send_interval(TICK_INTERVAL, || Msg::Event(Event::Tick));
         Ok(State {
             node: Node::new(start.config),
-            epoch: Instant::now(),
+            started: Instant::now(),
             io,
             callers: HashMap::new(),
-            tickets: HashMap::new(),
-            stopping: Vec::new(),
-            next: 1,
+            pending_edits: HashMap::new(),
+            drain_waiters: Vec::new(),
+            last_id: 1,
             timeline: start.timeline,
         })
     }
@@ -104,84 +104,84 @@
         message: Msg,
         state: &mut State,
     ) -> Result<(), ActorProcessingErr> {
-        state.take(message);
+        state.handle_message(message);
         Ok(())
     }
 }
 
 impl State {
-    fn take(&mut self, message: Msg) {
-        let now = self.epoch.elapsed();
+    fn handle_message(&mut self, message: Msg) {
+        let now = self.started.elapsed();
         // Whoever asked may be gone; then nobody misses the answer.
         match message {
-            Msg::Event(event) => self.feed(event),
-            Msg::Arrive(order, parts, id) => self.arrive(order, parts, id),
+            Msg::Event(event) => self.handle_event(event),
+            Msg::Request(order, parts, id) => self.start_request(order, parts, id),
             Msg::Edit(edit, answer) => {
-                let ticket = self.number();
-                self.tickets.insert(ticket, answer);
-                self.feed(Event::Edit(ticket, edit));
+                let ticket = self.allocate_id();
+                self.pending_edits.insert(ticket, answer);
+                self.handle_event(Event::Edit(ticket, edit));
             }
             Msg::Status(answer) => drop(answer.send(self.node.status(now))),
             Msg::Table(answer) => {
                 let (version, table) = self.node.table();
                 let table = (**table).clone();
-                drop(answer.send(TableAnswer { version, table }));
+                drop(answer.send(TableResponse { version, table }));
             }
             Msg::Boxes(answer) => {
                 let boxes = self.node.boxes().to_vec();
-                drop(answer.send(BoxesAnswer { boxes }));
+                drop(answer.send(BoxesResponse { boxes }));
             }
             Msg::Ready(answer) => drop(answer.send(self.node.is_ready(now))),
             Msg::Drained(answer) => drop(answer.send(self.node.is_drained())),
-            Msg::Stopping(answer) => self.stopping.push(answer),
+            Msg::DrainAsked(answer) => self.drain_waiters.push(answer),
         }
     }
 
-    fn arrive(
+    fn start_request(
         &mut self,
-        mut order: Order,
-        parts: mpsc::UnboundedSender<Reply>,
+        mut order: IncomingRequest,
+        parts: mpsc::UnboundedSender<ReplyPart>,
         id: oneshot::Sender<RequestId>,
     ) {
-        order.id = self.number();
+        order.id = self.allocate_id();
         self.callers.insert(order.id, parts);
         if id.send(order.id).is_err() {
             self.callers.remove(&order.id);
             return;
         }
-        self.feed(Event::Arrive(order));
+        self.handle_event(Event::RequestArrived(order));
     }
 
-    fn feed(&mut self, event: Event) {
-        if let Event::Gone(id) = &event {
+    fn handle_event(&mut self, event: Event) {
+        if let Event::CallerGone(id) = &event {
             self.callers.remove(id);
         }
         if let Event::Drain = &event {
-            for waiting in self.stopping.drain(..) {
+            for waiting in self.drain_waiters.drain(..) {
                 let _ = waiting.send(());
             }
         }
-        let actions = self.node.handle(self.epoch.elapsed(), event);
+        let actions = self.node.handle(self.started.elapsed(), event);
         for action in actions {
-            self.act(action);
+            self.perform(action);
         }
     }
 
-    fn act(&mut self, action: Action) {
+    fn perform(&mut self, action: Action) {
         match action {
             Action::Reply(id, reply) => self.reply(id, reply),
-            Action::Edited(ticket, answer) => {
-                if let Some(waiting) = self.tickets.remove(&ticket) {
+            Action::EditAnswer(ticket, answer) => {
+                if let Some(waiting) = self.pending_edits.remove(&ticket) {
                     let _ = waiting.send(answer);
                 }
             }
-            Action::Note(record) => self.timeline.add(record),
+            Action::Record(record) => self.timeline.add(record),
             other => self.io.perform(other),
         }
     }
 
-    fn reply(&mut self, id: RequestId, reply: Reply) {
-        let last = !matches!(reply, Reply::Token(_));
+    fn reply(&mut self, id: RequestId, reply: ReplyPart) {
+        let last = !matches!(reply, ReplyPart::Token(_));
         if let Some(caller) = self.callers.get(&id) {
             let _ = caller.send(reply);
         }
@@ -190,8 +190,8 @@
         }
     }
 
-    fn number(&mut self) -> u64 {
-        self.next += 1;
-        self.next
+    fn allocate_id(&mut self) -> u64 {
+        self.last_id += 1;
+        self.last_id
     }
 }
--- a/crates/ashgauged/src/io.rs
+++ b/crates/ashgauged/src/io.rs
@@ -5,75 +5,75 @@
 
 use ashgauge::{Action, Event};
 use http::Client;
-use platform::Platform;
+use platform::PlatformClient;
 use ractor::ActorRef;
 use spdlog::{debug, info, warn};
 
-use crate::actor::{Msg, Start};
+use crate::actor::{Msg, NodeArgs};
 
 /// Longest time of a stage order or a service call; the node gives up sooner.
-const CALL_MOST: Duration = Duration::from_secs(120);
+const CALL_TIMEOUT: Duration = Duration::from_secs(120);
 
-const CONNECT_TIME: Duration = Duration::from_secs(1);
-const CANCEL_TIME: Duration = Duration::from_secs(2);
-const ORDER_TIME: Duration = Duration::from_secs(4);
-const PAUSE_FIRST: Duration = Duration::from_millis(100);
-const PAUSE_MOST: Duration = Duration::from_secs(2);
+const CONNECT_TIMEOUT: Duration = Duration::from_secs(1);
+const CANCEL_TIMEOUT: Duration = Duration::from_secs(2);
+const ORDER_TIMEOUT: Duration = Duration::from_secs(4);
+const MIN_BACKOFF: Duration = Duration::from_millis(100);
+const MAX_BACKOFF: Duration = Duration::from_secs(2);
 
 /// Connections to everything outside.
 pub struct Io {
     node: ActorRef<Msg>,
-    platform: Platform,
-    peers: peer::Peers,
+    platform: PlatformClient,
+    peers: peer::PeerClient,
     client: Client,
-    owner: Arc<str>,
-    list_time: Duration,
+    instance_id: Arc<str>,
+    list_interval: Duration,
 }
 
 impl Io {
     /// Makes the connections' clients.
-    pub fn new(node: ActorRef<Msg>, start: &Start) -> Self {
+    pub fn new(node: ActorRef<Msg>, start: &NodeArgs) -> Self {
         let settings = &start.settings;
         let contact = Duration::from_millis(settings.timing.isolation_ms);
         Io {
             node,
-            platform: Platform::new(&settings.platform, settings.platform_calls, contact),
+            platform: PlatformClient::new(&settings.platform, settings.platform_calls, contact),
             peers: start.peers.clone(),
-            client: Client::new(CONNECT_TIME),
-            owner: start.config.owner().into(),
-            list_time: Duration::from_millis(settings.timing.list_ms),
+            client: Client::new(CONNECT_TIMEOUT),
+            instance_id: start.config.instance_id().into(),
+            list_interval: Duration::from_millis(settings.timing.list_ms),
         }
     }
 
     /// Follows the table's watch and the list of members, as long as the node
     /// lives.
-    pub fn follow_platform(&self) {
+    pub fn watch_platform(&self) {
         let (node, platform) = (self.node.clone(), self.platform.clone());
-        tokio::spawn(follow_table(node, platform));
+        tokio::spawn(watch_table(node, platform));
         let (node, platform) = (self.node.clone(), self.platform.clone());
-        tokio::spawn(follow_list(node, platform, self.list_time));
+        tokio::spawn(watch_list(node, platform, self.list_interval));
     }
 
     /// Performs one action.
     pub fn perform(&self, action: Action) {
         let node = self.node.clone();
-        let (client, owner) = (self.client.clone(), self.owner.clone());
+        let (client, owner) = (self.client.clone(), self.instance_id.clone());
         let platform = self.platform.clone();
         match action {
-            Action::Run(run) => spawn(node, async move {
-                let done = upstream::run(&client, &owner, &run, CALL_MOST).await;
+            Action::Run(run) => spawn_event(node, async move {
+                let done = upstream::run(&client, &owner, &run, CALL_TIMEOUT).await;
                 match done {
-                    Ok(ran) => Event::Ran(ran),
+                    Ok(ran) => Event::StageDone(ran),
                     Err(fault) => {
                         debug!("upstream: order to {} failed: {fault:?}", run.upstream);
-                        Event::RunFailed(run.id, run.session, run.start, fault)
+                        Event::StageFailed(run.id, run.session, run.start, fault)
                     }
                 }
             }),
-            Action::Call(call) => spawn(node, async move {
-                match upstream::call(&client, &call, CALL_MOST).await {
-                    Ok(called) => Event::Called(call.id, call.attempt, called),
-                    Err(fault) => Event::CallFailed(call.id, call.attempt, fault),
+            Action::Call(call) => spawn_event(node, async move {
+                match upstream::call(&client, &call, CALL_TIMEOUT).await {
+                    Ok(called) => Event::ServiceDone(call.id, call.attempt, called),
+                    Err(fault) => Event::ServiceFailed(call.id, call.attempt, fault),
                 }
             }),
             Action::Cancel {
@@ -81,23 +81,23 @@
             } => {
                 let session = upstream::session_name(&owner, id, session);
                 tokio::spawn(async move {
-                    upstream::cancel(&client, &addr, session, CANCEL_TIME).await;
+                    upstream::cancel(&client, &addr, session, CANCEL_TIMEOUT).await;
                 });
             }
-            Action::Command(order) => spawn(node, async move {
-                let reply = upstream::command(&client, &order, ORDER_TIME).await;
-                Event::Obeyed(order.upstream, order.term, reply)
+            Action::Command(order) => spawn_event(node, async move {
+                let reply = upstream::send_order(&client, &order, ORDER_TIMEOUT).await;
+                Event::OrderAnswered(order.upstream, order.term, reply)
             }),
-            Action::Read(object) => spawn(node, async move {
+            Action::Read(object) => spawn_event(node, async move {
                 let answer = platform.read(&object).await;
                 Event::Read(object, answer)
             }),
-            Action::Write(object, version, content) => spawn(node, async move {
+            Action::Write(object, version, content) => spawn_event(node, async move {
                 let result = platform.write(&object, version, &content).await;
                 Event::Written(object, content, result)
             }),
             Action::Send(to, addr, envelope) => self.deliver(to, addr, envelope),
-            Action::Reply(..) | Action::Edited(..) | Action::Note(_) => {}
+            Action::Reply(..) | Action::EditAnswer(..) | Action::Record(_) => {}
         }
     }
 
@@ -117,39 +117,39 @@
     }
 }
 
-fn spawn(node: ActorRef<Msg>, work: impl Future<Output = Event> + Send + 'static) {
+fn spawn_event(node: ActorRef<Msg>, work: impl Future<Output = Event> + Send + 'static) {
     tokio::spawn(async move {
         let event = work.await;
         let _ = node.cast(Msg::Event(event));
     });
 }
 
-async fn follow_table(node: ActorRef<Msg>, platform: Platform) {
+async fn watch_table(node: ActorRef<Msg>, platform: PlatformClient) {
     let mut version = 0;
-    let mut pause = PAUSE_FIRST;
+    let mut pause = MIN_BACKOFF;
     loop {
         let event = match platform.watch_table(version).await {
             Ok(Some(newer)) => {
                 version = newer;
                 info!("platform: table version {newer}");
-                Event::Watched(newer)
+                Event::TableVersion(newer)
             }
             Ok(None) => Event::Unchanged,
             Err(_) => {
-                pause = wait_out("table", pause).await;
+                pause = back_off("table", pause).await;
                 continue;
             }
         };
-        pause = PAUSE_FIRST;
+        pause = MIN_BACKOFF;
         if node.cast(Msg::Event(event)).is_err() {
             return;
         }
     }
 }
 
-async fn follow_list(node: ActorRef<Msg>, platform: Platform, every: Duration) {
+async fn watch_list(node: ActorRef<Msg>, platform: PlatformClient, every: Duration) {
     let mut version = 0;
-    let mut pause = PAUSE_FIRST;
+    let mut pause = MIN_BACKOFF;
     loop {
         let event = match platform.watch_list(version).await {
             Ok(Some(listing)) => {
@@ -158,11 +158,11 @@
             }
             Ok(None) => Event::Unchanged,
             Err(_) => {
-                pause = wait_out("list", pause).await;
+                pause = back_off("list", pause).await;
                 continue;
             }
         };
-        pause = PAUSE_FIRST;
+        pause = MIN_BACKOFF;
         if node.cast(Msg::Event(event)).is_err() {
             return;
         }
@@ -171,10 +171,10 @@
 }
 
 /// Sleeps after a watch that brought no answer; returns the next pause.
-async fn wait_out(what: &str, pause: Duration) -> Duration {
+async fn back_off(what: &str, pause: Duration) -> Duration {
     warn!("platform: no answer to the watch of the {what}, trying again");
     tokio::time::sleep(jittered(pause)).await;
-    (pause * 2).min(PAUSE_MOST)
+    (pause * 2).min(MAX_BACKOFF)
 }
 
 /// The pause, give or take a quarter, so that boxes do not fall into step.
--- a/crates/ashgauged/src/main.rs
+++ b/crates/ashgauged/src/main.rs
@@ -20,8 +20,8 @@
 use tokio::net::TcpListener;
 use tokio::sync::watch;
 
-use crate::actor::{Msg, NodeActor, Start};
-use crate::ports::Ports;
+use crate::actor::{Msg, NodeActor, NodeArgs};
+use crate::ports::NodeHandle;
 use crate::settings::Settings;
 use crate::timeline::Timeline;
 
@@ -43,7 +43,7 @@
 }
 
 fn main() {
-    let code = match start() {
+    let code = match run_command() {
         Ok(()) => 0,
         Err(e) => {
             eprintln!("ashgauged: {e:#}");
@@ -53,8 +53,8 @@
     std::process::exit(code);
 }
 
-fn start() -> Result<()> {
-    let args = parse()?;
+fn run_command() -> Result<()> {
+    let args = parse_args()?;
     if args.relay {
         return start_relay(&args);
     }
@@ -68,7 +68,7 @@
         .enable_all()
         .worker_threads(settings.threads)
         .build()?;
-    runtime.block_on(run(settings))
+    runtime.block_on(run_node(settings))
 }
 
 fn start_relay(args: &Args) -> Result<()> {
@@ -80,31 +80,31 @@
     relay::run(&args.settings)
 }
 
-async fn run(settings: Settings) -> Result<()> {
+async fn run_node(settings: Settings) -> Result<()> {
     let callers = bind(&settings.caller).await?;
     let operators = bind(&settings.operator).await?;
     let operator_credential = settings.operator_credential.load("operator_credential")?;
     let peer_credential = settings.peer_credential.load("peer_credential")?;
     let timeline = Arc::new(Timeline::new(&settings)?);
-    let (mailbox, gate) = ports::gate();
+    let (mailbox, gate) = ports::peer_inbox();
     let taker = gate.clone();
-    let take = move |envelope| taker.hear(envelope);
+    let take = move |envelope| taker.deliver(envelope);
     let served = peer::serve(&settings.peer, &peer_credential, take).await;
     let (peer_addr, server) = served.map_err(|e| eyre!("{e}"))?;
-    let config = settings.node(&peer_addr.to_string());
-    let owner = config.owner();
-    let start = Start {
+    let config = settings.node_config(&peer_addr.to_string());
+    let owner = config.instance_id();
+    let start = NodeArgs {
         config,
         settings: settings.clone(),
-        peers: peer::Peers::new(&peer_credential),
+        peers: peer::PeerClient::new(&peer_credential),
         timeline: timeline.clone(),
     };
     let (node, task) = Actor::spawn(None, NodeActor, start).await?;
     mailbox.connect(node.clone());
-    let ports = Arc::new(Ports::new(node.clone(), owner, timeline));
+    let ports = Arc::new(NodeHandle::new(node.clone(), owner, timeline));
     let (stop, stopped) = watch::channel(false);
-    announce(&settings, &callers, &operators, &peer_addr.to_string())?;
-    let bounds = settings.bounds();
+    print_addresses(&settings, &callers, &operators, &peer_addr.to_string())?;
+    let bounds = settings.caller_bounds();
     let serving = tokio::spawn(caller::listen(
         callers,
         bounds,
@@ -113,7 +113,7 @@
     ));
     let desk = operator::listen(operators, operator_credential, stopped, ports);
     let desk = tokio::spawn(desk);
-    wait_for_stop(&node, Duration::from_millis(settings.timing.drain_ms)).await;
+    drain_on_stop(&node, Duration::from_millis(settings.timing.drain_ms)).await;
     let failed = matches!(
         node.get_status(),
         ActorStatus::Stopping | ActorStatus::Stopped
@@ -139,7 +139,7 @@
         .build()?;
     let logger = Logger::builder()
         .sink(Arc::new(sink))
-        .level_filter(settings.level()?)
+        .level_filter(settings.log_level()?)
         .flush_level_filter(LevelFilter::All)
         .build()?;
     spdlog::set_default_logger(Arc::new(logger));
@@ -147,8 +147,8 @@
 }
 
 /// Waits for the signal, then until the node is drained or the bound is over.
-async fn wait_for_stop(node: &ractor::ActorRef<Msg>, bound: Duration) {
-    ports::signalled(node).await;
+async fn drain_on_stop(node: &ractor::ActorRef<Msg>, bound: Duration) {
+    ports::wait_for_signal(node).await;
     info!("box: draining");
     let _ = node.cast(Msg::Event(ashgauge::Event::Drain));
     let drained = async {
@@ -168,7 +168,7 @@
 }
 
 /// Prints the bound addresses as one JSON line, for whoever started the box.
-fn announce(
+fn print_addresses(
     settings: &Settings,
     callers: &TcpListener,
     operators: &TcpListener,
@@ -184,7 +184,7 @@
     Ok(())
 }
 
-fn parse() -> Result<Args> {
+fn parse_args() -> Result<Args> {
     let mut settings = None;
     let mut check = false;
     let mut relay = false;
--- a/crates/ashgauged/src/metrics.rs
+++ b/crates/ashgauged/src/metrics.rs
@@ -4,15 +4,15 @@
 use prometheus::{Encoder, Gauge, GaugeVec, Opts, Registry, TextEncoder};
 
 /// Writes a box's state as metrics.
-pub fn write(status: &Status) -> String {
+pub fn render(status: &Status) -> String {
     let registry = Registry::new();
-    fill(&registry, status);
+    register_all(&registry, status);
     let mut text = Vec::new();
     let _ = TextEncoder::new().encode(&registry.gather(), &mut text);
     String::from_utf8(text).unwrap_or_default()
 }
 
-fn fill(registry: &Registry, status: &Status) {
+fn register_all(registry: &Registry, status: &Status) {
     let s = &status.stats;
     let singles = [
         (
@@ -28,7 +28,7 @@
         (
             "lease_term",
             "term of the lease for orders, 0 if not held",
-            status.lease.unwrap_or(0),
+            status.lease_term.unwrap_or(0),
         ),
         (
             "requests_inflight",
@@ -67,10 +67,10 @@
         ("platform_writes_total", "writes to the store", s.writes),
     ];
     for (name, help, value) in singles {
-        single(registry, name, help, value as f64);
+        register_gauge(registry, name, help, value as f64);
     }
     let refused = s.refused.iter().map(|(k, n)| (k.as_str(), *n as f64));
-    family(
+    register_gauges(
         registry,
         "refused_total",
         "refusals by kind",
@@ -78,7 +78,7 @@
         refused,
     );
     let ended = s.ended.iter().map(|(k, n)| (k.as_str(), *n as f64));
-    family(
+    register_gauges(
         registry,
         "ended_total",
         "ended requests by outcome",
@@ -86,7 +86,7 @@
         ended,
     );
     let waiting = status.waiting.iter().map(|(k, n)| (k.as_str(), *n as f64));
-    family(
+    register_gauges(
         registry,
         "waiting",
         "waiting requests by route",
@@ -94,7 +94,7 @@
         waiting,
     );
     let held = status.upstreams.iter().map(|u| (&*u.id, f64::from(u.held)));
-    family(
+    register_gauges(
         registry,
         "upstream_held",
         "requests held on an upstream",
@@ -104,8 +104,8 @@
     let link = status
         .upstreams
         .iter()
-        .map(|u| (&*u.id, u.link as f64 / 1e6));
-    family(
+        .map(|u| (&*u.id, u.link_us as f64 / 1e6));
+    register_gauges(
         registry,
         "upstream_link_seconds",
         "learned link time",
@@ -114,14 +114,14 @@
     );
 }
 
-fn single(registry: &Registry, name: &str, help: &str, value: f64) {
+fn register_gauge(registry: &Registry, name: &str, help: &str, value: f64) {
     if let Ok(gauge) = Gauge::new(format!("ashgauge_{name}"), help) {
         gauge.set(value);
         let _ = registry.register(Box::new(gauge));
     }
 }
 
-fn family<'a>(
+fn register_gauges<'a>(
     registry: &Registry,
     name: &str,
     help: &str,
--- a/crates/ashgauged/src/ports.rs
+++ b/crates/ashgauged/src/ports.rs
@@ -3,13 +3,13 @@
 use std::sync::{Arc, OnceLock};
 
 use ashgauge::Event;
-use ashgauge::editor::Answer as EditAnswer;
+use ashgauge::editor::EditResult as EditAnswer;
 use ashgauge::message::Envelope;
-use ashgauge::node::{Order, Status};
+use ashgauge::node::{IncomingRequest, Status};
 use ashgauge::queue::RequestId;
 use ashgauge::table::Edit;
 use caller::{Answer, Router};
-use operator::{BoxesAnswer, Desk, EventsAnswer, TableAnswer};
+use operator::{BoxesResponse, EventsResponse, OperatorApi, TableResponse};
 use ractor::ActorRef;
 use tokio::signal::unix::{SignalKind, signal};
 use tokio::sync::{mpsc, oneshot};
@@ -19,44 +19,44 @@
 use crate::timeline::Timeline;
 
 /// The node's actor as the ports see it.
-pub struct Ports {
+pub struct NodeHandle {
     node: ActorRef<Msg>,
-    owner: String,
+    instance_id: String,
     timeline: Arc<Timeline>,
 }
 
 /// Takes peers' messages; those before the node's start are thrown away.
 #[derive(Clone)]
-pub struct Gate(Arc<OnceLock<ActorRef<Msg>>>);
+pub struct PeerInbox(Arc<OnceLock<ActorRef<Msg>>>);
 
 /// Connects the node to a [`Gate`].
-pub struct Mailbox(Arc<OnceLock<ActorRef<Msg>>>);
+pub struct InboxConnector(Arc<OnceLock<ActorRef<Msg>>>);
 
 /// Makes a gate, which the peers' port needs before the node exists.
-pub fn gate() -> (Mailbox, Gate) {
+pub fn peer_inbox() -> (InboxConnector, PeerInbox) {
     let cell = Arc::new(OnceLock::new());
-    (Mailbox(cell.clone()), Gate(cell))
+    (InboxConnector(cell.clone()), PeerInbox(cell))
 }
 
-impl Mailbox {
+impl InboxConnector {
     /// Opens the gate.
     pub fn connect(self, node: ActorRef<Msg>) {
         let _ = self.0.set(node);
     }
 }
 
-impl Gate {
+impl PeerInbox {
     /// Hands a message to the node.
-    pub fn hear(&self, envelope: Envelope) {
+    pub fn deliver(&self, envelope: Envelope) {
         if let Some(node) = self.0.get() {
-            let _ = node.cast(Msg::Event(Event::Heard(envelope)));
+            let _ = node.cast(Msg::Event(Event::MessageReceived(envelope)));
         }
     }
 }
 
 /// Waits for SIGTERM, SIGINT or an operator's drain.
-pub async fn signalled(node: &ActorRef<Msg>) {
-    let asked = ask(node, Msg::Stopping);
+pub async fn wait_for_signal(node: &ActorRef<Msg>) {
+    let asked = ask(node, Msg::DrainAsked);
     let (Ok(mut term), Ok(mut int)) = (
         signal(SignalKind::terminate()),
         signal(SignalKind::interrupt()),
@@ -81,42 +81,42 @@
     ask(node, Msg::Status).await.map_or(0, |s| s.inflight)
 }
 
-impl Ports {
+impl NodeHandle {
     /// Makes the ports' view of an actor.
     ///
     /// `owner` is the box with its incarnation.
     pub fn new(node: ActorRef<Msg>, owner: String, timeline: Arc<Timeline>) -> Self {
-        Ports {
+        NodeHandle {
             node,
-            owner,
+            instance_id: owner,
             timeline,
         }
     }
 }
 
 /// Tells the node that a caller is gone, when dropped.
-struct Guard {
+struct CallerGuard {
     node: ActorRef<Msg>,
     id: RequestId,
 }
 
-impl Drop for Guard {
+impl Drop for CallerGuard {
     fn drop(&mut self) {
-        let _ = self.node.cast(Msg::Event(Event::Gone(self.id)));
+        let _ = self.node.cast(Msg::Event(Event::CallerGone(self.id)));
     }
 }
 
-impl Router for Ports {
-    async fn start(&self, order: Order) -> Option<Answer> {
+impl Router for NodeHandle {
+    async fn start(&self, order: IncomingRequest) -> Option<Answer> {
         let (sender, parts) = mpsc::unbounded_channel();
-        let id = ask(&self.node, |id| Msg::Arrive(order, sender, id)).await?;
-        let guard = Guard {
+        let id = ask(&self.node, |id| Msg::Request(order, sender, id)).await?;
+        let guard = CallerGuard {
             node: self.node.clone(),
             id,
         };
         Some(Answer {
-            name: format!("{}.{id}", self.owner),
-            parts,
+            request_name: format!("{}.{id}", self.instance_id),
+            replies: parts,
             guard: Box::new(guard),
         })
     }
@@ -126,8 +126,8 @@
     }
 }
 
-impl Desk for Ports {
-    async fn table(&self) -> Option<TableAnswer> {
+impl OperatorApi for NodeHandle {
+    async fn table(&self) -> Option<TableResponse> {
         ask(&self.node, Msg::Table).await
     }
 
@@ -139,17 +139,17 @@
         ask(&self.node, Msg::Status).await
     }
 
-    async fn boxes(&self) -> Option<BoxesAnswer> {
+    async fn boxes(&self) -> Option<BoxesResponse> {
         ask(&self.node, Msg::Boxes).await
     }
 
-    fn events(&self) -> EventsAnswer {
+    fn events(&self) -> EventsResponse {
         self.timeline.read()
     }
 
     async fn metrics(&self) -> String {
         match ask(&self.node, Msg::Status).await {
-            Some(status) => metrics::write(&status),
+            Some(status) => metrics::render(&status),
             None => String::new(),
         }
     }
--- a/crates/ashgauged/src/relay/body.rs
+++ b/crates/ashgauged/src/relay/body.rs
@@ -23,7 +23,7 @@
     body: Incoming,
     held: Duration,
 ) -> Result<Bytes, (StatusCode, &'static str)> {
-    let most = desk.routing().bounds.body;
+    let most = desk.routing().client_limits.body_bytes;
     let told = body.size_hint().upper().map_or(most, |n| n as usize);
     if told > most {
         return Err((StatusCode::PAYLOAD_TOO_LARGE, "body too long"));
--- a/crates/ashgauged/src/relay/census.rs
+++ b/crates/ashgauged/src/relay/census.rs
@@ -9,8 +9,8 @@
 use std::rc::Rc;
 use std::time::Duration;
 
-use ashgauge::reader::{self, Fleet, Silences};
-use platform::Fault;
+use ashgauge::reader::{self, Backoffs, Fleet};
+use platform::StoreError;
 use platform::store::{Object, Revision};
 use rand::Rng;
 use serde::{Deserialize, Serialize};
@@ -120,7 +120,7 @@
 /// Announces this box again each time the store came back from a copy, which may be from
 /// before it was announced.
 pub async fn renew(desk: Rc<Desk>) {
-    let mut eras = desk.store.eras();
+    let mut eras = desk.store.subscribe_era();
     // The store's client lives as long as the desk.
     while eras.changed().await.is_ok() {
         let spread = desk.rng().random_range(Duration::ZERO..RENEW_SPREAD);
@@ -138,21 +138,21 @@
     let settings = desk.settings();
     let own = reader::Member {
         id: settings.id.as_str().into(),
-        place: settings.data_centre.as_str().into(),
-        link: settings.link_mbps(),
+        data_centre: settings.data_centre.as_str().into(),
+        link_mbps: settings.link_mbps(),
     };
     let peers = desk.peers.borrow();
     let others = peers.iter().filter(|(_, peer)| peer.is_candidate);
     let others = others.map(|(id, peer)| reader::Member {
         id: id.clone(),
-        place: peer.place.clone(),
-        link: peer.link,
+        data_centre: peer.place.clone(),
+        link_mbps: peer.link,
     });
     let listed = desk.is_candidate.get().then(|| own.clone());
     let fleet = Fleet {
         candidates: others.chain(listed).collect(),
-        boxes: (peers.len() + 1).max(desk.counted_boxes() as usize),
-        readers: settings.readers,
+        box_count: (peers.len() + 1).max(desk.counted_boxes() as usize),
+        reader_count: settings.readers,
     };
     (own, fleet)
 }
@@ -165,8 +165,8 @@
 /// Lets this box ask others from now on, or read for them.
 async fn end_search(desk: &Desk) {
     let (own, fleet) = known(desk);
-    let readers = reader::choose(&own, &fleet, &Silences::default(), desk.now());
-    if !readers.is_own {
+    let readers = reader::choose(&own, &fleet, &Backoffs::default(), desk.now());
+    if !readers.includes_self {
         sleep(READERS_TIME).await;
     }
     desk.searched.set(Some(desk.now()));
@@ -190,12 +190,12 @@
 }
 
 /// Writes this box's object, or corrects one that names another address.
-async fn announce(desk: &Desk, member: &Member) -> Result<(), Fault> {
-    let name = reader::listing(member.link_mbps, &member.id);
+async fn announce(desk: &Desk, member: &Member) -> Result<(), StoreError> {
+    let name = reader::listing_key(member.link_mbps, &member.id);
     let created = desk.store.create(KIND, &name, member).await;
     desk.count_call("write", &created);
     match created {
-        Err(Fault::Conflict) => {}
+        Err(StoreError::Conflict) => {}
         other => return other,
     }
     let known = desk.store.get::<Member>(KIND, &name).await;
@@ -216,7 +216,7 @@
 /// # Errors
 ///
 /// As every call of the store.
-pub async fn written(desk: &Desk) -> Result<Vec<Revision>, Fault> {
+pub async fn written(desk: &Desk) -> Result<Vec<Revision>, StoreError> {
     Ok(look(desk).await?.revisions)
 }
 
@@ -237,15 +237,15 @@
 
 /// Reads which boxes there are: the first page of their list, and the rest of it if
 /// this box is to know all.
-async fn look(desk: &Desk) -> Result<Seen, Fault> {
-    let head = desk.store.first_stale::<Member>(KIND).await;
+async fn look(desk: &Desk) -> Result<Seen, StoreError> {
+    let head = desk.store.first_stale_page::<Member>(KIND).await;
     desk.count_call("stale", &head);
     let head = head?;
     let mut seen = Seen {
         own: None,
         revisions: Vec::new(),
     };
-    let is_whole = head.next.is_none();
+    let is_whole = head.next_after.is_none();
     if !is_whole {
         let mut peers = desk.peers.borrow_mut();
         peers.values_mut().for_each(|p| p.is_candidate = false);
@@ -255,7 +255,10 @@
     desk.is_partial.set(!is_whole);
     let reads_all = is_whole || *desk.reads.borrow();
     if !is_whole && reads_all {
-        let rest = desk.store.rest_stale::<Member>(KIND, head.next).await;
+        let rest = desk
+            .store
+            .remaining_stale::<Member>(KIND, head.next_after)
+            .await;
         desk.count_call("stale", &rest);
         take(desk, rest?, false, &mut seen);
     }
@@ -295,7 +298,7 @@
 }
 
 /// The proofs find out whether the store is away; here it only costs a count.
-fn note(call: &str, fault: &Fault) {
+fn note(call: &str, fault: &StoreError) {
     let fields = json!({"call": call, "fault": fault.to_string()});
     log::line(Level::Debug, "fleet", "not counted", fields);
 }
--- a/crates/ashgauged/src/relay/clock.rs
+++ b/crates/ashgauged/src/relay/clock.rs
@@ -7,7 +7,7 @@
 use std::rc::Rc;
 use std::time::{Duration, Instant};
 
-use ashgauge::suspension::Suspension;
+use ashgauge::suspension::SuspensionDetector;
 use serde_json::json;
 use spdlog::Level;
 use tokio::time::sleep;
@@ -23,10 +23,10 @@
 /// look at its time anew after one.
 pub async fn watch(desk: Rc<Desk>) {
     let began = Instant::now();
-    let mut suspension = Suspension::new(began.elapsed(), desk.now());
+    let mut suspension = SuspensionDetector::new(began.elapsed(), desk.now());
     loop {
         sleep(LOOK_EVERY).await;
-        let Some(time) = suspension.look(began.elapsed(), desk.now()) else {
+        let Some(time) = suspension.check(began.elapsed(), desk.now()) else {
             continue;
         };
         let fields = json!({"ms": time.as_millis() as u64});
--- a/crates/ashgauged/src/relay/desk.rs
+++ b/crates/ashgauged/src/relay/desk.rs
@@ -11,22 +11,22 @@
 use std::sync::Arc;
 use std::time::Duration;
 
-use ashgauge::admission::Line;
+use ashgauge::admission::AdmissionQueue;
 use ashgauge::forecast::Calibration;
 use ashgauge::fresh::Freshness;
 use ashgauge::hub::{self, Role};
 use ashgauge::member::{BoxId, UpstreamId};
 use ashgauge::mirror::{Mirror, Revision};
-use ashgauge::pipes::Pipes;
+use ashgauge::pipes::WanUsage;
 use ashgauge::quarantine::Quarantine;
 use ashgauge::reader::Readers;
-use ashgauge::roster::Roster;
-use ashgauge::routing::{Routing, ServiceId};
-use ashgauge::share::{self, Shares};
-use ashgauge::stay::Stay;
-use ashgauge::suspicion::Suspicions;
+use ashgauge::roster::UpstreamRegistry;
+use ashgauge::routing::{RoutingConfig, ServiceId};
+use ashgauge::share::{self, FleetLoad};
+use ashgauge::stay::RequestDuration;
+use ashgauge::suspicion::SuspectReports;
 use http::Client;
-use platform::{Fault, Store};
+use platform::{StoreClient, StoreError};
 use rand::SeedableRng;
 use rand::rngs::SmallRng;
 use serde_json::json;
@@ -77,13 +77,13 @@
 pub struct Desk {
     settings: RefCell<Rc<Settings>>,
     /// The store.
-    pub store: Store,
+    pub store: StoreClient,
     /// Connections for orders and reports.
     pub client: Client,
     /// The configuration in force.
-    pub routing: RefCell<Arc<Routing>>,
+    pub routing: RefCell<Arc<RoutingConfig>>,
     /// The upstreams.
-    pub roster: RefCell<Roster>,
+    pub roster: RefCell<UpstreamRegistry>,
     /// Limits that upstreams name, and permits to send to those.
     pub permits: Permits,
     /// How sure the configuration is.
@@ -127,15 +127,15 @@
     /// Probes of upstreams of the last moments.
     pub probes: Probes,
     /// Requests that wait for room, by service.
-    pub lines: RefCell<HashMap<ServiceId, Line>>,
+    pub lines: RefCell<HashMap<ServiceId, AdmissionQueue>>,
     /// How much is asked of each service, and who is let in.
     pub gates: Gates,
     /// How long streams stay, by service.
-    pub stays: RefCell<HashMap<ServiceId, Stay>>,
+    pub stays: RefCell<HashMap<ServiceId, RequestDuration>>,
     /// How far forecasts of first events are off, by service.
     pub calibrations: RefCell<HashMap<ServiceId, Calibration>>,
     /// What the other boxes have on the upstreams.
-    pub shares: RefCell<Shares>,
+    pub shares: RefCell<FleetLoad>,
     /// Time between two words on what boxes elsewhere have.
     pub lag: Cell<Duration>,
     /// Requests that end upstreams.
@@ -147,7 +147,7 @@
     /// Tells that a check of an upstream that may be lost has ended.
     pub checked: Notify,
     /// Engines that accept no connections, as this box found and others told it.
-    pub suspicions: RefCell<Suspicions>,
+    pub suspicions: RefCell<SuspectReports>,
     /// Tells that the other boxes are to be notified of such engines.
     pub suspected: Notify,
     /// Address on which this box hears the others, if it does.
@@ -157,7 +157,7 @@
     /// Boxes that ask this one.
     pub askers: RefCell<HashMap<BoxId, Asked>>,
     /// What goes between data centres.
-    pub pipes: RefCell<Pipes>,
+    pub pipes: RefCell<WanUsage>,
     /// This box's data centre.
     pub place: Arc<str>,
     /// Retries that this box may take.
@@ -174,7 +174,7 @@
     pub fn new(settings: Settings, metrics: Metrics) -> Self {
         let ms = Duration::from_millis;
         Desk {
-            store: Store::new(&settings.store, settings.store_time()),
+            store: StoreClient::new(&settings.store, settings.store_time()),
             client: Client::new(ms(settings.timing.connect_ms)),
             routing: RefCell::default(),
             roster: RefCell::default(),
@@ -204,7 +204,7 @@
             stays: RefCell::default(),
             calibrations: RefCell::default(),
             shares: RefCell::default(),
-            lag: Cell::new(share::tell_times(0, 0).1),
+            lag: Cell::new(share::report_intervals(0, 0).1),
             quarantine: RefCell::default(),
             trials: RefCell::default(),
             lost: Notify::new(),
@@ -233,7 +233,7 @@
     /// Puts changed bounds and times in force. Addresses, the name and the
     /// log level hold from the next start on.
     pub fn reload(&self, settings: Settings) {
-        self.fresh.borrow_mut().set_most(settings.key_age());
+        self.fresh.borrow_mut().set_max_age(settings.key_age());
         self.budgets.set_allowance(self.now(), settings.allowance());
         *self.settings.borrow_mut() = Rc::new(settings);
     }
@@ -250,7 +250,7 @@
     }
 
     /// The configuration in force.
-    pub fn routing(&self) -> Arc<Routing> {
+    pub fn routing(&self) -> Arc<RoutingConfig> {
         self.routing.borrow().clone()
     }
 
@@ -261,8 +261,8 @@
 
     /// Whether the balancer should send callers here.
     pub fn is_ready(&self) -> bool {
-        let keyed = self.routing.borrow().is_keyed();
-        let sure = !keyed || self.fresh.borrow().holds(self.now());
+        let keyed = self.routing.borrow().requires_keys();
+        let sure = !keyed || self.fresh.borrow().is_fresh(self.now());
         self.is_informed() && sure && !self.stopping.get()
     }
 
@@ -322,7 +322,7 @@
         let named = |id: &BoxId| Some((id.clone(), peers.get(id)?.clone()));
         match self.role() {
             Role::Peer => peers.keys().filter_map(named).collect(),
-            Role::Hub => self.readers.borrow().all.iter().filter_map(named).collect(),
+            Role::Hub => self.readers.borrow().ids.iter().filter_map(named).collect(),
             Role::Leaf(hub) => named(&hub).into_iter().collect(),
         }
     }
@@ -333,7 +333,7 @@
             return Vec::new();
         }
         let (peers, shares) = (self.peers.borrow(), self.shares.borrow());
-        let hubs = &self.readers.borrow().all;
+        let hubs = &self.readers.borrow().ids;
         let below = shares.senders().filter(|id| !hubs.contains(id));
         let named = below.filter_map(|id| Some((id.clone(), peers.get(id)?.clone())));
         named.collect()
@@ -348,7 +348,7 @@
     }
 
     /// Counts a call to the store.
-    pub fn count_call<T>(&self, call: &str, result: &Result<T, Fault>) {
+    pub fn count_call<T>(&self, call: &str, result: &Result<T, StoreError>) {
         let result = match result {
             Ok(_) => "done",
             Err(_) => "failed",
@@ -367,7 +367,7 @@
     }
 
     /// Uses the line of requests that wait for a service.
-    pub fn line<T>(&self, service: &ServiceId, with: impl FnOnce(&mut Line) -> T) -> T {
+    pub fn line<T>(&self, service: &ServiceId, with: impl FnOnce(&mut AdmissionQueue) -> T) -> T {
         with(self.lines.borrow_mut().entry(service.clone()).or_default())
     }
 
@@ -387,7 +387,7 @@
     /// Notes how long a stream took that ended well.
     pub fn note_stay(&self, service: &ServiceId, took: Duration) {
         let mut stays = self.stays.borrow_mut();
-        stays.entry(service.clone()).or_default().note(took);
+        stays.entry(service.clone()).or_default().record(took);
     }
 
     /// Notes that an engine refused a request at a share of its memory.
@@ -398,7 +398,7 @@
             .get(id)
             .map(|e| e.upstream.service.clone());
         if let Some(service) = service {
-            self.line(&service, |l| l.note_full(fullness));
+            self.line(&service, |l| l.note_refused(fullness));
         }
     }
 
@@ -410,7 +410,7 @@
     /// Notes that an upstream does not answer and tells the streams on it; the other boxes as
     /// well if it just accepted no connection of this box.
     pub fn suspect(&self, id: &str, why: &str) {
-        let new = self.roster.borrow_mut().suspect(self.now(), id);
+        let new = self.roster.borrow_mut().mark_suspect(self.now(), id);
         if new {
             self.metrics.suspects.inc();
             log::line(
--- a/crates/ashgauged/src/relay/fetch.rs
+++ b/crates/ashgauged/src/relay/fetch.rs
@@ -1,7 +1,7 @@
 //! Connections over which other boxes fetch answers that are too large for a datagram.
 
-use ashgauge::question::{Answer, Question};
-use ashgauge::reader::BOXES_MOST;
+use ashgauge::question::{Answer, Query};
+use ashgauge::reader::MAX_READER_BOXES;
 use http::Limits;
 use hyper::{Response, StatusCode};
 use tokio::net::TcpListener;
@@ -15,7 +15,7 @@
 
 /// Connections that are open at once: of the boxes that a reader informs, and of
 /// those that turn to it as others have gone.
-const CONNECTIONS_MOST: usize = 4 * BOXES_MOST;
+const CONNECTIONS_MOST: usize = 4 * MAX_READER_BOXES;
 
 /// Path at which answers are fetched.
 pub const ANSWER_PATH: &str = "/answer";
@@ -23,7 +23,7 @@
 /// A question that came over a connection.
 pub struct Fetch {
     /// The question.
-    pub question: Question,
+    pub question: Query,
     /// Where its answer goes.
     pub reply: oneshot::Sender<Option<Answer>>,
 }
--- a/crates/ashgauged/src/relay/follow/ask.rs
+++ b/crates/ashgauged/src/relay/follow/ask.rs
@@ -3,12 +3,12 @@
 use std::rc::Rc;
 use std::time::Duration;
 
-use ashgauge::asker::{Lack, Pace, Step};
+use ashgauge::asker::{PollAction, PollFailure, PollTiming};
 use ashgauge::hub::{self, Role};
 use ashgauge::member::BoxId;
-use ashgauge::mirror::What;
-use ashgauge::question::{Answer, Body, Question, Ticket, proved};
-use ashgauge::reader::{self, Fleet, Member, Readers, Silences};
+use ashgauge::mirror::ChangeKind;
+use ashgauge::question::{Answer, AnswerBody, FetchToken, Query, proven_at};
+use ashgauge::reader::{self, Backoffs, Fleet, Member, Readers};
 use ashgauge::revision;
 use platform::config::Config;
 use rand::Rng;
@@ -80,23 +80,23 @@
         self.desk.roster.borrow_mut().expire(now);
         let pace = self.pace();
         let age = self.desk.fresh.borrow().age(now);
-        let is_fresh = age.is_some_and(|age| age <= pace.stale);
-        if readers.is_own && is_fresh && self.has_met() {
-            return now + pace.every;
+        let is_fresh = age.is_some_and(|age| age <= pace.max_age);
+        if readers.includes_self && is_fresh && self.has_met() {
+            return now + pace.interval;
         }
         let step = {
             let sources = || readers.sources.clone();
             let mut asker = self.asker.borrow_mut();
-            asker.step(now, &pace, sources, &mut *self.desk.rng())
+            asker.next_action(now, &pace, sources, &mut *self.desk.rng())
         };
         match step {
-            Step::Ask { to, id } => {
+            PollAction::Query { to, id } => {
                 let question = self.question(id, None);
                 peers.ask(&to, question).await;
-                now + pace.answer
+                now + pace.answer_timeout
             }
-            Step::Failed(lack) => {
-                if lack == Lack::Answer {
+            PollAction::Failed(lack) => {
+                if lack == PollFailure::NoAnswer {
                     self.look_again(now);
                 }
                 if !self.is_reader() && self.may_read_alone(lack) && now >= *alone_at {
@@ -104,7 +104,7 @@
                 }
                 now
             }
-            Step::Wait(until) => until,
+            PollAction::Wait(until) => until,
         }
     }
 
@@ -117,7 +117,7 @@
         self.chosen.set(now);
         let (me, fleet) = census::known(desk);
         *desk.permits.givers.borrow_mut() = Rc::new(givers(&me, &fleet, now));
-        let readers = reader::choose(&me, &fleet, &self.asker.borrow().silences, now);
+        let readers = reader::choose(&me, &fleet, &self.asker.borrow().backoffs, now);
         *desk.readers.borrow_mut() = Rc::new(readers);
         desk.readers.borrow().clone()
     }
@@ -137,8 +137,8 @@
 
     /// Begins or stops to read the store.
     fn set_role(&self, readers: &Readers) {
-        let (desk, reads) = (&self.desk, readers.is_own);
-        self.is_shared.set(readers.is_shared);
+        let (desk, reads) = (&self.desk, readers.includes_self);
+        self.is_shared.set(readers.has_followers);
         if reads == self.is_reader() {
             return;
         }
@@ -164,33 +164,33 @@
         );
     }
 
-    fn pace(&self) -> Pace {
+    fn pace(&self) -> PollTiming {
         let pace = self.desk.settings().ask_pace();
         match self.desk.is_informed() {
             true => pace,
-            false => Pace {
-                every: UNINFORMED_EVERY,
+            false => PollTiming {
+                interval: UNINFORMED_EVERY,
                 ..pace
             },
         }
     }
 
-    fn question(&self, id: u64, ticket: Option<Ticket>) -> Question {
+    fn question(&self, id: u64, ticket: Option<FetchToken>) -> Query {
         let informed = self.desk.is_informed();
         let covered = self.desk.mirror.borrow().covered();
-        Question {
+        Query {
             from: self.desk.settings().id.as_str().into(),
             id,
             after: match informed && self.has_met() && !self.doubts.lacks.get() {
                 true => covered,
                 false => 0,
             },
-            ticket,
+            fetch_token: ticket,
         }
     }
 
     /// Whether this box, which no other one could inform, is to read the store.
-    fn may_read_alone(&self, lack: Lack) -> bool {
+    fn may_read_alone(&self, lack: PollFailure) -> bool {
         let desk = &self.desk;
         if let Some(age) = desk.fresh.borrow().age(desk.now()) {
             let settings = desk.settings();
@@ -198,9 +198,9 @@
             return age >= bound.mul_f64(ALONE_SHARE);
         }
         let patience = match lack {
-            Lack::Answer => ALONE_FIRST,
-            Lack::Knowledge => ALONE_ANSWERED,
-            Lack::Content => return false,
+            PollFailure::NoAnswer => ALONE_FIRST,
+            PollFailure::StaleAnswer => ALONE_ANSWERED,
+            PollFailure::EmptyStore => return false,
         };
         let asking = desk.searched.get().map(|at| desk.now().saturating_sub(at));
         asking.is_some_and(|time| time >= self.random(patience..patience * 2))
@@ -226,7 +226,7 @@
         desk.now() + self.random(ALONE_EVERY)
     }
 
-    async fn read_all(&self) -> Result<(), platform::Fault> {
+    async fn read_all(&self) -> Result<(), platform::StoreError> {
         self.read_config().await?;
         self.read_servers().await.map(drop)
     }
@@ -240,7 +240,7 @@
             Heard::News(from) => self.take_news(from),
             Heard::NotFetched(from) => {
                 let now = self.desk.now();
-                self.asker.borrow_mut().note_lost(now, &from);
+                self.asker.borrow_mut().on_fetch_failed(now, &from);
             }
             Heard::Answer(answer, fetched) => self.take_answer(peers, answer, fetched).await,
         }
@@ -254,14 +254,14 @@
             _ => true,
         };
         if is_own {
-            self.asker.borrow_mut().note_news(from);
+            self.asker.borrow_mut().on_changed(from);
         }
     }
 
     /// Takes an answer in. One to a question that this box did not ask, or that
     /// was answered before, is dropped.
     async fn take_answer(&self, peers: &Rc<Peers>, answer: Answer, fetched: Option<Duration>) {
-        let closed = self.asker.borrow_mut().close(answer.id, &answer.from);
+        let closed = self.asker.borrow_mut().close_query(answer.id, &answer.from);
         let Some(asked) = fetched.or(closed) else {
             self.desk
                 .metrics
@@ -273,24 +273,29 @@
         let pace = self.pace();
         let now = self.desk.now();
         let is_fetched = fetched.is_some();
-        let is_large = matches!(answer.body, Body::Large { .. });
+        let is_large = matches!(answer.body, AnswerBody::TooLarge { .. });
         if is_large && is_fetched {
             return;
         }
         self.asker
             .borrow_mut()
-            .hear(now, &pace, &answer.from, &answer.body);
+            .on_answer(now, &pace, &answer.from, &answer.body);
         if answer.boxes > self.desk.counted_boxes() {
             self.desk.set_boxes(answer.boxes);
         }
         match answer.body {
             // A packed answer was unpacked when it was fetched.
-            Body::Nothing { .. } | Body::Packed { .. } => {}
-            Body::Known { age, update } => self.learn(&answer.from, asked, age, update).await,
-            Body::Large { ticket, bytes } => {
+            AnswerBody::Empty { .. } | AnswerBody::Compressed { .. } => {}
+            AnswerBody::Update { age, update } => {
+                self.learn(&answer.from, asked, age, update).await
+            }
+            AnswerBody::TooLarge {
+                fetch_token: ticket,
+                bytes,
+            } => {
                 let question = self.question(answer.id, Some(ticket));
                 let peers = peers.clone();
-                let most = pace.fetch_time(bytes);
+                let most = pace.fetch_timeout(bytes);
                 tokio::task::spawn_local(peers.fetch(answer.from, question, most));
             }
         }
@@ -306,8 +311,8 @@
         update: ashgauge::mirror::Update,
     ) {
         let desk = &self.desk;
-        let mut configs = update.changes.iter().filter_map(|c| match &c.what {
-            What::Config(bytes) => Some(Config::from_bytes(bytes)),
+        let mut configs = update.changes.iter().filter_map(|c| match &c.kind {
+            ChangeKind::Config(bytes) => Some(Config::from_bytes(bytes)),
             _ => None,
         });
         let config = match configs.next_back().transpose() {
@@ -317,19 +322,19 @@
                 return log::line(Level::Warn, "fleet", "answer cannot be read", fields);
             }
         };
-        let (sure, whole) = (update.sure, update.whole);
-        let era = revision::era(update.upto);
+        let (sure, whole) = (update.removals_certain, update.is_full);
+        let era = revision::era(update.up_to);
         let covered = desk.mirror.borrow().covered();
         // A whole copy that is older than what is known here is not taken.
-        let replaced = whole && update.upto >= covered;
+        let replaced = whole && update.up_to >= covered;
         if era < revision::era(covered) {
             // It knows the store as it was before it came back.
             return;
         }
-        desk.store.note_era(era);
+        desk.store.raise_era(era);
         self.doubts.met.set(true);
         let before = desk.is_informed();
-        let news = desk.mirror.borrow_mut().take(update);
+        let news = desk.mirror.borrow_mut().apply(update);
         let is_news = !news.is_empty();
         if let Some(config) = config
             && let Err(fault) = self.put_in_force(config)
@@ -343,10 +348,10 @@
         // Its own copy may lack what the other box believes by now.
         desk.sure.set(sure && !self.doubts.settling.get());
         desk.listed.set(true);
-        if let Some(at) = proved(asked, age) {
+        if let Some(at) = proven_at(asked, age) {
             desk.fresh.borrow_mut().confirm(at);
         }
-        if !self.is_reader() && age <= self.pace().stale {
+        if !self.is_reader() && age <= self.pace().max_age {
             self.failed.set(None);
             desk.store_away.set(false);
         }
@@ -365,8 +370,8 @@
 /// Boxes that may give permits: in a small fleet all, else those that read when all are
 /// there, as they know every box and every box knows them.
 fn givers(me: &Member, fleet: &Fleet, now: Duration) -> Vec<BoxId> {
-    if hub::is_small(fleet.boxes) {
+    if hub::is_full_mesh(fleet.box_count) {
         return fleet.candidates.iter().map(|m| m.id.clone()).collect();
     }
-    reader::choose(me, fleet, &Silences::default(), now).all
+    reader::choose(me, fleet, &Backoffs::default(), now).ids
 }
--- a/crates/ashgauged/src/relay/follow/mod.rs
+++ b/crates/ashgauged/src/relay/follow/mod.rs
@@ -14,12 +14,12 @@
 use std::sync::Arc;
 use std::time::Duration;
 
-use ashgauge::asker::Asker;
+use ashgauge::asker::Poller;
 use ashgauge::member::UpstreamId;
-use ashgauge::mirror::{Change, Revision, What};
+use ashgauge::mirror::{Change, ChangeKind, Revision};
 use ashgauge::revision;
 use ashgauge::upstream::Upstream;
-use platform::{Fault, config, servers};
+use platform::{StoreError, config, servers};
 use serde_json::json;
 use spdlog::Level;
 use tokio::sync::{Notify, mpsc};
@@ -41,7 +41,7 @@
     /// The way to the other boxes, if there is one.
     peers: Option<Rc<Peers>>,
     /// Whom this box asks.
-    asker: RefCell<Asker>,
+    asker: RefCell<Poller>,
     /// Revision up to which the configuration is known; nothing until it was
     /// read, or once the history behind it is gone.
     config_at: Cell<Option<Revision>>,
@@ -129,7 +129,7 @@
         let _ = reads.wait_for(|reads| *reads).await;
     }
 
-    async fn read_config(&self) -> Result<(), Fault> {
+    async fn read_config(&self) -> Result<(), StoreError> {
         let asked = self.desk.now();
         let read = config::read(&self.desk.store, skipped).await;
         self.desk.count_call("list", &read);
@@ -147,7 +147,7 @@
     }
 
     /// Puts a configuration in force unless a newer one is.
-    fn adopt(&self, config: config::Config, revision: Revision) -> Result<(), Fault> {
+    fn adopt(&self, config: config::Config, revision: Revision) -> Result<(), StoreError> {
         let bytes = config.to_bytes()?;
         self.desk.mirror.borrow_mut().set_config(revision, bytes);
         self.put_in_force(config)
@@ -155,7 +155,7 @@
 
     /// Puts a configuration in force; one that is older than that in force goes to no other
     /// box either.
-    fn put_in_force(&self, config: config::Config) -> Result<(), Fault> {
+    fn put_in_force(&self, config: config::Config) -> Result<(), StoreError> {
         let desk = &self.desk;
         let old = desk.routing.borrow().version;
         let is_newer = config.version() > old;
@@ -163,7 +163,7 @@
             *self.in_force.borrow_mut() = Some(config.to_bytes()?);
         }
         if let Some(bytes) = &*self.in_force.borrow() {
-            desk.mirror.borrow_mut().keep_config(bytes.clone());
+            desk.mirror.borrow_mut().restore_config(bytes.clone());
         }
         if !is_newer {
             return Ok(());
@@ -179,7 +179,7 @@
 
     /// Reads all entries; returns whether they held something that no watch had
     /// brought.
-    async fn read_servers(&self) -> Result<bool, Fault> {
+    async fn read_servers(&self) -> Result<bool, StoreError> {
         let read = servers::list(&self.desk.store, skipped).await;
         self.desk.count_call("list", &read);
         let (list, at) = read?;
@@ -187,7 +187,7 @@
         // A watch may have overtaken the list.
         let list: Vec<Upstream> = {
             let mut mirror = self.desk.mirror.borrow_mut();
-            mirror.replace(at, list);
+            mirror.replace_all(at, list);
             mirror.upstreams().cloned().collect()
         };
         let missed = self.log_changed(&list, at);
@@ -220,7 +220,10 @@
     /// Notes that everything up to what was read of both kinds is known.
     fn note_read(&self) {
         if let (Some(config), Some(servers)) = (self.config_at.get(), self.servers_at.get()) {
-            self.desk.mirror.borrow_mut().read_all(config.min(servers));
+            self.desk
+                .mirror
+                .borrow_mut()
+                .mark_read_to(config.min(servers));
         }
         self.desk.note_read();
     }
@@ -229,15 +232,15 @@
     fn apply(&self, changes: Vec<Change>, sure: bool) {
         let has_lines = has_lines(changes.len());
         for change in changes {
-            match change.what {
-                What::Config(_) => {}
-                What::Put(upstream) => {
+            match change.kind {
+                ChangeKind::Config(_) => {}
+                ChangeKind::Put(upstream) => {
                     if has_lines {
                         log_announced(&upstream, change.revision);
                     }
                     self.put(upstream);
                 }
-                What::Gone(id) => self.remove(&id, change.revision, sure),
+                ChangeKind::Removed(id) => self.remove(&id, change.revision, sure),
             }
         }
     }
@@ -258,7 +261,7 @@
         let mut roster = self.desk.roster.borrow_mut();
         match sure {
             true => roster.remove(now, id),
-            false => roster.miss(now, id),
+            false => roster.mark_missing(now, id),
         }
     }
 
@@ -294,8 +297,8 @@
     }
 
     /// Notes that a call failed, with one line for each time the store goes.
-    fn lost(&self, what: &str, fault: &Fault) {
-        if matches!(fault, Fault::Forgotten) {
+    fn lost(&self, what: &str, fault: &StoreError) {
+        if matches!(fault, StoreError::HistoryGone) {
             log::line(Level::Info, "store", "history gone", json!({"watch": what}));
             return;
         }
@@ -354,7 +357,7 @@
 }
 
 /// Writes a line for an object of the store that cannot be read.
-pub fn skipped(name: &str, fault: &Fault) {
+pub fn skipped(name: &str, fault: &StoreError) {
     let fields = json!({"object": name, "fault": fault.to_string()});
     log::line(Level::Warn, "store", "object cannot be read", fields);
 }
--- a/crates/ashgauged/src/relay/follow/prove.rs
+++ b/crates/ashgauged/src/relay/follow/prove.rs
@@ -5,7 +5,7 @@
 use std::time::Duration;
 
 use ashgauge::mirror::Revision;
-use platform::{Fault, config};
+use platform::{StoreError, config};
 use serde_json::json;
 use spdlog::Level;
 use tokio::time::{sleep, timeout};
@@ -59,7 +59,7 @@
 
     fn pause_most(&self) -> Duration {
         let age = self.desk.fresh.borrow().age(self.desk.now());
-        let stale = self.desk.settings().ask_pace().stale;
+        let stale = self.desk.settings().ask_pace().max_age;
         match age.is_some_and(|age| age <= stale) {
             true => PAUSE_INFORMED,
             false => PAUSE_MOST,
@@ -76,7 +76,7 @@
 
     /// Proves that all changes are known; if some are missing, reads everything
     /// anew.
-    pub(super) async fn confirm_once(&self) -> Result<(), Fault> {
+    pub(super) async fn confirm_once(&self) -> Result<(), StoreError> {
         let desk = &self.desk;
         let known = desk.is_informed();
         if self.failed.get().is_none() {
@@ -105,7 +105,7 @@
 
     /// Asks for the store's revision; returns whether all changes up to it are
     /// known.
-    async fn prove(&self) -> Result<bool, Fault> {
+    async fn prove(&self) -> Result<bool, StoreError> {
         let asked = self.desk.now();
         let at = config::revision(&self.desk.store).await;
         self.desk.count_call("proof", &at);
@@ -151,11 +151,11 @@
         self.desk.mirror.borrow().covers(at)
     }
 
-    fn add_known(&self, read: Result<Vec<Revision>, Fault>) {
+    fn add_known(&self, read: Result<Vec<Revision>, StoreError>) {
         match read {
             Ok(revisions) => {
                 let mut mirror = self.desk.mirror.borrow_mut();
-                revisions.into_iter().for_each(|r| mirror.note(r));
+                revisions.into_iter().for_each(|r| mirror.mark_read(r));
             }
             // Everything is read anew then.
             Err(fault) => {
--- a/crates/ashgauged/src/relay/follow/returns.rs
+++ b/crates/ashgauged/src/relay/follow/returns.rs
@@ -43,7 +43,7 @@
     /// Acts on returns of the store from a copy: what it lost may be missing for a moment,
     /// and its old watches bring nothing.
     pub(super) async fn follow_returns(self: Rc<Self>) {
-        let mut eras = self.desk.store.eras();
+        let mut eras = self.desk.store.subscribe_era();
         let mut before = *eras.borrow_and_update();
         // The store's client lives as long as the desk.
         while eras.changed().await.is_ok() {
@@ -68,10 +68,10 @@
     /// Believes what the store holds once everybody has had the time to write again.
     async fn settle(self: Rc<Self>, era: Era) {
         sleep(SETTLE_TIME).await;
-        if *self.desk.store.eras().borrow() != era {
+        if *self.desk.store.subscribe_era().borrow() != era {
             return;
         }
-        let passed_over = self.desk.mirror.borrow_mut().settle();
+        let passed_over = self.desk.mirror.borrow_mut().accept_restored();
         if passed_over {
             self.take_again().await;
         }
@@ -113,7 +113,7 @@
     /// Whether the other boxes know nothing that the store has lost, as far as this one
     /// could ask them.
     pub(super) fn has_met(&self) -> bool {
-        let has_returned = *self.desk.store.eras().borrow() > 0;
+        let has_returned = *self.desk.store.subscribe_era().borrow() > 0;
         self.doubts.met.get() || !has_returned || self.desk.uptime() >= MEET_TIME
     }
 }
--- a/crates/ashgauged/src/relay/follow/watch.rs
+++ b/crates/ashgauged/src/relay/follow/watch.rs
@@ -3,8 +3,8 @@
 use std::rc::Rc;
 use std::time::Duration;
 
-use platform::servers::Update;
-use platform::{Fault, config, servers};
+use platform::servers::UpstreamChange;
+use platform::{StoreError, config, servers};
 use tokio::time::{sleep, timeout};
 
 use super::prove::PAUSE_FIRST;
@@ -104,12 +104,12 @@
     }
 
     /// Takes what a watch brought; a list that was read meanwhile is newer.
-    fn take_updates(&self, updates: Vec<Update>) {
+    fn take_updates(&self, updates: Vec<UpstreamChange>) {
         let sure = !self.is_unsure();
         let has_lines = has_lines(updates.len());
         for update in updates {
             match update {
-                Update::Put(upstream, revision) => {
+                UpstreamChange::Put(upstream, revision) => {
                     let is_news = self
                         .desk
                         .mirror
@@ -122,7 +122,7 @@
                         self.put(upstream);
                     }
                 }
-                Update::Gone(id, revision) => {
+                UpstreamChange::Gone(id, revision) => {
                     if self.desk.mirror.borrow_mut().remove(revision, &id) {
                         self.remove(&id, revision, sure);
                     }
@@ -133,7 +133,7 @@
     }
 
     /// Waits if a first reading failed.
-    async fn begin(&self, what: &str, read: Result<(), Fault>) {
+    async fn begin(&self, what: &str, read: Result<(), StoreError>) {
         if let Err(fault) = read {
             self.wait_out(what, &fault).await;
         }
@@ -147,8 +147,8 @@
     /// not read any more.
     async fn unless_restarted<T>(
         &self,
-        watch: impl Future<Output = Result<T, Fault>>,
-    ) -> Option<Result<T, Fault>> {
+        watch: impl Future<Output = Result<T, StoreError>>,
+    ) -> Option<Result<T, StoreError>> {
         let mut reads = self.desk.reads.subscribe();
         let answer = tokio::select! {
             answer = watch => answer,
@@ -161,7 +161,7 @@
 
     pub(super) fn servers_gather(&self) -> Duration {
         let roster = self.desk.roster.borrow();
-        let placed = roster.all().any(|e| e.upstream.layers.is_some());
+        let placed = roster.iter().any(|e| e.upstream.layers.is_some());
         match placed || self.desk.is_ready() {
             true => self
                 .desk
@@ -188,7 +188,7 @@
 
     /// Waits after a watch that failed. While the store is away only the
     /// proofs go on calling it, as each call is priced, refused ones too.
-    async fn wait_out(&self, what: &str, fault: &Fault) {
+    async fn wait_out(&self, what: &str, fault: &StoreError) {
         self.lost(what, fault);
         if self.failed.get().is_none() {
             sleep(PAUSE_FIRST).await;
--- a/crates/ashgauged/src/relay/forecast.rs
+++ b/crates/ashgauged/src/relay/forecast.rs
@@ -27,7 +27,7 @@
     /// Silence before the first event after which the engines are checked, `least` at the
     /// least.
     pub fn patience(&self, least: Duration) -> Duration {
-        forecast::patience(self.first, least, SILENT_MOST)
+        forecast::check_delay(self.first, least, SILENT_MOST)
     }
 }
 
@@ -35,13 +35,13 @@
 /// streams in by their class.
 pub fn estimate(desk: &Desk, a: &Admitted, stages: &[Stage]) -> Option<Estimate> {
     a.class?;
-    let (service, prompt) = (&a.service.name, a.ask.prompt);
+    let (service, prompt) = (&a.service.name, a.ask.prompt_tokens);
     let model = a.service.model.as_ref()?;
     let forecast = desk.forecast(service, model, stages, prompt);
     let calibrations = desk.calibrations.borrow();
     let calibration = calibrations.get(service).copied().unwrap_or_default();
-    let first = calibration.apply(forecast.first);
-    if prompt == 0 || forecast.is_bounded() {
+    let first = calibration.apply(forecast.first_event);
+    if prompt == 0 || forecast.is_capped() {
         let fields = json!({"prompt": prompt, "forecast_ms": first.as_millis() as u64});
         a.record.step("rough forecast", fields);
     }
@@ -62,5 +62,5 @@
     desk.metrics.forecast_ratio.observe(ratio);
     let mut calibrations = desk.calibrations.borrow_mut();
     let calibration = calibrations.entry(service.clone()).or_default();
-    calibration.note(ratio);
+    calibration.record(ratio);
 }
--- a/crates/ashgauged/src/relay/forward.rs
+++ b/crates/ashgauged/src/relay/forward.rs
@@ -5,8 +5,8 @@
 use std::time::Duration;
 
 use ashgauge::digest::{self, Digest};
-use ashgauge::fresh::start_patience;
-use ashgauge::handoff::{End, Handoff, Next, Outcome};
+use ashgauge::fresh::startup_wait;
+use ashgauge::handoff::{Attempts, Decision, FailureKind, SendOutcome};
 use ashgauge::member::UpstreamId;
 use ashgauge::routing::{Access, Route, Service, Team};
 use bytes::Bytes;
@@ -16,7 +16,7 @@
 use hyper::http::request;
 use hyper::{Request, Response, StatusCode};
 use platform::engine::{self, Target, Verdict};
-use platform::ingress::{self, Ask};
+use platform::ingress::{self, ClientRequest};
 use serde_json::json;
 use spdlog::Level;
 
@@ -52,20 +52,20 @@
 pub async fn handle(desk: Rc<Desk>, request: Request<Incoming>) -> Response<Body> {
     let arrived = desk.now();
     let (head, body) = request.into_parts();
-    let ask = match ingress::read(&head) {
+    let ask = match ingress::parse_request(&head) {
         Ok(ask) => ask,
         Err(why) => {
             log::line(Level::Info, "request", "malformed", json!({"why": why}));
             return own(StatusCode::BAD_REQUEST, None, None);
         }
     };
-    desk.wait_known(start_patience(desk.uptime())).await;
+    desk.wait_known(startup_wait(desk.uptime())).await;
     let (route, service, team) = match admit(&desk, &ask) {
         Ok(admitted) => admitted,
         Err(refusal) => return refuse(&desk, &ask, refusal, arrived),
     };
     let mut record = Record::new(&desk, &ask, &route.name, arrived);
-    let held = ask.patience.unwrap_or(route.timeout).min(route.timeout);
+    let held = ask.timeout.unwrap_or(route.timeout).min(route.timeout);
     let until = arrived + held;
     let body = match super::body::read(&desk, body, held).await {
         Ok(body) => body,
@@ -77,7 +77,7 @@
     };
     let digest = digest_of(&head, &ask, team.as_deref(), &body);
     record.digest = Some(digest);
-    let mut handoff = Handoff::new(until, route.attempts, route.may_repeat());
+    let mut handoff = Attempts::new(until, route.max_attempts, route.is_retryable());
     let mut admitted = Admitted {
         head,
         ask,
@@ -104,11 +104,16 @@
 }
 
 /// The digest of a request; a team's keys count as one caller.
-fn digest_of(head: &request::Parts, ask: &Ask, team: Option<&Team>, body: &[u8]) -> Digest {
+fn digest_of(
+    head: &request::Parts,
+    ask: &ClientRequest,
+    team: Option<&Team>,
+    body: &[u8],
+) -> Digest {
     let path = head.uri.path_and_query().map_or("/", |p| p.as_str());
     let key = ask.key.as_deref().unwrap_or_default();
     let caller = team.map_or(key, |t| t.name.as_str());
-    digest::of(path, caller, body)
+    digest::request_digest(path, caller, body)
 }
 
 /// Why a request is not let in.
@@ -128,23 +133,23 @@
 
 type Way = (Arc<Route>, Arc<Service>, Option<Arc<Team>>);
 
-fn admit(desk: &Desk, ask: &Ask) -> Result<Way, Refusal> {
+fn admit(desk: &Desk, ask: &ClientRequest) -> Result<Way, Refusal> {
     let routing = desk.routing();
     if desk.stopped.get() {
         return Err(Refusal::Stopping);
     }
-    let sure = desk.fresh.borrow().holds(desk.now());
+    let sure = desk.fresh.borrow().is_fresh(desk.now());
     if routing.version == 0 {
         return Err(Refusal::Unsure);
     }
     // What a stale configuration lacks may be there by now.
     let or_unsure = |refusal| if sure { refusal } else { Refusal::Unsure };
-    let route = routing.find(&ask.host, &ask.path);
+    let route = routing.find_route(&ask.host, &ask.path);
     let route = route.ok_or(or_unsure(Refusal::NoRoute))?;
-    let team = match routing.access(route, ask.key.as_deref()) {
+    let team = match routing.authorize(route, ask.key.as_deref()) {
         Access::Team(_) if !sure => return Err(Refusal::Unsure),
         Access::Team(team) => Some(team),
-        Access::Open => None,
+        Access::Anonymous => None,
         Access::Denied => return Err(or_unsure(Refusal::NoKey)),
     };
     let service = route.choose_service(&mut *desk.rng());
@@ -153,7 +158,12 @@
     Ok((route.clone(), service.clone(), team))
 }
 
-fn refuse(desk: &Rc<Desk>, ask: &Ask, refusal: Refusal, arrived: Duration) -> Response<Body> {
+fn refuse(
+    desk: &Rc<Desk>,
+    ask: &ClientRequest,
+    refusal: Refusal,
+    arrived: Duration,
+) -> Response<Body> {
     let mut record = Record::new(desk, ask, "", arrived);
     let (what, status, after) = match refusal {
         Refusal::Stopping => (
@@ -178,49 +188,51 @@
     own(status, Some(ask), after)
 }
 
-async fn send_plain(desk: &Rc<Desk>, mut a: Admitted, handoff: &mut Handoff) -> Response<Body> {
+async fn send_plain(desk: &Rc<Desk>, mut a: Admitted, handoff: &mut Attempts) -> Response<Body> {
     loop {
         if !is_allowed(desk, &a) {
-            return finish(desk, a, End::NotRun);
+            return finish(desk, a, FailureKind::NotRun);
         }
         quarantine::settle(desk, a.digest).await;
         if is_held(desk, &a) {
             return held_back(desk, a, handoff.may_have_run());
         }
         let Some((id, addr)) = choose(desk, &a, handoff).await else {
-            let end = handoff.end(desk.now());
+            let end = handoff.failure(desk.now());
             return finish(desk, a, end);
         };
-        handoff.send(id.clone());
+        handoff.record_send(id.clone());
         a.record.sends.push(id.clone());
         let began = desk.now();
         let (outcome, answer) = match try_plain(desk, &a, handoff, &id, &addr).await {
             Ok(answer) if !answer.status().is_server_error() => {
-                desk.quarantine.borrow_mut().clear(a.digest);
+                desk.quarantine.borrow_mut().clear_losses(a.digest);
                 a.record.end("answered");
                 return whole(answer);
             }
-            Ok(answer) => (Outcome::Failed, Some(answer)),
+            Ok(answer) => (SendOutcome::Failed, Some(answer)),
             Err(outcome) => (outcome, None),
         };
         note_outcome(desk, &a, &id, outcome);
-        if outcome == Outcome::Lost && loss::look(desk, &a, Loss::before_answer(&id, began)).await {
-            handoff.lose();
+        if outcome == SendOutcome::Lost
+            && loss::look(desk, &a, Loss::before_answer(&id, began)).await
+        {
+            handoff.record_lost();
         }
         match (retry::next(desk, &a, handoff, outcome), answer) {
-            (Next::Again, _) => {}
-            (Next::PassOn, Some(answer)) => {
+            (Decision::Resend, _) => {}
+            (Decision::Forward, Some(answer)) => {
                 a.record.end("failed upstream");
                 return whole(answer);
             }
-            (Next::End(end), _) => return finish(desk, a, end),
-            (Next::PassOn, None) => return finish(desk, a, End::Unknown),
+            (Decision::Fail(end), _) => return finish(desk, a, end),
+            (Decision::Forward, None) => return finish(desk, a, FailureKind::Unknown),
         }
     }
 }
 
 /// Chooses an upstream that takes one more request.
-async fn choose(desk: &Desk, a: &Admitted, handoff: &Handoff) -> Option<(UpstreamId, String)> {
+async fn choose(desk: &Desk, a: &Admitted, handoff: &Attempts) -> Option<(UpstreamId, String)> {
     for _ in 0..PICKS_MOST {
         let (id, addr) = desk.choose(&a.service.name, handoff.tried())?;
         if permit::take(desk, &id).await {
@@ -233,43 +245,44 @@
 async fn try_plain(
     desk: &Rc<Desk>,
     a: &Admitted,
-    handoff: &Handoff,
+    handoff: &Attempts,
     id: &UpstreamId,
     addr: &str,
-) -> Result<Whole, Outcome> {
+) -> Result<Whole, SendOutcome> {
     let began = desk.now();
     let _hold = Hold::plain(desk, id);
     let connect = Duration::from_millis(desk.settings().timing.connect_ms);
-    let line = dial::connect(addr, connect.min(handoff.left(began))).await;
-    let line = line.map_err(|_| Outcome::NotSent)?;
+    let line = dial::connect(addr, connect.min(handoff.time_left(began))).await;
+    let line = line.map_err(|_| SendOutcome::NotSent)?;
     if !is_allowed(desk, a) {
-        return Err(Outcome::NotSent);
+        return Err(SendOutcome::NotSent);
     }
-    let left = handoff.left(desk.now());
+    let left = handoff.time_left(desk.now());
     let target = Target {
         id,
         chain: None,
         team: a.team.as_ref().map(|t| t.name.as_str()),
         rank: a.rank(desk),
-        left,
+        time_left: left,
         last_event: None,
     };
     notice::check_send(desk, id, &a.ask.id);
-    let request = engine::request(&a.head, a.body.clone(), &target);
-    let limit = match a.route.may_repeat() && handoff.tried().len() < a.route.attempts as usize {
-        true => silence(desk, a, id).min(left),
-        false => left,
-    };
+    let request = engine::build_request(&a.head, a.body.clone(), &target);
+    let limit =
+        match a.route.is_retryable() && handoff.tried().len() < a.route.max_attempts as usize {
+            true => silence(desk, a, id).min(left),
+            false => left,
+        };
     let collecting = collect(desk, id, line, request, &a.ask.id);
     let answer = desk.clock.within(limit, collecting).await;
-    let (answer, load) = answer.ok_or(Outcome::Lost)??;
+    let (answer, load) = answer.ok_or(SendOutcome::Lost)??;
     let mut roster = desk.roster.borrow_mut();
     if let Some((running, waiting)) = load {
-        roster.report(id, running, waiting);
+        roster.note_load(id, running, waiting);
     }
     if !answer.status().is_server_error() {
         let now = desk.now();
-        roster.learn(now, id, now - began);
+        roster.record_latency(now, id, now - began);
         desk.metrics.first.observe(a.record.took().as_secs_f64());
     }
     Ok(answer)
@@ -278,9 +291,9 @@
 /// How long a repeatable request waits on a silent upstream.
 fn silence(desk: &Desk, a: &Admitted, id: &str) -> Duration {
     let roster = desk.roster.borrow();
-    let learned = roster.get(id).map_or(0.0, |e| e.seconds);
+    let learned = roster.get(id).map_or(0.0, |e| e.latency_seconds);
     let usual = Duration::from_secs_f64(learned * SILENT_FACTOR);
-    a.route.aim.mul_f64(SILENT_SHARE).max(usual)
+    a.route.target_latency.mul_f64(SILENT_SHARE).max(usual)
 }
 
 type Collected = (Whole, Option<(u32, u32)>);
@@ -292,22 +305,22 @@
     line: dial::Line,
     request: Request<Full<Bytes>>,
     id: &str,
-) -> Result<Collected, Outcome> {
+) -> Result<Collected, SendOutcome> {
     let sent = desk.now();
     let exchange = line.send(request).await.map_err(|e| lost(&e))?;
     let (parts, body) = exchange.response.into_parts();
     notice::take(desk, upstream, sent, &parts);
-    let load = engine::load(&parts.headers);
-    match engine::judge(&parts, id) {
+    let load = engine::parse_load(&parts.headers);
+    match engine::classify(&parts, id) {
         verdict @ (Verdict::Full(_) | Verdict::Stale(_)) => {
             refused(desk, upstream, verdict);
-            return Err(Outcome::NotRun);
+            return Err(SendOutcome::NotRun);
         }
-        Verdict::Foreign => return Err(Outcome::Lost),
+        Verdict::Foreign => return Err(SendOutcome::Lost),
         Verdict::Answer => {}
     }
     let body = Limited::new(body, ANSWER_MOST).collect().await;
-    let body = body.map_err(|_| Outcome::Lost)?.to_bytes();
+    let body = body.map_err(|_| SendOutcome::Lost)?.to_bytes();
     let mut answer = Response::new(body);
     *answer.status_mut() = parts.status;
     *answer.headers_mut() = engine::answer_headers(&parts);
--- a/crates/ashgauged/src/relay/gate.rs
+++ b/crates/ashgauged/src/relay/gate.rs
@@ -5,11 +5,11 @@
 use std::time::Duration;
 
 use ashgauge::class::Class;
-use ashgauge::demand::{self, Source};
-use ashgauge::estimate::{Estimator, Known};
-use ashgauge::level::{self, Level};
+use ashgauge::demand::{self, DemandSource};
+use ashgauge::estimate::{Estimator, Observation};
+use ashgauge::level::{self, AdmissionLevel};
 use ashgauge::pressure;
-use ashgauge::report::Basis;
+use ashgauge::report::LevelInputs;
 use ashgauge::routing::{Model, Service, ServiceId};
 use rand::Rng;
 use tokio::time::sleep;
@@ -35,7 +35,7 @@
 /// Whether shedding is switched on for a service, by its routes' ranks and the setting.
 pub fn is_shed(desk: &Desk, service: &str) -> bool {
     let routing = desk.routing();
-    let ranks = routing.ranks(service);
+    let ranks = routing.priorities(service);
     ranks.is_some_and(|r| desk.settings().sheds(r))
 }
 
@@ -44,8 +44,8 @@
     if a.route.stream.is_none() || !is_on(desk, &a.service) {
         return None;
     }
-    let team = a.team.as_ref().and_then(|t| t.rank);
-    Some(Class::new(team, a.route.rank, a.is_repeat()))
+    let team = a.team.as_ref().and_then(|t| t.priority);
+    Some(Class::new(team, a.route.priority, a.is_repeat()))
 }
 
 /// Notes a stream that wants to begin, and decides whether it may; if not, says when its
@@ -60,10 +60,10 @@
     let start = desk.rng().random_range(0.0..1.0);
     let now = desk.now();
     let (is_in, level) = desk.gates.with(&a.service.name, |s| {
-        let is_in = s.gate.admits(class, team, start);
+        let is_in = s.gate.admit(class, team, start);
         s.count(class, is_in);
         if is_in {
-            s.account.note_request(now);
+            s.account.record_request(now);
         }
         (is_in, s.class())
     });
@@ -82,21 +82,24 @@
 
 /// When the caller of a request that is refused for overload is to come back.
 pub fn back_after(desk: &Desk, a: &Admitted) -> Duration {
-    let patience = a.ask.patience.unwrap_or(a.route.timeout);
+    let patience = a.ask.timeout.unwrap_or(a.route.timeout);
     let draw = desk.rng().random_range(0.0..1.0);
-    level::back_after(patience, draw)
+    level::retry_after(patience, draw)
 }
 
 fn note(desk: &Desk, a: &Admitted, model: &Model, class: Class, team: demand::TeamKey) {
-    let source = Source {
+    let source = DemandSource {
         service: demand::key(&a.service.name),
         class,
         team: Some(team),
     };
-    let work = demand::work((a.ask.prompt, a.ask.answer), (model.prompt, model.answer));
+    let work = demand::relative_work(
+        (a.ask.prompt_tokens, a.ask.answer_tokens),
+        (model.typical_prompt, model.typical_output),
+    );
     let now = desk.now();
     desk.gates
-        .with(&a.service.name, |s| s.meter.note(now, source, work));
+        .with(&a.service.name, |s| s.meter.record(now, source, work));
 }
 
 /// Reckons the level anew, if it is old.
@@ -113,23 +116,30 @@
         return;
     }
     let (demands, ends) = desk.flows(&service.name);
-    let known = Known {
+    let known = Observation {
         demands,
         pressure: desk.pressure(service, model),
-        ends,
-        boxes: desk.shares.borrow().present(f64::from(desk.boxes())),
+        completion_rate: ends,
+        boxes: desk.shares.borrow().present_boxes(f64::from(desk.boxes())),
         age: desk.words_age(),
-        every: desk.role().flows_time(),
-        growth: growth(desk, service, model),
+        report_interval: desk.role().traffic_interval(),
+        full_slowdown: growth(desk, service, model),
     };
     let boxes = desk.shares.borrow().boxes();
     desk.gates.with(&service.name, |s| {
         let estimate = s.estimator.estimate(now, &known);
         let (demands, pressure) = (&estimate.demands, estimate.pressure);
-        let basis = Basis::new(demands, pressure, estimate.ends, known.age, boxes);
-        s.estimator.note_allowed(now, basis.allowed);
-        s.account.set_pressure(now, known.pressure.most());
-        s.gate.set(now, Level::new(demands, basis.allowed));
+        let basis = LevelInputs::new(
+            demands,
+            pressure,
+            estimate.completion_rate,
+            known.age,
+            boxes,
+        );
+        s.estimator.record_allowed_rate(now, basis.allowed_rate);
+        s.account.set_pressure(now, known.pressure.max_share());
+        s.gate
+            .set_level(now, AdmissionLevel::new(demands, basis.allowed_rate));
         s.basis = Some(basis);
         levels::log_change(now, &service.name, s);
     });
@@ -137,7 +147,7 @@
 
 fn growth(desk: &Desk, service: &Service, model: &Model) -> f64 {
     let roster = desk.roster.borrow();
-    pressure::growth(model, roster.of(&service.name).map(|e| &e.upstream))
+    pressure::full_slowdown(model, roster.of_service(&service.name).map(|e| &e.upstream))
 }
 
 /// Reckons levels also while no streams arrive, as long as the process runs, so that what
@@ -165,7 +175,7 @@
 
 /// Ends the level of a service for which shedding was switched off.
 fn lift(now: Duration, service: &ServiceId, state: &mut State) {
-    state.gate.set(now, None);
+    state.gate.set_level(now, None);
     state.estimator = Estimator::default();
     state.basis = None;
     levels::log_change(now, service, state);
@@ -193,6 +203,6 @@
         let (now, key) = (self.desk.now(), demand::key(&self.service));
         self.desk
             .gates
-            .with(&self.service, |s| s.meter.note_end(now, key));
+            .with(&self.service, |s| s.meter.record_completion(now, key));
     }
 }
--- a/crates/ashgauged/src/relay/levels.rs
+++ b/crates/ashgauged/src/relay/levels.rs
@@ -5,7 +5,7 @@
 
 use ashgauge::class::Class;
 use ashgauge::pressure::Pressure;
-use ashgauge::report::{Basis, Change};
+use ashgauge::report::{LevelChange, LevelInputs};
 use ashgauge::routing::ServiceId;
 use serde::Serialize;
 use serde_json::json;
@@ -63,11 +63,11 @@
 }
 
 impl Cause {
-    fn new(basis: &Basis) -> Self {
+    fn new(basis: &LevelInputs) -> Self {
         Cause {
-            asked: basis.asked(),
-            allowed: basis.allowed,
-            ends: basis.ends,
+            asked: basis.demand_rate(),
+            allowed: basis.allowed_rate,
+            ends: basis.completion_rate,
             requests: basis.pressure.requests,
             memory: basis.pressure.memory,
             slots: basis.pressure.slots,
@@ -84,7 +84,7 @@
         LevelStatus {
             service: service.to_string(),
             class: state.class(),
-            team_rate: state.gate.level().map(|l| l.part),
+            team_rate: state.gate.level().map(|l| l.team_limit),
             since_ms: since.as_millis() as u64,
             cause: Cause::new(basis),
             classes: classes(state, basis),
@@ -92,7 +92,7 @@
     })
 }
 
-fn classes(state: &State, basis: &Basis) -> Vec<ClassStatus> {
+fn classes(state: &State, basis: &LevelInputs) -> Vec<ClassStatus> {
     let asked = basis.classes.iter().map(|(class, _)| *class);
     let all: BTreeSet<Class> = asked.chain(state.counts.keys().copied()).collect();
     let one = |class: Class| {
@@ -121,12 +121,14 @@
 pub fn set_gauges(desk: &Desk) {
     let metrics = &desk.metrics;
     let levels = desk.gates.reckoned(|_, state, basis| {
-        let before = state.class().map(|class| basis.before(class) as i64);
+        let before = state
+            .class()
+            .map(|class| basis.classes_before(class) as i64);
         (basis.pressure, before.unwrap_or(ALL_ADMITTED))
     });
     let highest = levels
         .into_iter()
-        .max_by(|a, b| a.0.most().total_cmp(&b.0.most()));
+        .max_by(|a, b| a.0.max_share().total_cmp(&b.0.max_share()));
     metrics.pressure.reset();
     let Some((pressure, level)) = highest else {
         metrics.level.set(ALL_ADMITTED);
@@ -154,13 +156,13 @@
     };
     fields["service"] = json!(&**service);
     fields["class"] = json!(state.class());
-    fields["team_rate"] = json!(state.gate.level().map(|l| l.part));
+    fields["team_rate"] = json!(state.gate.level().map(|l| l.team_limit));
     fields["change"] = json!(match change {
-        Change::Began => "began",
-        Change::Moved => "moved",
-        Change::Ended(_) => "ended",
+        LevelChange::Started => "began",
+        LevelChange::ClassChanged => "moved",
+        LevelChange::Ended(_) => "ended",
     });
-    if let Change::Ended(lasted) = change {
+    if let LevelChange::Ended(lasted) = change {
         fields["lasted_ms"] = json!(lasted.as_millis() as u64);
     }
     log::line(Severity::Info, "admission", "level", fields);
--- a/crates/ashgauged/src/relay/loss.rs
+++ b/crates/ashgauged/src/relay/loss.rs
@@ -5,7 +5,7 @@
 
 use ashgauge::digest::{self, Digest};
 use ashgauge::member::UpstreamId;
-use ashgauge::quarantine::{Lost, StartKey, start_key};
+use ashgauge::quarantine::{InstanceKey, InstanceLoss, instance_key};
 use serde_json::json;
 use spdlog::Level;
 use tokio::time::sleep;
@@ -87,7 +87,7 @@
     digest: Digest,
     loss: Loss,
     /// The start that is laid to the request, if it is.
-    start: Option<StartKey>,
+    start: Option<InstanceKey>,
     /// Holds other sends of the request up while it is looked into.
     _check: Option<Check>,
 }
@@ -95,11 +95,11 @@
 /// A check of an upstream that is laid to a request, until it is dropped.
 struct Check {
     desk: Rc<Desk>,
-    lost: Lost,
+    lost: InstanceLoss,
 }
 
 impl Check {
-    fn begin(desk: &Rc<Desk>, lost: Lost) -> Self {
+    fn begin(desk: &Rc<Desk>, lost: InstanceLoss) -> Self {
         desk.quarantine.borrow_mut().begin_check(lost);
         let desk = desk.clone();
         Check { desk, lost }
@@ -127,7 +127,15 @@
         digest,
         loss,
         start,
-        _check: start.map(|start| Check::begin(desk, Lost { digest, start })),
+        _check: start.map(|start| {
+            Check::begin(
+                desk,
+                InstanceLoss {
+                    digest,
+                    instance: start,
+                },
+            )
+        }),
     };
     if probe::is_lost(desk, &suspicion.loss.upstream).await {
         suspicion.confirm(desk);
@@ -147,12 +155,12 @@
 
 /// The start of an upstream whose loss is laid to the request: unless the request had
 /// run well before, or the upstream was to end anyway.
-fn blamed(desk: &Desk, loss: &Loss) -> Option<StartKey> {
+fn blamed(desk: &Desk, loss: &Loss) -> Option<InstanceKey> {
     let roster = desk.roster.borrow();
     let entry = roster.get(&loss.upstream)?;
     let upstream = &entry.upstream;
     let counts = !loss.proven && !entry.is_leaving();
-    counts.then(|| start_key(&upstream.id, upstream.born))
+    counts.then(|| instance_key(&upstream.id, upstream.started_ms))
 }
 
 impl Suspicion {
@@ -160,12 +168,20 @@
     /// streams heard it a moment ago.
     fn confirm(self, desk: &Rc<Desk>) {
         let now = desk.now();
-        desk.roster.borrow_mut().note_shut(now, &self.loss.upstream);
+        desk.roster
+            .borrow_mut()
+            .note_unreachable(now, &self.loss.upstream);
         // Leaving lost engines out does not stop a request that ends them: it goes on
         // to the next one with each repeat.
         if let Some(start) = self.start {
             let digest = self.digest;
-            quarantine::note(desk, Lost { digest, start });
+            quarantine::note(
+                desk,
+                InstanceLoss {
+                    digest,
+                    instance: start,
+                },
+            );
         }
         let run = desk.now().saturating_sub(self.loss.began);
         let events = if self.loss.events == 0 {
@@ -177,7 +193,7 @@
         let fields = json!({
             "id": self.id,
             "upstream": &*self.loss.upstream,
-            "digest": digest::text(self.digest),
+            "digest": digest::format_digest(self.digest),
             "run_ms": run.as_millis() as u64,
             "events": self.loss.events,
             "counts": self.start.is_some(),
--- a/crates/ashgauged/src/relay/notice.rs
+++ b/crates/ashgauged/src/relay/notice.rs
@@ -18,7 +18,7 @@
     if engine::is_leaving(&head.headers) {
         note_leaving(desk, upstream);
     }
-    let rest = match engine::rest(head) {
+    let rest = match engine::requested_backoff(head) {
         Ok(Some(rest)) => rest,
         Ok(None) => return,
         Err(text) => {
@@ -28,12 +28,12 @@
     };
     let mut roster = desk.roster.borrow_mut();
     // An engine behind the first one of a chain asks by way of that.
-    let named = engine::at_fault(&head.headers).and_then(|addr| roster.at(addr));
+    let named = engine::engine_at_fault(&head.headers).and_then(|addr| roster.by_addr(addr));
     let named = named.map(|e| e.upstream.id.clone());
     let now = desk.now();
-    roster.note_rest(now, upstream, rest);
+    roster.note_backoff(now, upstream, rest);
     if let Some(id) = &named {
-        roster.note_rest(now, id, rest);
+        roster.note_backoff(now, id, rest);
     }
     desk.metrics.rests.inc();
     let fields = json!({
@@ -48,22 +48,24 @@
 /// nothing says nothing of that.
 fn take_limit(desk: &Desk, upstream: &str, sent: Duration, head: &response::Parts) {
     let (now, mut limits) = (desk.now(), desk.permits.limits.borrow_mut());
-    let rate = match engine::limit(&head.headers) {
+    let rate = match engine::rate_limit(&head.headers) {
         Ok(None) if !head.status.is_success() => return,
         Ok(rate) => rate,
         Err(text) => {
-            if limits.may_complain(now) {
+            if limits.should_log(now) {
                 let fields = json!({"upstream": upstream, "text": text});
                 log::line(Level::Warn, "roster", "limit cannot be read", fields);
             }
             return;
         }
     };
-    if limits.note(now, upstream, sent, rate) {
+    if limits.record(now, upstream, sent, rate) {
         let fields = json!({"upstream": upstream, "rate": rate});
         log::line(Level::Info, "roster", "names its limit", fields);
         if rate.is_none() {
-            desk.roster.borrow_mut().open(share::key(upstream));
+            desk.roster
+                .borrow_mut()
+                .unblock(share::upstream_key(upstream));
         }
         drop(limits);
         permit::note_count(desk);
@@ -92,7 +94,7 @@
         desk.metrics.limited_sends.inc();
     }
     let roster = desk.roster.borrow();
-    let Some(left) = roster.get(upstream).and_then(|e| e.rest(desk.now())) else {
+    let Some(left) = roster.get(upstream).and_then(|e| e.backoff(desk.now())) else {
         return;
     };
     desk.metrics.rested.inc();
--- a/crates/ashgauged/src/relay/open.rs
+++ b/crates/ashgauged/src/relay/open.rs
@@ -5,7 +5,7 @@
 use std::time::Duration;
 
 use ashgauge::chain::Stage;
-use ashgauge::handoff::{Handoff, Outcome};
+use ashgauge::handoff::{Attempts, SendOutcome};
 use ashgauge::member::UpstreamId;
 use ashgauge::silence::next_wait;
 use ashgauge::slack::{self, Slack};
@@ -59,7 +59,7 @@
 /// A send that brought nothing.
 pub struct Failed {
     /// How it ended.
-    pub outcome: Outcome,
+    pub outcome: SendOutcome,
     /// The engine that it was sent to.
     pub upstream: UpstreamId,
     /// That engine's own answer, if it is one.
@@ -78,7 +78,7 @@
 pub async fn begin(
     desk: &Rc<Desk>,
     a: &mut Admitted,
-    handoff: &mut Handoff,
+    handoff: &mut Attempts,
     avoid: &mut Vec<UpstreamId>,
     last: Option<u64>,
     chosen: Chosen,
@@ -99,26 +99,26 @@
         upstream: lead.clone(),
         answer: None,
     };
-    handoff.send(lead.clone());
+    handoff.record_send(lead.clone());
     a.record.sends.push(text.as_deref().unwrap_or(&lead).into());
     let hold = Hold::chain(desk, &stages, a.usual_tokens());
     let trial = Trial::begin(desk, a.digest, &lead);
     let connect = Duration::from_millis(desk.settings().timing.connect_ms);
-    let line = dial::connect(&first, connect.min(handoff.left(desk.now()))).await;
+    let line = dial::connect(&first, connect.min(handoff.time_left(desk.now()))).await;
     let line = line.map_err(|e| failed(lost(&e)))?;
     if !is_allowed(desk, a) {
-        return Err(failed(Outcome::NotSent));
+        return Err(failed(SendOutcome::NotSent));
     }
     let target = Target {
         id: &lead,
         chain: text.as_deref(),
         team: a.team.as_ref().map(|t| t.name.as_str()),
-        rank: slack::order(a.rank(desk), slack_of(a, last)),
-        left: handoff.left(desk.now()),
+        rank: slack::engine_priority(a.rank(desk), slack_of(a, last)),
+        time_left: handoff.time_left(desk.now()),
         last_event: last,
     };
     notice::check_send(desk, &lead, &a.ask.id);
-    let request = engine::request(&a.head, a.body.clone(), &target);
+    let request = engine::build_request(&a.head, a.body.clone(), &target);
     let sent = desk.now();
     let sending = line.send(request);
     let wait = first_wait(desk, estimate.as_ref());
@@ -126,14 +126,14 @@
     let exchange = exchange.map_err(failed)?;
     let parts = head_of(&exchange);
     notice::take(desk, &lead, sent, &parts);
-    match engine::judge(&parts, &a.ask.id) {
+    match engine::classify(&parts, &a.ask.id) {
         Verdict::Answer if parts.status.is_success() => {}
         Verdict::Answer => {
             avoid.push(lead.clone());
             let failure = read_failure(exchange, parts).await;
             let outcome = match &failure {
-                Some(_) => Outcome::Failed,
-                None => Outcome::Lost,
+                Some(_) => SendOutcome::Failed,
+                None => SendOutcome::Lost,
             };
             return Err(Failed {
                 outcome,
@@ -143,9 +143,9 @@
         }
         verdict @ (Verdict::Full(_) | Verdict::Stale(_)) => {
             avoid.push(refused(desk, &lead, verdict));
-            return Err(failed(Outcome::NotRun));
+            return Err(failed(SendOutcome::NotRun));
         }
-        Verdict::Foreign => return Err(failed(Outcome::Lost)),
+        Verdict::Foreign => return Err(failed(SendOutcome::Lost)),
     }
     Ok(Run {
         stages,
@@ -164,7 +164,7 @@
 /// How a request stands that goes on after event `last`, if it has any.
 fn slack_of(a: &Admitted, last: Option<u64>) -> Slack {
     match last {
-        Some(_) => Slack::Short,
+        Some(_) => Slack::Streaming,
         None => a.slack(),
     }
 }
@@ -173,7 +173,7 @@
 fn note_chosen(desk: &Desk, a: &Admitted, stages: &[Stage]) {
     if let Some(model) = a.service.model.as_ref().filter(|m| m.layers > 0) {
         desk.note_crossings(model, stages, a.most_tokens());
-        desk.note_reading(model, &a.service.name, stages.iter(), a.ask.prompt);
+        desk.note_reading(model, &a.service.name, stages.iter(), a.ask.prompt_tokens);
     }
 }
 
@@ -190,26 +190,26 @@
     a: &Admitted,
     stages: &[Stage],
     sending: impl Future<Output = Result<Exchange, ::http::Failure>>,
-    handoff: &Handoff,
+    handoff: &Attempts,
     avoid: &mut Vec<UpstreamId>,
     mut wait: Duration,
-) -> Result<Exchange, Outcome> {
+) -> Result<Exchange, SendOutcome> {
     tokio::pin!(sending);
     let lead = &stages[0].upstream;
     let began = desk.now();
     loop {
-        let left = handoff.left(desk.now());
+        let left = handoff.time_left(desk.now());
         let head = desk.clock.within(wait.min(left), sending.as_mut()).await;
         if let Some(sent) = head {
             let now = desk.now();
             let mut roster = desk.roster.borrow_mut();
             return match sent {
                 Ok(exchange) => {
-                    roster.learn(now, lead, now - began);
+                    roster.record_latency(now, lead, now - began);
                     Ok(exchange)
                 }
                 Err(failure) => {
-                    roster.fail(now, lead);
+                    roster.record_failure(now, lead);
                     avoid.push(lead.clone());
                     Err(lost(&failure))
                 }
@@ -220,8 +220,8 @@
         if dead.is_empty() {
             dead.extend(ask_engines(desk, a, stages).await);
         }
-        if handoff.left(desk.now()).is_zero() {
-            return Err(Outcome::Lost);
+        if handoff.time_left(desk.now()).is_zero() {
+            return Err(SendOutcome::Lost);
         }
         let is_late = waited >= SILENT_MOST;
         if !dead.is_empty() || (is_late && recovery::has(desk, a)) {
@@ -229,11 +229,11 @@
                 .for_each(|id| desk.suspect(id, "holds up its chain"));
             if dead.is_empty() {
                 let now = desk.now();
-                desk.roster.borrow_mut().fail(now, lead);
+                desk.roster.borrow_mut().record_failure(now, lead);
                 avoid.push(lead.clone());
             }
             avoid.extend(dead);
-            return Err(Outcome::Lost);
+            return Err(SendOutcome::Lost);
         }
         wait = match is_late {
             true => recovery::LOOK_EVERY,
@@ -253,5 +253,5 @@
 
 pub fn id_at(desk: &Desk, addr: &str) -> Option<UpstreamId> {
     let roster = desk.roster.borrow();
-    roster.at(addr).map(|e| e.upstream.id.clone())
+    roster.by_addr(addr).map(|e| e.upstream.id.clone())
 }
--- a/crates/ashgauged/src/relay/peers.rs
+++ b/crates/ashgauged/src/relay/peers.rs
@@ -14,10 +14,10 @@
 use ashgauge::hub::Role;
 use ashgauge::member::BoxId;
 use ashgauge::mirror::Revision;
-use ashgauge::question::{Answer, Body, Datagram, Question, Ticket};
-use ashgauge::reader::BOXES_MOST;
+use ashgauge::question::{Answer, AnswerBody, Datagram, FetchToken, Query};
+use ashgauge::reader::MAX_READER_BOXES;
 use ashgauge::revision;
-use ashgauge::share::Word;
+use ashgauge::share::LoadReport;
 use bytes::Bytes;
 use eyre::{Result, WrapErr, eyre};
 use http::Full;
@@ -57,7 +57,7 @@
 
 /// Boxes that may fetch at one time: where a fleet starts, all turn to the first
 /// reader that knows something. The others ask the next one, or again.
-const TICKETS_MOST: usize = BOXES_MOST;
+const TICKETS_MOST: usize = MAX_READER_BOXES;
 
 /// Packed updates that are kept: boxes that start together lack the same, and those
 /// that go on lack what came with the last changes.
@@ -86,7 +86,7 @@
     socket: Rc<UdpSocket>,
     heard: mpsc::Sender<Heard>,
     /// Until when each ticket is good.
-    tickets: RefCell<HashMap<Ticket, Duration>>,
+    tickets: RefCell<HashMap<FetchToken, Duration>>,
     /// What was packed last, the latest last.
     packed: RefCell<VecDeque<Packed>>,
     /// When it was last told that a box asks by a later revision.
@@ -144,16 +144,16 @@
     }
 
     /// Asks a box.
-    pub async fn ask(&self, to: &BoxId, question: Question) {
+    pub async fn ask(&self, to: &BoxId, question: Query) {
         let addr = self.desk.peers.borrow().get(to).map(|p| p.addr);
-        let bytes = pack::encode(&Datagram::Question(question));
+        let bytes = pack::encode(&Datagram::Query(question));
         if let (Some(addr), Some(bytes)) = (addr, bytes) {
             self.send(addr, &bytes).await;
         }
     }
 
     /// Fetches an answer that is too large for a datagram.
-    pub async fn fetch(self: Rc<Self>, to: BoxId, question: Question, most: Duration) {
+    pub async fn fetch(self: Rc<Self>, to: BoxId, question: Query, most: Duration) {
         let asked = self.desk.now();
         let heard = match self.fetch_once(&to, &question, most).await {
             Ok(answer) => Heard::Answer(answer, Some(asked)),
@@ -167,7 +167,7 @@
         let _ = self.heard.send(heard).await;
     }
 
-    async fn fetch_once(&self, to: &BoxId, question: &Question, most: Duration) -> Result<Answer> {
+    async fn fetch_once(&self, to: &BoxId, question: &Query, most: Duration) -> Result<Answer> {
         let addr = self.desk.peers.borrow().get(to).map(|p| p.addr);
         let addr = addr.ok_or_else(|| eyre!("the box is not listed any more"))?;
         let addr = addr.to_string();
@@ -181,9 +181,9 @@
             return Err(eyre!("the box answered {}", reply.status()));
         }
         let mut answer: Answer = postcard::from_bytes(reply.body())?;
-        if let Body::Packed { age, bytes } = answer.body {
+        if let AnswerBody::Compressed { age, bytes } = answer.body {
             let update = pack::unpack(&bytes)?;
-            answer.body = Body::Known { age, update };
+            answer.body = AnswerBody::Update { age, update };
         }
         match answer.from == *to && answer.id == question.id {
             true => Ok(answer),
@@ -195,7 +195,7 @@
     pub async fn spread_news(&self) {
         let now = self.desk.now();
         let own: BoxId = self.desk.settings().id.as_str().into();
-        let Some(bytes) = pack::encode(&Datagram::News(own)) else {
+        let Some(bytes) = pack::encode(&Datagram::Changed(own)) else {
             return;
         };
         let to: Vec<SocketAddr> = {
@@ -246,12 +246,12 @@
         }
         match datagram {
             Datagram::Load(word) => self.take_load(word),
-            Datagram::Question(question) => {
+            Datagram::Query(question) => {
                 self.answer(question, addr).await;
                 Taken::Question
             }
             Datagram::Answer(answer) => self.pass_on(Heard::Answer(answer, None)),
-            Datagram::News(from) => self.pass_on(Heard::News(from)),
+            Datagram::Changed(from) => self.pass_on(Heard::News(from)),
             Datagram::Losses(from, report) => {
                 quarantine::hear(&self.desk, &from, &report);
                 Taken::Heard
@@ -271,7 +271,7 @@
         }
     }
 
-    fn take_load(&self, mut word: Word) -> Taken {
+    fn take_load(&self, mut word: LoadReport) -> Taken {
         let now = self.desk.now();
         let (suspects, slow) = (word.suspects.clone(), word.slow.clone());
         permit::hear(&self.desk, &word.from, &word.limits);
@@ -279,14 +279,14 @@
             word.suspects.clear();
             word.slow.clear();
         }
-        if !self.desk.shares.borrow_mut().hear(now, word) {
+        if !self.desk.shares.borrow_mut().apply(now, word) {
             return Taken::Late;
         }
         let mut roster = self.desk.roster.borrow_mut();
         if !suspects.is_empty() {
-            roster.hear_suspects(now, &suspects);
+            roster.note_peer_suspects(now, &suspects);
         }
-        roster.hear_slow(now, &slow);
+        roster.note_peer_slow(now, &slow);
         Taken::Heard
     }
 
@@ -297,7 +297,7 @@
         }
     }
 
-    async fn answer(&self, question: Question, addr: SocketAddr) {
+    async fn answer(&self, question: Query, addr: SocketAddr) {
         let now = self.desk.now();
         let asked = Asked {
             at: now,
@@ -312,7 +312,7 @@
     }
 
     /// Writes a line if a box knows more than this one, once a second at most.
-    fn note_later(&self, question: &Question) {
+    fn note_later(&self, question: &Query) {
         let (now, covered) = (self.desk.now(), self.desk.mirror.borrow().covered());
         if question.after <= covered || now < self.later.get() + LATER_EVERY {
             return;
@@ -327,7 +327,7 @@
     }
 
     /// The datagram that answers a question: what this box knows, or how to fetch it.
-    fn encode_answer(&self, question: &Question) -> Option<Vec<u8>> {
+    fn encode_answer(&self, question: &Query) -> Option<Vec<u8>> {
         if self.last_packed(question.after).is_none() {
             let bytes = pack::encode(&Datagram::Answer(self.answer_to(question)))?;
             if bytes.len() <= ANSWER_MOST {
@@ -343,7 +343,7 @@
     /// nothing has changed.
     fn last_packed(&self, after: Revision) -> Option<Bytes> {
         let (mirror, sure) = (self.desk.mirror.borrow(), self.desk.sure.get());
-        let now = (after, mirror.covered(), mirror.edition(), sure);
+        let now = (after, mirror.covered(), mirror.generation(), sure);
         let packed = self.packed.borrow();
         let mut packed = packed.iter();
         let known = packed.find(|p| (p.after, p.upto, p.edition, p.sure) == now)?;
@@ -371,7 +371,7 @@
         packed.push_back(Packed {
             after,
             upto: mirror.covered(),
-            edition: mirror.edition(),
+            edition: mirror.generation(),
             sure,
             bytes: bytes.clone(),
         });
@@ -379,11 +379,11 @@
     }
 
     /// What this box knows now, packed for a box that fetches it.
-    fn packed_answer(&self, question: &Question) -> Option<Answer> {
+    fn packed_answer(&self, question: &Query) -> Option<Answer> {
         let desk = &self.desk;
         let age = desk.fresh.borrow().age(desk.now());
         let body = match age.filter(|_| desk.is_informed()) {
-            Some(age) => Body::Packed {
+            Some(age) => AnswerBody::Compressed {
                 age,
                 bytes: self.pack(question.after)?.to_vec(),
             },
@@ -394,11 +394,11 @@
 
     /// What this box knows now. The age counts to this moment, which is after
     /// the question was asked.
-    fn answer_to(&self, question: &Question) -> Answer {
+    fn answer_to(&self, question: &Query) -> Answer {
         let desk = &self.desk;
         let age = desk.fresh.borrow().age(desk.now());
         let body = match age.filter(|_| desk.is_informed()) {
-            Some(age) => Body::Known {
+            Some(age) => AnswerBody::Update {
                 age,
                 update: desk.mirror.borrow().update(question.after, desk.sure.get()),
             },
@@ -407,15 +407,15 @@
         self.answer_with(question, body)
     }
 
-    fn nothing(&self) -> Body {
+    fn nothing(&self) -> AnswerBody {
         let now = self.desk.now();
         let asked = self.desk.vacant_at.get();
-        Body::Nothing {
-            asked: asked.map(|at| now.saturating_sub(at)),
+        AnswerBody::Empty {
+            asked_ago: asked.map(|at| now.saturating_sub(at)),
         }
     }
 
-    fn answer_with(&self, question: &Question, body: Body) -> Answer {
+    fn answer_with(&self, question: &Query, body: AnswerBody) -> Answer {
         Answer {
             from: self.desk.settings().id.as_str().into(),
             id: question.id,
@@ -424,22 +424,28 @@
         }
     }
 
-    fn ticket_for(&self, question: &Question, bytes: u64) -> Answer {
+    fn ticket_for(&self, question: &Query, bytes: u64) -> Answer {
         let ticket = self.desk.rng().random();
         let now = self.desk.now();
         let mut tickets = self.tickets.borrow_mut();
         tickets.retain(|_, until| now < *until);
         if tickets.len() >= TICKETS_MOST {
-            return self.answer_with(question, Body::Nothing { asked: None });
+            return self.answer_with(question, AnswerBody::Empty { asked_ago: None });
         }
         tickets.insert(ticket, now + TICKET_TIME);
-        self.answer_with(question, Body::Large { ticket, bytes })
+        self.answer_with(
+            question,
+            AnswerBody::TooLarge {
+                fetch_token: ticket,
+                bytes,
+            },
+        )
     }
 
     /// Answers what comes over connections, to boxes that have a ticket.
     async fn answer_fetches(self: Rc<Self>, mut asked: mpsc::Receiver<Fetch>) {
         while let Some(Fetch { question, reply }) = asked.recv().await {
-            let ticket = question.ticket;
+            let ticket = question.fetch_token;
             let until = ticket.and_then(|t| self.tickets.borrow_mut().remove(&t));
             let is_good = until.is_some_and(|until| self.desk.now() < until);
             // Whoever asked may be gone.
--- a/crates/ashgauged/src/relay/permit.rs
+++ b/crates/ashgauged/src/relay/permit.rs
@@ -5,7 +5,9 @@
 use std::time::Duration;
 
 use ashgauge::member::{BoxId, UpstreamId};
-use ashgauge::permit::{self, Ask, Giver, Place, Reply, Told, Verdict};
+use ashgauge::permit::{
+    self, Issuer, IssuerRank, LimitReport, PermitReply, PermitRequest, Verdict,
+};
 use ashgauge::question::Datagram;
 use ashgauge::routing::{Service, ServiceId};
 use ashgauge::share::{self, UpstreamKey};
@@ -27,34 +29,34 @@
 
 /// Takes a permit if the upstream needs one; without one it is left alone for a while.
 pub async fn take(desk: &Desk, id: &UpstreamId) -> bool {
-    let key = share::key(id);
-    let told = desk.permits.limits.borrow().told_of(desk.now(), key);
+    let key = share::upstream_key(id);
+    let told = desk.permits.limits.borrow().report_of(desk.now(), key);
     let Some(told) = told.filter(|t| t.rate.is_some()) else {
         return true;
     };
     let verdict = ask(desk, told).await;
     let result = match verdict {
-        Some(Verdict::Given) => "given",
-        Some(Verdict::Free) => "free",
+        Some(Verdict::Granted) => "given",
+        Some(Verdict::Unlimited) => "free",
         Some(Verdict::Wait(_)) => "refused",
         None => "no answer",
     };
     desk.metrics.permits.with_label_values(&[result]).inc();
-    let Some(time) = permit::closed_time(verdict) else {
+    let Some(time) = permit::closed_for(verdict) else {
         return true;
     };
-    desk.roster.borrow_mut().close(desk.now(), id, time);
+    desk.roster.borrow_mut().block(desk.now(), id, time);
     false
 }
 
 /// Asks the box that gives permits for an upstream, which may be this one, and the next
 /// one if it does not answer; nothing if that doesn't either.
-async fn ask(desk: &Desk, told: Told) -> Option<Verdict> {
+async fn ask(desk: &Desk, told: LimitReport) -> Option<Verdict> {
     let mut silent = None;
     for _ in 0..ASKED_MOST {
         match giver(desk, told.key, silent.as_ref()) {
-            Giver::Own(place) => return Some(decide(desk, told.key, place)),
-            Giver::Other(id) => match ask_box(desk, &id, told).await {
+            Issuer::Local(place) => return Some(decide(desk, told.key, place)),
+            Issuer::Remote(id) => match ask_box(desk, &id, told).await {
                 Some(verdict) => return Some(verdict),
                 None => silent = Some(id),
             },
@@ -63,11 +65,11 @@
     None
 }
 
-fn giver(desk: &Desk, key: UpstreamKey, silent: Option<&BoxId>) -> Giver {
+fn giver(desk: &Desk, key: UpstreamKey, silent: Option<&BoxId>) -> Issuer {
     let (passed, shares) = (desk.permits.passed.borrow(), desk.shares.borrow());
     let (own, order) = (desk.settings().id.clone(), order(desk, key));
-    let hears = |id: &BoxId| shares.hears(id);
-    permit::giver(
+    let hears = |id: &BoxId| shares.hears_from(id);
+    permit::choose_issuer(
         desk.now(),
         &own,
         desk.boxes(),
@@ -80,17 +82,17 @@
 
 /// Boxes that give permits for an upstream, the first first.
 fn order(desk: &Desk, key: UpstreamKey) -> Vec<BoxId> {
-    permit::givers(key, &desk.permits.givers.borrow())
+    permit::issuer_order(key, &desk.permits.givers.borrow())
 }
 
-async fn ask_box(desk: &Desk, to: &BoxId, told: Told) -> Option<Verdict> {
+async fn ask_box(desk: &Desk, to: &BoxId, told: LimitReport) -> Option<Verdict> {
     let id = desk.rng().random();
     let addr = desk.peers.borrow().get(to).map(|p| p.addr)?;
     let (sender, answer) = oneshot::channel();
-    let ask = Ask {
+    let ask = PermitRequest {
         from: desk.settings().id.as_str().into(),
         id,
-        told,
+        limit: told,
     };
     desk.permits.await_answer(id, sender);
     send(desk, addr, &Datagram::AskPermit(ask));
@@ -104,28 +106,28 @@
         }
         // The sender is dropped by the answer only.
         Ok(Err(_)) | Err(_) => {
-            passed.miss(desk.now(), to);
+            passed.record_miss(desk.now(), to);
             None
         }
     }
 }
 
 /// Answers another box that asks for a permit.
-pub fn answer(desk: &Desk, ask: Ask, addr: SocketAddr) {
-    hear(desk, &ask.from, &[ask.told]);
-    let key = ask.told.key;
-    let reply = Reply {
+pub fn answer(desk: &Desk, ask: PermitRequest, addr: SocketAddr) {
+    hear(desk, &ask.from, &[ask.limit]);
+    let key = ask.limit.key;
+    let reply = PermitReply {
         from: desk.settings().id.as_str().into(),
         id: ask.id,
         verdict: decide(desk, key, place(desk, key)),
-        told: desk.permits.limits.borrow().told_of(desk.now(), key),
+        limit: desk.permits.limits.borrow().report_of(desk.now(), key),
     };
     send(desk, addr, &Datagram::Permit(reply));
 }
 
 /// Takes another box's answer.
-pub fn take_reply(desk: &Desk, reply: Reply) {
-    if let Some(told) = reply.told {
+pub fn take_reply(desk: &Desk, reply: PermitReply) {
+    if let Some(told) = reply.limit {
         hear(desk, &reply.from, &[told]);
     }
     if let Some(waiting) = desk.permits.open.borrow_mut().remove(&reply.id) {
@@ -135,15 +137,15 @@
 }
 
 /// Takes what another box told of limits.
-pub fn hear(desk: &Desk, from: &BoxId, told: &[Told]) {
-    let news = desk.permits.limits.borrow_mut().hear(desk.now(), told);
+pub fn hear(desk: &Desk, from: &BoxId, told: &[LimitReport]) {
+    let news = desk.permits.limits.borrow_mut().merge(desk.now(), told);
     for key in &news {
         let rate = desk.permits.limits.borrow().rate_of(*key);
         let id = id_of(desk, *key);
         let fields = json!({"upstream": id.as_deref(), "rate": rate, "from": &**from});
         log::line(Level::Info, "roster", "limit told", fields);
         if rate.is_none() {
-            desk.roster.borrow_mut().open(*key);
+            desk.roster.borrow_mut().unblock(*key);
         }
     }
     if !news.is_empty() {
@@ -172,7 +174,7 @@
     let now = desk.now();
     let mut schedule = desk.permits.schedule.borrow_mut();
     let each = rate / f64::from(desk.boxes().max(1));
-    Some(schedule.next(now, &service.name, wait, each))
+    Some(schedule.retry_after(now, &service.name, wait, each))
 }
 
 /// How long until a service's upstreams take one more request, if that is what stands in
@@ -185,29 +187,29 @@
 /// Requests a second that the upstreams of a service take that are left alone for now.
 fn rate_left(desk: &Desk, service: &ServiceId) -> Option<f64> {
     let (roster, limits) = (desk.roster.borrow(), desk.permits.limits.borrow());
-    let closed = roster.of(service);
-    let closed = closed.filter(|e| e.closed(desk.now()).is_some());
+    let closed = roster.of_service(service);
+    let closed = closed.filter(|e| e.blocked_for(desk.now()).is_some());
     let rates = closed.filter_map(|e| limits.rate(&e.upstream.id));
     Some(rates.sum()).filter(|rate| *rate > 0.0)
 }
 
-fn decide(desk: &Desk, key: UpstreamKey, place: Place) -> Verdict {
+fn decide(desk: &Desk, key: UpstreamKey, place: IssuerRank) -> Verdict {
     let permits = &desk.permits;
     let mut grants = permits.grants.borrow_mut();
     grants.decide(desk.now(), &permits.limits.borrow(), key, place)
 }
 
 /// What this box is among those that may give permits for an upstream.
-fn place(desk: &Desk, key: UpstreamKey) -> Place {
+fn place(desk: &Desk, key: UpstreamKey) -> IssuerRank {
     let shares = desk.shares.borrow();
-    let hears = |id: &BoxId| shares.hears(id);
-    permit::place(&desk.settings().id, &order(desk, key), hears)
+    let hears = |id: &BoxId| shares.hears_from(id);
+    permit::issuer_rank(&desk.settings().id, &order(desk, key), hears)
 }
 
 fn id_of(desk: &Desk, key: UpstreamKey) -> Option<UpstreamId> {
     let roster = desk.roster.borrow();
-    let mut all = roster.all().map(|e| &e.upstream.id);
-    all.find(|id| share::key(id) == key).cloned()
+    let mut all = roster.iter().map(|e| &e.upstream.id);
+    all.find(|id| share::upstream_key(id) == key).cloned()
 }
 
 /// Sends one datagram; one that does not get out is taken for lost on its way.
--- a/crates/ashgauged/src/relay/pick.rs
+++ b/crates/ashgauged/src/relay/pick.rs
@@ -3,11 +3,11 @@
 use std::time::Duration;
 
 use ashgauge::chain::{self, Stage};
-use ashgauge::choice::{Need, RESERVED, whole as whole_model};
-use ashgauge::handoff::Handoff;
+use ashgauge::choice::{RESERVED_SHARE, Requirements, all_layers as whole_model};
+use ashgauge::handoff::Attempts;
 use ashgauge::member::UpstreamId;
 use ashgauge::routing::Model;
-use ashgauge::shape::Shape;
+use ashgauge::shape::RequestSize;
 use ashgauge::slack::Slack;
 use tokio::time::sleep;
 
@@ -53,7 +53,7 @@
 fn pick(
     desk: &Desk,
     a: &Admitted,
-    handoff: &Handoff,
+    handoff: &Attempts,
     avoid: &[UpstreamId],
     goes_on: bool,
     last: Option<u64>,
@@ -84,7 +84,7 @@
 pub async fn pick_open(
     desk: &Desk,
     a: &Admitted,
-    handoff: &Handoff,
+    handoff: &Attempts,
     avoid: &[UpstreamId],
     goes_on: bool,
     last: Option<u64>,
@@ -104,11 +104,11 @@
 pub async fn pick_late(
     desk: &Desk,
     a: &Admitted,
-    handoff: &Handoff,
+    handoff: &Attempts,
     avoid: &[UpstreamId],
     last: Option<u64>,
 ) -> Result<Chosen, NoWay> {
-    let until = desk.now() + LATE_MOST.min(handoff.left(desk.now()));
+    let until = desk.now() + LATE_MOST.min(handoff.time_left(desk.now()));
     loop {
         match pick_open(desk, a, handoff, avoid, true, last).await {
             Err(NoWay::Closed(_)) if desk.now() < until => sleep(LOOK_EVERY).await,
@@ -132,9 +132,9 @@
 fn choose_apart(
     desk: &Desk,
     a: &Admitted,
-    handoff: &Handoff,
+    handoff: &Attempts,
     avoid: &[UpstreamId],
-    need: Option<Need>,
+    need: Option<Requirements>,
     last: Option<u64>,
 ) -> Option<Chosen> {
     if !desk.quarantine.borrow().is_suspect(a.digest) {
@@ -149,15 +149,15 @@
 fn choose(
     desk: &Desk,
     a: &Admitted,
-    handoff: &Handoff,
+    handoff: &Attempts,
     avoid: &[UpstreamId],
-    need: Option<Need>,
+    need: Option<Requirements>,
     last: Option<u64>,
 ) -> Option<Chosen> {
     match a.service.model.as_ref().filter(|m| m.layers > 0) {
         Some(model) => {
             let span = whole_model(model.layers);
-            let slack = need.map_or(Slack::Short, |_| a.slack());
+            let slack = need.map_or(Slack::Streaming, |_| a.slack());
             let shape = shape(a, model, last);
             let wish = Wish { need, slack, shape };
             let stages = desk.choose_chain(&a.service.name, model, span, avoid, wish)?;
@@ -188,7 +188,7 @@
 }
 
 /// Whether there is a chain with room for a request without the engines to `avoid`.
-pub fn has_room(desk: &Desk, a: &Admitted, handoff: &Handoff, avoid: &[UpstreamId]) -> bool {
+pub fn has_room(desk: &Desk, a: &Admitted, handoff: &Attempts, avoid: &[UpstreamId]) -> bool {
     choose(desk, a, handoff, avoid, need(desk, a), a.ask.last_event).is_some()
 }
 
@@ -196,23 +196,23 @@
 /// in by class.
 ///
 /// The answer that its caller expects is the whole one, also of a caller that has a part of it.
-pub fn shape(a: &Admitted, model: &Model, last: Option<u64>) -> Option<Shape> {
+pub fn shape(a: &Admitted, model: &Model, last: Option<u64>) -> Option<RequestSize> {
     a.class?;
-    let whole = Shape::of(a.ask.prompt, a.ask.answer, model);
+    let whole = RequestSize::clamped(a.ask.prompt_tokens, a.ask.answer_tokens, model);
     Some(whole.after_events(last.unwrap_or(0), model))
 }
 
 /// The room that a request needs, if it goes over a chain.
-fn need(desk: &Desk, a: &Admitted) -> Option<Need> {
+fn need(desk: &Desk, a: &Admitted) -> Option<Requirements> {
     a.service.model.as_ref().filter(|m| m.layers > 0)?;
-    let learned = desk.line(&a.service.name, |l| l.limit());
+    let learned = desk.line(&a.service.name, |l| l.fill_limit());
     let (limit, reserved) = match a.class {
-        Some(_) => (learned.min(LIMIT_SHED), RESERVED),
+        Some(_) => (learned.min(LIMIT_SHED), RESERVED_SHARE),
         None => (learned, 0.0),
     };
-    Some(Need {
+    Some(Requirements {
         tokens: a.usual_tokens(),
-        limit,
-        reserved,
+        fill_limit: limit,
+        reserved_share: reserved,
     })
 }
--- a/crates/ashgauged/src/relay/place.rs
+++ b/crates/ashgauged/src/relay/place.rs
@@ -8,14 +8,14 @@
 use std::rc::Rc;
 use std::time::Duration;
 
-use ashgauge::entry::Entry;
-use ashgauge::pending::{Pending, Rounds, Unshown};
-use ashgauge::placement::{self, Assignment, Seat};
+use ashgauge::entry::UpstreamState;
+use ashgauge::pending::{OrderRounds, PendingAssignment, PendingAssignments};
+use ashgauge::placement::{self, Assignment, PlacedEngine};
 use ashgauge::revision::{self, Era};
 use ashgauge::routing::{Model, Service};
-use ashgauge::upstream::Span;
-use platform::Fault;
-use platform::engine::{self, Giving, Reply};
+use ashgauge::upstream::LayerRange;
+use platform::StoreError;
+use platform::engine::{self, OrderReply, ReleaseMode};
 use platform::store::Revision;
 use rand::Rng;
 use serde::{Deserialize, Serialize};
@@ -88,7 +88,7 @@
     cut: bool,
     /// Ranges that were ordered before and had not shown yet.
     #[serde(default)]
-    earlier: Vec<Unshown>,
+    earlier: Vec<PendingAssignment>,
     /// Revisions of the store at which the last rounds before were written.
     #[serde(default)]
     written: Vec<Revision>,
@@ -100,7 +100,7 @@
 /// # Errors
 ///
 /// As every call of the store.
-pub async fn written_rounds(desk: &Desk) -> Result<Vec<Revision>, Fault> {
+pub async fn written_rounds(desk: &Desk) -> Result<Vec<Revision>, StoreError> {
     let stored = desk.store.list_stale::<Stored>(KIND).await;
     desk.count_call("stale", &stored);
     let revisions = stored?.into_iter().flat_map(|object| {
@@ -117,9 +117,9 @@
     /// Places of orders that wait for an answer.
     orders: Rc<Semaphore>,
     /// Ranges ordered by some box that do not show yet.
-    pending: Pending,
+    pending: PendingAssignments,
     /// Round of each service that was taken into `pending`.
-    rounds: Rounds,
+    rounds: OrderRounds,
     edition: u64,
     /// When engines last came, went or changed.
     changed: Duration,
@@ -135,8 +135,8 @@
         let placer = Placer {
             desk,
             orders: Rc::new(Semaphore::new(ORDERS_MOST)),
-            pending: Pending::default(),
-            rounds: Rounds::default(),
+            pending: PendingAssignments::default(),
+            rounds: OrderRounds::default(),
             edition: 0,
             changed: Duration::ZERO,
             rest_until: Duration::ZERO,
@@ -170,13 +170,13 @@
     fn has_settled(&mut self) -> bool {
         let now = self.desk.now();
         let roster = self.desk.roster.borrow();
-        if roster.edition() != self.edition {
-            self.edition = roster.edition();
+        if roster.generation() != self.edition {
+            self.edition = roster.generation();
             self.changed = now;
             self.rest_until = now;
             self.unsettled.get_or_insert(now);
         }
-        let placed = roster.all().any(|e| e.upstream.layers.is_some());
+        let placed = roster.iter().any(|e| e.upstream.layers.is_some());
         let (time, most) = match placed {
             true => (RESETTLE_TIME, RESETTLE_MOST),
             false => (SETTLE_TIME, SETTLE_MOST),
@@ -190,7 +190,7 @@
     }
 
     /// Places the engines of a service that hold nothing, if any.
-    async fn look(&mut self, service: &Service, model: &Model) -> Result<(), Fault> {
+    async fn look(&mut self, service: &Service, model: &Model) -> Result<(), StoreError> {
         if self.wanted(service, model).is_empty() {
             self.rest_until = self.desk.now() + REST_TIME;
             return Ok(());
@@ -201,10 +201,10 @@
         self.desk.count_call("get", &read);
         let (stored, revision) = match read {
             Ok(object) => (object.value, Some(object.revision)),
-            Err(Fault::Missing) => (Stored::default(), None),
+            Err(StoreError::NotFound) => (Stored::default(), None),
             Err(fault) => return Err(fault),
         };
-        let era = revision.map_or_else(|| *self.desk.store.eras().borrow(), revision::era);
+        let era = revision.map_or_else(|| *self.desk.store.subscribe_era().borrow(), revision::era);
         if self.is_unheard(service, era, &stored) {
             self.give(service, model, era, stored);
             return Ok(());
@@ -231,7 +231,7 @@
         match written {
             Ok(()) => self.give(service, model, era, next),
             // Another box was first; its ranges are taken in at the next look.
-            Err(Fault::Conflict) => {}
+            Err(StoreError::Conflict) => {}
             Err(fault) => return Err(fault),
         }
         Ok(())
@@ -242,34 +242,34 @@
     /// as each names the count of orders before it.
     fn is_unheard(&self, service: &Service, era: Era, stored: &Stored) -> bool {
         let is_own = stored.by == self.desk.settings().id;
-        is_own && self.rounds.lacks_orders(&service.name, era, stored.round)
+        is_own && self.rounds.may_be_unsent(&service.name, era, stored.round)
     }
 
     /// Takes a stored round into account, once.
     fn take_in(&mut self, service: &Service, model: &Model, era: Era, stored: &Stored) {
-        if !self.rounds.lacks(&service.name, era, stored.round) {
+        if !self.rounds.is_newer(&service.name, era, stored.round) {
             return;
         }
-        self.rounds.note(service.name.clone(), era, stored.round);
+        self.rounds.record(service.name.clone(), era, stored.round);
         self.note(model, &stored.ranges);
-        self.pending.hear(self.desk.now(), &stored.earlier);
+        self.pending.merge(self.desk.now(), &stored.earlier);
     }
 
     /// Ranges of a service's engines that were ordered and do not show yet.
-    fn unshown(&self, service: &Service) -> Vec<Unshown> {
+    fn unshown(&self, service: &Service) -> Vec<PendingAssignment> {
         let roster = self.desk.roster.borrow();
         let of_service = |id: &str| {
             let entry = roster.get(id);
             entry.is_some_and(|e| e.upstream.service == service.name)
         };
-        let mut told = self.pending.tell(self.desk.now());
-        told.retain(|unshown| of_service(&unshown.range.id));
+        let mut told = self.pending.snapshot(self.desk.now());
+        told.retain(|unshown| of_service(&unshown.assignment.id));
         told
     }
 
     fn note(&mut self, model: &Model, ranges: &[Assignment]) {
         let time = load_time(model, ranges) + SHOW_TIME;
-        self.pending.order(self.desk.now(), ranges, time);
+        self.pending.add(self.desk.now(), ranges, time);
     }
 
     /// Ranges for the engines that hold nothing and were ordered nothing, or
@@ -278,12 +278,14 @@
         let now = self.desk.now();
         let roster = self.desk.roster.borrow();
         self.pending.expire(now);
-        self.pending.keep(|id, span| {
+        self.pending.retain(|id, span| {
             let entry = roster.get(id);
             entry.is_some_and(|e| e.upstream.layers != Some(span))
         });
-        let entries = roster.of(&service.name).filter(|e| e.is_usable(now));
-        let seats: Vec<Seat> = entries.filter_map(|e| self.seat(e)).collect();
+        let entries = roster
+            .of_service(&service.name)
+            .filter(|e| e.is_usable(now));
+        let seats: Vec<PlacedEngine> = entries.filter_map(|e| self.seat(e)).collect();
         placement::plan(model, &seats)
     }
 
@@ -295,20 +297,24 @@
     fn has_chain(&self, service: &Service, model: &Model) -> bool {
         let now = self.desk.now();
         let roster = self.desk.roster.borrow();
-        let usable = || roster.of(&service.name).filter(|e| e.is_usable(now));
+        let usable = || {
+            roster
+                .of_service(&service.name)
+                .filter(|e| e.is_usable(now))
+        };
         let spans = usable().filter_map(|e| e.upstream.layers);
-        let is_cut_off = usable().count() * 2 < roster.of(&service.name).count();
-        is_cut_off || placement::is_whole(model.layers, spans)
+        let is_cut_off = usable().count() * 2 < roster.of_service(&service.name).count();
+        is_cut_off || placement::covers_model(model.layers, spans)
     }
 
-    fn seat(&self, entry: &Entry) -> Option<Seat> {
+    fn seat(&self, entry: &UpstreamState) -> Option<PlacedEngine> {
         let upstream = &entry.upstream;
-        let ordered = self.pending.span(&upstream.id);
-        Some(Seat {
+        let ordered = self.pending.layers(&upstream.id);
+        Some(PlacedEngine {
             id: upstream.id.clone(),
-            place: upstream.place.clone(),
-            card: upstream.card.clone()?,
-            span: ordered.or(upstream.layers),
+            data_centre: upstream.data_centre.clone(),
+            accelerator: upstream.accelerator.clone()?,
+            layers: ordered.or(upstream.layers),
             movable: ordered.is_none(),
         })
     }
@@ -322,13 +328,13 @@
             "cut": stored.cut,
         });
         log::line(Level::Info, "placement", "ordering", fields);
-        self.rounds.note(service.name.clone(), era, stored.round);
+        self.rounds.record(service.name.clone(), era, stored.round);
         self.note(model, &stored.ranges);
         let time = load_time(model, &stored.ranges) + SHOW_TIME;
         let giving = if stored.cut {
-            Giving::Cut
+            ReleaseMode::Cut
         } else {
-            Giving::Wait
+            ReleaseMode::Wait
         };
         for range in stored.ranges {
             let (desk, orders) = (self.desk.clone(), self.orders.clone());
@@ -347,11 +353,13 @@
 
 /// Time until engines that begin together have loaded their ranges.
 fn load_time(model: &Model, ranges: &[Assignment]) -> Duration {
-    let layers: u32 = ranges.iter().map(|r| r.span.len()).sum();
-    let longest = ranges.iter().map(|r| r.span.len()).max().unwrap_or(0);
-    let shared = f64::from(layers) / f64::from(model.loads);
+    let layers: u32 = ranges.iter().map(|r| r.layers.len()).sum();
+    let longest = ranges.iter().map(|r| r.layers.len()).max().unwrap_or(0);
+    let shared = f64::from(layers) / f64::from(model.parallel_loads);
     let worst = shared.max(f64::from(longest));
-    model.load.mul_f64(worst / f64::from(model.layers.max(1)))
+    model
+        .load_time
+        .mul_f64(worst / f64::from(model.layers.max(1)))
 }
 
 /// Orders one engine to hold a range, and writes a line if it does not show
@@ -360,7 +368,7 @@
     desk: Rc<Desk>,
     orders: Rc<Semaphore>,
     range: Assignment,
-    giving: Giving,
+    giving: ReleaseMode,
     time: Duration,
 ) {
     order(desk.clone(), &orders, range.clone(), giving).await;
@@ -368,10 +376,10 @@
     let Some((addr, _)) = open_order(&desk, &range) else {
         return;
     };
-    let report = engine::report(&desk.client, &addr, ORDER_TIME).await;
+    let report = engine::fetch_report(&desk.client, &addr, ORDER_TIME).await;
     let fields = json!({
         "upstream": &*range.id,
-        "layers": range.span,
+        "layers": range.layers,
         "busy": report.as_ref().map(|r| r.busy).ok(),
         "orders": report.as_ref().map(|r| r.orders).ok(),
         "fault": report.err().map(|e| e.to_string()),
@@ -380,7 +388,7 @@
 }
 
 /// Orders one engine to hold a range, until it says that it does.
-async fn order(desk: Rc<Desk>, orders: &Semaphore, range: Assignment, giving: Giving) {
+async fn order(desk: Rc<Desk>, orders: &Semaphore, range: Assignment, giving: ReleaseMode) {
     let mut before = None;
     for attempt in 1..=ORDER_TRIES {
         // It is never closed.
@@ -407,10 +415,17 @@
         };
         if let Some(orders) = orders {
             let client = &desk.client;
-            let reply = engine::place(client, &addr, range.span, giving, Some(orders), ORDER_TIME);
+            let reply = engine::order_place(
+                client,
+                &addr,
+                range.layers,
+                giving,
+                Some(orders),
+                ORDER_TIME,
+            );
             let reply = reply.await;
             note_reply(&desk, &range, attempt, &reply);
-            if matches!(reply, Reply::Begun | Reply::Holds) {
+            if matches!(reply, OrderReply::Begun | OrderReply::Holds) {
                 return;
             }
         }
@@ -427,7 +442,7 @@
 }
 
 async fn count_orders(desk: &Desk, range: &Assignment, addr: &str) -> Count {
-    match engine::report(&desk.client, addr, ORDER_TIME).await {
+    match engine::fetch_report(&desk.client, addr, ORDER_TIME).await {
         Ok(report) if report.busy => Count::Busy,
         Ok(report) => Count::Orders(report.orders),
         Err(e) => {
@@ -438,13 +453,13 @@
     }
 }
 
-fn note_reply(desk: &Desk, range: &Assignment, attempt: u32, reply: &Reply) {
-    let done = matches!(reply, Reply::Begun | Reply::Holds);
+fn note_reply(desk: &Desk, range: &Assignment, attempt: u32, reply: &OrderReply) {
+    let done = matches!(reply, OrderReply::Begun | OrderReply::Holds);
     let label = if done { "taken" } else { "not taken" };
     desk.metrics.orders.with_label_values(&[label]).inc();
     let fields = json!({
         "upstream": &*range.id,
-        "layers": range.span,
+        "layers": range.layers,
         "attempt": attempt,
         "reply": format!("{reply:?}"),
     });
@@ -452,10 +467,10 @@
 }
 
 /// Address of an engine that does not show the range yet, and what it holds.
-fn open_order(desk: &Desk, range: &Assignment) -> Option<(String, Option<Span>)> {
+fn open_order(desk: &Desk, range: &Assignment) -> Option<(String, Option<LayerRange>)> {
     let roster = desk.roster.borrow();
     let entry = roster.get(&range.id)?;
     let upstream = &entry.upstream;
-    let shown = upstream.layers == Some(range.span) || entry.is_leaving();
+    let shown = upstream.layers == Some(range.layers) || entry.is_leaving();
     (!shown).then(|| (upstream.addr.clone(), upstream.layers))
 }
--- a/crates/ashgauged/src/relay/probe.rs
+++ b/crates/ashgauged/src/relay/probe.rs
@@ -10,7 +10,7 @@
 use std::time::Duration;
 
 use ashgauge::chain::Stage;
-use ashgauge::entry::Entry;
+use ashgauge::entry::UpstreamState;
 use ashgauge::member::UpstreamId;
 use ashgauge::routing::{Service, ServiceId};
 use platform::engine::{self, Report};
@@ -89,8 +89,8 @@
         false => now,
     };
     let roster = desk.roster.borrow();
-    let heard = |id: &UpstreamId| roster.get(id).and_then(Entry::heard_at);
-    ids.retain(|id| !roster.get(id).is_some_and(|e| e.was_heard(now)) && heard(id) <= Some(since));
+    let heard = |id: &UpstreamId| roster.get(id).and_then(UpstreamState::last_activity);
+    ids.retain(|id| !roster.get(id).is_some_and(|e| e.is_active(now)) && heard(id) <= Some(since));
     // A lost one is among those that were heard longest ago; chains that lost the same
     // one are not to check their other engines in the same order.
     ids.sort_by_cached_key(|id| (heard(id), desk.rng().random::<u32>()));
@@ -160,7 +160,9 @@
         let mut stalled = report.stalled.iter().filter(|s| n == 0 && s.id == id);
         if let Some(stalled) = stalled.next() {
             let roster = desk.roster.borrow();
-            culprit = roster.at(&stalled.address).map(|e| e.upstream.id.clone());
+            culprit = roster
+                .by_addr(&stalled.address)
+                .map(|e| e.upstream.id.clone());
         }
     }
     culprit
@@ -170,7 +172,7 @@
     if report.leaving {
         notice::note_leaving(desk, id);
     }
-    let factor = report.pace.unwrap_or(1.0);
+    let factor = report.time_factor.unwrap_or(1.0);
     let news = desk.roster.borrow_mut().note_slow(desk.now(), id, factor);
     if news && factor >= SLOW_LEAST {
         let fields = json!({"upstream": id, "factor": factor});
@@ -182,7 +184,7 @@
     let addr = address(desk, id)?;
     let cell = cell(&desk.probes.reports, desk.now(), &addr, REPORT_SHARED);
     let ask = async {
-        let report = engine::report(&desk.client, &addr, REPORT_TIME).await;
+        let report = engine::fetch_report(&desk.client, &addr, REPORT_TIME).await;
         report.ok().map(Rc::new)
     };
     cell.get_or_init(|| ask).await.clone()
@@ -201,7 +203,7 @@
 /// Whether an upstream is not checked, as there are no checks left for its service.
 fn is_spared(desk: &Desk, id: &str) -> bool {
     let roster = desk.roster.borrow();
-    let Some(entry) = roster.get(id).filter(|e| !e.was_heard(desk.now())) else {
+    let Some(entry) = roster.get(id).filter(|e| !e.is_active(desk.now())) else {
         return false;
     };
     let service = entry.upstream.service.clone();
@@ -258,7 +260,7 @@
 
 /// Whether an upstream takes a connection; one that is gone does not.
 async fn is_alive(desk: &Desk, id: &str) -> bool {
-    let heard = |e: &Entry| e.was_heard(desk.now());
+    let heard = |e: &UpstreamState| e.is_active(desk.now());
     if desk.roster.borrow().get(id).is_some_and(heard) {
         return true;
     }
--- a/crates/ashgauged/src/relay/pump/mend.rs
+++ b/crates/ashgauged/src/relay/pump/mend.rs
@@ -4,14 +4,14 @@
 use std::time::Duration;
 
 use ashgauge::chain::{self, Stage};
-use ashgauge::entry::Entry;
-use ashgauge::handoff::{Next, Outcome};
+use ashgauge::entry::UpstreamState;
+use ashgauge::handoff::{Decision, SendOutcome};
 use ashgauge::member::UpstreamId;
 use ashgauge::progress::Progress;
 use ashgauge::routing::Model;
 use ashgauge::slack::Slack;
-use ashgauge::upstream::Span;
-use platform::engine::{self, Reply};
+use ashgauge::upstream::LayerRange;
+use platform::engine::{self, OrderReply};
 use serde_json::json;
 use tokio::time::sleep;
 
@@ -47,7 +47,7 @@
         dead.iter()
             .for_each(|id| self.desk.suspect(id, "no connection"));
         if loss::look(&self.desk, &self.a, self.loss()).await {
-            self.handoff.lose();
+            self.handoff.record_lost();
         }
         self.resume("broken", false).await
     }
@@ -58,14 +58,14 @@
         if self.run.events > 0 || !loss::look(&self.desk, &self.a, self.loss()).await {
             return Go::Done;
         }
-        self.handoff.lose();
+        self.handoff.record_lost();
         self.resume("ended without an event", false).await
     }
 
     /// Looks for the cause of a silence.
     pub(super) async fn check(&mut self) -> Go {
-        self.silence.note_check();
-        let due = self.silence.heard() + Duration::from_secs_f64(self.silence.pace());
+        self.silence.record_check();
+        let due = self.silence.last_event() + Duration::from_secs_f64(self.silence.event_gap());
         let dead = find_dead(&self.desk, &self.a, &self.run.stages, due).await;
         if !dead.is_empty() {
             dead.iter()
@@ -110,7 +110,7 @@
     }
 
     fn late_at(&self) -> Duration {
-        self.silence.heard() + SILENT_MOST
+        self.silence.last_event() + SILENT_MOST
     }
 
     /// Whether a stream whose engines all answer is led elsewhere now. It may go on by
@@ -166,7 +166,7 @@
             return;
         }
         let mut ends = self.stages_where(|e, stage| {
-            let held = e.upstream.layers.unwrap_or(Span { first: 0, end: 0 });
+            let held = e.upstream.layers.unwrap_or(LayerRange { first: 0, end: 0 });
             let gives_up = held.first > stage.first || held.end < stage.end;
             gives_up || e.is_leaving()
         });
@@ -191,7 +191,7 @@
     }
 
     /// Engines of the chain, but for those that are gone, for which `is_so`.
-    fn stages_where(&self, is_so: impl Fn(&Entry, &Stage) -> bool) -> Vec<UpstreamId> {
+    fn stages_where(&self, is_so: impl Fn(&UpstreamState, &Stage) -> bool) -> Vec<UpstreamId> {
         let roster = self.desk.roster.borrow();
         let stages = self.run.stages.iter();
         let found = stages.filter(|s| roster.get(&s.upstream).is_some_and(|e| is_so(e, s)));
@@ -201,9 +201,9 @@
     /// Whether the answer ends by itself before an engine that leaves does.
     fn ends_soon(&self) -> bool {
         let progress = Progress {
-            answer: self.a.ask.answer,
+            answer_tokens: self.a.ask.answer_tokens,
             events: self.last.unwrap_or(0),
-            pause: self.silence.pace(),
+            event_gap: self.silence.event_gap(),
         };
         let model = self.a.service.model.as_ref();
         let event_tokens = model.map_or(1, |m| m.event_tokens);
@@ -221,7 +221,7 @@
         }
         let first = &self.run.stages[0].upstream;
         if lost.contains(first) {
-            self.handoff.lose();
+            self.handoff.record_lost();
             loss::look(&self.desk, &self.a, self.loss()).await;
             return self.resume("first engine lost", true).await;
         }
@@ -248,8 +248,8 @@
     async fn repath(&mut self, lost: &[UpstreamId], stages: Vec<Stage>, text: &str) -> bool {
         let silent = self.silent_ms();
         let (client, id) = (&self.desk.client, &self.a.ask.id);
-        let reply = engine::repath(client, &self.run.first, id, text, REPATH_TIME).await;
-        let done = matches!(reply, Reply::Begun | Reply::Holds);
+        let reply = engine::order_repath(client, &self.run.first, id, text, REPATH_TIME).await;
+        let done = matches!(reply, OrderReply::Begun | OrderReply::Holds);
         let label = if done { "led around" } else { "not led around" };
         self.desk.metrics.repairs.with_label_values(&[label]).inc();
         let fields = json!({
@@ -260,7 +260,7 @@
             "silent_ms": silent,
         });
         self.a.record.step("repath", fields);
-        if let Reply::Unfit(Some(addr)) = &reply
+        if let OrderReply::Unfit(Some(addr)) = &reply
             && let Some(id) = id_at(&self.desk, addr)
         {
             let now = self.desk.now();
@@ -305,7 +305,7 @@
     }
 
     fn fill(&self, model: &Model, stage: &Stage, avoid: &[UpstreamId]) -> Option<Vec<Stage>> {
-        let span = Span {
+        let span = LayerRange {
             first: stage.first,
             end: stage.end,
         };
@@ -313,7 +313,7 @@
         let last = self.last.unwrap_or(self.run.events);
         let wish = Wish {
             need: None,
-            slack: Slack::Short,
+            slack: Slack::Streaming,
             shape: pick::shape(&self.a, model, Some(last)),
         };
         self.desk
@@ -346,7 +346,7 @@
 
     /// Whether another run may go on where this one stands.
     fn can_resume(&self) -> bool {
-        self.rule.resume && (self.last.is_some() || !self.passed)
+        self.rule.resumable && (self.last.is_some() || !self.passed)
     }
 
     /// As [`Pump::resume`]; returns whether it goes on elsewhere.
@@ -355,10 +355,10 @@
             return false;
         }
         let mut avoid = vec![self.run.stages[0].upstream.clone()];
-        let mut outcome = Outcome::Lost;
+        let mut outcome = SendOutcome::Lost;
         loop {
             let next = retry::next(&self.desk, &self.a, &mut self.handoff, outcome);
-            if next != Next::Again {
+            if next != Decision::Resend {
                 return false;
             }
             let (desk, a) = (&self.desk, &mut self.a);
@@ -374,10 +374,10 @@
                 Err(failed) => {
                     note_outcome(&self.desk, &self.a, &failed.upstream, failed.outcome);
                     outcome = failed.outcome;
-                    if outcome == Outcome::Lost {
+                    if outcome == SendOutcome::Lost {
                         let loss = Loss::before_answer(&failed.upstream, began);
                         if loss::look(&self.desk, &self.a, loss).await {
-                            self.handoff.lose();
+                            self.handoff.record_lost();
                         }
                     }
                     recovery::wait_turn(&self.desk, &self.a).await;
@@ -403,12 +403,12 @@
 
     /// Milliseconds since something came, or since the last repair.
     fn silent_ms(&self) -> u64 {
-        (self.desk.now() - self.silence.heard()).as_millis() as u64
+        (self.desk.now() - self.silence.last_event()).as_millis() as u64
     }
 
     /// Counts the silence of the stream from now on.
     fn count_anew(&mut self) {
-        self.broke.get_or_insert(self.silence.heard());
-        self.silence.restart(self.desk.now());
+        self.broke.get_or_insert(self.silence.last_event());
+        self.silence.reset(self.desk.now());
     }
 }
--- a/crates/ashgauged/src/relay/pump/mod.rs
+++ b/crates/ashgauged/src/relay/pump/mod.rs
@@ -6,11 +6,11 @@
 use std::time::Duration;
 
 use ashgauge::events;
-use ashgauge::handoff::Handoff;
+use ashgauge::handoff::Attempts;
 use ashgauge::member::UpstreamId;
-use ashgauge::quarantine::is_proven;
-use ashgauge::routing::StreamRule;
-use ashgauge::silence::Silence;
+use ashgauge::quarantine::is_safe_run;
+use ashgauge::routing::StreamPolicy;
+use ashgauge::silence::SilenceTimer;
 use bytes::{Bytes, BytesMut};
 use http_body_util::BodyExt;
 use tokio::sync::{mpsc, watch};
@@ -33,14 +33,20 @@
 const HEAR_EVERY: Duration = Duration::from_millis(20);
 
 /// Starts passing a stream's events on; the body ends the task when dropped.
-pub fn start(desk: Rc<Desk>, a: Admitted, handoff: Handoff, rule: StreamRule, run: Run) -> Pieces {
+pub fn start(
+    desk: Rc<Desk>,
+    a: Admitted,
+    handoff: Attempts,
+    rule: StreamPolicy,
+    run: Run,
+) -> Pieces {
     let (sender, pieces) = mpsc::channel(WAITING_MOST);
     let now = desk.now();
     let pump = Pump {
         last: a.ask.last_event,
         passed: false,
         buffer: BytesMut::new(),
-        silence: Silence::new(now),
+        silence: SilenceTimer::new(now),
         told: Duration::ZERO,
         event_at: now,
         left: Vec::new(),
@@ -63,8 +69,8 @@
 struct Pump {
     desk: Rc<Desk>,
     a: Admitted,
-    handoff: Handoff,
-    rule: StreamRule,
+    handoff: Attempts,
+    rule: StreamPolicy,
     run: Run,
     sender: mpsc::Sender<Result<Bytes, Broken>>,
     suspects: watch::Receiver<u64>,
@@ -75,7 +81,7 @@
     /// Whether an event was passed on.
     passed: bool,
     /// How long nothing has come, and how long that is usual.
-    silence: Silence,
+    silence: SilenceTimer,
     /// When the chain's engines were last noted as being there.
     told: Duration,
     /// When the last event was passed on.
@@ -127,7 +133,10 @@
                     let took = self.a.record.took();
                     self.desk.note_stay(&self.a.service.name, took);
                     if self.run.events > 0 {
-                        self.desk.quarantine.borrow_mut().clear(self.a.digest);
+                        self.desk
+                            .quarantine
+                            .borrow_mut()
+                            .clear_losses(self.a.digest);
                     }
                     self.a.record.end("answered");
                     return;
@@ -144,7 +153,7 @@
 
     async fn next(&mut self) -> Seen {
         let silent = self.silent_at();
-        let until = self.handoff.until();
+        let until = self.handoff.deadline();
         let now = self.desk.now();
         let leave = self.leave_at.unwrap_or(until);
         let wait = silent.min(until).min(leave).saturating_sub(now);
@@ -178,33 +187,33 @@
         match &self.run.estimate {
             Some(estimate) if !self.passed => {
                 let first = estimate.patience(ms(first));
-                self.silence.due_within(first, first, SILENT_MOST)
+                self.silence.next_check_within(first, first, SILENT_MOST)
             }
-            _ => self.silence.due(ms(first), ms(least)),
+            _ => self.silence.next_check(ms(first), ms(least)),
         }
     }
 
     /// Passes whole events on.
     async fn take(&mut self, bytes: Bytes) -> Go {
         let now = self.desk.now();
-        self.silence.hear(now);
+        self.silence.record_event(now);
         self.hear_engines(now);
         if let Some(broke) = self.broke.take() {
             self.desk.metrics.gap.observe((now - broke).as_secs_f64());
         }
         self.buffer.extend_from_slice(&bytes);
-        let whole = events::cut(&self.buffer);
+        let whole = events::scan_complete(&self.buffer);
         if whole.len == 0 {
             return match self.buffer.len() > EVENT_MOST {
                 true => Go::Break("event too long"),
                 false => Go::On,
             };
         }
-        if !self.follows(whole.first) {
+        if !self.follows(whole.first_id) {
             return self.resume("events out of order", false).await;
         }
         let piece = self.buffer.split_to(whole.len).freeze();
-        self.last = whole.last.or(self.last);
+        self.last = whole.last_id.or(self.last);
         self.note_pause(now);
         if whole.count > 0 && !self.passed {
             self.learn_forecast(now);
@@ -214,7 +223,7 @@
         if whole.count > 0 {
             self.prove(now);
         }
-        let left = self.handoff.left(now);
+        let left = self.handoff.time_left(now);
         let sending = self.sender.send(Ok(piece));
         match self.desk.clock.within(left, sending).await {
             Some(Ok(())) => Go::On,
@@ -232,7 +241,7 @@
         self.told = now;
         let mut roster = self.desk.roster.borrow_mut();
         for stage in &self.run.stages {
-            roster.hear(now, &stage.upstream);
+            roster.note_activity(now, &stage.upstream);
         }
     }
 
@@ -263,10 +272,13 @@
     fn prove(&mut self, now: Duration) {
         let run = &mut self.run;
         let first = run.first_event.get_or_insert(now);
-        if !run.proven && is_proven(*first, now) {
+        if !run.proven && is_safe_run(*first, now) {
             run.proven = true;
             run.trial = None;
-            self.desk.quarantine.borrow_mut().clear(self.a.digest);
+            self.desk
+                .quarantine
+                .borrow_mut()
+                .clear_losses(self.a.digest);
         }
     }
 
--- a/crates/ashgauged/src/relay/quarantine.rs
+++ b/crates/ashgauged/src/relay/quarantine.rs
@@ -6,9 +6,9 @@
 
 use ashgauge::digest::{self, Digest};
 use ashgauge::hub::Role;
-use ashgauge::quarantine::{Audience, Lost, Report};
+use ashgauge::quarantine::{Audience, InstanceLoss, Report};
 use ashgauge::question::Datagram;
-use platform::Fault;
+use platform::StoreError;
 use platform::store::{Object, Revision};
 use serde::{Deserialize, Serialize};
 use serde_json::json;
@@ -43,8 +43,8 @@
 }
 
 /// Notes that an upstream was lost under a request.
-pub fn note(desk: &Rc<Desk>, lost: Lost) {
-    let holds = desk.quarantine.borrow_mut().note(desk.now(), lost);
+pub fn note(desk: &Rc<Desk>, lost: InstanceLoss) {
+    let holds = desk.quarantine.borrow_mut().record_loss(desk.now(), lost);
     if holds {
         log_held(desk, lost.digest, "lost here");
         tokio::task::spawn_local(keep(desk.clone(), lost.digest));
@@ -56,7 +56,7 @@
 pub async fn settle(desk: &Desk, digest: Digest) {
     loop {
         let checked = desk.checked.notified();
-        if !desk.quarantine.borrow().is_in_doubt(digest) {
+        if !desk.quarantine.borrow().may_be_quarantined(digest) {
             return;
         }
         checked.await;
@@ -66,20 +66,20 @@
 /// Takes what another box told; a hub hands it on to those that do not hear it.
 pub fn hear(desk: &Desk, from: &str, report: &Report) {
     let now = desk.now();
-    let news = desk.quarantine.borrow_mut().hear(now, report);
+    let news = desk.quarantine.borrow_mut().merge(now, report);
     for digest in news {
         log_held(desk, digest, "told");
     }
     if desk.role() != Role::Hub {
         return;
     }
-    let is_hub = desk.readers.borrow().all.iter().any(|id| **id == *from);
+    let is_hub = desk.readers.borrow().ids.iter().any(|id| **id == *from);
     let to = if is_hub {
-        Audience::Below
+        Audience::Downstream
     } else {
         Audience::All
     };
-    if desk.quarantine.borrow_mut().hand_on(now, report, to) {
+    if desk.quarantine.borrow_mut().forward(now, report, to) {
         desk.lost.notify_one();
     }
 }
@@ -92,7 +92,7 @@
         sleep(GATHER_TIME).await;
         let told = [
             (Audience::All, desk.listeners()),
-            (Audience::Below, desk.leaves()),
+            (Audience::Downstream, desk.leaves()),
         ];
         for (audience, boxes) in told {
             let Some(bytes) = report(&desk, 0, audience) else {
@@ -136,7 +136,7 @@
 /// # Errors
 ///
 /// As every call of the store.
-pub async fn written(desk: &Desk) -> Result<Vec<Revision>, Fault> {
+pub async fn written(desk: &Desk) -> Result<Vec<Revision>, StoreError> {
     let stored = desk.store.list_stale::<Stored>(KIND).await;
     desk.count_call("stale", &stored);
     let stored = stored?;
@@ -158,7 +158,10 @@
             continue;
         };
         let left = Duration::from_secs(object.value.until_s.saturating_sub(now_s));
-        let is_new = desk.quarantine.borrow_mut().hold(desk.now(), digest, left);
+        let is_new = desk
+            .quarantine
+            .borrow_mut()
+            .quarantine(desk.now(), digest, left);
         if is_new {
             log_held(desk, digest, "stored");
         }
@@ -168,13 +171,13 @@
 /// Keeps what is held back again each time the store came back from a copy, which may not
 /// hold it. One of the boxes that read the store is enough; the others find it there.
 pub async fn renew(desk: Rc<Desk>) {
-    let mut eras = desk.store.eras();
+    let mut eras = desk.store.subscribe_era();
     // The store's client lives as long as the desk.
     while eras.changed().await.is_ok() {
         if !*desk.reads.borrow() {
             continue;
         }
-        let held = desk.quarantine.borrow().held(desk.now());
+        let held = desk.quarantine.borrow().quarantined(desk.now());
         for (digest, _) in held {
             keep(desk.clone(), digest).await;
         }
@@ -198,15 +201,15 @@
     }
 }
 
-async fn keep_once(desk: &Desk, digest: Digest, left: Duration) -> Result<(), Fault> {
-    let name = digest::text(digest);
+async fn keep_once(desk: &Desk, digest: Digest, left: Duration) -> Result<(), StoreError> {
+    let name = digest::format_digest(digest);
     let stored = Stored {
         until_s: (unix_time() + left).as_secs(),
     };
     let created = desk.store.create(KIND, &name, &stored).await;
     desk.count_call("write", &created);
     match created {
-        Err(Fault::Conflict) => {}
+        Err(StoreError::Conflict) => {}
         other => return other,
     }
     // Another box kept it, or it was held back before.
@@ -231,13 +234,13 @@
 }
 
 fn log_held(desk: &Desk, digest: Digest, why: &str) {
-    let held = desk.quarantine.borrow().held(desk.now()).len();
+    let held = desk.quarantine.borrow().quarantined(desk.now()).len();
     desk.metrics.held.set(held as i64);
-    let fields = json!({"digest": digest::text(digest), "why": why, "held": held});
+    let fields = json!({"digest": digest::format_digest(digest), "why": why, "held": held});
     log::line(Level::Warn, "quarantine", "held back", fields);
 }
 
-fn note_fault(call: &str, fault: &Fault) {
+fn note_fault(call: &str, fault: &StoreError) {
     let fields = json!({"call": call, "fault": fault.to_string()});
     log::line(Level::Info, "quarantine", "store", fields);
 }
--- a/crates/ashgauged/src/relay/record.rs
+++ b/crates/ashgauged/src/relay/record.rs
@@ -6,7 +6,7 @@
 
 use ashgauge::class::Class;
 use ashgauge::digest::{self, Digest};
-use platform::ingress::Ask;
+use platform::ingress::ClientRequest;
 use serde_json::json;
 use spdlog::Level;
 
@@ -38,7 +38,7 @@
 
 impl Record {
     /// Begins the record of a request that arrived at `arrived`.
-    pub fn new(desk: &Rc<Desk>, ask: &Ask, route: &str, arrived: Duration) -> Self {
+    pub fn new(desk: &Rc<Desk>, ask: &ClientRequest, route: &str, arrived: Duration) -> Self {
         Record {
             desk: desk.clone(),
             id: ask.id.clone(),
@@ -86,7 +86,7 @@
         let sends: Vec<&str> = self.sends.iter().map(|s| &**s).collect();
         let mut fields = json!({
             "id": self.id,
-            "digest": self.digest.map(digest::text),
+            "digest": self.digest.map(digest::format_digest),
             "route": self.route,
             "end": what,
             "sends": sends,
