--- a/crates/ashgauged/src/relay/recovery.rs
+++ b/crates/ashgauged/src/relay/recovery.rs
@@ -3,9 +3,9 @@
 
 use std::time::Duration;
 
-use ashgauge::handoff::Handoff;
+use ashgauge::handoff::Attempts;
 use ashgauge::member::UpstreamId;
-use ashgauge::recovery::{self, EASY, TIGHT, Use};
+use ashgauge::recovery::{self, HIGH_PRESSURE, LOW_PRESSURE, RecoveryAction};
 use ashgauge::routing::ServiceId;
 use rand::Rng;
 use serde_json::json;
@@ -29,10 +29,10 @@
 const LINE_EVERY: Duration = Duration::from_secs(1);
 
 /// What sending a request elsewhere is for its caller.
-fn use_of(a: &Admitted) -> Use {
+fn use_of(a: &Admitted) -> RecoveryAction {
     match a.record.first.is_some() || a.ask.last_event.is_some() {
-        true => Use::Repair,
-        false => Use::Resend,
+        true => RecoveryAction::Repair,
+        false => RecoveryAction::Resend,
     }
 }
 
@@ -46,7 +46,10 @@
 pub fn has(desk: &Desk, a: &Admitted) -> bool {
     let (now, what) = (desk.now(), use_of(a));
     let service = &a.service.name;
-    a.class.is_none() || desk.gates.with(service, |s| s.account.has(now, what))
+    a.class.is_none()
+        || desk
+            .gates
+            .with(service, |s| s.account.has_credit(now, what))
 }
 
 /// Takes a turn of a stream that cannot go on where it is; returns whether it goes now.
@@ -57,7 +60,7 @@
     }
     let left = until.saturating_sub(desk.now());
     let draw = desk.rng().random_range(0.0..1.0);
-    let goes = recovery::goes_anyway(left, LOOK_EVERY, draw);
+    let goes = recovery::stops_waiting(left, LOOK_EVERY, draw);
     if goes {
         count(desk, use_of(a), "overdue");
     }
@@ -74,11 +77,11 @@
 
 /// Whether a request that an engine refused, and that has not run, is sent again. Under
 /// pressure it needs a second chain with room and a turn; else its caller comes back.
-pub fn may_resend(desk: &Desk, a: &Admitted, handoff: &Handoff, avoid: &[UpstreamId]) -> bool {
+pub fn may_resend(desk: &Desk, a: &Admitted, handoff: &Attempts, avoid: &[UpstreamId]) -> bool {
     if a.class.is_none() {
         return true;
     }
-    let is_tight = pressure(desk, a) >= TIGHT;
+    let is_tight = pressure(desk, a) >= HIGH_PRESSURE;
     if is_tight && !pick::has_room(desk, a, handoff, avoid) {
         count(desk, use_of(a), "no room");
         return false;
@@ -88,12 +91,12 @@
 
 /// Takes one check of an engine of a service; returns false if none is left.
 pub fn take_check(desk: &Desk, service: &ServiceId) -> bool {
-    take_from(desk, service, Use::Check)
+    take_from(desk, service, RecoveryAction::Check)
 }
 
 /// Whether the engines have so much to do that checks which may be in vain are left out.
 pub fn is_pressed(desk: &Desk, a: &Admitted) -> bool {
-    a.class.is_some() && pressure(desk, a) > EASY
+    a.class.is_some() && pressure(desk, a) > LOW_PRESSURE
 }
 
 /// The pressure on the engines of a request's service, as it was last reckoned.
@@ -103,17 +106,17 @@
         .with(&a.service.name, |s| s.account.pressure(now))
 }
 
-fn take_from(desk: &Desk, service: &ServiceId, what: Use) -> bool {
+fn take_from(desk: &Desk, service: &ServiceId, what: RecoveryAction) -> bool {
     let now = desk.now();
-    let taken = desk.gates.with(service, |s| s.account.take(now, what));
+    let taken = desk.gates.with(service, |s| s.account.withdraw(now, what));
     count(desk, what, if taken { "taken" } else { "refused" });
-    if !taken && what == Use::Repair {
+    if !taken && what == RecoveryAction::Repair {
         note_refused(desk, service);
     }
     taken
 }
 
-fn count(desk: &Desk, what: Use, result: &str) {
+fn count(desk: &Desk, what: RecoveryAction, result: &str) {
     let labels = [what.name(), result];
     desk.metrics.recovery.with_label_values(&labels).inc();
 }
--- a/crates/ashgauged/src/relay/request.rs
+++ b/crates/ashgauged/src/relay/request.rs
@@ -9,7 +9,7 @@
 use ashgauge::chain::Stage;
 use ashgauge::class::Class;
 use ashgauge::digest::Digest;
-use ashgauge::handoff::{End, Outcome};
+use ashgauge::handoff::{FailureKind, SendOutcome};
 use ashgauge::member::UpstreamId;
 use ashgauge::routing::{Access, Route, Service, Team};
 use ashgauge::slack::{self, Slack};
@@ -19,7 +19,7 @@
 use hyper::http::request;
 use hyper::{Response, StatusCode};
 use platform::engine::Verdict;
-use platform::ingress::{self, Ask};
+use platform::ingress::{self, ClientRequest};
 use rand::Rng;
 use serde_json::json;
 use spdlog::Level;
@@ -60,7 +60,7 @@
     /// The request's head, as the caller sent it.
     pub head: request::Parts,
     /// What the head says.
-    pub ask: Ask,
+    pub ask: ClientRequest,
     /// Its body.
     pub body: Bytes,
     /// Tells repeats of it from other requests.
@@ -84,64 +84,68 @@
     /// their class, the order of that.
     pub fn rank(&self, desk: &Desk) -> u32 {
         let routing = desk.routing();
-        let ranks = routing.ranks(&self.service.name);
+        let ranks = routing.priorities(&self.service.name);
         if let (Some(class), Some(ranks)) = (self.class, ranks) {
-            return ranks.order(class);
+            return ranks.priority(class);
         }
-        let team = self.team.as_ref().and_then(|t| t.rank);
-        team.unwrap_or(self.route.rank)
+        let team = self.team.as_ref().and_then(|t| t.priority);
+        team.unwrap_or(self.route.priority)
     }
 
     /// Whether its caller may come back: a part of the route's time is gone.
     pub fn is_back(&self) -> bool {
         let timeout = self.route.timeout;
-        self.ask.patience.unwrap_or(timeout) < timeout.mul_f64(FIRST_PART)
+        self.ask.timeout.unwrap_or(timeout) < timeout.mul_f64(FIRST_PART)
     }
 
     /// Whether its caller made it before: more time is gone than callers' own limits take.
     pub fn is_repeat(&self) -> bool {
         let timeout = self.route.timeout;
-        slack::is_repeat(self.ask.patience.unwrap_or(timeout), timeout)
+        slack::is_retry(self.ask.timeout.unwrap_or(timeout), timeout)
     }
 
     /// How the request stands against its aim, at its arrival.
     pub fn slack(&self) -> Slack {
         let timeout = self.route.timeout;
-        let patience = self.ask.patience.unwrap_or(timeout);
-        Slack::of(patience, timeout, self.route.aim)
+        let patience = self.ask.timeout.unwrap_or(timeout);
+        Slack::before_first_event(patience, timeout, self.route.target_latency)
     }
 
     /// Tokens that the request holds at its end.
     pub fn most_tokens(&self) -> u32 {
-        self.ask.prompt.saturating_add(self.ask.answer)
+        self.ask
+            .prompt_tokens
+            .saturating_add(self.ask.answer_tokens)
     }
 
     /// Tokens that the request holds on the average of its time: its prompt and
     /// half of its answer.
     pub fn usual_tokens(&self) -> u32 {
-        self.ask.prompt.saturating_add(self.ask.answer / 2)
+        self.ask
+            .prompt_tokens
+            .saturating_add(self.ask.answer_tokens / 2)
     }
 }
 
 /// Notes a send that brought no good answer.
-pub fn note_outcome(desk: &Desk, a: &Admitted, id: &str, outcome: Outcome) {
+pub fn note_outcome(desk: &Desk, a: &Admitted, id: &str, outcome: SendOutcome) {
     let label = match outcome {
-        Outcome::NotSent => "not sent",
-        Outcome::NotRun => "not run",
-        Outcome::Failed => "failed",
-        Outcome::Lost => "lost",
+        SendOutcome::NotSent => "not sent",
+        SendOutcome::NotRun => "not run",
+        SendOutcome::Failed => "failed",
+        SendOutcome::Lost => "lost",
     };
     desk.metrics.sends.with_label_values(&[label]).inc();
     a.record
         .step("not answered", json!({"upstream": id, "outcome": label}));
     match outcome {
-        Outcome::NotSent => desk.suspect(id, "no connection"),
-        Outcome::NotRun => {}
+        SendOutcome::NotSent => desk.suspect(id, "no connection"),
+        SendOutcome::NotRun => {}
         // Which engine of a chain was lost is looked into where it is seen.
-        Outcome::Lost if a.route.stream.is_some() => {}
-        Outcome::Failed | Outcome::Lost => {
+        SendOutcome::Lost if a.route.stream.is_some() => {}
+        SendOutcome::Failed | SendOutcome::Lost => {
             let now = desk.now();
-            desk.roster.borrow_mut().fail(now, id);
+            desk.roster.borrow_mut().record_failure(now, id);
         }
     }
 }
@@ -152,8 +156,8 @@
         return true;
     }
     let routing = desk.routing.borrow();
-    let access = routing.access(&a.route, a.ask.key.as_deref());
-    desk.fresh.borrow().holds(desk.now()) && matches!(access, Access::Team(_))
+    let access = routing.authorize(&a.route, a.ask.key.as_deref());
+    desk.fresh.borrow().is_fresh(desk.now()) && matches!(access, Access::Team(_))
 }
 
 /// Whether the request is held back, as it ends the upstreams that run it.
@@ -172,7 +176,7 @@
         return upstream.clone();
     };
     let mut roster = desk.roster.borrow_mut();
-    let named = at.as_ref().and_then(|addr| roster.at(addr));
+    let named = at.as_ref().and_then(|addr| roster.by_addr(addr));
     let id = named.map_or(upstream, |e| &e.upstream.id).clone();
     match &verdict {
         Verdict::Stale(_) => roster.note_stale(desk.now(), &id),
@@ -197,31 +201,31 @@
 }
 
 /// What a failure to get an answer means for the request.
-pub fn lost(failure: &Failure) -> Outcome {
+pub fn lost(failure: &Failure) -> SendOutcome {
     match failure {
-        Failure::NotSent(_) => Outcome::NotSent,
-        Failure::Lost(_) => Outcome::Lost,
+        Failure::NotSent(_) => SendOutcome::NotSent,
+        Failure::Lost(_) => SendOutcome::Lost,
     }
 }
 
 /// Ends a request with the box's own answer.
-pub fn finish(desk: &Desk, mut a: Admitted, end: End) -> Response<Body> {
+pub fn finish(desk: &Desk, mut a: Admitted, end: FailureKind) -> Response<Body> {
     let sure = is_allowed(desk, &a);
     let (what, status, after) = match end {
-        End::NotRun if sure => {
+        FailureKind::NotRun if sure => {
             // Whoever comes back earlier is refused once more.
             let after = permit::back_after(desk, &a.service);
             let after = after.or_else(|| desk.rest_left(&a.service));
             let after = after.unwrap_or(BACK_FULL);
             ("not run", StatusCode::SERVICE_UNAVAILABLE, Some(after))
         }
-        End::NotRun => (
+        FailureKind::NotRun => (
             "unsure",
             StatusCode::SERVICE_UNAVAILABLE,
             Some(unsure_time(desk)),
         ),
-        End::Unknown => ("unknown", StatusCode::BAD_GATEWAY, None),
-        End::Late => ("late", StatusCode::GATEWAY_TIMEOUT, None),
+        FailureKind::Unknown => ("unknown", StatusCode::BAD_GATEWAY, None),
+        FailureKind::DeadlineExceeded => ("late", StatusCode::GATEWAY_TIMEOUT, None),
     };
     a.record.end(what);
     own(status, Some(&a.ask), after)
@@ -255,8 +259,12 @@
 }
 
 /// The box's own answer.
-pub fn own(status: StatusCode, ask: Option<&Ask>, after: Option<Duration>) -> Response<Body> {
-    let answer = ingress::answer(status, ask.map(|a| a.id.as_str()), after);
+pub fn own(
+    status: StatusCode,
+    ask: Option<&ClientRequest>,
+    after: Option<Duration>,
+) -> Response<Body> {
+    let answer = ingress::local_response(status, ask.map(|a| a.id.as_str()), after);
     answer.map(|()| Empty::new().map_err(|e| match e {}).boxed_unsync())
 }
 
@@ -299,9 +307,9 @@
         let mut roster = desk.roster.borrow_mut();
         parts
             .iter()
-            .for_each(|(id, memory)| roster.begin(id, *memory));
+            .for_each(|(id, memory)| roster.begin_request(id, *memory));
         if let Some((first, _)) = parts.first() {
-            roster.lead(first);
+            roster.begin_head(first);
         }
         drop(roster);
         Hold {
@@ -316,9 +324,9 @@
         let mut roster = self.desk.roster.borrow_mut();
         self.parts
             .iter()
-            .for_each(|(id, memory)| roster.end(id, *memory));
+            .for_each(|(id, memory)| roster.end_request(id, *memory));
         if let Some((first, _)) = self.parts.first() {
-            roster.end_lead(first);
+            roster.end_head(first);
         }
     }
 }
--- a/crates/ashgauged/src/relay/select.rs
+++ b/crates/ashgauged/src/relay/select.rs
@@ -4,20 +4,20 @@
 use std::time::Duration;
 
 use ashgauge::chain::Stage;
-use ashgauge::choice::{self, Need};
+use ashgauge::choice::{self, Requirements};
 use ashgauge::cost;
 use ashgauge::demand::{self, Demands};
 use ashgauge::forecast::{self, Forecast};
 use ashgauge::member::UpstreamId;
-use ashgauge::pipes::Pipes;
+use ashgauge::pipes::WanUsage;
 use ashgauge::pressure::Pressure;
-use ashgauge::roster::Roster;
+use ashgauge::roster::UpstreamRegistry;
 use ashgauge::routing::{Model, Service};
-use ashgauge::scene::Scene;
-use ashgauge::shape::Shape;
-use ashgauge::share::Shares;
+use ashgauge::scene::SelectionContext;
+use ashgauge::shape::RequestSize;
+use ashgauge::share::FleetLoad;
 use ashgauge::slack::Slack;
-use ashgauge::upstream::Span;
+use ashgauge::upstream::LayerRange;
 
 use super::desk::Desk;
 
@@ -31,11 +31,11 @@
 #[derive(Clone, Copy)]
 pub struct Wish {
     /// Room that it needs; none for a stream that goes on, which is not held up.
-    pub need: Option<Need>,
+    pub need: Option<Requirements>,
     /// How the request stands against its aim.
     pub slack: Slack,
     /// What it has to read and to write; `None` stands for a usual request.
-    pub shape: Option<Shape>,
+    pub shape: Option<RequestSize>,
 }
 
 impl Desk {
@@ -44,7 +44,7 @@
         let roster = self.roster.borrow();
         let (pipes, shares) = (self.pipes.borrow(), self.shares.borrow());
         let scene = self.scene(&roster, &pipes, &shares, service);
-        let id = choice::upstream(&scene, tried, &mut *self.rng())?;
+        let id = choice::select_upstream(&scene, tried, &mut *self.rng())?;
         let addr = roster.get(&id)?.upstream.addr.clone();
         Some((id, addr))
     }
@@ -55,7 +55,7 @@
         &self,
         service: &str,
         model: &Model,
-        span: Span,
+        span: LayerRange,
         avoid: &[UpstreamId],
         wish: Wish,
     ) -> Option<Vec<Stage>> {
@@ -63,16 +63,16 @@
         let (pipes, shares) = (self.pipes.borrow(), self.shares.borrow());
         let scene = self.scene(&roster, &pipes, &shares, service);
         let together = match wish.slack {
-            Slack::Short => true,
-            Slack::Late => choice::filled_near(&scene, model) < ROOM_TOGETHER,
-            Slack::Ample => false,
+            Slack::Streaming => true,
+            Slack::Late => choice::local_utilization(&scene, model) < ROOM_TOGETHER,
+            Slack::OnTime => false,
         };
-        let scene = Scene {
-            together,
-            shape: wish.shape,
+        let scene = SelectionContext {
+            simultaneous: together,
+            size: wish.shape,
             ..scene
         };
-        choice::chain(&scene, model, span, avoid, wish.need, &mut *self.rng())
+        choice::select_chain(&scene, model, span, avoid, wish.need, &mut *self.rng())
     }
 
     /// How long until a request of a service can go somewhere, if upstreams that want
@@ -82,7 +82,7 @@
         let (pipes, shares) = (self.pipes.borrow(), self.shares.borrow());
         let scene = self.scene(&roster, &pipes, &shares, &service.name);
         let model = service.model.as_ref().filter(|m| m.layers > 0);
-        choice::rest_left(&scene, model, &mut *self.rng())
+        choice::backoff_left(&scene, model, &mut *self.rng())
     }
 
     /// Share of an engine's memory that requests hold, as far as is known.
@@ -92,13 +92,13 @@
         let service = routing.services.get(&entry.upstream.service)?;
         let (pipes, shares) = (self.pipes.borrow(), self.shares.borrow());
         let scene = self.scene(&roster, &pipes, &shares, &service.name);
-        choice::fullness(&scene, service.model.as_ref()?, entry)
+        choice::memory_utilization(&scene, service.model.as_ref()?, entry)
     }
 
     /// How many of a service's engines are filled up to the share at which they
     /// get no first sends, and how many hold layers.
     pub fn count_full(&self, service: &Service) -> (usize, usize) {
-        let limit = self.line(&service.name, |l| l.limit());
+        let limit = self.line(&service.name, |l| l.fill_limit());
         let (roster, pipes, shares) = (
             self.roster.borrow(),
             self.pipes.borrow(),
@@ -117,7 +117,7 @@
             self.shares.borrow(),
         );
         let scene = self.scene(&roster, &pipes, &shares, &service.name);
-        Pressure::of(&scene, model)
+        Pressure::from_context(&scene, model)
     }
 
     /// What the callers of all boxes ask of a service, and requests of it that end each
@@ -128,13 +128,13 @@
         let flows = shares.flows(&own);
         let heard = shares.boxes() as f64 + 1.0;
         // More are heard than there are where some are in a hub's sum as well.
-        let factor = shares.present(f64::from(self.boxes())) / heard;
+        let factor = shares.present_boxes(f64::from(self.boxes())) / heard;
         let key = demand::key(service);
         let mut demands = flows.demands_of(key);
         for (_, demand) in &mut demands {
-            *demand = demand.times(factor);
+            *demand = demand.scaled(factor);
         }
-        (demands, flows.ends_of(key) * factor)
+        (demands, flows.completion_rate(key) * factor)
     }
 
     /// Forecasts the events of a request of `prompt` tokens over a chain.
@@ -155,7 +155,7 @@
     pub fn chain_text(&self, stages: &[Stage]) -> Option<(String, String)> {
         let roster = self.roster.borrow();
         let addr = |id: &str| roster.get(id).map(|e| e.upstream.addr.as_str());
-        let text = platform::engine::chain(stages, addr)?;
+        let text = platform::engine::format_chain(stages, addr)?;
         let first = addr(&stages.first()?.upstream)?;
         Some((text, first.into()))
     }
@@ -163,7 +163,11 @@
     /// How often a chain changes data centre.
     pub fn count_crossings(&self, stages: &[Stage]) -> usize {
         let roster = self.roster.borrow();
-        let place = |s: &Stage| roster.get(&s.upstream).map(|e| e.upstream.place.clone());
+        let place = |s: &Stage| {
+            roster
+                .get(&s.upstream)
+                .map(|e| e.upstream.data_centre.clone())
+        };
         let pairs = stages.windows(2);
         pairs.filter(|p| place(&p[0]) != place(&p[1])).count()
     }
@@ -173,7 +177,11 @@
     pub fn note_crossings(&self, model: &Model, stages: &[Stage], tokens: u32) {
         let (roster, now) = (self.roster.borrow(), self.now());
         let mut pipes = self.pipes.borrow_mut();
-        let place = |s: &Stage| roster.get(&s.upstream).map(|e| e.upstream.place.clone());
+        let place = |s: &Stage| {
+            roster
+                .get(&s.upstream)
+                .map(|e| e.upstream.data_centre.clone())
+        };
         for pair in stages.windows(2) {
             if let (Some(from), Some(to)) = (place(&pair[0]), place(&pair[1]))
                 && from != to
@@ -197,38 +205,38 @@
             let layers = stage.end - stage.first;
             let scene = self.scene(&roster, &pipes, &shares, service);
             let entry = roster.get(&stage.upstream);
-            let seconds = entry.map(|e| cost::reading_seconds(&scene, model, e, layers, tokens));
+            let seconds = entry.map(|e| cost::prefill_seconds(&scene, model, e, layers, tokens));
             if let Some(seconds) = seconds {
-                roster.note_reading(self.now(), &stage.upstream, seconds);
+                roster.note_prefill(self.now(), &stage.upstream, seconds);
             }
         }
     }
 
     /// Boxes of one data centre, on average.
-    fn neighbours(&self, roster: &Roster) -> f64 {
-        let places = roster.places().max(1) as f64;
+    fn neighbours(&self, roster: &UpstreamRegistry) -> f64 {
+        let places = roster.data_centres().max(1) as f64;
         (f64::from(self.boxes()) / places).max(1.0)
     }
 
     fn scene<'a>(
         &'a self,
-        roster: &'a Roster,
-        pipes: &'a Pipes,
-        shares: &'a Shares,
+        roster: &'a UpstreamRegistry,
+        pipes: &'a WanUsage,
+        shares: &'a FleetLoad,
         service: &'a str,
-    ) -> Scene<'a> {
-        Scene {
-            roster,
-            pipes,
-            shares,
+    ) -> SelectionContext<'a> {
+        SelectionContext {
+            registry: roster,
+            wan_usage: pipes,
+            fleet_load: shares,
             service,
-            place: &self.place,
-            lag: self.lag.get(),
+            data_centre: &self.place,
+            remote_interval: self.lag.get(),
             boxes: f64::from(self.boxes()),
-            neighbours: self.neighbours(roster),
-            stay: self.stay(service),
-            together: false,
-            shape: None,
+            local_boxes: self.neighbours(roster),
+            request_duration: self.stay(service),
+            simultaneous: false,
+            size: None,
             now: self.now(),
         }
     }
--- a/crates/ashgauged/src/relay/serve.rs
+++ b/crates/ashgauged/src/relay/serve.rs
@@ -160,7 +160,7 @@
         inner: TokioIo::new(stream),
         activity: activity.clone(),
     };
-    let bounds = desk.routing().bounds;
+    let bounds = desk.routing().client_limits;
     let (shared, active) = (desk.clone(), activity.clone());
     let service = service_fn(move |request| {
         active.set(Phase::Busy);
@@ -177,7 +177,7 @@
         }
     });
     let serving = http1::Builder::new()
-        .max_buf_size(bounds.head.max(BUFFER_LEAST))
+        .max_buf_size(bounds.header_bytes.max(BUFFER_LEAST))
         .half_close(false)
         .serve_connection(io, service);
     tokio::pin!(serving);
@@ -198,11 +198,11 @@
 
 /// When the connection has used up the time for what it is doing.
 fn limit(desk: &Desk, activity: &Activity) -> Instant {
-    let bounds = desk.routing().bounds;
+    let bounds = desk.routing().client_limits;
     let since = activity.since.get();
     match activity.phase.get() {
-        Phase::Idle => since + bounds.idle_time,
-        Phase::Head => since + bounds.head_time,
+        Phase::Idle => since + bounds.idle_timeout,
+        Phase::Head => since + bounds.header_timeout,
         Phase::Busy => since + BUSY_MOST,
     }
 }
--- a/crates/ashgauged/src/relay/settings.rs
+++ b/crates/ashgauged/src/relay/settings.rs
@@ -4,7 +4,7 @@
 use std::path::Path;
 use std::time::Duration;
 
-use ashgauge::asker::Pace;
+use ashgauge::asker::PollTiming;
 use ashgauge::class::Ranks;
 use ashgauge::retry::Allowance;
 use eyre::{Result, WrapErr, bail, eyre};
@@ -236,21 +236,21 @@
     }
 
     /// When a box asks those that read.
-    pub fn ask_pace(&self) -> Pace {
+    pub fn ask_pace(&self) -> PollTiming {
         let ms = Duration::from_millis;
         let every = self.drain_time().mul_f64(ASK_SHARE);
-        Pace {
-            every: ms(self.timing.ask_ms).min(every),
-            answer: ms(self.timing.answer_ms),
-            fetch: ms(self.timing.fetch_ms),
-            stale: self.reader_time() + self.drain_time().mul_f64(STALE_SHARE),
+        PollTiming {
+            interval: ms(self.timing.ask_ms).min(every),
+            answer_timeout: ms(self.timing.answer_ms),
+            fetch_timeout: ms(self.timing.fetch_ms),
+            max_age: self.reader_time() + self.drain_time().mul_f64(STALE_SHARE),
         }
     }
 
     /// Whether streams of a service for which these ranks compete are refused by class.
     pub fn sheds(&self, ranks: &Ranks) -> bool {
         match self.shedding {
-            Shedding::Ranked => ranks.differ(),
+            Shedding::Ranked => ranks.routes_differ(),
             Shedding::All => true,
             Shedding::Off => false,
         }
--- a/crates/ashgauged/src/relay/state/budgets.rs
+++ b/crates/ashgauged/src/relay/state/budgets.rs
@@ -4,7 +4,7 @@
 use std::collections::HashMap;
 use std::time::Duration;
 
-use ashgauge::retry::{Allowance, Balance, Window};
+use ashgauge::retry::{Allowance, Balance, SlidingBudget};
 use ashgauge::routing::ServiceId;
 
 /// The box's part of the fleet's retries, by service.
@@ -13,7 +13,7 @@
     /// Boxes that share it, once they are counted.
     boxes: Cell<Option<u32>>,
     started: Duration,
-    windows: RefCell<HashMap<ServiceId, Window>>,
+    windows: RefCell<HashMap<ServiceId, SlidingBudget>>,
 }
 
 impl Budgets {
@@ -39,13 +39,13 @@
     pub fn share_with(&self, boxes: u32) {
         self.boxes.set(Some(boxes));
         for window in self.windows.borrow_mut().values_mut() {
-            window.share_with(boxes);
+            window.set_boxes(boxes);
         }
     }
 
     /// Notes the first try of a request.
     pub fn earn(&self, now: Duration, service: &ServiceId) {
-        self.with(service, |window| window.earn(now));
+        self.with(service, |window| window.deposit(now));
     }
 
     /// What there is of each service's retries.
@@ -61,16 +61,16 @@
     }
 
     /// Uses the window of a service.
-    pub fn with<T>(&self, service: &ServiceId, of: impl FnOnce(&mut Window) -> T) -> T {
+    pub fn with<T>(&self, service: &ServiceId, of: impl FnOnce(&mut SlidingBudget) -> T) -> T {
         let mut windows = self.windows.borrow_mut();
         let window = windows.entry(service.clone());
         of(window.or_insert_with(|| self.make()))
     }
 
-    fn make(&self) -> Window {
-        let mut window = Window::new(self.allowance.get(), self.started, rand::random());
+    fn make(&self) -> SlidingBudget {
+        let mut window = SlidingBudget::new(self.allowance.get(), self.started, rand::random());
         if let Some(boxes) = self.boxes.get() {
-            window.share_with(boxes);
+            window.set_boxes(boxes);
         }
         window
     }
--- a/crates/ashgauged/src/relay/state/gates.rs
+++ b/crates/ashgauged/src/relay/state/gates.rs
@@ -5,11 +5,11 @@
 use std::time::Duration;
 
 use ashgauge::class::Class;
-use ashgauge::demand::{Flows, Meter};
+use ashgauge::demand::{DemandMeter, Traffic};
 use ashgauge::estimate::Estimator;
-use ashgauge::level::Gate;
-use ashgauge::recovery::Account;
-use ashgauge::report::{Basis, Report};
+use ashgauge::level::AdmissionGate;
+use ashgauge::recovery::RecoveryBudget;
+use ashgauge::report::{ChangeReporter, LevelInputs};
 use ashgauge::routing::ServiceId;
 
 /// Demand and admission, by service.
@@ -24,21 +24,21 @@
 #[derive(Default)]
 pub struct State {
     /// What this box's callers ask for.
-    pub meter: Meter,
+    pub meter: DemandMeter,
     /// Estimates demand and load now, from reports that are some time old.
     pub estimator: Estimator,
     /// Who is let in.
-    pub gate: Gate,
+    pub gate: AdmissionGate,
     /// When the level was last reckoned.
     pub reckoned: Option<Duration>,
     /// What the level was reckoned from; nothing while shedding is off.
-    pub basis: Option<Basis>,
+    pub basis: Option<LevelInputs>,
     /// When changes of the level are logged.
-    pub report: Report,
+    pub report: ChangeReporter,
     /// Requests of this box by class, since its start.
     pub counts: BTreeMap<Class, Counts>,
     /// What is done for streams that are held up.
-    pub account: Account,
+    pub account: RecoveryBudget,
 }
 
 /// Requests that were admitted or refused by the level.
@@ -79,7 +79,7 @@
     }
 
     /// Uses the states of the services whose level is reckoned, in the order of their names.
-    pub fn reckoned<T>(&self, of: impl Fn(&ServiceId, &State, &Basis) -> T) -> Vec<T> {
+    pub fn reckoned<T>(&self, of: impl Fn(&ServiceId, &State, &LevelInputs) -> T) -> Vec<T> {
         let services = self.services.borrow();
         let mut named: Vec<_> = services.iter().collect();
         named.sort_unstable_by_key(|(name, _)| *name);
@@ -98,10 +98,10 @@
     }
 
     /// What this box's callers ask of all services, and what ends.
-    pub fn flows(&self, now: Duration) -> Flows {
+    pub fn flows(&self, now: Duration) -> Traffic {
         let mut services = self.services.borrow_mut();
-        let own = services.values_mut().map(|s| s.meter.flows(now));
-        let own: Vec<Flows> = own.collect();
-        Flows::sum(own.iter())
+        let own = services.values_mut().map(|s| s.meter.traffic(now));
+        let own: Vec<Traffic> = own.collect();
+        Traffic::sum(own.iter())
     }
 }
--- a/crates/ashgauged/src/relay/status.rs
+++ b/crates/ashgauged/src/relay/status.rs
@@ -6,7 +6,7 @@
 use ashgauge::digest;
 use ashgauge::hub::Role;
 use ashgauge::member::BoxId;
-use ashgauge::permit::givers;
+use ashgauge::permit::issuer_order;
 use ashgauge::revision;
 use ashgauge::share;
 use serde::Serialize;
@@ -115,8 +115,8 @@
 }
 
 fn held(desk: &Desk) -> Vec<(String, u64)> {
-    let held = desk.quarantine.borrow().held(desk.now());
-    let text = |(digest, left): (u64, Duration)| (digest::text(digest), left.as_secs());
+    let held = desk.quarantine.borrow().quarantined(desk.now());
+    let text = |(digest, left): (u64, Duration)| (digest::format_digest(digest), left.as_secs());
     held.into_iter().map(text).collect()
 }
 
@@ -134,13 +134,13 @@
 fn limits(desk: &Desk) -> Vec<LimitStatus> {
     let (roster, permits) = (desk.roster.borrow(), &desk.permits);
     let (limits, grants) = (permits.limits.borrow(), permits.grants.borrow());
-    let named = roster.all().filter_map(|e| {
-        let (id, key) = (&e.upstream.id, share::key(&e.upstream.id));
+    let named = roster.iter().filter_map(|e| {
+        let (id, key) = (&e.upstream.id, share::upstream_key(&e.upstream.id));
         Some(LimitStatus {
             upstream: id.to_string(),
             rate: limits.rate_of(key)?,
-            givers: texts(&givers(key, &permits.givers.borrow())),
-            given: grants.given(key),
+            givers: texts(&issuer_order(key, &permits.givers.borrow())),
+            given: grants.issued(key),
         })
     });
     named.collect()
@@ -182,21 +182,21 @@
     let settings = desk.settings();
     let roster = desk.roster.borrow();
     let shares = desk.shares.borrow();
-    let upstreams = roster.all().map(|e| UpstreamStatus {
+    let upstreams = roster.iter().map(|e| UpstreamStatus {
         id: e.upstream.id.to_string(),
         service: e.upstream.service.to_string(),
         addr: e.upstream.addr.clone(),
-        data_centre: e.upstream.place.to_string(),
+        data_centre: e.upstream.data_centre.to_string(),
         layers: e.upstream.layers.map(|l| (l.first, l.end)),
         leaving: e.is_leaving(),
-        rest_ms: e.rest(now).map(|r| r.as_millis() as u64),
+        rest_ms: e.backoff(now).map(|r| r.as_millis() as u64),
         limit: desk.permits.limits.borrow().rate(&e.upstream.id),
         suspect: e.is_suspect(now),
         slowness: e.slowness(now),
         inflight: e.inflight,
         others: shares.others(&e.upstream.id).requests,
-        answer_ms: e.seconds * 1e3,
-        failures: e.failures(now),
+        answer_ms: e.latency_seconds * 1e3,
+        failures: e.failure_rate(now),
     });
     let mut upstreams: Vec<_> = upstreams.collect();
     let key = |u: &UpstreamStatus| (u.service.clone(), u.data_centre.clone(), u.layers);
@@ -213,13 +213,13 @@
         revision: revision::count(desk.mirror.borrow().covered()),
         boxes: desk.boxes(),
         role: role(desk),
-        readers: texts(&desk.readers.borrow().all),
+        readers: texts(&desk.readers.borrow().ids),
         informs: informs(desk),
         boxes_heard: shares.boxes(),
         inflight: desk.inflight.get(),
         retries: retries(desk),
         held: held(desk),
-        suspects: desk.quarantine.borrow().suspects(),
+        suspects: desk.quarantine.borrow().suspect_count(),
         limits: limits(desk),
         levels: levels::status(desk),
         upstreams,
--- a/crates/ashgauged/src/relay/stream.rs
+++ b/crates/ashgauged/src/relay/stream.rs
@@ -3,8 +3,8 @@
 
 use std::rc::Rc;
 
-use ashgauge::handoff::{End, Handoff, Next, Outcome};
-use ashgauge::routing::StreamRule;
+use ashgauge::handoff::{Attempts, Decision, FailureKind, SendOutcome};
+use ashgauge::routing::StreamPolicy;
 use http_body_util::BodyExt;
 use hyper::Response;
 use platform::engine;
@@ -26,8 +26,8 @@
 pub async fn answer(
     desk: Rc<Desk>,
     mut a: Admitted,
-    mut handoff: Handoff,
-    rule: StreamRule,
+    mut handoff: Attempts,
+    rule: StreamPolicy,
 ) -> Response<Body> {
     a.admission = match gate::admit(&desk, &mut a) {
         Ok(admission) => admission,
@@ -49,7 +49,7 @@
         let chosen = match chosen {
             Ok(chosen) => chosen,
             Err(NoWay::Closed(_)) if may_have_run => {
-                let end = handoff.end(desk.now());
+                let end = handoff.failure(desk.now());
                 return finish(&desk, a, end);
             }
             Err(NoWay::Closed(wait)) if !turn.has_time(wait) => return no_room(&desk, a),
@@ -60,7 +60,7 @@
             Err(NoWay::Held) => return held_back(&desk, a, may_have_run),
             Err(NoWay::NoChain | NoWay::Denied) => {
                 a.record.step("no chain", json!({"avoided": avoid.len()}));
-                let end = handoff.end(desk.now());
+                let end = handoff.failure(desk.now());
                 return finish(&desk, a, end);
             }
         };
@@ -71,27 +71,27 @@
             Err(failed) => failed,
         };
         note_outcome(&desk, &a, &failed.upstream, failed.outcome);
-        if failed.outcome == Outcome::Lost {
+        if failed.outcome == SendOutcome::Lost {
             let loss = Loss::before_answer(&failed.upstream, began);
             if loss::look(&desk, &a, loss).await {
-                handoff.lose();
+                handoff.record_lost();
             }
         }
-        let is_refused = !may_have_run && failed.outcome == Outcome::NotRun;
+        let is_refused = !may_have_run && failed.outcome == SendOutcome::NotRun;
         if is_refused && !recovery::may_resend(&desk, &a, &handoff, &avoid) {
             let after = gate::back_after(&desk, &a);
             return shed(a, after);
         }
         let next = retry::next(&desk, &a, &mut handoff, failed.outcome);
         match (next, failed.answer) {
-            (Next::Again, _) if is_refused => {}
-            (Next::Again, _) => recovery::wait_turn(&desk, &a).await,
-            (Next::PassOn, Some(answer)) => {
+            (Decision::Resend, _) if is_refused => {}
+            (Decision::Resend, _) => recovery::wait_turn(&desk, &a).await,
+            (Decision::Forward, Some(answer)) => {
                 a.record.end("failed upstream");
                 return whole(answer);
             }
-            (Next::End(end), _) => return finish(&desk, a, end),
-            (Next::PassOn, None) => return finish(&desk, a, End::Unknown),
+            (Decision::Fail(end), _) => return finish(&desk, a, end),
+            (Decision::Forward, None) => return finish(&desk, a, FailureKind::Unknown),
         }
     };
     if let Some(admission) = &a.admission {
--- a/crates/ashgauged/src/relay/suspicion.rs
+++ b/crates/ashgauged/src/relay/suspicion.rs
@@ -7,10 +7,10 @@
 
 use ashgauge::hub::Role;
 use ashgauge::member::{BoxId, UpstreamId};
-use ashgauge::quarantine::{Audience, StartKey, start_key};
+use ashgauge::quarantine::{Audience, InstanceKey, instance_key};
 use ashgauge::question::Datagram;
 use ashgauge::routing::ServiceId;
-use ashgauge::suspicion::SUSPECTS_TOLD;
+use ashgauge::suspicion::MAX_SUSPECTS_SENT;
 use serde_json::json;
 use spdlog::Level;
 use tokio::time::sleep;
@@ -26,7 +26,7 @@
 
 /// An engine that another box reports.
 struct Reported {
-    start: StartKey,
+    start: InstanceKey,
     id: UpstreamId,
     service: ServiceId,
     /// Whether this box checks it: it has streams there and does not suspect it yet.
@@ -43,8 +43,8 @@
     if !is_on(desk, &upstream.service) || !probe::has_failed(desk, &upstream.addr) {
         return;
     }
-    let start = start_key(&upstream.id, upstream.born);
-    if desk.suspicions.borrow_mut().note(desk.now(), start) {
+    let start = instance_key(&upstream.id, upstream.started_ms);
+    if desk.suspicions.borrow_mut().record_found(desk.now(), start) {
         desk.suspected.notify_one();
     }
 }
@@ -52,13 +52,17 @@
 /// Takes what another box reports: a hub forwards it to those that do not hear that box,
 /// and engines on which this one has streams are checked. The report itself makes none
 /// suspect, as its sender may be cut off from engines that others reach.
-pub fn hear(desk: &Rc<Desk>, from: &BoxId, starts: &[StartKey]) {
+pub fn hear(desk: &Rc<Desk>, from: &BoxId, starts: &[InstanceKey]) {
     let now = desk.now();
-    let starts = &starts[..starts.len().min(SUSPECTS_TOLD)];
+    let starts = &starts[..starts.len().min(MAX_SUSPECTS_SENT)];
     let audience = audience(desk, from);
     for reported in find(desk, starts) {
         let start = reported.start;
-        if desk.suspicions.borrow_mut().hear(now, start, audience) {
+        if desk
+            .suspicions
+            .borrow_mut()
+            .record_report(now, start, audience)
+        {
             desk.suspected.notify_one();
         }
         let has_budget = || probe::may_check(desk, &reported.service, &reported.id);
@@ -94,7 +98,7 @@
         desk.suspected.notified().await;
         sleep(GATHER_TIME).await;
         loop {
-            let told = desk.suspicions.borrow_mut().take(desk.now());
+            let told = desk.suspicions.borrow_mut().take_pending(desk.now());
             if told.is_empty() {
                 break;
             }
@@ -107,7 +111,7 @@
     }
 }
 
-async fn send(desk: &Desk, peers: &Peers, starts: Vec<StartKey>, to: Vec<(BoxId, Peer)>) {
+async fn send(desk: &Desk, peers: &Peers, starts: Vec<InstanceKey>, to: Vec<(BoxId, Peer)>) {
     if starts.is_empty() || to.is_empty() {
         return;
     }
@@ -125,22 +129,22 @@
     if desk.role() != Role::Hub {
         return None;
     }
-    let is_hub = desk.readers.borrow().all.contains(from);
+    let is_hub = desk.readers.borrow().ids.contains(from);
     Some(if is_hub {
-        Audience::Below
+        Audience::Downstream
     } else {
         Audience::All
     })
 }
 
 /// The engines among some starts whose service lets streams in by their class.
-fn find(desk: &Desk, starts: &[StartKey]) -> Vec<Reported> {
+fn find(desk: &Desk, starts: &[InstanceKey]) -> Vec<Reported> {
     let (now, roster) = (desk.now(), desk.roster.borrow());
     let mut services: HashMap<ServiceId, bool> = HashMap::new();
     let mut found = Vec::new();
-    for entry in roster.all() {
+    for entry in roster.iter() {
         let upstream = &entry.upstream;
-        let start = start_key(&upstream.id, upstream.born);
+        let start = instance_key(&upstream.id, upstream.started_ms);
         if !starts.contains(&start) {
             continue;
         }
--- a/crates/ashgauged/src/relay/tell.rs
+++ b/crates/ashgauged/src/relay/tell.rs
@@ -6,12 +6,12 @@
 use std::sync::Arc;
 use std::time::Duration;
 
-use ashgauge::demand::Flows;
+use ashgauge::demand::Traffic;
 use ashgauge::hub::{self, Role};
-use ashgauge::permit::Rates;
+use ashgauge::permit::LimitRates;
 use ashgauge::quarantine::Audience;
 use ashgauge::question::Datagram;
-use ashgauge::share::{self, Scope, Sum, UpstreamKey, Use, Uses, Word};
+use ashgauge::share::{self, LoadReport, LoadSum, Scope, UpstreamKey, Usage, UsageList};
 use rand::Rng;
 use tokio::time::sleep;
 
@@ -59,10 +59,10 @@
         let desk = self.desk.clone();
         let (role, listeners) = (desk.role(), desk.listeners());
         let here = listeners.iter().filter(|(_, p)| p.near).count();
-        let (near_time, far_time) = role.times(here, listeners.len());
+        let (near_time, far_time) = role.intervals(here, listeners.len());
         sleep(near_time.min(far_time)).await;
         let now = desk.now();
-        let lag = role.lag(listeners.len());
+        let lag = role.remote_interval(listeners.len());
         desk.lag.set(lag);
         desk.shares.borrow_mut().expire(now, lag);
         permit::expire(&desk);
@@ -70,8 +70,11 @@
         let told = match role {
             Role::Hub => {
                 let hubs = desk.readers.borrow().clone();
-                let is_hub = |id: &str| hubs.all.iter().any(|hub| **hub == *id);
-                desk.shares.borrow().below(own.clone(), is_hub).fit()
+                let is_hub = |id: &str| hubs.ids.iter().any(|hub| **hub == *id);
+                desk.shares
+                    .borrow()
+                    .subtree_sum(own.clone(), is_hub)
+                    .truncated()
             }
             _ => own.clone(),
         };
@@ -88,17 +91,17 @@
         now: Duration,
         listeners: &[(Arc<str>, Peer)],
         (near_time, far_time): (Duration, Duration),
-        sum: Sum,
+        sum: LoadSum,
     ) {
         let limits = self.desk.permits.limits.borrow().rates();
-        let to_near = self.near.is_due(now, near_time, &sum.uses, &limits);
-        let to_far = self.far.is_due(now, far_time, &sum.uses, &limits);
+        let to_near = self.near.is_due(now, near_time, &sum.usage, &limits);
+        let to_far = self.far.is_due(now, far_time, &sum.usage, &limits);
         for (near, due, time) in [(true, to_near, near_time), (false, to_far, far_time)] {
             if !due {
                 continue;
             }
             let mut sum = sum.clone();
-            if !share::tells_suspects(time) {
+            if !share::includes_suspects(time) {
                 sum.suspects.clear();
                 sum.slow.clear();
             }
@@ -108,17 +111,18 @@
             self.send_losses(Audience::All, &to).await;
         }
         if to_near {
-            self.near.note(now, &sum.uses, &limits);
+            self.near.note(now, &sum.usage, &limits);
         }
         if to_far {
-            self.far.note(now, &sum.uses, &limits);
+            self.far.note(now, &sum.usage, &limits);
         }
     }
 
     /// Tells the boxes that hear of the others by this one what all have together.
-    async fn tell_below(&mut self, now: Duration, own: Sum) {
+    async fn tell_below(&mut self, now: Duration, own: LoadSum) {
         let told = |scope: &Scope| self.below.get(scope).copied().unwrap_or_default();
-        let due = hub::below().filter(|scope| now >= told(scope) + hub::below_time(*scope));
+        let due =
+            hub::leaf_scopes().filter(|scope| now >= told(scope) + hub::leaf_interval(*scope));
         let due: Vec<Scope> = due.collect();
         if due.is_empty() {
             return;
@@ -127,39 +131,39 @@
         let parts = Parts::new(&self.desk, own);
         for scope in due {
             self.below.insert(scope, now);
-            let mut by_place: HashMap<Arc<str>, Sum> = HashMap::new();
+            let mut by_place: HashMap<Arc<str>, LoadSum> = HashMap::new();
             for (id, leaf) in &leaves {
                 let part = by_place.entry(leaf.place.clone());
                 let part = part.or_insert_with(|| parts.of(scope, &leaf.place));
                 let part = self.desk.shares.borrow().without(part, id);
-                self.send(scope, part.fit(), &[leaf]).await;
+                self.send(scope, part.truncated(), &[leaf]).await;
             }
-            if scope == Scope::Far(0) {
+            if scope == Scope::Remote(0) {
                 let leaves: Vec<&Peer> = leaves.iter().map(|(_, leaf)| leaf).collect();
-                self.send_losses(Audience::Below, &leaves).await;
+                self.send_losses(Audience::Downstream, &leaves).await;
             }
         }
     }
 
-    async fn send(&mut self, scope: Scope, sum: Sum, to: &[&Peer]) {
+    async fn send(&mut self, scope: Scope, sum: LoadSum, to: &[&Peer]) {
         self.number += 1;
         let now = self.desk.now();
-        let word = Word {
+        let word = LoadReport {
             from: Arc::from(self.desk.settings().id.as_str()),
             boot: self.boot,
-            number: self.number,
+            sequence: self.number,
             scope,
             boxes: sum.boxes,
-            uses: sum.uses,
+            usage: sum.usage,
             suspects: sum.suspects,
             slow: sum.slow,
             flows: match scope {
-                Scope::Far(_) => Flows::default(),
-                Scope::Own | Scope::Near => sum.flows,
+                Scope::Remote(_) => Traffic::default(),
+                Scope::Own | Scope::Local => sum.flows,
             },
             limits: match scope {
-                Scope::Far(_) => Vec::new(),
-                Scope::Own | Scope::Near => self.desk.permits.limits.borrow().tell(now),
+                Scope::Remote(_) => Vec::new(),
+                Scope::Own | Scope::Local => self.desk.permits.limits.borrow().reports(now),
             },
         };
         let Some(bytes) = pack::encode(&Datagram::Load(word)) else {
@@ -183,29 +187,29 @@
 
 /// What all boxes have together, by the data centre of the upstreams.
 struct Parts {
-    whole: Sum,
+    whole: LoadSum,
     places: HashMap<UpstreamKey, Arc<str>>,
 }
 
 impl Parts {
-    fn new(desk: &Desk, own: Sum) -> Self {
+    fn new(desk: &Desk, own: LoadSum) -> Self {
         let roster = desk.roster.borrow();
-        let places = roster.all().map(|e| &e.upstream);
-        let places = places.map(|u| (share::key(&u.id), u.place.clone()));
+        let places = roster.iter().map(|e| &e.upstream);
+        let places = places.map(|u| (share::upstream_key(&u.id), u.data_centre.clone()));
         Parts {
-            whole: desk.shares.borrow().all(own),
+            whole: desk.shares.borrow().fleet_sum(own),
             places: places.collect(),
         }
     }
 
     /// What is told to a box in a data centre.
-    fn of(&self, scope: Scope, place: &str) -> Sum {
+    fn of(&self, scope: Scope, place: &str) -> LoadSum {
         let is_told = |key| {
             let other = self.places.get(&key);
-            other.is_some_and(|other| hub::is_told(scope, key, **other == *place))
+            other.is_some_and(|other| hub::is_in_scope(scope, key, **other == *place))
         };
-        let mut part = self.whole.only(is_told);
-        if scope != Scope::Near {
+        let mut part = self.whole.filtered(is_told);
+        if scope != Scope::Local {
             part.suspects.clear();
             part.slow.clear();
         }
@@ -216,8 +220,8 @@
 /// What some boxes were told last, and when.
 #[derive(Default)]
 struct Told {
-    uses: Uses,
-    limits: Rates,
+    uses: UsageList,
+    limits: LimitRates,
     at: Duration,
 }
 
@@ -227,15 +231,15 @@
         &self,
         now: Duration,
         time: Duration,
-        uses: &[(UpstreamKey, Use)],
-        limits: &Rates,
+        uses: &[(UpstreamKey, Usage)],
+        limits: &LimitRates,
     ) -> bool {
         let age = now.saturating_sub(self.at);
         let news = self.uses != uses || self.limits != *limits;
         age >= time.max(SILENT_MOST) || (news && age >= time)
     }
 
-    fn note(&mut self, now: Duration, uses: &[(UpstreamKey, Use)], limits: &Rates) {
+    fn note(&mut self, now: Duration, uses: &[(UpstreamKey, Usage)], limits: &LimitRates) {
         self.uses = uses.to_vec();
         self.limits = limits.clone();
         self.at = now;
@@ -243,20 +247,22 @@
 }
 
 /// What this box has on the upstreams that it uses.
-fn own_sum(desk: &Desk) -> Sum {
+fn own_sum(desk: &Desk) -> LoadSum {
     let (roster, now) = (desk.roster.borrow(), desk.now());
-    let uses = roster.all().map(|e| (e, e.used(now)));
-    let uses = uses.filter(|(_, used)| *used != Use::default());
-    let mut uses: Uses = uses
-        .map(|(e, used)| (share::key(&e.upstream.id), used))
+    let uses = roster.iter().map(|e| (e, e.usage(now)));
+    let uses = uses.filter(|(_, used)| *used != Usage::default());
+    let mut uses: UsageList = uses
+        .map(|(e, used)| (share::upstream_key(&e.upstream.id), used))
         .collect();
     uses.sort_unstable_by_key(|(key, _)| *key);
-    let suspects = roster.all().filter(|e| e.is_suspect(now));
-    Sum {
+    let suspects = roster.iter().filter(|e| e.is_suspect(now));
+    LoadSum {
         boxes: 1,
-        uses,
-        suspects: suspects.map(|e| share::key(&e.upstream.id)).collect(),
+        usage: uses,
+        suspects: suspects
+            .map(|e| share::upstream_key(&e.upstream.id))
+            .collect(),
         flows: desk.gates.flows(now),
-        slow: roster.slow(now, |service| gate::is_shed(desk, service)),
+        slow: roster.slow_upstreams(now, |service| gate::is_shed(desk, service)),
     }
 }
--- a/crates/ashgauged/src/relay/turn.rs
+++ b/crates/ashgauged/src/relay/turn.rs
@@ -4,7 +4,7 @@
 use std::sync::Arc;
 use std::time::Duration;
 
-use ashgauge::admission::{Line, Ticket};
+use ashgauge::admission::{AdmissionQueue, Ticket};
 use ashgauge::routing::ServiceId;
 use serde_json::json;
 use tokio::time::sleep;
@@ -57,7 +57,7 @@
         if self.ticket.is_none() {
             let fields = json!({
                 "full": self.desk.count_full(&a.service),
-                "limit": self.desk.line(&self.service, |l| l.limit()),
+                "limit": self.desk.line(&self.service, |l| l.fill_limit()),
                 "boxes_heard": self.desk.shares.borrow().boxes(),
             });
             a.record.step("waits for room", fields);
@@ -70,7 +70,7 @@
             let team = a.team.as_ref().map_or("", |t| t.name.as_str());
             let rank = a.rank(&self.desk);
             let ticket = self.desk.line(&self.service, |l| {
-                l.join(rank, self.first, &Arc::from(team))
+                l.enqueue(rank, self.first, &Arc::from(team))
             });
             self.ticket = Some(ticket);
         }
@@ -80,7 +80,7 @@
     /// take too long.
     pub async fn wait(&mut self, a: &Admitted) -> bool {
         let rank = a.rank(&self.desk);
-        let line_ahead = |l: &mut Line| l.ahead_of(rank);
+        let line_ahead = |l: &mut AdmissionQueue| l.ahead_of_new(rank);
         if self.ticket.is_none() && self.desk.line(&self.service, line_ahead) > 0 {
             self.enter(a);
         }
@@ -106,7 +106,7 @@
 
     /// Whether a request with so many ahead is better refused now.
     fn takes_too_long(&self, ahead: usize) -> bool {
-        let wait = self.desk.line(&self.service, |l| l.wait(ahead));
+        let wait = self.desk.line(&self.service, |l| l.expected_wait(ahead));
         let now = self.desk.now();
         now >= self.until || now + wait.mul_f64(WAIT_SURE) > self.until
     }
@@ -114,13 +114,13 @@
     /// Notes that the request was let in.
     pub fn let_in(&mut self) {
         let now = self.desk.now();
-        self.desk.line(&self.service, |l| l.note_in(now));
+        self.desk.line(&self.service, |l| l.note_admitted(now));
         self.leave();
     }
 
     fn leave(&mut self) {
         if let Some(ticket) = self.ticket.take() {
-            self.desk.line(&self.service, |l| l.leave(&ticket));
+            self.desk.line(&self.service, |l| l.remove(&ticket));
         }
     }
 }
--- a/crates/ashgauged/src/settings.rs
+++ b/crates/ashgauged/src/settings.rs
@@ -5,8 +5,8 @@
 
 use ashgauge::Config;
 use ashgauge::claim;
-use ashgauge::node::Tactics;
-use caller::Bounds;
+use ashgauge::node::Strategy;
+use caller::PortLimits;
 use eyre::{Result, WrapErr, bail, eyre};
 use http::Limits;
 use serde::Deserialize;
@@ -36,13 +36,13 @@
     pub seeds: Vec<String>,
     /// Bounds.
     #[serde(default)]
-    pub limits: Bound,
+    pub limits: ResourceLimits,
     /// Times.
     #[serde(default)]
     pub timing: Timing,
     /// Claims of keyed requests.
     #[serde(default)]
-    pub claims: Claims,
+    pub claims: ClaimSettings,
     /// Calls a second to the platform.
     #[serde(default = "default_calls")]
     pub platform_calls: f64,
@@ -57,7 +57,8 @@
     pub events: Option<PathBuf>,
     /// Ways of deciding, for comparison with plain baselines.
     #[serde(default)]
-    pub tactics: Tactics,
+    #[serde(rename = "tactics")]
+    pub strategy: Strategy,
     /// Threads.
     #[serde(default = "default_threads")]
     pub threads: usize,
@@ -76,7 +77,7 @@
 /// Bounds of connections, bodies and queues.
 #[derive(Clone, Debug, Deserialize)]
 #[serde(default, deny_unknown_fields)]
-pub struct Bound {
+pub struct ResourceLimits {
     /// Callers' connections.
     pub connections: usize,
     /// Bytes of a request's head.
@@ -120,7 +121,7 @@
 /// Claims of keyed requests; the same on every box.
 #[derive(Clone, Debug, Deserialize)]
 #[serde(default, deny_unknown_fields)]
-pub struct Claims {
+pub struct ClaimSettings {
     /// Objects that the keys are spread over.
     pub shards: u32,
     /// How long a key is kept.
@@ -131,9 +132,9 @@
     pub patience_ms: u64,
 }
 
-impl Default for Bound {
+impl Default for ResourceLimits {
     fn default() -> Self {
-        Bound {
+        ResourceLimits {
             connections: 4096,
             head_bytes: 16 << 10,
             head_ms: 5000,
@@ -161,9 +162,9 @@
     }
 }
 
-impl Default for Claims {
+impl Default for ClaimSettings {
     fn default() -> Self {
-        Claims {
+        ClaimSettings {
             shards: 16,
             keep_s: 24 * 3600,
             interval_ms: 200,
@@ -211,7 +212,7 @@
     }
 
     /// The log level as a filter.
-    pub fn level(&self) -> Result<spdlog::LevelFilter> {
+    pub fn log_level(&self) -> Result<spdlog::LevelFilter> {
         use spdlog::{Level, LevelFilter};
         let level = match self.log.as_str() {
             "error" => Level::Error,
@@ -224,7 +225,7 @@
     }
 
     /// Settings of the node.
-    pub fn node(&self, peer: &str) -> Config {
+    pub fn node_config(&self, peer: &str) -> Config {
         let since = SystemTime::now()
             .duration_since(UNIX_EPOCH)
             .unwrap_or_default();
@@ -232,39 +233,39 @@
         let t = &self.timing;
         let mut config = Config::new(&self.id, rand::random::<u64>() >> 16);
         config.data_centre = self.data_centre.clone();
-        config.addr = peer.into();
+        config.peer_addr = peer.into();
         config.seeds = self.seeds.clone();
-        config.wall = since.as_millis() as u64;
-        config.requests = self.limits.requests;
-        config.heartbeat = ms(t.heartbeat_ms);
-        config.silence = ms(t.silence_ms);
-        config.call_silence = ms(t.call_silence_ms);
-        config.isolation = ms(t.isolation_ms);
-        config.lease = ms(t.lease_ms);
-        config.keep = self.limits.keep_inputs;
-        config.retries = self.retry_share;
-        config.tactics = self.tactics;
+        config.epoch_ms = since.as_millis() as u64;
+        config.max_requests = self.limits.requests;
+        config.heartbeat_interval = ms(t.heartbeat_ms);
+        config.stage_timeout = ms(t.silence_ms);
+        config.call_timeout = ms(t.call_silence_ms);
+        config.isolation_timeout = ms(t.isolation_ms);
+        config.lease_ttl = ms(t.lease_ms);
+        config.max_inputs = self.limits.keep_inputs;
+        config.retry_share = self.retry_share;
+        config.strategy = self.strategy;
         config.claims = claim::Config {
             shards: self.claims.shards,
-            keep: Duration::from_secs(self.claims.keep_s),
-            interval: ms(self.claims.interval_ms),
-            patience: ms(self.claims.patience_ms),
+            retention: Duration::from_secs(self.claims.keep_s),
+            write_interval: ms(self.claims.interval_ms),
+            timeout: ms(self.claims.patience_ms),
         };
         config
     }
 
     /// Bounds of the callers' port.
-    pub fn bounds(&self) -> Bounds {
+    pub fn caller_bounds(&self) -> PortLimits {
         let l = &self.limits;
-        Bounds {
+        PortLimits {
             server: Limits {
                 connections: l.connections,
-                head: l.head_bytes,
-                head_time: Duration::from_millis(l.head_ms),
+                header_bytes: l.head_bytes,
+                header_timeout: Duration::from_millis(l.head_ms),
             },
-            body: l.body_bytes,
-            body_time: Duration::from_millis(l.body_ms),
-            tokens: l.tokens,
+            max_body_bytes: l.body_bytes,
+            body_timeout: Duration::from_millis(l.body_ms),
+            max_tokens: l.tokens,
         }
     }
 
@@ -308,14 +309,14 @@
                 self.platform_calls
             );
         }
-        self.check_clashes()?;
-        self.level()?;
+        self.check_conflicts()?;
+        self.log_level()?;
         self.peer_credential.load("peer_credential")?;
         self.operator_credential.load("operator_credential")?;
         Ok(())
     }
 
-    fn check_clashes(&self) -> Result<()> {
+    fn check_conflicts(&self) -> Result<()> {
         let t = &self.timing;
         if t.isolation_ms < 3 * t.heartbeat_ms {
             bail!(
--- a/crates/ashgauged/src/timeline.rs
+++ b/crates/ashgauged/src/timeline.rs
@@ -7,19 +7,19 @@
 
 use ashgauge::record::Record;
 use eyre::{Result, WrapErr};
-use operator::EventsAnswer;
+use operator::EventsResponse;
 
 use crate::settings::Settings;
 
 /// Keeps the newest records, and writes all of them to a file if one is set.
 pub struct Timeline {
-    most: usize,
+    capacity: usize,
     inner: Mutex<Inner>,
 }
 
 struct Inner {
     records: VecDeque<Record>,
-    lost: u64,
+    evicted: u64,
     file: Option<File>,
 }
 
@@ -34,11 +34,11 @@
         let file = settings.events.as_ref().map(open).transpose()?;
         let inner = Inner {
             records: VecDeque::new(),
-            lost: 0,
+            evicted: 0,
             file,
         };
         Ok(Timeline {
-            most: settings.limits.records,
+            capacity: settings.limits.records,
             inner: Mutex::new(inner),
         })
     }
@@ -51,19 +51,19 @@
             line.push(b'\n');
             let _ = file.write_all(&line);
         }
-        if inner.records.len() >= self.most {
+        if inner.records.len() >= self.capacity {
             inner.records.pop_front();
-            inner.lost += 1;
+            inner.evicted += 1;
         }
         inner.records.push_back(record);
     }
 
     /// The records that are kept.
-    pub fn read(&self) -> EventsAnswer {
+    pub fn read(&self) -> EventsResponse {
         let inner = self.inner.lock().unwrap_or_else(|e| e.into_inner());
-        EventsAnswer {
+        EventsResponse {
             records: inner.records.iter().cloned().collect(),
-            lost: inner.lost,
+            dropped: inner.evicted,
         }
     }
 }
--- a/crates/bench/src/claim.rs
+++ b/crates/bench/src/claim.rs
@@ -5,11 +5,11 @@
 use std::time::{Duration, Instant};
 
 use ashgauge::Config;
-use ashgauge::claim::{Claims, Entries, Step, Verdict, Written};
-use ashgauge::node::{Content, Object};
+use ashgauge::claim::{ClaimAction, ClaimResult, Claims, StoredShard, WriteResult};
+use ashgauge::node::{ObjectKey, ObjectValue};
 use eyre::Result;
 use hdrhistogram::Histogram;
-use platform::Platform;
+use platform::PlatformClient;
 use rand::rngs::SmallRng;
 use rand::{Rng, SeedableRng};
 use serde_json::{Value, json};
@@ -29,7 +29,7 @@
 /// Pause of the plain way after the platform refused a call for its rate.
 const PAUSE: Duration = Duration::from_millis(100);
 
-type Ask = (String, String, oneshot::Sender<Verdict>);
+type Ask = (String, String, oneshot::Sender<ClaimResult>);
 
 /// Offers `rate` claims a second; `shards` gathers them, else each creates an
 /// object of its own.
@@ -43,7 +43,7 @@
     };
     crate::world::put(&addr, "/admin/mode", &mode).await?;
     let boxes: Vec<mpsc::UnboundedSender<Ask>> = (0..BOXES).map(|_| keeper(&addr)).collect();
-    let plain = Platform::new(&addr, 10_000.0, PATIENCE);
+    let plain = PlatformClient::new(&addr, 10_000.0, PATIENCE);
     let shard_of = Claims::new(Config::new("x", 1).claims);
     let mut rng = SmallRng::seed_from_u64(seed);
     let mut tasks = tokio::task::JoinSet::new();
@@ -53,7 +53,7 @@
         at -= (1.0 - rng.random::<f64>()).ln() / rate;
         n += 1;
         let key = format!("payroll/{:016x}", rng.random::<u64>());
-        let keeper = boxes[shard_of.shard(&key) as usize % BOXES].clone();
+        let keeper = boxes[shard_of.shard_of(&key) as usize % BOXES].clone();
         let (due, plain) = (began + Duration::from_secs_f64(at), plain.clone());
         tasks.spawn(async move {
             tokio::time::sleep_until(due).await;
@@ -93,20 +93,20 @@
 async fn ask(keeper: &mpsc::UnboundedSender<Ask>, key: String, n: u64) -> bool {
     let (sender, answer) = oneshot::channel();
     let _ = keeper.send((key, format!("claim-{n}"), sender));
-    matches!(answer.await, Ok(Verdict::Granted))
+    matches!(answer.await, Ok(ClaimResult::Granted))
 }
 
 /// The plain way: create an object that nobody else can create.
-async fn create(platform: &Platform, n: u64) -> bool {
+async fn create(platform: &PlatformClient, n: u64) -> bool {
     let until = Instant::now() + PATIENCE;
     // Shard numbers serve as names, far from those in use.
-    let object = Object::Claims(1_000_000 + n as u32);
+    let object = ObjectKey::Claims(1_000_000 + n as u32);
     while Instant::now() < until {
-        let content = Content::Claims(Entries::default());
+        let content = ObjectValue::Claims(StoredShard::default());
         match platform.write(&object, 0, &content).await {
-            Written::Done(_) => return true,
-            Written::Conflict => return false,
-            Written::Unknown | Written::Refused => tokio::time::sleep(PAUSE).await,
+            WriteResult::Done(_) => return true,
+            WriteResult::Conflict => return false,
+            WriteResult::Unknown | WriteResult::Refused => tokio::time::sleep(PAUSE).await,
         }
     }
     false
@@ -115,11 +115,11 @@
 /// One box's claims, with their calls to the platform.
 fn keeper(addr: &str) -> mpsc::UnboundedSender<Ask> {
     let (sender, mut asks) = mpsc::unbounded_channel::<Ask>();
-    let platform = Platform::new(addr, 100.0, PATIENCE);
+    let platform = PlatformClient::new(addr, 100.0, PATIENCE);
     tokio::spawn(async move {
         let began = Instant::now();
         let mut claims = Claims::new(Config::new("x", 1).claims);
-        let mut waiting: HashMap<String, oneshot::Sender<Verdict>> = HashMap::new();
+        let mut waiting: HashMap<String, oneshot::Sender<ClaimResult>> = HashMap::new();
         let (results, mut came) = mpsc::unbounded_channel();
         let mut ticks = tokio::time::interval(Duration::from_millis(10));
         loop {
@@ -127,13 +127,13 @@
                 ask = asks.recv() => {
                     let Some((key, id, told)) = ask else { return };
                     waiting.insert(id.clone(), told);
-                    claims.ask(began.elapsed(), 1, &key, &id)
+                    claims.claim(began.elapsed(), 1, &key, &id)
                 }
                 Some(result) = came.recv() => take(&mut claims, began.elapsed(), result),
                 _ = ticks.tick() => claims.tick(began.elapsed(), 1),
             };
             for step in steps {
-                if let Step::Tell(id, verdict) = step {
+                if let ClaimAction::Respond(id, verdict) = step {
                     let told = waiting.remove(&id).map(|w| w.send(verdict));
                     drop(told);
                 } else {
@@ -146,36 +146,36 @@
 }
 
 enum Done {
-    Read(u32, Option<(u64, Entries)>),
-    Written(u32, Entries, Written),
+    Read(u32, Option<(u64, StoredShard)>),
+    Written(u32, StoredShard, WriteResult),
 }
 
-fn take(claims: &mut Claims, now: Duration, done: Done) -> Vec<Step> {
+fn take(claims: &mut Claims, now: Duration, done: Done) -> Vec<ClaimAction> {
     match done {
-        Done::Read(shard, answer) => claims.read(now, 1, shard, answer),
-        Done::Written(shard, entries, result) => claims.written(now, 1, shard, entries, result),
+        Done::Read(shard, answer) => claims.on_read(now, 1, shard, answer),
+        Done::Written(shard, entries, result) => claims.on_written(now, 1, shard, entries, result),
     }
 }
 
-fn call(step: Step, platform: Platform, results: mpsc::UnboundedSender<Done>) {
+fn call(step: ClaimAction, platform: PlatformClient, results: mpsc::UnboundedSender<Done>) {
     tokio::spawn(async move {
         let done = match step {
-            Step::Read(shard) => {
-                let answer = platform.read(&Object::Claims(shard)).await;
+            ClaimAction::Read(shard) => {
+                let answer = platform.read(&ObjectKey::Claims(shard)).await;
                 let entries = |c| match c {
-                    Some(Content::Claims(entries)) => entries,
-                    _ => Entries::default(),
+                    Some(ObjectValue::Claims(entries)) => entries,
+                    _ => StoredShard::default(),
                 };
                 Done::Read(shard, answer.map(|(v, c)| (v, entries(c))))
             }
-            Step::Write(shard, version, entries) => {
-                let content = Content::Claims(entries.clone());
+            ClaimAction::Write(shard, version, entries) => {
+                let content = ObjectValue::Claims(entries.clone());
                 let result = platform
-                    .write(&Object::Claims(shard), version, &content)
+                    .write(&ObjectKey::Claims(shard), version, &content)
                     .await;
                 Done::Written(shard, entries, result)
             }
-            Step::Tell(..) => return,
+            ClaimAction::Respond(..) => return,
         };
         let _ = results.send(done);
     });
--- a/crates/bench/src/decision.rs
+++ b/crates/bench/src/decision.rs
@@ -6,17 +6,17 @@
 
 use ashgauge::choice;
 use ashgauge::class::Class;
-use ashgauge::demand::{self, Flows, Meter, Source};
-use ashgauge::estimate::{Estimator, Known};
-use ashgauge::level::{self, Level};
-use ashgauge::pipes::Pipes;
-use ashgauge::placement::{self, Seat};
+use ashgauge::demand::{self, DemandMeter, DemandSource, Traffic};
+use ashgauge::estimate::{Estimator, Observation};
+use ashgauge::level::{self, AdmissionLevel};
+use ashgauge::pipes::WanUsage;
+use ashgauge::placement::{self, PlacedEngine};
 use ashgauge::pressure::{self, Pressure};
-use ashgauge::roster::Roster;
-use ashgauge::routing::{Card, Model};
-use ashgauge::scene::Scene;
-use ashgauge::shape::Shape;
-use ashgauge::share::{self, Scope, Shares, Use, Uses, Word};
+use ashgauge::roster::UpstreamRegistry;
+use ashgauge::routing::{Accelerator, Model};
+use ashgauge::scene::SelectionContext;
+use ashgauge::shape::RequestSize;
+use ashgauge::share::{self, FleetLoad, LoadReport, Scope, Usage, UsageList};
 use ashgauge::upstream::Upstream;
 use rand::SeedableRng;
 use rand::rngs::SmallRng;
@@ -60,7 +60,7 @@
         let ranges = placement::plan(&model, &seats);
         first.push((engines as f64, millis(began)));
         for (seat, range) in seats.iter_mut().zip(sorted(ranges)) {
-            seat.span = Some(range.span);
+            seat.layers = Some(range.layers);
         }
         let began = Instant::now();
         black_box(placement::plan(&model, &seats));
@@ -73,7 +73,7 @@
 /// one with a long prompt, by its own shape.
 pub fn chains() -> (Vec<Point>, Vec<Point>) {
     let model = model();
-    let long = Shape::of(4 * model.prompt, model.answer, &model);
+    let long = RequestSize::clamped(4 * model.typical_prompt, model.typical_output, &model);
     let (mut usual, mut shaped) = (Vec::new(), Vec::new());
     for engines in ENGINES {
         usual.push((engines as f64, chain(&model, engines, None)));
@@ -82,17 +82,28 @@
     (usual, shaped)
 }
 
-fn chain(model: &Model, engines: usize, shape: Option<Shape>) -> f64 {
-    let (pipes, shares, place) = (Pipes::default(), Shares::default(), Arc::from("place-0"));
+fn chain(model: &Model, engines: usize, shape: Option<RequestSize>) -> f64 {
+    let (pipes, shares, place) = (
+        WanUsage::default(),
+        FleetLoad::default(),
+        Arc::from("place-0"),
+    );
     let roster = roster(model, engines);
-    let scene = Scene {
-        shape,
+    let scene = SelectionContext {
+        size: shape,
         ..scene(&roster, &pipes, &shares, &place)
     };
-    let (all, mut rng) = (choice::whole(model.layers), SmallRng::seed_from_u64(1));
+    let (all, mut rng) = (choice::all_layers(model.layers), SmallRng::seed_from_u64(1));
     let began = Instant::now();
     for _ in 0..CHOICES {
-        black_box(choice::chain(&scene, model, all, &[], None, &mut rng));
+        black_box(choice::select_chain(
+            &scene,
+            model,
+            all,
+            &[],
+            None,
+            &mut rng,
+        ));
     }
     millis(began) / f64::from(CHOICES)
 }
@@ -106,56 +117,56 @@
 }
 
 fn level(model: &Model, engines: usize) -> f64 {
-    let (pipes, place) = (Pipes::default(), Arc::from("place-0"));
+    let (pipes, place) = (WanUsage::default(), Arc::from("place-0"));
     let roster = roster(model, engines);
-    let mut shares = Shares::default();
-    shares.hear(Duration::from_secs(100), word(&roster));
+    let mut shares = FleetLoad::default();
+    shares.apply(Duration::from_secs(100), word(&roster));
     let scene = scene(&roster, &pipes, &shares, &place);
     let own = flows();
     let (mut estimator, mut now) = (Estimator::default(), Duration::ZERO);
     let began = Instant::now();
     for _ in 0..CHOICES {
-        let pressure = Pressure::of(&scene, model);
+        let pressure = Pressure::from_context(&scene, model);
         let flows = shares.flows(&own);
         let service = demand::key(MODEL);
-        let known = Known {
+        let known = Observation {
             demands: flows.demands_of(service),
             pressure,
-            ends: flows.ends_of(service),
+            completion_rate: flows.completion_rate(service),
             boxes: 2.0,
             age: AGE,
-            every: AGE,
-            growth: pressure::growth(model, roster.all().map(|e| &e.upstream)),
+            report_interval: AGE,
+            full_slowdown: pressure::full_slowdown(model, roster.iter().map(|e| &e.upstream)),
         };
         now += RECKON_EVERY;
         let estimate = estimator.estimate(now, &known);
-        let allowed = level::allowed(&estimate.pressure, estimate.ends);
-        estimator.note_allowed(now, allowed);
-        black_box(Level::new(&estimate.demands, allowed));
+        let allowed = level::allowed_rate(&estimate.pressure, estimate.completion_rate);
+        estimator.record_allowed_rate(now, allowed);
+        black_box(AdmissionLevel::new(&estimate.demands, allowed));
     }
     millis(began) / f64::from(CHOICES)
 }
 
 /// What a hub tells of all other boxes.
-fn word(roster: &Roster) -> Word {
-    let busy = Use {
+fn word(roster: &UpstreamRegistry) -> LoadReport {
+    let busy = Usage {
         requests: 100,
-        leads: 20,
-        tokens: 100_000,
-        reading: 10,
+        head_requests: 20,
+        token_layers: 100_000,
+        prefill_ms: 10,
     };
-    let mut uses: Uses = roster
-        .all()
-        .map(|e| (share::key(&e.upstream.id), busy))
+    let mut uses: UsageList = roster
+        .iter()
+        .map(|e| (share::upstream_key(&e.upstream.id), busy))
         .collect();
     uses.sort_unstable_by_key(|(key, _)| *key);
-    Word {
+    LoadReport {
         from: "hub".into(),
         boot: 1,
-        number: 1,
-        scope: Scope::Near,
+        sequence: 1,
+        scope: Scope::Local,
         boxes: 984,
-        uses,
+        usage: uses,
         suspects: Vec::new(),
         limits: Vec::new(),
         flows: flows(),
@@ -164,35 +175,35 @@
 }
 
 /// As many demands as a word holds, of teams of three ranks.
-fn flows() -> Flows {
-    let mut meter = Meter::default();
+fn flows() -> Traffic {
+    let mut meter = DemandMeter::default();
     for n in 0..DEMANDS {
-        let source = Source {
+        let source = DemandSource {
             service: demand::key(MODEL),
             class: Class::new(Some(n % 3), 0, false),
             team: Some(n),
         };
-        meter.note(Duration::ZERO, source, 1.0);
+        meter.record(Duration::ZERO, source, 1.0);
     }
-    meter.note_end(Duration::ZERO, demand::key(MODEL));
-    meter.flows(Duration::ZERO)
+    meter.record_completion(Duration::ZERO, demand::key(MODEL));
+    meter.traffic(Duration::ZERO)
 }
 
-fn roster(model: &Model, engines: usize) -> Roster {
+fn roster(model: &Model, engines: usize) -> UpstreamRegistry {
     let seats = seats(engines);
     let ranges = sorted(placement::plan(model, &seats));
-    let mut roster = Roster::default();
+    let mut roster = UpstreamRegistry::default();
     for (seat, range) in seats.into_iter().zip(ranges) {
         roster.put(Upstream {
             id: seat.id,
-            born: None,
+            started_ms: None,
             service: MODEL.into(),
             addr: "10.0.0.1:80".into(),
-            place: seat.place,
+            data_centre: seat.data_centre,
             slots: 192,
             leaving: false,
-            card: Some(seat.card),
-            layers: Some(range.span),
+            accelerator: Some(seat.accelerator),
+            layers: Some(range.layers),
             models: Vec::new(),
         });
     }
@@ -200,23 +211,23 @@
 }
 
 fn scene<'a>(
-    roster: &'a Roster,
-    pipes: &'a Pipes,
-    shares: &'a Shares,
+    roster: &'a UpstreamRegistry,
+    pipes: &'a WanUsage,
+    shares: &'a FleetLoad,
     place: &'a Arc<str>,
-) -> Scene<'a> {
-    Scene {
-        roster,
-        pipes,
-        shares,
+) -> SelectionContext<'a> {
+    SelectionContext {
+        registry: roster,
+        wan_usage: pipes,
+        fleet_load: shares,
         service: MODEL,
-        place,
-        lag: Duration::from_millis(100),
-        stay: Duration::from_secs(2),
+        data_centre: place,
+        remote_interval: Duration::from_millis(100),
+        request_duration: Duration::from_secs(2),
         boxes: 1000.0,
-        neighbours: 200.0,
-        together: false,
-        shape: None,
+        local_boxes: 200.0,
+        simultaneous: false,
+        size: None,
         now: Duration::from_secs(100),
     }
 }
@@ -228,42 +239,42 @@
 }
 
 /// Engines in the order of their ids.
-fn seats(engines: usize) -> Vec<Seat> {
+fn seats(engines: usize) -> Vec<PlacedEngine> {
     let kinds = CARDS.iter();
     let kinds = kinds.flat_map(|(card, part)| std::iter::repeat_n(*card, *part));
     let kinds: Vec<&str> = kinds.collect();
-    let seat = |n: usize| Seat {
+    let seat = |n: usize| PlacedEngine {
         id: format!("engine-{n:05}").into(),
-        place: format!("place-{}", n % PLACES).into(),
-        card: kinds[n / PLACES % kinds.len()].into(),
-        span: None,
+        data_centre: format!("place-{}", n % PLACES).into(),
+        accelerator: kinds[n / PLACES % kinds.len()].into(),
+        layers: None,
         movable: true,
     };
     (0..engines).map(seat).collect()
 }
 
 fn model() -> Model {
-    let card = |memory_mb, step_factor, read_factor| Card {
+    let card = |memory_mb, step_factor, read_factor| Accelerator {
         memory_mb,
         step_factor,
-        read_factor,
+        prefill_factor: read_factor,
     };
     Model {
         layers: 80,
         layer_mb: 1750.0,
         token_mb: 0.59,
         slots: 192,
-        step: Duration::from_micros(850),
-        step_request: Duration::from_nanos(3820),
+        step_time: Duration::from_micros(850),
+        step_per_request: Duration::from_nanos(3820),
         event_tokens: 3,
-        read_rate: 236_000.0,
-        load: Duration::from_secs(14),
-        loads: 6,
-        prompt: 772,
-        answer: 140,
+        prefill_rate: 236_000.0,
+        load_time: Duration::from_secs(14),
+        parallel_loads: 6,
+        typical_prompt: 772,
+        typical_output: 140,
         activation_mb: 0.0295,
-        pipe_mb: 650.0,
-        cards: [
+        wan_mb_s: 650.0,
+        accelerators: [
             ("large".to_string(), card(72_000.0, 1.4, 1.0)),
             ("medium".to_string(), card(36_000.0, 3.1, 3.2)),
             ("small".to_string(), card(22_000.0, 16.0, 8.2)),
--- a/crates/bench/src/experiment.rs
+++ b/crates/bench/src/experiment.rs
@@ -284,12 +284,14 @@
     let mut names = Vec::new();
     for node in &world.boxes {
         for record in node.desk().events().await?.records {
-            let lost = match &record.what {
-                ashgauge::record::What::Lost { upstream, .. } => **upstream == *world.engines[n].id,
+            let lost = match &record.kind {
+                ashgauge::record::RecordKind::Lost { upstream, .. } => {
+                    **upstream == *world.engines[n].id
+                }
                 _ => false,
             };
             if let (true, Some(id)) = (lost, record.request) {
-                names.push(format!("{}/{id}", record.node));
+                names.push(format!("{}/{id}", record.box_id));
             }
         }
     }
--- a/crates/bench/src/sample.rs
+++ b/crates/bench/src/sample.rs
@@ -4,69 +4,69 @@
 use std::time::Duration;
 
 use ashgauge::chain::Layer;
-use ashgauge::member::{BoxEntry, Hold, Listing, State, UpstreamEntry};
+use ashgauge::member::{BoxEntry, HeldLayers, MemberList, MemberState, UpstreamEntry};
 use ashgauge::message::{Envelope, Message};
-use ashgauge::node::{Content, Object, Order, Work};
+use ashgauge::node::{IncomingRequest, ObjectKey, ObjectValue, Work};
 use ashgauge::policy::hash_key;
-use ashgauge::table::{Cell, Change, Edit, HISTORY, Table};
+use ashgauge::table::{Cell, Change, Edit, MAX_EDITS, Table};
 use ashgauge::{Config, Event, Node};
 
 /// Layers of each model.
 pub const LAYERS: Layer = 32;
 
 /// A node that knows the list and a table of so many teams.
-pub fn node(list: Listing, teams: usize) -> Node {
+pub fn node(list: MemberList, teams: usize) -> Node {
     let mut config = Config::new("box-0", 1);
-    config.requests = 100_000;
+    config.max_requests = 100_000;
     let mut node = Node::new(config);
-    let content = Content::Table(Arc::new(table_of(teams)));
+    let content = ObjectValue::Table(Arc::new(table_of(teams)));
     node.handle(
         Duration::ZERO,
-        Event::Read(Object::Table, Some((1, Some(content)))),
+        Event::Read(ObjectKey::Table, Some((1, Some(content)))),
     );
     node.handle(Duration::ZERO, Event::Listed(list));
     node
 }
 
 /// A request of the first team for the first model.
-pub fn order(id: u64, tokens: u32) -> Order {
-    Order {
+pub fn order(id: u64, tokens: u32) -> IncomingRequest {
+    IncomingRequest {
         id,
         key_hash: hash_key("team-0"),
         work: Work::Generate {
             model: "model-0".into(),
             prompt: vec![1; 32],
-            most: tokens,
+            max_tokens: tokens,
         },
-        key: None,
+        idempotency_key: None,
         repeatable: true,
         timeout: None,
     }
 }
 
 /// Engines of `models` models, each holding a quarter of the layers.
-pub fn list_of(boxes: usize, engines: usize, models: usize, peer: &str) -> Listing {
+pub fn list_of(boxes: usize, engines: usize, models: usize, peer: &str) -> MemberList {
     let node = |n: usize| BoxEntry {
         id: format!("box-{n}").into(),
-        peer: peer.into(),
-        operator: "10.200.100.100:7100".into(),
+        peer_addr: peer.into(),
+        operator_addr: "10.200.100.100:7100".into(),
         data_centre: "ebene-a".into(),
-        state: State::Live,
+        state: MemberState::Live,
     };
     let engine = |n: usize| UpstreamEntry {
         id: format!("engine-{n}").into(),
         addr: "10.200.100.100:8000".into(),
         data_centre: "ebene-a".into(),
-        holds: vec![Hold {
+        holds: vec![HeldLayers {
             model: format!("model-{}", n / 4 % models),
             first: n as u32 % 4 * 8,
             end: n as u32 % 4 * 8 + 8,
         }],
         service: None,
         fenced: true,
-        state: State::Live,
+        state: MemberState::Live,
     };
-    Listing {
+    MemberList {
         version: 1,
         boxes: (0..boxes).map(node).collect(),
         upstreams: (0..engines).map(engine).collect(),
@@ -104,7 +104,7 @@
             vec![("kind", text("model")), ("layers", layers)],
         );
     }
-    for n in 0..HISTORY {
+    for n in 0..MAX_EDITS {
         let change = Change {
             row: "team/team-0".into(),
             column: "weight".into(),
@@ -115,7 +115,7 @@
             id: format!("ana-18ed6eb49a3970fc-{n}"),
             who: "ana".into(),
             at: 1_796_213_548_351,
-            cells: vec![change],
+            changes: vec![change],
         });
     }
     table
--- a/crates/bench/src/slopes.rs
+++ b/crates/bench/src/slopes.rs
@@ -6,10 +6,10 @@
 use std::time::{Duration, Instant};
 
 use crate::sample::{LAYERS, envelope, list_of, node, order, table_of, uuid};
-use ashgauge::claim::{self, Claims, Entries, Step, Written};
-use ashgauge::member::Listing;
+use ashgauge::claim::{self, ClaimAction, Claims, StoredShard, WriteResult};
+use ashgauge::member::MemberList;
 use ashgauge::message::{Envelope, Message};
-use ashgauge::node::{Ran, Run, Token};
+use ashgauge::node::{StageResult, StageRun, Token};
 use ashgauge::policy::Policy;
 use ashgauge::table::Table;
 use ashgauge::{Action, Config, Event, Node};
@@ -62,7 +62,7 @@
         bytes.push((members, text.len() as f64));
         let mut node = node(list, 10);
         let took = timed(REPEATS, || {
-            let list: Listing = serde_json::from_slice(&text).unwrap_or_default();
+            let list: MemberList = serde_json::from_slice(&text).unwrap_or_default();
             black_box(node.handle(Duration::from_secs(2), Event::Listed(list)));
         });
         times.push((members, took));
@@ -92,12 +92,12 @@
     let mut bytes = Vec::new();
     let mut times = Vec::new();
     for keys in KEYS {
-        let mut entries = Entries::default();
+        let mut entries = StoredShard::default();
         for n in 0..keys {
-            let entry = claim::Entry {
+            let entry = claim::StoredClaim {
                 id: format!("box-123.83fba0214217.{n}"),
-                stage: claim::Stage::Done,
-                at: 1_796_213_548,
+                state: claim::ClaimState::Done,
+                claimed_at: 1_796_213_548,
             };
             entries.keys.insert(uuid(n as u64), entry);
         }
@@ -112,9 +112,9 @@
 pub fn limits() -> Vec<Point> {
     let size = |teams: usize| {
         let wants = (0..teams).map(|n| (format!("team-{n}").into(), 123.456_789));
-        let body = Message::AskLoans {
+        let body = Message::RequestLoans {
             wants: wants.collect(),
-            asked: 123_456_789,
+            asked_us: 123_456_789,
         };
         (teams as f64, envelope(body) as f64)
     };
@@ -127,13 +127,13 @@
         .await
         .map_err(|e| eyre!(e))?;
     let (relay, count) = counting(addr.to_string()).await?;
-    let peers = peer::Peers::new(PEER);
+    let peers = peer::PeerClient::new(PEER);
     let mut points = Vec::new();
     for teams in [1usize, 8, 32, 128] {
         let wants = (0..teams).map(|n| (format!("team-{n}").into(), 1.5));
-        let body = Message::AskLoans {
+        let body = Message::RequestLoans {
             wants: wants.collect(),
-            asked: 1,
+            asked_us: 1,
         };
         let message = Envelope {
             from: "box-1".into(),
@@ -224,7 +224,7 @@
         let now = Duration::from_secs(10);
         let before = resident(std::process::id()).unwrap_or(0.0);
         for id in 0..inflight as u64 {
-            black_box(node.handle(now, Event::Arrive(order(id + 1, 16))));
+            black_box(node.handle(now, Event::RequestArrived(order(id + 1, 16))));
         }
         let after = resident(std::process::id()).unwrap_or(0.0);
         (inflight as f64, (after - before) * 1024.0 * 1024.0)
@@ -265,7 +265,8 @@
     let path = file("box", &settings.to_string())?.display().to_string();
     let mut process = Process::start("ashgauged", &["--settings".into(), path])?;
     let line: Value = serde_json::from_str(&process.line()?)?;
-    let desk = operator::Operator::new(line["operator"].as_str().unwrap_or_default(), OPERATOR);
+    let desk =
+        operator::OperatorClient::new(line["operator"].as_str().unwrap_or_default(), OPERATOR);
     proof::wait_until("all members", || async {
         let status = desk.status().await.ok()?;
         (status.upstreams.len() == engines && status.version > 0).then_some(())
@@ -356,24 +357,24 @@
 
 /// Runs one request to its end; the engines answer at once.
 fn drive(node: &mut Node, now: Duration, id: u64, tokens: u32) {
-    let mut events = vec![Event::Arrive(order(id, tokens))];
+    let mut events = vec![Event::RequestArrived(order(id, tokens))];
     while let Some(event) = events.pop() {
         for action in node.handle(now, event) {
             if let Action::Run(run) = action {
-                events.push(Event::Ran(answer(&run)));
+                events.push(Event::StageDone(answer(&run)));
             }
         }
     }
 }
 
-fn answer(run: &Run) -> Ran {
+fn answer(run: &StageRun) -> StageResult {
     let outputs = run.inputs.clone();
     let token = (run.end == LAYERS).then(|| Token {
         id: 1,
         text: "x".into(),
         end: false,
     });
-    Ran {
+    StageResult {
         id: run.id,
         session: run.session,
         start: run.start,
@@ -388,14 +389,14 @@
     let mut node = node(list_of(8, 40, 1, "127.0.0.1:7000"), 10);
     let now = Duration::from_secs(10);
     for id in 0..inflight as u64 {
-        black_box(node.handle(now, Event::Arrive(order(id + 1, 16))));
+        black_box(node.handle(now, Event::RequestArrived(order(id + 1, 16))));
     }
     timed(REPEATS, || {
         black_box(node.handle(now, Event::Tick));
     })
 }
 
-fn commit(entries: &Entries) -> f64 {
+fn commit(entries: &StoredShard) -> f64 {
     let config = Config::new("box-1", 1).claims;
     let mut now = Duration::from_secs(1);
     let mut n = 0;
@@ -407,14 +408,14 @@
         now += Duration::from_secs(1);
         for _ in 0..10 {
             n += 1;
-            black_box(claims.ask(now, 1_796_213_548, &format!("new-{n}"), &format!("id-{n}")));
+            black_box(claims.claim(now, 1_796_213_548, &format!("new-{n}"), &format!("id-{n}")));
         }
-        let steps = claims.read(now, 1_796_213_548, 0, Some((1, entries.clone())));
+        let steps = claims.on_read(now, 1_796_213_548, 0, Some((1, entries.clone())));
         for step in steps {
-            if let Step::Write(shard, version, next) = step {
+            if let ClaimAction::Write(shard, version, next) = step {
                 black_box(serde_json::to_vec(&next).unwrap_or_default());
-                let done = Written::Done(version + 1);
-                black_box(claims.written(now, 1_796_213_548, shard, next, done));
+                let done = WriteResult::Done(version + 1);
+                black_box(claims.on_written(now, 1_796_213_548, shard, next, done));
             }
         }
     })
--- a/crates/bench/src/world.rs
+++ b/crates/bench/src/world.rs
@@ -7,13 +7,13 @@
 use std::sync::atomic::AtomicU64;
 use std::time::{Duration, Instant};
 
-use ashgauge::member::{BoxEntry, Hold, Listing, State, UpstreamEntry};
+use ashgauge::member::{BoxEntry, HeldLayers, MemberList, MemberState, UpstreamEntry};
 use ashgauge::policy::hash_key;
 use ashgauge::table::{Cell, Table};
 use eyre::{Result, eyre};
 use http::{Client, Full};
 use hyper::{Method, Request};
-use operator::Operator;
+use operator::OperatorClient;
 use proof::{Folder, OPERATOR, PEER, Process, wait_until};
 use serde_json::{Value, json};
 use standin::engine::Options;
@@ -100,7 +100,7 @@
         let folder = Folder::new("bench")?;
         let (listener, platform) = listen().await?;
         tokio::spawn(platform::serve(listener));
-        let mut listing = Listing::default();
+        let mut listing = MemberList::default();
         let engines = engines(&mut listing).await?;
         services(&mut listing).await?;
         let mut world = World {
@@ -160,10 +160,10 @@
         };
         let entry = BoxEntry {
             id: id.as_str().into(),
-            peer: peer.to_string(),
-            operator: node.operator.clone(),
+            peer_addr: peer.to_string(),
+            operator_addr: node.operator.clone(),
             data_centre: "talca".into(),
-            state: State::Live,
+            state: MemberState::Live,
         };
         Ok((node, entry))
     }
@@ -188,7 +188,7 @@
     pub async fn start() -> Result<Self> {
         let (listener, platform) = listen().await?;
         tokio::spawn(platform::serve(listener));
-        let mut listing = Listing::default();
+        let mut listing = MemberList::default();
         for n in 0..4u32 {
             let options = Options {
                 model: "chat".into(),
@@ -239,8 +239,8 @@
 
 impl Node {
     /// The operators' port.
-    pub fn desk(&self) -> Operator {
-        Operator::new(&self.operator, OPERATOR)
+    pub fn desk(&self) -> OperatorClient {
+        OperatorClient::new(&self.operator, OPERATOR)
     }
 }
 
@@ -256,7 +256,7 @@
 }
 
 /// Ten engines a quarter of the layers, some of which hold a half.
-async fn engines(listing: &mut Listing) -> Result<Vec<Engine>> {
+async fn engines(listing: &mut MemberList) -> Result<Vec<Engine>> {
     let over = overrun().await;
     let mut engines = Vec::new();
     for n in 0..40u32 {
@@ -306,7 +306,7 @@
     Ok(engines)
 }
 
-async fn services(listing: &mut Listing) -> Result<()> {
+async fn services(listing: &mut MemberList) -> Result<()> {
     for n in 0..3 {
         let (listener, addr) = listen().await?;
         tokio::spawn(service::serve(listener, None));
@@ -319,7 +319,7 @@
 
 /// An engine that holds a range of layers, or a service if there is no range.
 fn entry(id: &str, addr: SocketAddr, range: Option<(u32, u32)>) -> UpstreamEntry {
-    let hold = |(first, end)| Hold {
+    let hold = |(first, end)| HeldLayers {
         model: "chat".into(),
         first,
         end,
@@ -331,7 +331,7 @@
         holds: range.map(hold).into_iter().collect(),
         service: range.is_none().then(|| "notes".into()),
         fenced: range.is_some(),
-        state: State::Live,
+        state: MemberState::Live,
     }
 }
 
--- a/crates/caller/src/answer.rs
+++ b/crates/caller/src/answer.rs
@@ -5,7 +5,7 @@
 use std::task::{Context, Poll, ready};
 use std::time::{Duration, SystemTime, UNIX_EPOCH};
 
-use ashgauge::node::{Kind, Outcome, Refusal, Reply, Token};
+use ashgauge::node::{Outcome, Refusal, RefusalKind, ReplyPart, Token};
 use bytes::Bytes;
 use http::{Body, full, json};
 use http_body_util::BodyExt;
@@ -14,13 +14,13 @@
 use hyper::{Response, StatusCode};
 use serde_json::json;
 
-use crate::{Answer, Shape};
+use crate::{Answer, AnswerFormat};
 
 /// Header that carries the outcome.
-pub const OUTCOME: &str = "ashgauge-outcome";
+pub const OUTCOME_HEADER: &str = "ashgauge-outcome";
 
 /// Header that carries the request's name.
-const REQUEST: &str = "ashgauge-request";
+const REQUEST_HEADER: &str = "ashgauge-request";
 
 /// An error answer.
 #[derive(Clone, Debug)]
@@ -51,10 +51,10 @@
         Problem::new(status, "stopped", message, "send it again now")
     }
 
-    fn of(refusal: &Refusal) -> Self {
+    fn from_refusal(refusal: &Refusal) -> Self {
         Problem {
-            status: status(refusal.kind, refusal.outcome),
-            kind: word(&refusal.kind),
+            status: status_code(refusal.kind, refusal.outcome),
+            kind: serialized_name(&refusal.kind),
             outcome: refusal.outcome,
             message: refusal.message.clone(),
             remedy: refusal.remedy.clone(),
@@ -64,9 +64,9 @@
 
     /// The answer, with all that it says as JSON.
     pub fn response(&self) -> Response<Body> {
-        let mut response = json(self.status, &self.value());
+        let mut response = json(self.status, &self.to_json());
         let headers = response.headers_mut();
-        headers.insert(OUTCOME, outcome_value(self.outcome));
+        headers.insert(OUTCOME_HEADER, outcome_value(self.outcome));
         if let Some(after) = self.retry_after {
             let seconds = after.as_millis().div_ceil(1000) as u64;
             headers.insert(RETRY_AFTER, HeaderValue::from(seconds));
@@ -74,74 +74,74 @@
         response
     }
 
-    fn value(&self) -> serde_json::Value {
+    fn to_json(&self) -> serde_json::Value {
         json!({"error": {
             "kind": self.kind,
             "message": self.message,
             "remedy": self.remedy,
-            "outcome": word(&self.outcome),
+            "outcome": serialized_name(&self.outcome),
             "retry_after_ms": self.retry_after.map(|d| d.as_millis() as u64),
         }})
     }
 }
 
 /// Waits for the first part and answers in the wanted form.
-pub(crate) async fn respond(answer: Answer, shape: Shape) -> Response<Body> {
-    let name = HeaderValue::from_str(&answer.name);
-    let mut response = begin(answer, shape).await;
+pub(crate) async fn respond(answer: Answer, shape: AnswerFormat) -> Response<Body> {
+    let name = HeaderValue::from_str(&answer.request_name);
+    let mut response = build_response(answer, shape).await;
     if let Ok(name) = name {
-        response.headers_mut().insert(REQUEST, name);
+        response.headers_mut().insert(REQUEST_HEADER, name);
     }
     response
 }
 
-async fn begin(mut answer: Answer, shape: Shape) -> Response<Body> {
-    let Some(first) = answer.parts.recv().await else {
+async fn build_response(mut answer: Answer, shape: AnswerFormat) -> Response<Body> {
+    let Some(first) = answer.replies.recv().await else {
         return Problem::stopped().response();
     };
     match (first, shape) {
-        (Reply::Refused(refusal), _) => Problem::of(&refusal).response(),
-        (Reply::Called(called), _) => {
+        (ReplyPart::Refused(refusal), _) => Problem::from_refusal(&refusal).response(),
+        (ReplyPart::Called(called), _) => {
             let mut response = Response::new(full(called.body));
             let status = StatusCode::from_u16(called.status);
             *response.status_mut() = status.unwrap_or(StatusCode::BAD_GATEWAY);
             let headers = response.headers_mut();
-            headers.insert(OUTCOME, outcome_value(Outcome::Done));
-            if let Ok(content) = HeaderValue::from_str(&called.content) {
+            headers.insert(OUTCOME_HEADER, outcome_value(Outcome::Done));
+            if let Ok(content) = HeaderValue::from_str(&called.content_type) {
                 headers.insert(CONTENT_TYPE, content);
             }
             response
         }
-        (first, shape) if shape.is_stream() => stream(first, answer, shape),
-        (first, shape) => whole(first, answer, &shape).await,
+        (first, shape) if shape.is_stream() => stream_answer(first, answer, shape),
+        (first, shape) => collect_answer(first, answer, &shape).await,
     }
 }
 
-pub(crate) fn plain(status: StatusCode, text: &'static str) -> Response<Body> {
+pub(crate) fn plain_text(status: StatusCode, text: &'static str) -> Response<Body> {
     let mut response = Response::new(full(text));
     *response.status_mut() = status;
     response
 }
 
-impl Shape {
+impl AnswerFormat {
     fn is_stream(&self) -> bool {
         match self {
-            Shape::Completion { stream, .. } | Shape::Chat { stream, .. } => *stream,
-            Shape::Service => false,
+            AnswerFormat::Completion { stream, .. } | AnswerFormat::Chat { stream, .. } => *stream,
+            AnswerFormat::Service => false,
         }
     }
 
     fn model(&self) -> &str {
         match self {
-            Shape::Completion { model, .. } | Shape::Chat { model, .. } => model,
-            Shape::Service => "",
+            AnswerFormat::Completion { model, .. } | AnswerFormat::Chat { model, .. } => model,
+            AnswerFormat::Service => "",
         }
     }
 
-    fn value(&self, text: &str, usage: (u32, u32), finish: &str) -> serde_json::Value {
+    fn completion_json(&self, text: &str, usage: (u32, u32), finish: &str) -> serde_json::Value {
         let (prompt, generated) = usage;
         let (object, choice) = match self {
-            Shape::Chat { .. } => (
+            AnswerFormat::Chat { .. } => (
                 "chat.completion",
                 json!({"index": 0, "message": {"role": "assistant", "content": text}, "finish_reason": finish}),
             ),
@@ -151,7 +151,7 @@
             ),
         };
         json!({
-            "id": "cmpl", "object": object, "created": seconds(), "model": self.model(),
+            "id": "cmpl", "object": object, "created": unix_seconds(), "model": self.model(),
             "choices": [choice],
             "usage": {
                 "prompt_tokens": prompt,
@@ -161,9 +161,9 @@
         })
     }
 
-    fn chunk(&self, text: &str, finish: Option<&str>) -> serde_json::Value {
+    fn chunk_json(&self, text: &str, finish: Option<&str>) -> serde_json::Value {
         let (object, choice) = match self {
-            Shape::Chat { .. } => (
+            AnswerFormat::Chat { .. } => (
                 "chat.completion.chunk",
                 json!({"index": 0, "delta": {"content": text}, "finish_reason": finish}),
             ),
@@ -173,48 +173,48 @@
             ),
         };
         json!({
-            "id": "cmpl", "object": object, "created": seconds(), "model": self.model(),
+            "id": "cmpl", "object": object, "created": unix_seconds(), "model": self.model(),
             "choices": [choice],
         })
     }
 }
 
 /// A server-sent event stream over a node's replies.
-struct Events {
-    first: Option<Reply>,
+struct EventStream {
+    first: Option<ReplyPart>,
     answer: Answer,
-    shape: Shape,
-    finish: &'static str,
-    over: bool,
+    shape: AnswerFormat,
+    finish_reason: &'static str,
+    finished: bool,
 }
 
-impl Events {
-    fn write(&mut self, reply: Reply) -> Bytes {
+impl EventStream {
+    fn encode(&mut self, reply: ReplyPart) -> Bytes {
         match reply {
-            Reply::Token(Token { text, end, .. }) => {
-                self.finish = if end { "stop" } else { "length" };
-                event(&self.shape.chunk(&text, None))
+            ReplyPart::Token(Token { text, end, .. }) => {
+                self.finish_reason = if end { "stop" } else { "length" };
+                sse_event(&self.shape.chunk_json(&text, None))
             }
-            Reply::End { .. } => {
-                self.over = true;
-                let mut last = self.shape.chunk("", Some(self.finish));
-                last["ashgauge_outcome"] = json!(word(&Outcome::Done));
-                let mut bytes = event(&last).to_vec();
+            ReplyPart::End { .. } => {
+                self.finished = true;
+                let mut last = self.shape.chunk_json("", Some(self.finish_reason));
+                last["ashgauge_outcome"] = json!(serialized_name(&Outcome::Done));
+                let mut bytes = sse_event(&last).to_vec();
                 bytes.extend_from_slice(b"data: [DONE]\n\n");
                 bytes.into()
             }
-            Reply::Refused(refusal) => self.error(&Problem::of(&refusal)),
-            Reply::Called(_) => self.error(&Problem::stopped()),
+            ReplyPart::Refused(refusal) => self.encode_error(&Problem::from_refusal(&refusal)),
+            ReplyPart::Called(_) => self.encode_error(&Problem::stopped()),
         }
     }
 
-    fn error(&mut self, problem: &Problem) -> Bytes {
-        self.over = true;
-        format!("event: error\ndata: {}\n\n", problem.value()).into()
+    fn encode_error(&mut self, problem: &Problem) -> Bytes {
+        self.finished = true;
+        format!("event: error\ndata: {}\n\n", problem.to_json()).into()
     }
 }
 
-impl hyper::body::Body for Events {
+impl hyper::body::Body for EventStream {
     type Data = Bytes;
     type Error = Infallible;
 
@@ -222,32 +222,32 @@
         mut self: Pin<&mut Self>,
         cx: &mut Context<'_>,
     ) -> Poll<Option<Result<Frame<Bytes>, Infallible>>> {
-        if self.over {
+        if self.finished {
             return Poll::Ready(None);
         }
         let reply = match self.first.take() {
             Some(reply) => Some(reply),
-            None => ready!(self.answer.parts.poll_recv(cx)),
+            None => ready!(self.answer.replies.poll_recv(cx)),
         };
         let bytes = match reply {
-            Some(reply) => self.write(reply),
+            Some(reply) => self.encode(reply),
             None => {
                 let mut problem = Problem::stopped();
                 problem.outcome = Outcome::Unknown;
-                self.error(&problem)
+                self.encode_error(&problem)
             }
         };
         Poll::Ready(Some(Ok(Frame::data(bytes))))
     }
 }
 
-fn stream(first: Reply, answer: Answer, shape: Shape) -> Response<Body> {
-    let events = Events {
+fn stream_answer(first: ReplyPart, answer: Answer, shape: AnswerFormat) -> Response<Body> {
+    let events = EventStream {
         first: Some(first),
         answer,
         shape,
-        finish: "length",
-        over: false,
+        finish_reason: "length",
+        finished: false,
     };
     let mut response = Response::new(events.boxed());
     let kind = HeaderValue::from_static("text/event-stream");
@@ -255,36 +255,40 @@
     response
 }
 
-async fn whole(first: Reply, mut answer: Answer, shape: &Shape) -> Response<Body> {
+async fn collect_answer(
+    first: ReplyPart,
+    mut answer: Answer,
+    shape: &AnswerFormat,
+) -> Response<Body> {
     let mut text = String::new();
     let mut finish = "length";
     let mut next = Some(first);
     while let Some(reply) = next {
         match reply {
-            Reply::Token(token) => {
+            ReplyPart::Token(token) => {
                 text.push_str(&token.text);
                 if token.end {
                     finish = "stop";
                 }
             }
-            Reply::End { prompt, generated } => {
-                let value = shape.value(&text, (prompt, generated), finish);
+            ReplyPart::End { prompt, generated } => {
+                let value = shape.completion_json(&text, (prompt, generated), finish);
                 let mut response = json(StatusCode::OK, &value);
                 let headers = response.headers_mut();
-                headers.insert(OUTCOME, outcome_value(Outcome::Done));
+                headers.insert(OUTCOME_HEADER, outcome_value(Outcome::Done));
                 return response;
             }
-            Reply::Refused(refusal) => return Problem::of(&refusal).response(),
-            Reply::Called(_) => break,
+            ReplyPart::Refused(refusal) => return Problem::from_refusal(&refusal).response(),
+            ReplyPart::Called(_) => break,
         }
-        next = answer.parts.recv().await;
+        next = answer.replies.recv().await;
     }
     let mut problem = Problem::stopped();
     problem.outcome = Outcome::Unknown;
     problem.response()
 }
 
-fn event(value: &serde_json::Value) -> Bytes {
+fn sse_event(value: &serde_json::Value) -> Bytes {
     format!("data: {value}\n\n").into()
 }
 
@@ -296,25 +300,27 @@
     })
 }
 
-fn word(value: &impl serde::Serialize) -> String {
+fn serialized_name(value: &impl serde::Serialize) -> String {
     let value = serde_json::to_value(value).unwrap_or_default();
     value.as_str().unwrap_or_default().into()
 }
 
-fn status(kind: Kind, outcome: Outcome) -> StatusCode {
+fn status_code(kind: RefusalKind, outcome: Outcome) -> StatusCode {
     match kind {
-        Kind::Unauthorized => StatusCode::UNAUTHORIZED,
-        Kind::UnknownRoute => StatusCode::NOT_FOUND,
-        Kind::BadKey => StatusCode::BAD_REQUEST,
-        Kind::KeyTaken => StatusCode::CONFLICT,
-        Kind::RateLimited | Kind::QueueFull => StatusCode::TOO_MANY_REQUESTS,
-        Kind::Deadline => StatusCode::GATEWAY_TIMEOUT,
-        Kind::Broken | Kind::Held if outcome == Outcome::Unknown => StatusCode::BAD_GATEWAY,
+        RefusalKind::Unauthorized => StatusCode::UNAUTHORIZED,
+        RefusalKind::UnknownRoute => StatusCode::NOT_FOUND,
+        RefusalKind::BadKey => StatusCode::BAD_REQUEST,
+        RefusalKind::KeyTaken => StatusCode::CONFLICT,
+        RefusalKind::RateLimited | RefusalKind::QueueFull => StatusCode::TOO_MANY_REQUESTS,
+        RefusalKind::Deadline => StatusCode::GATEWAY_TIMEOUT,
+        RefusalKind::Broken | RefusalKind::Held if outcome == Outcome::Unknown => {
+            StatusCode::BAD_GATEWAY
+        }
         _ => StatusCode::SERVICE_UNAVAILABLE,
     }
 }
 
-fn seconds() -> u64 {
+fn unix_seconds() -> u64 {
     let since = SystemTime::now().duration_since(UNIX_EPOCH);
     since.map_or(0, |d| d.as_secs())
 }
--- a/crates/caller/src/lib.rs
+++ b/crates/caller/src/lib.rs
@@ -14,7 +14,7 @@
 use std::sync::Arc;
 use std::time::Duration;
 
-use ashgauge::node::{Order, Reply};
+use ashgauge::node::{IncomingRequest, ReplyPart};
 use http::{Body, Limits, serve};
 use hyper::body::Incoming;
 use hyper::{Request, Response, StatusCode};
@@ -22,28 +22,28 @@
 use tokio::sync::mpsc::UnboundedReceiver;
 use tokio::sync::watch;
 
-pub use answer::{OUTCOME, Problem};
-pub use request::{Shape, tokenize};
+pub use answer::{OUTCOME_HEADER, Problem};
+pub use request::{AnswerFormat, tokenize};
 
 /// Bounds of the callers' port.
 #[derive(Clone, Copy, Debug)]
-pub struct Bounds {
+pub struct PortLimits {
     /// Connections and request heads.
     pub server: Limits,
     /// Bytes of a request's body.
-    pub body: usize,
+    pub max_body_bytes: usize,
     /// Time for a request's body.
-    pub body_time: Duration,
+    pub body_timeout: Duration,
     /// Tokens that one request may ask for.
-    pub tokens: u32,
+    pub max_tokens: u32,
 }
 
 /// An answer on its way: its parts, and what ends the request if dropped.
 pub struct Answer {
     /// Name of the request in the time line and in the engines' records.
-    pub name: String,
+    pub request_name: String,
     /// Parts; bounded in number by the tokens asked for.
-    pub parts: UnboundedReceiver<Reply>,
+    pub replies: UnboundedReceiver<ReplyPart>,
     /// Dropped when the caller is gone or the answer is whole.
     pub guard: Box<dyn Send + Sync>,
 }
@@ -51,7 +51,7 @@
 /// What the callers' port asks of the rest of the process.
 pub trait Router: Send + Sync + 'static {
     /// Starts a request; its id is filled in by the router.
-    fn start(&self, order: Order) -> impl Future<Output = Option<Answer>> + Send;
+    fn start(&self, order: IncomingRequest) -> impl Future<Output = Option<Answer>> + Send;
 
     /// Whether the balancer may send requests here.
     fn is_ready(&self) -> impl Future<Output = bool> + Send;
@@ -61,7 +61,7 @@
 /// flight.
 pub async fn listen<R: Router>(
     listener: TcpListener,
-    bounds: Bounds,
+    bounds: PortLimits,
     stop: watch::Receiver<bool>,
     router: Arc<R>,
 ) {
@@ -74,13 +74,13 @@
 
 async fn handle<R: Router>(
     request: Request<Incoming>,
-    bounds: Bounds,
+    bounds: PortLimits,
     router: &R,
 ) -> Response<Body> {
     match request.uri().path() {
-        "/healthz" => return answer::plain(StatusCode::OK, "ok"),
-        "/readyz" if router.is_ready().await => return answer::plain(StatusCode::OK, "ready"),
-        "/readyz" => return answer::plain(StatusCode::SERVICE_UNAVAILABLE, "not ready"),
+        "/healthz" => return answer::plain_text(StatusCode::OK, "ok"),
+        "/readyz" if router.is_ready().await => return answer::plain_text(StatusCode::OK, "ready"),
+        "/readyz" => return answer::plain_text(StatusCode::SERVICE_UNAVAILABLE, "not ready"),
         _ => {}
     }
     let (order, shape) = match request::parse(request, &bounds).await {
--- a/crates/caller/src/request.rs
+++ b/crates/caller/src/request.rs
@@ -2,7 +2,7 @@
 
 use std::time::Duration;
 
-use ashgauge::node::{Order, Value, Work};
+use ashgauge::node::{IncomingRequest, StageValue, Work};
 use ashgauge::policy::hash_key;
 use http::read_body;
 use hyper::body::Incoming;
@@ -10,22 +10,22 @@
 use hyper::{Method, Request, StatusCode};
 use serde::Deserialize;
 
-use crate::Bounds;
+use crate::PortLimits;
 use crate::answer::Problem;
 
 /// Header that marks a request as not repeatable, with the value `no`.
-const REPEAT: &str = "ashgauge-repeat";
+const REPEAT_HEADER: &str = "ashgauge-repeat";
 
 /// Header with the request's longest time in milliseconds.
-const TIMEOUT: &str = "ashgauge-timeout-ms";
+const TIMEOUT_HEADER: &str = "ashgauge-timeout-ms";
 
-const IDEMPOTENCY_KEY: &str = "idempotency-key";
+const IDEMPOTENCY_HEADER: &str = "idempotency-key";
 
-const TOKENS_DEFAULT: u32 = 16;
+const DEFAULT_MAX_TOKENS: u32 = 16;
 
 /// Form in which the caller wants its answer.
 #[derive(Clone, Debug, PartialEq)]
-pub enum Shape {
+pub enum AnswerFormat {
     /// `/v1/completions`.
     Completion {
         /// Model.
@@ -69,20 +69,20 @@
 }
 
 /// Splits a prompt into tokens, one a byte.
-pub fn tokenize(text: &str) -> Vec<Value> {
-    text.bytes().map(Value::from).collect()
+pub fn tokenize(text: &str) -> Vec<StageValue> {
+    text.bytes().map(StageValue::from).collect()
 }
 
 /// Reads a request whole and checks it.
 pub(crate) async fn parse(
     request: Request<Incoming>,
-    bounds: &Bounds,
-) -> Result<(Order, Shape), Problem> {
+    bounds: &PortLimits,
+) -> Result<(IncomingRequest, AnswerFormat), Problem> {
     let (head, body) = request.into_parts();
-    let key = bearer(&head.headers)?;
-    let timeout = timeout(&head.headers)?;
-    let name = text(&head.headers, IDEMPOTENCY_KEY)?;
-    let repeatable = text(&head.headers, REPEAT)?.as_deref() != Some("no");
+    let key = bearer_key(&head.headers)?;
+    let timeout = parse_timeout(&head.headers)?;
+    let name = header_text(&head.headers, IDEMPOTENCY_HEADER)?;
+    let repeatable = header_text(&head.headers, REPEAT_HEADER)?.as_deref() != Some("no");
     let path = head
         .uri
         .path_and_query()
@@ -92,60 +92,60 @@
     if model && head.method != Method::POST {
         return Err(Problem::bad_method());
     }
-    let body = read_body(body, bounds.body, bounds.body_time).await;
-    let body = body.map_err(|status| Problem::bad_body(status, bounds.body))?;
+    let body = read_body(body, bounds.max_body_bytes, bounds.body_timeout).await;
+    let body = body.map_err(|status| Problem::bad_body(status, bounds.max_body_bytes))?;
     let (work, shape) = match head.uri.path() {
-        "/v1/completions" => completion(&body, bounds)?,
-        "/v1/chat/completions" => chat(&body, bounds)?,
+        "/v1/completions" => parse_completion(&body, bounds)?,
+        "/v1/chat/completions" => parse_chat(&body, bounds)?,
         _ => {
-            let content = text(&head.headers, CONTENT_TYPE.as_str())?;
+            let content = header_text(&head.headers, CONTENT_TYPE.as_str())?;
             let work = Work::Call {
                 method: head.method.to_string(),
                 path,
-                content: content.unwrap_or_default(),
+                content_type: content.unwrap_or_default(),
                 body: body.to_vec().into(),
             };
-            (work, Shape::Service)
+            (work, AnswerFormat::Service)
         }
     };
-    let order = Order {
+    let order = IncomingRequest {
         id: 0,
         key_hash: hash_key(&key),
         work,
-        key: name,
+        idempotency_key: name,
         repeatable,
         timeout,
     };
     Ok((order, shape))
 }
 
-fn completion(body: &[u8], bounds: &Bounds) -> Result<(Work, Shape), Problem> {
+fn parse_completion(body: &[u8], bounds: &PortLimits) -> Result<(Work, AnswerFormat), Problem> {
     let body: CompletionBody = decode(body)?;
-    let work = generate(&body.model, &body.prompt, body.max_tokens, bounds)?;
+    let work = generate_work(&body.model, &body.prompt, body.max_tokens, bounds)?;
     let (model, stream) = (body.model, body.stream);
-    Ok((work, Shape::Completion { model, stream }))
+    Ok((work, AnswerFormat::Completion { model, stream }))
 }
 
-fn chat(body: &[u8], bounds: &Bounds) -> Result<(Work, Shape), Problem> {
+fn parse_chat(body: &[u8], bounds: &PortLimits) -> Result<(Work, AnswerFormat), Problem> {
     let body: ChatBody = decode(body)?;
     let lines = body.messages.iter();
     let lines: Vec<String> = lines
         .map(|m| format!("{}: {}\n", m.role, m.content))
         .collect();
-    let work = generate(&body.model, &lines.concat(), body.max_tokens, bounds)?;
+    let work = generate_work(&body.model, &lines.concat(), body.max_tokens, bounds)?;
     let (model, stream) = (body.model, body.stream);
-    Ok((work, Shape::Chat { model, stream }))
+    Ok((work, AnswerFormat::Chat { model, stream }))
 }
 
-fn generate(
+fn generate_work(
     model: &str,
     prompt: &str,
     most: Option<u32>,
-    bounds: &Bounds,
+    bounds: &PortLimits,
 ) -> Result<Work, Problem> {
-    let most = most.unwrap_or(TOKENS_DEFAULT);
-    if most == 0 || most > bounds.tokens {
-        let limit = bounds.tokens;
+    let most = most.unwrap_or(DEFAULT_MAX_TOKENS);
+    if most == 0 || most > bounds.max_tokens {
+        let limit = bounds.max_tokens;
         return Err(Problem::bad_request(&format!(
             "max_tokens must be 1 to {limit}"
         )));
@@ -156,7 +156,7 @@
     Ok(Work::Generate {
         model: model.into(),
         prompt: tokenize(prompt),
-        most,
+        max_tokens: most,
     })
 }
 
@@ -164,25 +164,25 @@
     serde_json::from_slice(body).map_err(|e| Problem::bad_request(&e.to_string()))
 }
 
-fn bearer(headers: &HeaderMap) -> Result<String, Problem> {
-    let value = text(headers, AUTHORIZATION.as_str())?;
+fn bearer_key(headers: &HeaderMap) -> Result<String, Problem> {
+    let value = header_text(headers, AUTHORIZATION.as_str())?;
     let key = value.as_deref().and_then(|v| v.strip_prefix("Bearer "));
-    key.map(String::from).ok_or_else(Problem::no_key)
+    key.map(String::from).ok_or_else(Problem::missing_key)
 }
 
-fn timeout(headers: &HeaderMap) -> Result<Option<Duration>, Problem> {
-    let Some(value) = text(headers, TIMEOUT)? else {
+fn parse_timeout(headers: &HeaderMap) -> Result<Option<Duration>, Problem> {
+    let Some(value) = header_text(headers, TIMEOUT_HEADER)? else {
         return Ok(None);
     };
     match value.parse::<u64>() {
         Ok(ms) if ms > 0 => Ok(Some(Duration::from_millis(ms))),
         _ => Err(Problem::bad_request(&format!(
-            "{TIMEOUT} must be a whole number from 1"
+            "{TIMEOUT_HEADER} must be a whole number from 1"
         ))),
     }
 }
 
-fn text(headers: &HeaderMap, name: &str) -> Result<Option<String>, Problem> {
+fn header_text(headers: &HeaderMap, name: &str) -> Result<Option<String>, Problem> {
     let Some(value) = headers.get(name) else {
         return Ok(None);
     };
@@ -222,7 +222,7 @@
         )
     }
 
-    fn no_key() -> Self {
+    fn missing_key() -> Self {
         let status = StatusCode::UNAUTHORIZED;
         let remedy = "send the team's key as a bearer token";
         Problem::new(status, "unauthorized", "no bearer key was sent", remedy)
--- a/crates/http/src/client.rs
+++ b/crates/http/src/client.rs
@@ -16,14 +16,14 @@
 type Sender = SendRequest<Full<Bytes>>;
 
 /// Idle connections kept for one address.
-const IDLE_MOST: usize = 64;
+const MAX_IDLE_PER_ADDR: usize = 64;
 
 /// The same for all addresses together: each takes a descriptor, and whoever calls
 /// thousands of upstreams once must not keep one for each.
-const IDLE_ALL: usize = 256;
+const MAX_IDLE: usize = 256;
 
 /// Longest answer, in bytes; a stored object is at most 1 MB.
-const ANSWER_MOST: usize = 8 << 20;
+const MAX_RESPONSE_BYTES: usize = 8 << 20;
 
 /// Why a request brought no answer.
 #[derive(Clone, Debug, PartialEq)]
@@ -37,13 +37,13 @@
 /// Sends requests over kept connections. Clones share the connections.
 #[derive(Clone, Debug)]
 pub struct Client {
-    connect: Duration,
-    idle: Arc<Mutex<Idle>>,
+    connect_timeout: Duration,
+    idle: Arc<Mutex<IdlePool>>,
 }
 
 /// Connections that rest.
 #[derive(Debug, Default)]
-struct Idle {
+struct IdlePool {
     senders: HashMap<String, Vec<Sender>>,
     count: usize,
 }
@@ -52,13 +52,13 @@
     /// Makes a client that gives up connecting after `connect`.
     pub fn new(connect: Duration) -> Self {
         Client {
-            connect,
+            connect_timeout: connect,
             idle: Arc::default(),
         }
     }
 
     /// Connections that rest.
-    pub fn idle(&self) -> usize {
+    pub fn idle_count(&self) -> usize {
         self.idle.lock().map_or(0, |idle| idle.count)
     }
 
@@ -88,20 +88,20 @@
         // An idle connection may have been closed by the other side; hyper
         // gives the request back if it was not begun.
         while let Some(sender) = self.take(addr) {
-            match self.try_on(addr, sender, request).await {
+            match self.send_on(addr, sender, request).await {
                 Ok(answer) => return answer,
                 Err(unsent) => request = *unsent,
             }
         }
         let sender = self.connect(addr).await?;
-        match self.try_on(addr, sender, request).await {
+        match self.send_on(addr, sender, request).await {
             Ok(answer) => answer,
             Err(_) => Err(Failure::NotSent("connection closed at once".into())),
         }
     }
 
     /// Sends on one connection; gives the request back if it did not go out.
-    async fn try_on(
+    async fn send_on(
         &self,
         addr: &str,
         mut sender: Sender,
@@ -115,17 +115,17 @@
             },
         };
         let (parts, body) = response.into_parts();
-        let body = match Limited::new(body, ANSWER_MOST).collect().await {
+        let body = match Limited::new(body, MAX_RESPONSE_BYTES).collect().await {
             Ok(body) => body.to_bytes(),
             Err(e) => return Ok(Err(Failure::Lost(e.to_string()))),
         };
-        self.keep(addr, sender);
+        self.put_back(addr, sender);
         Ok(Ok(Response::from_parts(parts, body)))
     }
 
     async fn connect(&self, addr: &str) -> Result<Sender, Failure> {
         let not_sent = |e: &dyn fmt::Display| Failure::NotSent(e.to_string());
-        let stream = match timeout(self.connect, TcpStream::connect(addr)).await {
+        let stream = match timeout(self.connect_timeout, TcpStream::connect(addr)).await {
             Ok(Ok(stream)) => stream,
             Ok(Err(e)) => return Err(not_sent(&e)),
             Err(_) => return Err(Failure::NotSent("connecting took too long".into())),
@@ -142,14 +142,14 @@
         self.idle.lock().ok()?.take(addr)
     }
 
-    fn keep(&self, addr: &str, sender: Sender) {
+    fn put_back(&self, addr: &str, sender: Sender) {
         if let Ok(mut idle) = self.idle.lock() {
-            idle.keep(addr, sender);
+            idle.put_back(addr, sender);
         }
     }
 }
 
-impl Idle {
+impl IdlePool {
     fn take(&mut self, addr: &str) -> Option<Sender> {
         let senders = self.senders.get_mut(addr)?;
         while let Some(sender) = senders.pop() {
@@ -161,15 +161,15 @@
         None
     }
 
-    fn keep(&mut self, addr: &str, sender: Sender) {
+    fn put_back(&mut self, addr: &str, sender: Sender) {
         if sender.is_closed() {
             return;
         }
-        if self.count >= IDLE_ALL {
+        if self.count >= MAX_IDLE {
             self.drop_closed();
         }
         let senders = self.senders.entry(addr.into()).or_default();
-        if self.count < IDLE_ALL && senders.len() < IDLE_MOST {
+        if self.count < MAX_IDLE && senders.len() < MAX_IDLE_PER_ADDR {
             senders.push(sender);
             self.count += 1;
         }
--- a/crates/http/src/server.rs
+++ b/crates/http/src/server.rs
@@ -26,17 +26,17 @@
     /// Open connections.
     pub connections: usize,
     /// Bytes of a request's head.
-    pub head: usize,
+    pub header_bytes: usize,
     /// Time for a request's head.
-    pub head_time: Duration,
+    pub header_timeout: Duration,
 }
 
 impl Default for Limits {
     fn default() -> Self {
         Limits {
             connections: 4096,
-            head: 16 << 10,
-            head_time: Duration::from_secs(5),
+            header_bytes: 16 << 10,
+            header_timeout: Duration::from_secs(5),
         }
     }
 }
@@ -70,7 +70,7 @@
         };
         let (handler, stop) = (handler.clone(), stop.clone());
         tokio::spawn(async move {
-            connection(stream, limits, stop, handler).await;
+            serve_connection(stream, limits, stop, handler).await;
             drop(place);
         });
     }
@@ -117,7 +117,7 @@
     response
 }
 
-async fn connection<H, F>(
+async fn serve_connection<H, F>(
     stream: TcpStream,
     limits: Limits,
     mut stop: watch::Receiver<bool>,
@@ -134,8 +134,8 @@
     let mut builder = http1::Builder::new();
     builder
         .timer(TokioTimer::new())
-        .header_read_timeout(limits.head_time)
-        .max_buf_size(limits.head.max(8192))
+        .header_read_timeout(limits.header_timeout)
+        .max_buf_size(limits.header_bytes.max(8192))
         .half_close(false);
     let serving = builder.serve_connection(TokioIo::new(stream), service);
     tokio::pin!(serving);
--- a/crates/http/tests/client.rs
+++ b/crates/http/tests/client.rs
@@ -36,5 +36,9 @@
         let request = request.body(Full::<Bytes>::default()).unwrap();
         client.send(&addr, request, ANSWER_MOST).await.unwrap();
     }
-    assert!(client.idle() <= IDLE_MOST, "{} connections", client.idle());
+    assert!(
+        client.idle_count() <= IDLE_MOST,
+        "{} connections",
+        client.idle_count()
+    );
 }
--- a/crates/operator/src/client.rs
+++ b/crates/operator/src/client.rs
@@ -3,7 +3,7 @@
 use std::fmt;
 use std::time::Duration;
 
-use ashgauge::editor::Answer;
+use ashgauge::editor::EditResult;
 use ashgauge::node::Status;
 use ashgauge::table::Edit;
 use bytes::Bytes;
@@ -12,9 +12,9 @@
 use hyper::{Method, Request, StatusCode};
 use serde::de::DeserializeOwned;
 
-use crate::{BoxesAnswer, EventsAnswer, TableAnswer};
+use crate::{BoxesResponse, EventsResponse, TableResponse};
 
-const CALL_TIME: Duration = Duration::from_secs(10);
+const CALL_TIMEOUT: Duration = Duration::from_secs(10);
 
 /// Why a call brought no result.
 #[derive(Debug)]
@@ -29,16 +29,16 @@
 
 /// The operators' port of one box.
 #[derive(Clone, Debug)]
-pub struct Operator {
+pub struct OperatorClient {
     addr: String,
     credential: String,
     client: Client,
 }
 
-impl Operator {
+impl OperatorClient {
     /// Makes a client of the box at `addr`.
     pub fn new(addr: &str, credential: &str) -> Self {
-        Operator {
+        OperatorClient {
             addr: addr.into(),
             credential: credential.into(),
             client: Client::new(Duration::from_secs(1)),
@@ -50,7 +50,7 @@
     /// # Errors
     ///
     /// Fails if the box gives no result.
-    pub async fn table(&self) -> Result<TableAnswer, CallError> {
+    pub async fn table(&self) -> Result<TableResponse, CallError> {
         self.get("/v1/table").await
     }
 
@@ -68,7 +68,7 @@
     /// # Errors
     ///
     /// Fails if the box gives no result.
-    pub async fn boxes(&self) -> Result<BoxesAnswer, CallError> {
+    pub async fn boxes(&self) -> Result<BoxesResponse, CallError> {
         self.get("/v1/boxes").await
     }
 
@@ -77,7 +77,7 @@
     /// # Errors
     ///
     /// Fails if the box gives no result.
-    pub async fn events(&self) -> Result<EventsAnswer, CallError> {
+    pub async fn events(&self) -> Result<EventsResponse, CallError> {
         self.get("/v1/events").await
     }
 
@@ -87,7 +87,7 @@
     ///
     /// Fails if the box gives no result; the edit may then have taken effect,
     /// and the same edit may be sent again.
-    pub async fn edit(&self, edit: &Edit) -> Result<Answer, CallError> {
+    pub async fn edit(&self, edit: &Edit) -> Result<EditResult, CallError> {
         let body = serde_json::to_vec(edit).unwrap_or_default();
         self.call(Method::POST, "/v1/edits", body.into()).await
     }
@@ -119,7 +119,7 @@
         headers.insert(HOST, HeaderValue::from_static("box"));
         let bearer = HeaderValue::from_str(&format!("Bearer {}", self.credential));
         headers.insert(AUTHORIZATION, bearer.map_err(|_| CallError::Unauthorized)?);
-        let answer = self.client.send(&self.addr, request, CALL_TIME).await;
+        let answer = self.client.send(&self.addr, request, CALL_TIMEOUT).await;
         let answer = answer.map_err(CallError::Network)?;
         let refused = || CallError::Refused(String::from_utf8_lossy(answer.body()).into());
         match answer.status() {
--- a/crates/operator/src/lib.rs
+++ b/crates/operator/src/lib.rs
@@ -13,12 +13,12 @@
 use ashgauge::table::{Table, Version};
 use serde::{Deserialize, Serialize};
 
-pub use client::{CallError, Operator};
-pub use server::{Desk, listen};
+pub use client::{CallError, OperatorClient};
+pub use server::{OperatorApi, listen};
 
 /// The table with its version.
 #[derive(Clone, Debug, Serialize, Deserialize)]
-pub struct TableAnswer {
+pub struct TableResponse {
     /// Version in force on the box that answered.
     pub version: Version,
     /// The table.
@@ -27,16 +27,17 @@
 
 /// A part of a box's time line.
 #[derive(Clone, Debug, Default, Serialize, Deserialize)]
-pub struct EventsAnswer {
+pub struct EventsResponse {
     /// Records, oldest first.
     pub records: Vec<Record>,
     /// Records that the box no longer holds.
-    pub lost: u64,
+    #[serde(rename = "lost")]
+    pub dropped: u64,
 }
 
 /// Boxes of the platform's list.
 #[derive(Clone, Debug, Serialize, Deserialize)]
-pub struct BoxesAnswer {
+pub struct BoxesResponse {
     /// Boxes.
     pub boxes: Vec<BoxEntry>,
 }
--- a/crates/peer/src/lib.rs
+++ b/crates/peer/src/lib.rs
@@ -23,22 +23,22 @@
 const METHOD: &str = "deliver";
 
 /// Time that a delivery may take.
-const CALL_TIME: Duration = Duration::from_millis(1000);
+const CALL_TIMEOUT: Duration = Duration::from_millis(1000);
 
 /// Longest message, in bytes; a table is at most 1 MB.
-const MESSAGE_MOST: u32 = 4 << 20;
+const MAX_MESSAGE_BYTES: u32 = 4 << 20;
 
 /// Sends messages to other boxes. Clones share the connections.
 #[derive(Clone)]
-pub struct Peers {
+pub struct PeerClient {
     credential: Arc<str>,
     clients: Arc<Mutex<HashMap<String, HttpClient>>>,
 }
 
-impl Peers {
+impl PeerClient {
     /// Makes a sender that shows this credential.
     pub fn new(credential: &str) -> Self {
-        Peers {
+        PeerClient {
             credential: credential.into(),
             clients: Arc::default(),
         }
@@ -65,8 +65,8 @@
         let value = HeaderValue::from_str(&format!("Bearer {}", self.credential));
         headers.insert("authorization", value.map_err(|e| e.to_string())?);
         let client = HttpClient::builder()
-            .request_timeout(CALL_TIME)
-            .max_request_size(MESSAGE_MOST)
+            .request_timeout(CALL_TIMEOUT)
+            .max_request_size(MAX_MESSAGE_BYTES)
             .set_headers(headers)
             .build(format!("http://{addr}"))
             .map_err(|e| e.to_string())?;
@@ -92,7 +92,7 @@
     let check = move |request: &mut HttpRequest<_>| authorize(request, &wanted);
     let middleware = tower::ServiceBuilder::new().layer(ValidateRequestHeaderLayer::custom(check));
     let config = jsonrpsee::server::ServerConfig::builder()
-        .max_request_body_size(MESSAGE_MOST)
+        .max_request_body_size(MAX_MESSAGE_BYTES)
         .http_only()
         .build();
     let server = Server::builder()
--- a/crates/proof/examples/demo.rs
+++ b/crates/proof/examples/demo.rs
@@ -3,7 +3,7 @@
 
 use std::process::Command;
 
-use ashgauge::record::{Record, What};
+use ashgauge::record::{Record, RecordKind};
 use eyre::{Result, bail, ensure};
 use proof::{BoxPlan, EnginePlan, Fleet, OPERATOR, Plan, binary, outcome, text_of, wait_until};
 use serde_json::json;
@@ -149,7 +149,7 @@
         "what the box decided for that request, in order",
     );
     let events = fleet.boxes[0].desk().events().await?;
-    let lost = |r: &&Record| matches!(r.what, What::Lost { .. });
+    let lost = |r: &&Record| matches!(r.kind, RecordKind::Lost { .. });
     let request = events
         .records
         .iter()
--- a/crates/proof/src/fleet.rs
+++ b/crates/proof/src/fleet.rs
@@ -4,13 +4,13 @@
 use std::path::{Path, PathBuf};
 use std::time::Duration;
 
-use ashgauge::member::{BoxEntry, Hold, Listing, State, UpstreamEntry};
+use ashgauge::member::{BoxEntry, HeldLayers, MemberList, MemberState, UpstreamEntry};
 use ashgauge::policy::hash_key;
 use ashgauge::table::{Cell, Table};
 use eyre::{Result, WrapErr, eyre};
 use http::{Client, Full};
 use hyper::Request;
-use operator::Operator;
+use operator::OperatorClient;
 use serde_json::{Value, json};
 use standin::engine::Record;
 
@@ -126,7 +126,7 @@
     /// Plain services.
     pub services: Vec<Upstream>,
     /// The platform's list as last published.
-    pub listing: Listing,
+    pub listing: MemberList,
     /// Layers of the model.
     pub layers: u32,
     platform: Process,
@@ -145,7 +145,7 @@
             boxes: Vec::new(),
             engines: Vec::new(),
             services: Vec::new(),
-            listing: Listing::default(),
+            listing: MemberList::default(),
             layers: plan.layers,
             folder,
         };
@@ -189,7 +189,7 @@
             args.push("--fenced".into());
         }
         let upstream = Upstream::start(id, &args, records)?;
-        let hold = Hold {
+        let hold = HeldLayers {
             model: "chat".into(),
             first: plan.first,
             end: plan.end,
@@ -201,7 +201,7 @@
             holds: vec![hold],
             service: None,
             fenced: plan.fenced,
-            state: State::Live,
+            state: MemberState::Live,
         });
         self.engines.push(upstream);
         Ok(self.engines.len() - 1)
@@ -220,7 +220,7 @@
             holds: Vec::new(),
             service: Some("notes".into()),
             fenced: false,
-            state: State::Live,
+            state: MemberState::Live,
         });
         self.services.push(upstream);
         Ok(self.services.len() - 1)
@@ -263,10 +263,10 @@
         };
         self.listing.boxes.push(BoxEntry {
             id: id.as_str().into(),
-            peer: node.peer_link.addr.clone(),
-            operator: node.operator.clone(),
+            peer_addr: node.peer_link.addr.clone(),
+            operator_addr: node.operator.clone(),
             data_centre: "ebene-a".into(),
-            state: State::Live,
+            state: MemberState::Live,
         });
         self.boxes.push(node);
         Ok(self.boxes.len() - 1)
@@ -352,8 +352,8 @@
 
 impl Node {
     /// The operators' port.
-    pub fn desk(&self) -> Operator {
-        Operator::new(&self.operator, OPERATOR)
+    pub fn desk(&self) -> OperatorClient {
+        OperatorClient::new(&self.operator, OPERATOR)
     }
 
     /// Waits until the balancer may send requests here.
--- a/crates/proof/tests/layers.rs
+++ b/crates/proof/tests/layers.rs
@@ -203,8 +203,9 @@
     fleet.engines[lost].process.kill();
     wait_until("a stalled request", || async {
         let events = fleet.boxes[0].desk().events().await.ok()?;
-        let stalled =
-            |r: &ashgauge::record::Record| matches!(r.what, ashgauge::record::What::Stalled { .. });
+        let stalled = |r: &ashgauge::record::Record| {
+            matches!(r.kind, ashgauge::record::RecordKind::Stalled { .. })
+        };
         events.records.iter().any(stalled).then_some(())
     })
     .await?;
--- a/crates/proof/tests/lease.rs
+++ b/crates/proof/tests/lease.rs
@@ -1,7 +1,7 @@
 //! One box at a time gives orders to upstreams; an old holder that wakes does
 //! no lasting harm, whether the upstream checks the fence or not.
 
-use ashgauge::editor::Answer;
+use ashgauge::editor::EditResult;
 use ashgauge::table::{Cell, Change, Edit};
 use eyre::{Result, bail};
 use proof::{BoxPlan, EnginePlan, Fleet, Plan, wait_until};
@@ -37,10 +37,10 @@
         id: adapter.into(),
         who: "ana".into(),
         at: 0,
-        cells: vec![change("engine-1"), change("engine-2")],
+        changes: vec![change("engine-1"), change("engine-2")],
     };
     match fleet.boxes[node].desk().edit(&edit).await? {
-        Answer::Accepted { .. } => Ok(()),
+        EditResult::Accepted { .. } => Ok(()),
         other => bail!("{other:?}"),
     }
 }
@@ -65,7 +65,7 @@
 async fn holder(fleet: &Fleet, besides: Option<usize>) -> Result<usize> {
     wait_until("a holder of the lease", || async {
         for (n, node) in fleet.boxes.iter().enumerate() {
-            if Some(n) != besides && node.desk().status().await.ok()?.lease.is_some() {
+            if Some(n) != besides && node.desk().status().await.ok()?.lease_term.is_some() {
                 return Some(n);
             }
         }
--- a/crates/proof/tests/leaving.rs
+++ b/crates/proof/tests/leaving.rs
@@ -1,7 +1,7 @@
 //! An upstream that leaves gets no new work, and a planned stop cuts off no
 //! request. The verdict is the upstreams' own records and the callers' texts.
 
-use ashgauge::member::State;
+use ashgauge::member::MemberState;
 use eyre::Result;
 use proof::{BoxPlan, EnginePlan, Fleet, Plan, Reply, outcome, runs, text_of, wait_until};
 use standin::engine::Record;
@@ -18,7 +18,7 @@
     wait_until("a box that knows of the leaving upstream", || async {
         let status = fleet.boxes[node].desk().status().await.ok()?;
         let found = status.upstreams.iter().find(|u| &*u.id == id)?;
-        (found.state == State::Leaving).then_some(())
+        (found.state == MemberState::Leaving).then_some(())
     })
     .await
 }
@@ -34,7 +34,7 @@
 
 fn mark_leaving(fleet: &mut Fleet, id: &str) {
     let found = fleet.listing.upstreams.iter_mut().find(|u| &*u.id == id);
-    found.expect("it is listed").state = State::Leaving;
+    found.expect("it is listed").state = MemberState::Leaving;
 }
 
 fn assert_whole(reply: &Reply, layers: u32, prompt: &str, tokens: u32) {
--- a/crates/proof/tests/path.rs
+++ b/crates/proof/tests/path.rs
@@ -55,10 +55,10 @@
         id: "close-chat".into(),
         who: "ana".into(),
         at: 0,
-        cells: vec![change],
+        changes: vec![change],
     };
     let answer = fleet.boxes[0].desk().edit(&edit).await?;
-    let ashgauge::editor::Answer::Accepted { version } = answer else {
+    let ashgauge::editor::EditResult::Accepted { version } = answer else {
         panic!("{answer:?}");
     };
     fleet.boxes[1].wait_version(version).await?;
--- a/crates/proof/tests/table.rs
+++ b/crates/proof/tests/table.rs
@@ -1,7 +1,7 @@
 //! An accepted change is in force on every box within seconds, never twice,
 //! and never reverts; a refused one names the other's value and the remedy.
 
-use ashgauge::editor::Answer;
+use ashgauge::editor::EditResult;
 use ashgauge::table::{Cell, Change, Edit};
 use eyre::{Result, bail};
 use proof::{BoxPlan, Fleet, Plan, wait_until};
@@ -20,13 +20,13 @@
         id: id.into(),
         who: who.into(),
         at: 0,
-        cells: vec![change],
+        changes: vec![change],
     }
 }
 
-fn accepted(answer: &Answer) -> Result<u64> {
+fn accepted(answer: &EditResult) -> Result<u64> {
     match answer {
-        Answer::Accepted { version } => Ok(*version),
+        EditResult::Accepted { version } => Ok(*version),
         other => bail!("not accepted: {other:?}"),
     }
 }
@@ -67,11 +67,15 @@
         let (a, b) = tokio::join!(a.edit(&ana), b.edit(&ben));
         let (a, b) = (a?, b?);
         let (won, lost, value) = match (&a, &b) {
-            (Answer::Accepted { version }, Answer::Refused { .. }) => (*version, &b, next + 1.0),
-            (Answer::Refused { .. }, Answer::Accepted { version }) => (*version, &a, next + 1.5),
+            (EditResult::Accepted { version }, EditResult::Refused { .. }) => {
+                (*version, &b, next + 1.0)
+            }
+            (EditResult::Refused { .. }, EditResult::Accepted { version }) => {
+                (*version, &a, next + 1.5)
+            }
             other => bail!("{other:?}"),
         };
-        let Answer::Refused { message, conflict } = lost else {
+        let EditResult::Refused { message, conflict } = lost else {
             unreachable!()
         };
         assert!(
@@ -173,10 +177,10 @@
     // answered, and the edit's write then have got lost; not so a second time.
     let probe = weight("probe", "ana", "payroll", 4.0, 4.5);
     let probe = fleet.boxes[0].desk().edit(&probe).await?;
-    assert!(!matches!(probe, Answer::Accepted { .. }), "{probe:?}");
+    assert!(!matches!(probe, EditResult::Accepted { .. }), "{probe:?}");
     let edit = weight("two", "ana", "payroll", 4.0, 5.0);
     let refused = fleet.boxes[0].desk().edit(&edit).await?;
-    let Answer::Refused {
+    let EditResult::Refused {
         message,
         conflict: false,
     } = refused
--- a/crates/standin/src/engine.rs
+++ b/crates/standin/src/engine.rs
@@ -6,7 +6,7 @@
 use std::sync::{Arc, Mutex};
 use std::time::{Duration, Instant};
 
-use ashgauge::node::{Reason, Token};
+use ashgauge::node::{RefusalReason, Token};
 use bytes::Bytes;
 use http::{Body, json};
 use hyper::header::RETRY_AFTER;
@@ -15,7 +15,7 @@
 use serde::{Deserialize, Serialize};
 use tokio::net::TcpListener;
 use tokio::sync::{Mutex as TaskMutex, Semaphore};
-use upstream::{Cancel, NOT_RUN, OrderBody, OrderReply, RunBody, RunReply, reason_word};
+use upstream::{Cancel, NOT_RUN_HEADER, OrderBody, OrderReply, RunBody, RunReply, reason_name};
 
 use crate::model::{Layers, sample};
 use crate::web::{append, run, status_only};
@@ -176,15 +176,15 @@
         let mode = lock(&self.mode).clone();
         let o = &self.options;
         if order.model != o.model || order.first < o.first || order.end > o.end {
-            return refuse(Reason::NoLayers);
+            return refuse(RefusalReason::NoLayers);
         }
         let known = lock(&self.sessions).get(&order.session).cloned();
         let session = match known {
             Some(session) => session,
-            None if order.start > 0 => return refuse(Reason::NoSession),
-            None if mode.leaving => return self.refuse_new(order.session, Reason::Leaving),
+            None if order.start > 0 => return refuse(RefusalReason::NoSession),
+            None if mode.leaving => return self.refuse_new(order.session, RefusalReason::Leaving),
             None if mode.rest_ms > 0 => {
-                let mut refusal = self.refuse_new(order.session, Reason::Busy);
+                let mut refusal = self.refuse_new(order.session, RefusalReason::Busy);
                 let seconds = mode.rest_ms as f64 / 1e3;
                 if let Ok(value) = seconds.to_string().parse() {
                     refusal.headers_mut().insert(RETRY_AFTER, value);
@@ -205,7 +205,7 @@
             return json(StatusCode::OK, &kept);
         }
         if session.next != order.start {
-            return refuse(Reason::NoSession);
+            return refuse(RefusalReason::NoSession);
         }
         let reply = self.work(&mut session, order).await;
         drop(session);
@@ -215,7 +215,7 @@
         json(StatusCode::OK, &self.cross(mode.crossed, reply))
     }
 
-    fn refuse_new(&self, session: String, reason: Reason) -> Response<Body> {
+    fn refuse_new(&self, session: String, reason: RefusalReason) -> Response<Body> {
         append(
             self.options.records.as_deref(),
             &Record::Refused { session },
@@ -309,12 +309,12 @@
             append(records, &Record::Fenced { term: order.term });
             return status_only(StatusCode::CONFLICT);
         }
-        *fence = (fence.0.max(order.term), order.goal.number);
+        *fence = (fence.0.max(order.term), order.goal.hash);
         append(
             records,
             &Record::Obeyed {
                 term: order.term,
-                goal: order.goal.number,
+                goal: order.goal.hash,
                 adapter: order.goal.adapter.clone(),
             },
         );
@@ -330,10 +330,10 @@
     }
 }
 
-fn refuse(reason: Reason) -> Response<Body> {
+fn refuse(reason: RefusalReason) -> Response<Body> {
     let mut response = status_only(StatusCode::CONFLICT);
-    let word = hyper::header::HeaderValue::from_static(reason_word(reason));
-    response.headers_mut().insert(NOT_RUN, word);
+    let word = hyper::header::HeaderValue::from_static(reason_name(reason));
+    response.headers_mut().insert(NOT_RUN_HEADER, word);
     response
 }
 
--- a/crates/standin/src/model.rs
+++ b/crates/standin/src/model.rs
@@ -4,7 +4,7 @@
 //! and values would. A layer left out, run twice or run out of order gives
 //! another text.
 
-use ashgauge::node::Value;
+use ashgauge::node::StageValue;
 
 /// State of some layers of one session.
 #[derive(Clone, Debug)]
@@ -21,7 +21,7 @@
     }
 
     /// Runs one position through the layers.
-    pub fn run(&mut self, input: Value) -> Value {
+    pub fn run(&mut self, input: StageValue) -> StageValue {
         let mut x = input;
         for (i, state) in self.states.iter_mut().enumerate() {
             *state = mix(*state, x);
@@ -32,7 +32,7 @@
 }
 
 /// The token that the last layer's output stands for.
-pub fn sample(output: Value) -> (Value, String) {
+pub fn sample(output: StageValue) -> (StageValue, String) {
     let id = u64::from(b'a') + output % 26;
     let text = char::from(id as u8).to_string();
     (id, text)
--- a/crates/standin/src/platform.rs
+++ b/crates/standin/src/platform.rs
@@ -4,12 +4,12 @@
 use std::sync::{Arc, Mutex};
 use std::time::{Duration, Instant};
 
-use ashgauge::member::Listing;
+use ashgauge::member::MemberList;
 use bytes::Bytes;
 use http::{Body, json};
 use hyper::http::request::Parts;
 use hyper::{Method, Response, StatusCode};
-use platform::{Stored, WriteReply};
+use platform::{StoredObject, WriteReply};
 use serde::{Deserialize, Serialize};
 use tokio::net::TcpListener;
 use tokio::sync::watch;
@@ -70,10 +70,10 @@
 
 #[derive(Default)]
 struct State {
-    objects: HashMap<String, Stored>,
-    old: HashMap<String, Stored>,
+    objects: HashMap<String, StoredObject>,
+    old: HashMap<String, StoredObject>,
     mode: Mode,
-    lists: Vec<(Instant, Listing)>,
+    lists: Vec<(Instant, MemberList)>,
     counts: Counts,
     spent: [(f64, Option<Instant>); 2],
 }
@@ -157,7 +157,9 @@
             return json(StatusCode::CONFLICT, &WriteReply { version: current });
         }
         let version = current + 1;
-        state.objects.insert(name.into(), Stored { version, value });
+        state
+            .objects
+            .insert(name.into(), StoredObject { version, value });
         state.counts.writes += 1;
         drop(state);
         self.changed.send_modify(|n| *n += 1);
@@ -235,7 +237,7 @@
                 status_only(StatusCode::OK)
             }
             ("members", &Method::PUT) => {
-                let Ok(mut listing) = serde_json::from_slice::<Listing>(body) else {
+                let Ok(mut listing) = serde_json::from_slice::<MemberList>(body) else {
                     return status_only(StatusCode::BAD_REQUEST);
                 };
                 listing.version = state.lists.len() as u64 + 1;
@@ -255,7 +257,7 @@
 
 impl State {
     /// The list as it was some time ago.
-    fn shown(&self) -> Listing {
+    fn shown(&self) -> MemberList {
         let lag = Duration::from_millis(self.mode.lag_ms);
         let old = self.lists.iter().rev().find(|(at, _)| at.elapsed() >= lag);
         let shown = old.or(self.lists.first());
--- a/crates/standin/src/service.rs
+++ b/crates/standin/src/service.rs
@@ -10,7 +10,7 @@
 use hyper::{Response, StatusCode};
 use serde::{Deserialize, Serialize};
 use tokio::net::TcpListener;
-use upstream::NOT_RUN;
+use upstream::NOT_RUN_HEADER;
 
 use crate::web::{append, run, status_only};
 
@@ -60,7 +60,7 @@
     if now.leaving {
         let mut response = status_only(StatusCode::SERVICE_UNAVAILABLE);
         let word = hyper::header::HeaderValue::from_static("leaving");
-        response.headers_mut().insert(NOT_RUN, word);
+        response.headers_mut().insert(NOT_RUN_HEADER, word);
         return response;
     }
     let record = Record {
--- a/crates/standin/src/web.rs
+++ b/crates/standin/src/web.rs
@@ -45,7 +45,7 @@
 {
     let (_keep, stop) = watch::channel(false);
     let limits = Limits {
-        head_time: Duration::from_secs(3600),
+        header_timeout: Duration::from_secs(3600),
         ..Limits::default()
     };
     serve(listener, limits, stop, move |request| {
--- a/crates/upstream/src/lib.rs
+++ b/crates/upstream/src/lib.rs
@@ -13,7 +13,7 @@
 
 use std::time::Duration;
 
-use ashgauge::node::{Call, Called, Fault, Ran, Run};
+use ashgauge::node::{ServiceCall, ServiceResponse, StageResult, StageRun, UpstreamError};
 use ashgauge::order::{Command, Reply};
 use bytes::Bytes;
 use http::{Client, Failure, Full};
@@ -21,7 +21,9 @@
 use hyper::{Request, Response, StatusCode};
 use spdlog::warn;
 
-pub use wire::{Cancel, NOT_RUN, OrderBody, OrderReply, RunBody, RunReply, reason, reason_word};
+pub use wire::{
+    Cancel, NOT_RUN_HEADER, OrderBody, OrderReply, RunBody, RunReply, parse_reason, reason_name,
+};
 
 /// Name of a stage's session on its engine.
 pub fn session_name(owner: &str, id: u64, session: u32) -> String {
@@ -33,7 +35,12 @@
 /// # Errors
 ///
 /// Fails with what is known of whether it ran.
-pub async fn run(client: &Client, owner: &str, order: &Run, limit: Duration) -> Result<Ran, Fault> {
+pub async fn run(
+    client: &Client,
+    owner: &str,
+    order: &StageRun,
+    limit: Duration,
+) -> Result<StageResult, UpstreamError> {
     let body = RunBody {
         session: session_name(owner, order.id, order.session),
         request: format!("{owner}.{}", order.id),
@@ -49,13 +56,15 @@
     let answer = client
         .send(&order.addr, request, limit)
         .await
-        .map_err(fault)?;
-    check(&answer)?;
+        .map_err(to_fault)?;
+    check_status(&answer)?;
     let reply: RunReply = decode(&answer)?;
     if reply.session != body.session {
-        return Err(Fault::Lost("the answer is of another session".into()));
+        return Err(UpstreamError::Lost(
+            "the answer is of another session".into(),
+        ));
     }
-    Ok(Ran {
+    Ok(StageResult {
         id: order.id,
         session: order.session,
         start: reply.start,
@@ -78,27 +87,31 @@
 /// # Errors
 ///
 /// Fails with what is known of whether it ran.
-pub async fn call(client: &Client, call: &Call, limit: Duration) -> Result<Called, Fault> {
+pub async fn call(
+    client: &Client,
+    call: &ServiceCall,
+    limit: Duration,
+) -> Result<ServiceResponse, UpstreamError> {
     let mut request = Request::new(Full::new(Bytes::copy_from_slice(&call.body)));
     *request.method_mut() = call.method.parse().unwrap_or(hyper::Method::POST);
     *request.uri_mut() = call.path.parse().unwrap_or_default();
     let headers = request.headers_mut();
-    set(headers, hyper::header::HOST, &call.addr);
-    set(headers, CONTENT_TYPE, &call.content);
-    if let Some(key) = &call.key {
-        set(headers, HeaderName::from_static("idempotency-key"), key);
+    set_header(headers, hyper::header::HOST, &call.addr);
+    set_header(headers, CONTENT_TYPE, &call.content_type);
+    if let Some(key) = &call.idempotency_key {
+        set_header(headers, HeaderName::from_static("idempotency-key"), key);
     }
     let answer = client
         .send(&call.addr, request, limit)
         .await
-        .map_err(fault)?;
-    if let Some(fault) = refused(&answer) {
+        .map_err(to_fault)?;
+    if let Some(fault) = refusal(&answer) {
         return Err(fault);
     }
     let content = answer.headers().get(CONTENT_TYPE);
-    Ok(Called {
+    Ok(ServiceResponse {
         status: answer.status().as_u16(),
-        content: content
+        content_type: content
             .and_then(|c| c.to_str().ok())
             .unwrap_or_default()
             .into(),
@@ -107,10 +120,10 @@
 }
 
 /// Sends a fenced order.
-pub async fn command(client: &Client, order: &Command, limit: Duration) -> Reply {
+pub async fn send_order(client: &Client, order: &Command, limit: Duration) -> Reply {
     let body = OrderBody {
         term: order.term,
-        goal: order.goal.clone(),
+        goal: order.desired.clone(),
     };
     let request = post("/v1/orders", &body);
     let Ok(answer) = client.send(&order.addr, request, limit).await else {
@@ -134,41 +147,42 @@
     request
 }
 
-fn set(headers: &mut hyper::HeaderMap, name: HeaderName, value: &str) {
+fn set_header(headers: &mut hyper::HeaderMap, name: HeaderName, value: &str) {
     if let Ok(value) = HeaderValue::from_str(value) {
         headers.insert(name, value);
     }
 }
 
-fn check(answer: &Response<Bytes>) -> Result<(), Fault> {
-    if let Some(fault) = refused(answer) {
+fn check_status(answer: &Response<Bytes>) -> Result<(), UpstreamError> {
+    if let Some(fault) = refusal(answer) {
         return Err(fault);
     }
     if answer.status() == StatusCode::OK {
         return Ok(());
     }
-    Err(Fault::Lost(format!("status {}", answer.status())))
+    Err(UpstreamError::Lost(format!("status {}", answer.status())))
 }
 
 /// The upstream's own refusal, if the answer is one.
-fn refused(answer: &Response<Bytes>) -> Option<Fault> {
-    let word = answer.headers().get(NOT_RUN)?;
-    let reason = reason(word.to_str().ok()?)?;
+fn refusal(answer: &Response<Bytes>) -> Option<UpstreamError> {
+    let word = answer.headers().get(NOT_RUN_HEADER)?;
+    let reason = parse_reason(word.to_str().ok()?)?;
     let rest = http::retry_after(answer.headers());
     let rest = rest.unwrap_or_else(|text| {
         warn!("an upstream asks for a rest that is no time: `{text}`");
         None
     });
-    Some(Fault::Refused { reason, rest })
+    Some(UpstreamError::Refused { reason, rest })
 }
 
-fn decode<T: serde::de::DeserializeOwned>(answer: &Response<Bytes>) -> Result<T, Fault> {
-    serde_json::from_slice(answer.body()).map_err(|e| Fault::Lost(format!("bad answer: {e}")))
+fn decode<T: serde::de::DeserializeOwned>(answer: &Response<Bytes>) -> Result<T, UpstreamError> {
+    serde_json::from_slice(answer.body())
+        .map_err(|e| UpstreamError::Lost(format!("bad answer: {e}")))
 }
 
-fn fault(failure: Failure) -> Fault {
+fn to_fault(failure: Failure) -> UpstreamError {
     match failure {
-        Failure::NotSent(cause) => Fault::NotSent(cause),
-        Failure::Lost(cause) => Fault::Lost(cause),
+        Failure::NotSent(cause) => UpstreamError::NotSent(cause),
+        Failure::Lost(cause) => UpstreamError::Lost(cause),
     }
 }
--- a/crates/upstream/src/wire.rs
+++ b/crates/upstream/src/wire.rs
@@ -1,12 +1,12 @@
 //! Bodies and words of the engine protocol, for client and stand-in alike.
 
 use ashgauge::chain::Layer;
-use ashgauge::node::{Reason, Token, Value};
-use ashgauge::order::Goal;
+use ashgauge::node::{RefusalReason, StageValue, Token};
+use ashgauge::order::DesiredState;
 use serde::{Deserialize, Serialize};
 
 /// Header by which an upstream says that it did nothing, and why.
-pub const NOT_RUN: &str = "not-run";
+pub const NOT_RUN_HEADER: &str = "not-run";
 
 /// Body of `POST /v1/stages/run`.
 #[derive(Clone, Debug, Serialize, Deserialize)]
@@ -26,7 +26,7 @@
     /// Position of the first input.
     pub start: u32,
     /// Inputs, one a position.
-    pub inputs: Vec<Value>,
+    pub inputs: Vec<StageValue>,
     /// How many of them only rebuild a lost stage's state.
     #[serde(default)]
     pub rebuild: u32,
@@ -40,7 +40,7 @@
     /// Position of the first output.
     pub start: u32,
     /// Outputs, one a position.
-    pub outputs: Vec<Value>,
+    pub outputs: Vec<StageValue>,
     /// Token sampled after the last position, if the last layer is here.
     #[serde(default)]
     pub token: Option<Token>,
@@ -63,7 +63,7 @@
     /// The fence.
     pub term: u64,
     /// The wanted state.
-    pub goal: Goal,
+    pub goal: DesiredState,
 }
 
 /// Answer to [`OrderBody`].
@@ -73,20 +73,20 @@
     pub has: u64,
 }
 
-const WORDS: &[(&str, Reason)] = &[
-    ("leaving", Reason::Leaving),
-    ("busy", Reason::Busy),
-    ("no-session", Reason::NoSession),
-    ("no-layers", Reason::NoLayers),
+const REASONS: &[(&str, RefusalReason)] = &[
+    ("leaving", RefusalReason::Leaving),
+    ("busy", RefusalReason::Busy),
+    ("no-session", RefusalReason::NoSession),
+    ("no-layers", RefusalReason::NoLayers),
 ];
 
 /// Reads a [`NOT_RUN`] word.
-pub fn reason(word: &str) -> Option<Reason> {
-    WORDS.iter().find(|(w, _)| *w == word).map(|(_, r)| *r)
+pub fn parse_reason(word: &str) -> Option<RefusalReason> {
+    REASONS.iter().find(|(w, _)| *w == word).map(|(_, r)| *r)
 }
 
 /// The [`NOT_RUN`] word of a reason.
-pub fn reason_word(reason: Reason) -> &'static str {
-    let found = WORDS.iter().find(|(_, r)| *r == reason);
+pub fn reason_name(reason: RefusalReason) -> &'static str {
+    let found = REASONS.iter().find(|(_, r)| *r == reason);
     found.map_or("busy", |(w, _)| w)
 }
