--- a/crates/ashgauged/src/relay/body.rs
+++ b/crates/ashgauged/src/relay/body.rs
@@ -8,18 +8,18 @@
 use hyper::StatusCode;
 use hyper::body::{Body as HttpBody, Incoming};
 
-use super::desk::Desk;
+use super::desk::SharedState;
 
 /// For a request's body to come; those of today's callers come at once.
-const BODY_TIME: Duration = Duration::from_secs(5);
+const BODY_TIMEOUT: Duration = Duration::from_secs(5);
 
 /// Bytes of bodies that may be read at one time, over all callers: a part of
 /// the least memory that the users give a box (160 MB).
-const BODIES_MOST: usize = 48 << 20;
+const MAX_BUFFERED_BYTES: usize = 48 << 20;
 
 /// Reads a request's body, or tells the status and end of the refusal.
 pub async fn read(
-    desk: &Desk,
+    desk: &SharedState,
     body: Incoming,
     held: Duration,
 ) -> Result<Bytes, (StatusCode, &'static str)> {
@@ -28,11 +28,11 @@
     if told > most {
         return Err((StatusCode::PAYLOAD_TOO_LARGE, "body too long"));
     }
-    let Some(_room) = Room::take(&desk.bodies, told) else {
+    let Some(_room) = BodyReservation::reserve(&desk.body_bytes, told) else {
         return Err((StatusCode::SERVICE_UNAVAILABLE, "no room for the body"));
     };
     let reading = Limited::new(body, most).collect();
-    match desk.clock.within(held.min(BODY_TIME), reading).await {
+    match desk.clock.within(held.min(BODY_TIMEOUT), reading).await {
         Some(Ok(body)) => Ok(body.to_bytes()),
         Some(Err(e)) if e.is::<LengthLimitError>() => {
             Err((StatusCode::PAYLOAD_TOO_LARGE, "body too long"))
@@ -43,25 +43,28 @@
 }
 
 /// A part of the room for bodies, given back when dropped.
-struct Room<'a> {
-    bodies: &'a Cell<usize>,
+struct BodyReservation<'a> {
+    total_bytes: &'a Cell<usize>,
     bytes: usize,
 }
 
-impl<'a> Room<'a> {
-    fn take(bodies: &'a Cell<usize>, bytes: usize) -> Option<Self> {
+impl<'a> BodyReservation<'a> {
+    fn reserve(bodies: &'a Cell<usize>, bytes: usize) -> Option<Self> {
         let taken = bodies.get() + bytes;
         // One body may always be read, whatever its bound.
-        if taken > BODIES_MOST && bodies.get() > 0 {
+        if taken > MAX_BUFFERED_BYTES && bodies.get() > 0 {
             return None;
         }
         bodies.set(taken);
-        Some(Room { bodies, bytes })
+        Some(BodyReservation {
+            total_bytes: bodies,
+            bytes,
+        })
     }
 }
 
-impl Drop for Room<'_> {
+impl Drop for BodyReservation<'_> {
     fn drop(&mut self) {
-        self.bodies.set(self.bodies.get() - self.bytes);
+        self.total_bytes.set(self.total_bytes.get() - self.bytes);
     }
 }
--- a/crates/ashgauged/src/relay/census.rs
+++ b/crates/ashgauged/src/relay/census.rs
@@ -18,7 +18,7 @@
 use spdlog::Level;
 use tokio::time::sleep;
 
-use super::desk::{Desk, Peer};
+use super::desk::{Peer, SharedState};
 use super::log;
 
 /// Kind of the objects by which boxes count each other.
@@ -26,16 +26,16 @@
 
 /// Longest pause after a call that failed, at random, so that boxes that start
 /// while the store is away do not call it together.
-const RETRY_PAUSE: Duration = Duration::from_millis(800);
+const MAX_RETRY_DELAY: Duration = Duration::from_millis(800);
 
 /// Time over which boxes announce themselves again, at random, so that those of a large
 /// fleet stay within the store's rate.
-const RENEW_SPREAD: Duration = Duration::from_millis(3000);
+const MAX_RENEW_DELAY: Duration = Duration::from_millis(3000);
 
 /// Times from the first look to further ones, so that boxes that start together see
 /// each other; the cheap read is some seconds old. The first look, at once, serves
 /// a box that joins a fleet or was restarted.
-const LOOK_AGAIN: [Duration; 3] = [
+const DISCOVERY_TIMES: [Duration; 3] = [
     Duration::from_millis(1500),
     Duration::from_millis(3000),
     Duration::from_millis(5000),
@@ -43,24 +43,24 @@
 
 /// When most boxes of a fleet that starts for the first time are listed. Nobody is
 /// asked before, so looks before are in vain there.
-const SEARCH_TIME: Duration = Duration::from_millis(3000);
+const FRESH_DISCOVERY_TIME: Duration = Duration::from_millis(3000);
 
 /// How much later boxes ask that are not readers. Readers answer only boxes that they
 /// know, and learn of most when they find that they are readers; those that started
 /// later find out later. A reader that was asked too early counts as silent, and the
 /// next box in rank reads the store in its place.
-const READERS_TIME: Duration = Duration::from_millis(500);
+const NON_READER_DELAY: Duration = Duration::from_millis(500);
 
 /// Time between two looks at the boxes.
-const LOOK_EVERY: Duration = Duration::from_secs(15);
+const LIST_INTERVAL: Duration = Duration::from_secs(15);
 
 /// Looks for one of a box that knows only those that all know and asks some of them:
 /// when those fall silent it looks at once.
-const LOOKS_SKIPPED: u32 = 8;
+const LISTS_SKIPPED: u32 = 8;
 
 /// A box as it announces itself.
 #[derive(Debug, PartialEq, Serialize, Deserialize)]
-struct Member {
+struct StoredBox {
     /// Its name.
     id: String,
     /// Address on which it hears what others tell.
@@ -78,63 +78,63 @@
 /// long as the process runs.
 ///
 /// Boxes that are gone for good stay counted, so the parts only shrink.
-pub async fn count(desk: Rc<Desk>) {
-    let own = Member::of(&desk);
+pub async fn follow_members(desk: Rc<SharedState>) {
+    let own = StoredBox::of(&desk);
     let began = desk.now();
     let fresh = desk.settings().fresh_fleet;
-    let found = if fresh { None } else { first_look(&desk).await };
+    let found = if fresh { None } else { first_list(&desk).await };
     if !fresh {
-        desk.searched.set(Some(began));
+        desk.discovered_at.set(Some(began));
     }
     if found.is_some() {
         desk.was_listed.set(true);
-        desk.believe_count();
+        desk.trust_count();
     }
     if found.as_ref() != Some(&own) {
         while let Err(fault) = announce(&desk, &own).await {
-            note("announce", &fault);
-            pause(&desk).await;
+            log_fault("announce", &fault);
+            random_pause(&desk).await;
         }
     }
-    for time in LOOK_AGAIN {
-        if fresh && time < SEARCH_TIME {
+    for time in DISCOVERY_TIMES {
+        if fresh && time < FRESH_DISCOVERY_TIME {
             continue;
         }
         sleep((began + time).saturating_sub(desk.now())).await;
-        if desk.searched.get().is_none() || knows_all(&desk) {
-            look_once(desk.clone()).await;
+        if desk.discovered_at.get().is_none() || needs_all(&desk) {
+            refresh(desk.clone()).await;
         }
-        if desk.searched.get().is_none() {
-            end_search(&desk).await;
+        if desk.discovered_at.get().is_none() {
+            finish_discovery(&desk).await;
         }
     }
-    desk.believe_count();
+    desk.trust_count();
     for turn in 1u32.. {
-        sleep(LOOK_EVERY).await;
-        if knows_all(&desk) || turn.is_multiple_of(LOOKS_SKIPPED) {
-            look_once(desk.clone()).await;
+        sleep(LIST_INTERVAL).await;
+        if needs_all(&desk) || turn.is_multiple_of(LISTS_SKIPPED) {
+            refresh(desk.clone()).await;
         }
     }
 }
 
 /// Announces this box again each time the store came back from a copy, which may be from
 /// before it was announced.
-pub async fn renew(desk: Rc<Desk>) {
+pub async fn reannounce(desk: Rc<SharedState>) {
     let mut eras = desk.store.subscribe_era();
     // The store's client lives as long as the desk.
     while eras.changed().await.is_ok() {
-        let spread = desk.rng().random_range(Duration::ZERO..RENEW_SPREAD);
+        let spread = desk.rng().random_range(Duration::ZERO..MAX_RENEW_DELAY);
         sleep(spread).await;
-        let own = Member::of(&desk);
+        let own = StoredBox::of(&desk);
         while let Err(fault) = announce(&desk, &own).await {
-            note("announce", &fault);
-            pause(&desk).await;
+            log_fault("announce", &fault);
+            random_pause(&desk).await;
         }
     }
 }
 
 /// This box, and what it knows of the fleet.
-pub fn known(desk: &Desk) -> (reader::Member, Fleet) {
+pub fn known_fleet(desk: &SharedState) -> (reader::Member, Fleet) {
     let settings = desk.settings();
     let own = reader::Member {
         id: settings.id.as_str().into(),
@@ -145,8 +145,8 @@
     let others = peers.iter().filter(|(_, peer)| peer.is_candidate);
     let others = others.map(|(id, peer)| reader::Member {
         id: id.clone(),
-        data_centre: peer.place.clone(),
-        link_mbps: peer.link,
+        data_centre: peer.data_centre.clone(),
+        link_mbps: peer.link_mbps,
     });
     let listed = desk.is_candidate.get().then(|| own.clone());
     let fleet = Fleet {
@@ -158,55 +158,57 @@
 }
 
 /// Whether this box is to know all others: it reads for them, or they are few.
-fn knows_all(desk: &Desk) -> bool {
-    *desk.reads.borrow() || !desk.is_partial.get()
+fn needs_all(desk: &SharedState) -> bool {
+    *desk.reads_store.borrow() || !desk.peers_partial.get()
 }
 
 /// Lets this box ask others from now on, or read for them.
-async fn end_search(desk: &Desk) {
-    let (own, fleet) = known(desk);
+async fn finish_discovery(desk: &SharedState) {
+    let (own, fleet) = known_fleet(desk);
     let readers = reader::choose(&own, &fleet, &Backoffs::default(), desk.now());
     if !readers.includes_self {
-        sleep(READERS_TIME).await;
+        sleep(NON_READER_DELAY).await;
     }
-    desk.searched.set(Some(desk.now()));
+    desk.discovered_at.set(Some(desk.now()));
 }
 
 /// Looks for boxes until the store answers; returns how this box was last
 /// announced, if it was.
-async fn first_look(desk: &Desk) -> Option<Member> {
+async fn first_list(desk: &SharedState) -> Option<StoredBox> {
     loop {
-        match look(desk).await {
+        match list_boxes(desk).await {
             Ok(seen) => return seen.own,
-            Err(fault) => note("look", &fault),
+            Err(fault) => log_fault("look", &fault),
         }
-        pause(desk).await;
+        random_pause(desk).await;
     }
 }
 
-async fn pause(desk: &Desk) {
-    let time = desk.rng().random_range(RETRY_PAUSE / 4..RETRY_PAUSE);
+async fn random_pause(desk: &SharedState) {
+    let time = desk
+        .rng()
+        .random_range(MAX_RETRY_DELAY / 4..MAX_RETRY_DELAY);
     sleep(time).await;
 }
 
 /// Writes this box's object, or corrects one that names another address.
-async fn announce(desk: &Desk, member: &Member) -> Result<(), StoreError> {
+async fn announce(desk: &SharedState, member: &StoredBox) -> Result<(), StoreError> {
     let name = reader::listing_key(member.link_mbps, &member.id);
     let created = desk.store.create(KIND, &name, member).await;
-    desk.count_call("write", &created);
+    desk.count_store_call("write", &created);
     match created {
         Err(StoreError::Conflict) => {}
         other => return other,
     }
-    let known = desk.store.get::<Member>(KIND, &name).await;
-    desk.count_call("get", &known);
+    let known = desk.store.get::<StoredBox>(KIND, &name).await;
+    desk.count_store_call("get", &known);
     let known = known?;
     if known.value == *member {
         return Ok(());
     }
     let replaced = desk.store.replace(KIND, &name, known.revision, member);
     let replaced = replaced.await;
-    desk.count_call("write", &replaced);
+    desk.count_store_call("write", &replaced);
     replaced
 }
 
@@ -216,32 +218,32 @@
 /// # Errors
 ///
 /// As every call of the store.
-pub async fn written(desk: &Desk) -> Result<Vec<Revision>, StoreError> {
-    Ok(look(desk).await?.revisions)
+pub async fn announce_revisions(desk: &SharedState) -> Result<Vec<Revision>, StoreError> {
+    Ok(list_boxes(desk).await?.revisions)
 }
 
 /// Looks which boxes there are.
-pub async fn look_once(desk: Rc<Desk>) {
-    if let Err(fault) = look(&desk).await {
-        note("look", &fault);
+pub async fn refresh(desk: Rc<SharedState>) {
+    if let Err(fault) = list_boxes(&desk).await {
+        log_fault("look", &fault);
     }
 }
 
 /// What a look at the boxes showed.
-struct Seen {
+struct Listing {
     /// How this box is announced, if it is.
-    own: Option<Member>,
+    own: Option<StoredBox>,
     /// Revisions at which boxes announced themselves.
     revisions: Vec<Revision>,
 }
 
 /// Reads which boxes there are: the first page of their list, and the rest of it if
 /// this box is to know all.
-async fn look(desk: &Desk) -> Result<Seen, StoreError> {
-    let head = desk.store.first_stale_page::<Member>(KIND).await;
-    desk.count_call("stale", &head);
+async fn list_boxes(desk: &SharedState) -> Result<Listing, StoreError> {
+    let head = desk.store.first_stale_page::<StoredBox>(KIND).await;
+    desk.count_store_call("stale", &head);
     let head = head?;
-    let mut seen = Seen {
+    let mut seen = Listing {
         own: None,
         revisions: Vec::new(),
     };
@@ -250,29 +252,34 @@
         let mut peers = desk.peers.borrow_mut();
         peers.values_mut().for_each(|p| p.is_candidate = false);
     }
-    take(desk, head.objects, true, &mut seen);
+    add_peers(desk, head.objects, true, &mut seen);
     desk.is_candidate.set(is_whole || seen.own.is_some());
-    desk.is_partial.set(!is_whole);
-    let reads_all = is_whole || *desk.reads.borrow();
+    desk.peers_partial.set(!is_whole);
+    let reads_all = is_whole || *desk.reads_store.borrow();
     if !is_whole && reads_all {
         let rest = desk
             .store
-            .remaining_stale::<Member>(KIND, head.next_after)
+            .remaining_stale::<StoredBox>(KIND, head.next_after)
             .await;
-        desk.count_call("stale", &rest);
-        take(desk, rest?, false, &mut seen);
+        desk.count_store_call("stale", &rest);
+        add_peers(desk, rest?, false, &mut seen);
     }
     // An older state of the store may lack others as well if it lacks this box. The same
     // count again is believed more than the first one at a start.
     let count = seen.revisions.len() as u32;
     if reads_all && seen.own.is_some() && count >= desk.counted_boxes() {
-        desk.set_boxes(count);
+        desk.set_fleet_size(count);
     }
     Ok(seen)
 }
 
 /// Takes in boxes that are listed.
-fn take(desk: &Desk, objects: Vec<Object<Member>>, is_candidate: bool, seen: &mut Seen) {
+fn add_peers(
+    desk: &SharedState,
+    objects: Vec<Object<StoredBox>>,
+    is_candidate: bool,
+    seen: &mut Listing,
+) {
     let settings = desk.settings();
     let mut peers = desk.peers.borrow_mut();
     for object in objects {
@@ -287,9 +294,9 @@
             let place = member.data_centre.into();
             let peer = Peer {
                 addr,
-                place,
-                near,
-                link: member.link_mbps,
+                data_centre: place,
+                is_local: near,
+                link_mbps: member.link_mbps,
                 is_candidate,
             };
             peers.insert(member.id.into(), peer);
@@ -298,17 +305,17 @@
 }
 
 /// The proofs find out whether the store is away; here it only costs a count.
-fn note(call: &str, fault: &StoreError) {
+fn log_fault(call: &str, fault: &StoreError) {
     let fields = json!({"call": call, "fault": fault.to_string()});
-    log::line(Level::Debug, "fleet", "not counted", fields);
+    log::event(Level::Debug, "fleet", "not counted", fields);
 }
 
-impl Member {
+impl StoredBox {
     /// What this box announces.
-    fn of(desk: &Desk) -> Self {
-        Member {
+    fn of(desk: &SharedState) -> Self {
+        StoredBox {
             id: desk.settings().id.clone(),
-            peer: desk.heard_at.get(),
+            peer: desk.peer_addr.get(),
             data_centre: desk.settings().data_centre.clone(),
             link_mbps: desk.settings().link_mbps(),
         }
--- a/crates/ashgauged/src/relay/clock.rs
+++ b/crates/ashgauged/src/relay/clock.rs
@@ -12,26 +12,26 @@
 use spdlog::Level;
 use tokio::time::sleep;
 
-use super::desk::Desk;
+use super::desk::SharedState;
 use super::log;
 
 /// Time between two looks at the clocks: a request whose time was up meanwhile gets its
 /// last answer that much later, at four wake-ups a second.
-const LOOK_EVERY: Duration = Duration::from_millis(250);
+const POLL_INTERVAL: Duration = Duration::from_millis(250);
 
 /// Looks for suspensions as long as the process runs, and lets everything that waits
 /// look at its time anew after one.
-pub async fn watch(desk: Rc<Desk>) {
+pub async fn watch_suspension(desk: Rc<SharedState>) {
     let began = Instant::now();
     let mut suspension = SuspensionDetector::new(began.elapsed(), desk.now());
     loop {
-        sleep(LOOK_EVERY).await;
+        sleep(POLL_INTERVAL).await;
         let Some(time) = suspension.check(began.elapsed(), desk.now()) else {
             continue;
         };
         let fields = json!({"ms": time.as_millis() as u64});
-        log::line(Level::Warn, "box", "was suspended", fields);
-        desk.clock.wake();
-        desk.wake_streams();
+        log::event(Level::Warn, "box", "was suspended", fields);
+        desk.clock.notify_resumed();
+        desk.notify_streams();
     }
 }
--- a/crates/ashgauged/src/relay/dial.rs
+++ b/crates/ashgauged/src/relay/dial.rs
@@ -18,26 +18,26 @@
 
 /// An answer whose body is still on its way. Dropping it closes the
 /// connection, by which the upstream learns that nobody waits any more.
-pub struct Exchange {
+pub struct OpenResponse {
     /// Head and body of the answer.
     pub response: Response<Incoming>,
     /// Keeps the connection going.
-    pub _link: Link,
+    pub _connection: ConnectionTask,
 }
 
 /// The task of a connection; it ends when this is dropped.
-pub struct Link(JoinHandle<()>);
+pub struct ConnectionTask(JoinHandle<()>);
 
-impl Drop for Link {
+impl Drop for ConnectionTask {
     fn drop(&mut self) {
         self.0.abort();
     }
 }
 
 /// A connection on which nothing was sent yet.
-pub struct Line {
+pub struct Connection {
     sender: http1::SendRequest<Full<Bytes>>,
-    link: Link,
+    connection: ConnectionTask,
 }
 
 /// Connects to an upstream.
@@ -45,7 +45,7 @@
 /// # Errors
 ///
 /// Fails with [`Failure::NotSent`] if there is no connection after `limit`.
-pub async fn connect(addr: &str, limit: Duration) -> Result<Line, Failure> {
+pub async fn connect(addr: &str, limit: Duration) -> Result<Connection, Failure> {
     let not_sent = |cause: String| Failure::NotSent(cause);
     let stream = match timeout(limit, TcpStream::connect(addr)).await {
         Ok(Ok(stream)) => stream,
@@ -61,23 +61,23 @@
         // The request's side sees the same error and tells it.
         let _ = connection.await;
     });
-    Ok(Line {
+    Ok(Connection {
         sender,
-        link: Link(task),
+        connection: ConnectionTask(task),
     })
 }
 
-impl Line {
+impl Connection {
     /// Sends the request and waits for the head of its answer.
     ///
     /// # Errors
     ///
     /// Fails with [`Failure::Lost`] if the request may have got out.
-    pub async fn send(mut self, request: Request<Full<Bytes>>) -> Result<Exchange, Failure> {
+    pub async fn send(mut self, request: Request<Full<Bytes>>) -> Result<OpenResponse, Failure> {
         match self.sender.try_send_request(request).await {
-            Ok(response) => Ok(Exchange {
+            Ok(response) => Ok(OpenResponse {
                 response,
-                _link: self.link,
+                _connection: self.connection,
             }),
             Err(mut e) => match e.take_message() {
                 Some(_) => Err(Failure::NotSent(e.error().to_string())),
--- a/crates/ashgauged/src/relay/fetch.rs
+++ b/crates/ashgauged/src/relay/fetch.rs
@@ -8,20 +8,20 @@
 use tokio::sync::{mpsc, oneshot, watch};
 
 use super::pack;
-use super::peers::TICKET_TIME;
+use super::peers::FETCH_TOKEN_TTL;
 
 /// Longest question, in bytes.
-const QUESTION_MOST: usize = 1024;
+const MAX_QUERY_BYTES: usize = 1024;
 
 /// Connections that are open at once: of the boxes that a reader informs, and of
 /// those that turn to it as others have gone.
-const CONNECTIONS_MOST: usize = 4 * MAX_READER_BOXES;
+const MAX_CONNECTIONS: usize = 4 * MAX_READER_BOXES;
 
 /// Path at which answers are fetched.
 pub const ANSWER_PATH: &str = "/answer";
 
 /// A question that came over a connection.
-pub struct Fetch {
+pub struct FetchRequest {
     /// The question.
     pub question: Query,
     /// Where its answer goes.
@@ -29,16 +29,16 @@
 }
 
 /// Serves connections of boxes that fetch answers.
-pub async fn serve(listener: TcpListener, fetches: mpsc::Sender<Fetch>) {
+pub async fn serve(listener: TcpListener, fetches: mpsc::Sender<FetchRequest>) {
     let (_keep, stop) = watch::channel(false);
     let limits = Limits {
-        connections: CONNECTIONS_MOST,
+        connections: MAX_CONNECTIONS,
         ..Limits::default()
     };
     http::serve(listener, limits, stop, move |request| {
         let fetches = fetches.clone();
         async move {
-            let body = http::read_body(request.into_body(), QUESTION_MOST, TICKET_TIME).await;
+            let body = http::read_body(request.into_body(), MAX_QUERY_BYTES, FETCH_TOKEN_TTL).await;
             let answer = match body {
                 Ok(body) => fetch_answer(&body, &fetches).await,
                 Err(status) => Err(status),
@@ -55,11 +55,11 @@
 
 async fn fetch_answer(
     body: &[u8],
-    fetches: &mpsc::Sender<Fetch>,
+    fetches: &mpsc::Sender<FetchRequest>,
 ) -> Result<Response<http::Body>, StatusCode> {
     let question = postcard::from_bytes(body).map_err(|_| StatusCode::BAD_REQUEST)?;
     let (reply, answer) = oneshot::channel();
-    let sent = fetches.send(Fetch { question, reply }).await;
+    let sent = fetches.send(FetchRequest { question, reply }).await;
     sent.map_err(|_| StatusCode::SERVICE_UNAVAILABLE)?;
     let answer = answer.await.ok().flatten().ok_or(StatusCode::FORBIDDEN)?;
     let bytes = pack::encode(&answer).ok_or(StatusCode::INTERNAL_SERVER_ERROR)?;
--- a/crates/ashgauged/src/relay/follow/ask.rs
+++ b/crates/ashgauged/src/relay/follow/ask.rs
@@ -17,49 +17,49 @@
 use tokio::sync::mpsc;
 use tokio::time::sleep;
 
-use super::super::peers::{Heard, Peers};
+use super::super::peers::{PeerMessage, Peers};
 use super::super::{census, log, quarantine};
-use super::{Follower, skipped};
+use super::{StoreFollower, log_skipped};
 
 /// Time between two looks before the other boxes are known.
-const SEARCH_EVERY: Duration = Duration::from_millis(20);
+const DISCOVERY_INTERVAL: Duration = Duration::from_millis(20);
 
 /// Time between two rounds while nothing is known: boxes that read have just
 /// started as well.
-const UNINFORMED_EVERY: Duration = Duration::from_millis(300);
+const UNSYNCED_INTERVAL: Duration = Duration::from_millis(300);
 
 /// Share of the operators' bounds on what a box knows, past which one that no other
 /// could inform asks the store itself. What is left is for the round of questions
 /// that shows it and for the reading.
-const ALONE_SHARE: f64 = 0.6;
+const DIRECT_READ_SHARE: f64 = 0.6;
 
 /// How long a box that knows nothing asks others only, and how long if some answer
 /// that know nothing either: they may be about to.
-const ALONE_FIRST: Duration = Duration::from_millis(1500);
-const ALONE_ANSWERED: Duration = Duration::from_millis(6000);
+const DIRECT_READ_DELAY: Duration = Duration::from_millis(1500);
+const ANSWERED_READ_DELAY: Duration = Duration::from_millis(6000);
 
 /// Time for which a choice of the readers holds: who is silent changes it.
-const CHOICE_TIME: Duration = Duration::from_millis(200);
+const READERS_TTL: Duration = Duration::from_millis(200);
 
 /// Times from such a reading that brought nothing to the next, at random in between, so
 /// that boxes that lost their readers do not call the store together.
-const ALONE_EVERY: std::ops::Range<Duration> =
+const DIRECT_READ_INTERVAL: std::ops::Range<Duration> =
     Duration::from_millis(2000)..Duration::from_millis(8000);
 
-impl Follower {
+impl StoreFollower {
     /// Learns from other boxes as long as the process runs.
-    pub(super) async fn ask(self: Rc<Self>, mut heard: mpsc::Receiver<Heard>) {
+    pub(super) async fn poll_readers(self: Rc<Self>, mut heard: mpsc::Receiver<PeerMessage>) {
         let Some(peers) = self.peers.clone() else {
             return;
         };
         let mut alone_at = Duration::ZERO;
-        let mut woken = self.desk.clock.woken();
+        let mut woken = self.desk.clock.resumptions();
         loop {
-            let until = self.ask_next(&peers, &mut alone_at).await;
+            let until = self.poll_next(&peers, &mut alone_at).await;
             let rest = until.saturating_sub(self.desk.now());
             tokio::select! {
                 heard = heard.recv() => match heard {
-                    Some(heard) => self.take(&peers, heard).await,
+                    Some(heard) => self.handle_message(&peers, heard).await,
                     None => return,
                 },
                 () = sleep(rest) => {}
@@ -70,18 +70,18 @@
     }
 
     /// Asks whoever is to be asked now; returns when to look again.
-    async fn ask_next(&self, peers: &Peers, alone_at: &mut Duration) -> Duration {
+    async fn poll_next(&self, peers: &Peers, alone_at: &mut Duration) -> Duration {
         let now = self.desk.now();
-        if self.desk.searched.get().is_none() {
-            return now + SEARCH_EVERY;
+        if self.desk.discovered_at.get().is_none() {
+            return now + DISCOVERY_INTERVAL;
         }
         let readers = self.readers(now);
         self.set_role(&readers);
-        self.desk.roster.borrow_mut().expire(now);
+        self.desk.registry.borrow_mut().expire(now);
         let pace = self.pace();
-        let age = self.desk.fresh.borrow().age(now);
+        let age = self.desk.freshness.borrow().age(now);
         let is_fresh = age.is_some_and(|age| age <= pace.max_age);
-        if readers.includes_self && is_fresh && self.has_met() {
+        if readers.includes_self && is_fresh && self.has_synced() {
             return now + pace.interval;
         }
         let step = {
@@ -91,16 +91,16 @@
         };
         match step {
             PollAction::Query { to, id } => {
-                let question = self.question(id, None);
+                let question = self.build_query(id, None);
                 peers.ask(&to, question).await;
                 now + pace.answer_timeout
             }
             PollAction::Failed(lack) => {
                 if lack == PollFailure::NoAnswer {
-                    self.look_again(now);
+                    self.refresh_members(now);
                 }
-                if !self.is_reader() && self.may_read_alone(lack) && now >= *alone_at {
-                    *alone_at = self.read_alone().await;
+                if !self.is_reader() && self.may_read_directly(lack) && now >= *alone_at {
+                    *alone_at = self.read_directly().await;
                 }
                 now
             }
@@ -111,11 +111,11 @@
     /// Who reads for the others, as far as this box knows.
     fn readers(&self, now: Duration) -> Rc<Readers> {
         let desk = &self.desk;
-        if now < self.chosen.get() + CHOICE_TIME {
+        if now < self.chosen_at.get() + READERS_TTL {
             return desk.readers.borrow().clone();
         }
-        self.chosen.set(now);
-        let (me, fleet) = census::known(desk);
+        self.chosen_at.set(now);
+        let (me, fleet) = census::known_fleet(desk);
         *desk.permits.givers.borrow_mut() = Rc::new(givers(&me, &fleet, now));
         let readers = reader::choose(&me, &fleet, &self.asker.borrow().backoffs, now);
         *desk.readers.borrow_mut() = Rc::new(readers);
@@ -124,15 +124,16 @@
 
     /// Looks for other boxes, as those that were asked are silent: others may read by
     /// now.
-    fn look_again(&self, now: Duration) {
-        if now >= self.look_at.get() {
-            self.look_at.set(now + self.random(ALONE_EVERY));
-            tokio::task::spawn_local(census::look_once(self.desk.clone()));
+    fn refresh_members(&self, now: Duration) {
+        if now >= self.refresh_at.get() {
+            self.refresh_at
+                .set(now + self.random_delay(DIRECT_READ_INTERVAL));
+            tokio::task::spawn_local(census::refresh(self.desk.clone()));
         }
     }
 
     fn is_reader(&self) -> bool {
-        *self.desk.reads.borrow()
+        *self.desk.reads_store.borrow()
     }
 
     /// Begins or stops to read the store.
@@ -142,21 +143,21 @@
         if reads == self.is_reader() {
             return;
         }
-        let known = desk.is_informed().then(|| desk.mirror.borrow().covered());
-        self.config_at.set(known);
-        self.servers_at.set(known);
+        let known = desk.is_synced().then(|| desk.mirror.borrow().covered());
+        self.config_revision.set(known);
+        self.upstreams_revision.set(known);
         if !reads {
             // What calls failed says nothing about those of the next time.
-            self.failed.set(None);
-            desk.store_away.set(false);
+            self.failed_at.set(None);
+            desk.store_down.set(false);
         }
-        desk.reads.send_replace(reads);
+        desk.reads_store.send_replace(reads);
         if reads {
-            tokio::task::spawn_local(quarantine::read(desk.clone()));
+            tokio::task::spawn_local(quarantine::load_held(desk.clone()));
             // It answers only boxes that it knows.
-            tokio::task::spawn_local(census::look_once(desk.clone()));
+            tokio::task::spawn_local(census::refresh(desk.clone()));
         }
-        log::line(
+        log::event(
             Level::Info,
             "store",
             "role",
@@ -165,23 +166,23 @@
     }
 
     fn pace(&self) -> PollTiming {
-        let pace = self.desk.settings().ask_pace();
-        match self.desk.is_informed() {
+        let pace = self.desk.settings().poll_pace();
+        match self.desk.is_synced() {
             true => pace,
             false => PollTiming {
-                interval: UNINFORMED_EVERY,
+                interval: UNSYNCED_INTERVAL,
                 ..pace
             },
         }
     }
 
-    fn question(&self, id: u64, ticket: Option<FetchToken>) -> Query {
-        let informed = self.desk.is_informed();
+    fn build_query(&self, id: u64, ticket: Option<FetchToken>) -> Query {
+        let informed = self.desk.is_synced();
         let covered = self.desk.mirror.borrow().covered();
         Query {
             from: self.desk.settings().id.as_str().into(),
             id,
-            after: match informed && self.has_met() && !self.doubts.lacks.get() {
+            after: match informed && self.has_synced() && !self.restore.needs_copy.get() {
                 true => covered,
                 false => 0,
             },
@@ -190,28 +191,31 @@
     }
 
     /// Whether this box, which no other one could inform, is to read the store.
-    fn may_read_alone(&self, lack: PollFailure) -> bool {
+    fn may_read_directly(&self, lack: PollFailure) -> bool {
         let desk = &self.desk;
-        if let Some(age) = desk.fresh.borrow().age(desk.now()) {
+        if let Some(age) = desk.freshness.borrow().age(desk.now()) {
             let settings = desk.settings();
-            let bound = settings.key_age().min(settings.apply_time());
-            return age >= bound.mul_f64(ALONE_SHARE);
+            let bound = settings.max_key_age().min(settings.apply_bound());
+            return age >= bound.mul_f64(DIRECT_READ_SHARE);
         }
         let patience = match lack {
-            PollFailure::NoAnswer => ALONE_FIRST,
-            PollFailure::StaleAnswer => ALONE_ANSWERED,
+            PollFailure::NoAnswer => DIRECT_READ_DELAY,
+            PollFailure::StaleAnswer => ANSWERED_READ_DELAY,
             PollFailure::EmptyStore => return false,
         };
-        let asking = desk.searched.get().map(|at| desk.now().saturating_sub(at));
-        asking.is_some_and(|time| time >= self.random(patience..patience * 2))
+        let asking = desk
+            .discovered_at
+            .get()
+            .map(|at| desk.now().saturating_sub(at));
+        asking.is_some_and(|time| time >= self.random_delay(patience..patience * 2))
     }
 
     /// Reads the store; returns when to do so again if no box can inform this
     /// one until then.
-    async fn read_alone(&self) -> Duration {
+    async fn read_directly(&self) -> Duration {
         let desk = &self.desk;
-        let age = desk.fresh.borrow().age(desk.now());
-        log::line(
+        let age = desk.freshness.borrow().age(desk.now());
+        log::event(
             Level::Info,
             "store",
             "read alone",
@@ -219,36 +223,38 @@
         );
         match self.read_all().await {
             // What is known grows old as before, and is read again then.
-            Ok(()) if desk.is_informed() => return desk.now(),
+            Ok(()) if desk.is_synced() => return desk.now(),
             Ok(()) => {}
-            Err(fault) => self.lost("read alone", &fault),
+            Err(fault) => self.note_store_failure("read alone", &fault),
         }
-        desk.now() + self.random(ALONE_EVERY)
+        desk.now() + self.random_delay(DIRECT_READ_INTERVAL)
     }
 
     async fn read_all(&self) -> Result<(), platform::StoreError> {
         self.read_config().await?;
-        self.read_servers().await.map(drop)
+        self.read_upstreams().await.map(drop)
     }
 
-    fn random(&self, range: std::ops::Range<Duration>) -> Duration {
+    fn random_delay(&self, range: std::ops::Range<Duration>) -> Duration {
         self.desk.rng().random_range(range)
     }
 
-    async fn take(&self, peers: &Rc<Peers>, heard: Heard) {
+    async fn handle_message(&self, peers: &Rc<Peers>, heard: PeerMessage) {
         match heard {
-            Heard::News(from) => self.take_news(from),
-            Heard::NotFetched(from) => {
+            PeerMessage::News(from) => self.handle_news(from),
+            PeerMessage::FetchFailed(from) => {
                 let now = self.desk.now();
                 self.asker.borrow_mut().on_fetch_failed(now, &from);
             }
-            Heard::Answer(answer, fetched) => self.take_answer(peers, answer, fetched).await,
+            PeerMessage::Answer(answer, fetched) => {
+                self.handle_answer(peers, answer, fetched).await
+            }
         }
     }
 
     /// Asks a box that knows something new at once. In a large fleet each box goes by
     /// its own hub, which soon knows the same: all together would ask the first.
-    fn take_news(&self, from: BoxId) {
+    fn handle_news(&self, from: BoxId) {
         let is_own = match self.desk.role() {
             Role::Leaf(hub) => hub == from,
             _ => true,
@@ -260,12 +266,12 @@
 
     /// Takes an answer in. One to a question that this box did not ask, or that
     /// was answered before, is dropped.
-    async fn take_answer(&self, peers: &Rc<Peers>, answer: Answer, fetched: Option<Duration>) {
+    async fn handle_answer(&self, peers: &Rc<Peers>, answer: Answer, fetched: Option<Duration>) {
         let closed = self.asker.borrow_mut().close_query(answer.id, &answer.from);
         let Some(asked) = fetched.or(closed) else {
             self.desk
                 .metrics
-                .words
+                .datagrams
                 .with_label_values(&["unasked"])
                 .inc();
             return;
@@ -281,19 +287,19 @@
             .borrow_mut()
             .on_answer(now, &pace, &answer.from, &answer.body);
         if answer.boxes > self.desk.counted_boxes() {
-            self.desk.set_boxes(answer.boxes);
+            self.desk.set_fleet_size(answer.boxes);
         }
         match answer.body {
             // A packed answer was unpacked when it was fetched.
             AnswerBody::Empty { .. } | AnswerBody::Compressed { .. } => {}
             AnswerBody::Update { age, update } => {
-                self.learn(&answer.from, asked, age, update).await
+                self.apply_update(&answer.from, asked, age, update).await
             }
             AnswerBody::TooLarge {
                 fetch_token: ticket,
                 bytes,
             } => {
-                let question = self.question(answer.id, Some(ticket));
+                let question = self.build_query(answer.id, Some(ticket));
                 let peers = peers.clone();
                 let most = pace.fetch_timeout(bytes);
                 tokio::task::spawn_local(peers.fetch(answer.from, question, most));
@@ -303,7 +309,7 @@
 
     /// Takes over what another box knows, as of the moment that its answer
     /// proves.
-    async fn learn(
+    async fn apply_update(
         &self,
         from: &BoxId,
         asked: Duration,
@@ -319,7 +325,7 @@
             Ok(config) => config,
             Err(fault) => {
                 let fields = json!({"from": &**from, "fault": fault.to_string()});
-                return log::line(Level::Warn, "fleet", "answer cannot be read", fields);
+                return log::event(Level::Warn, "fleet", "answer cannot be read", fields);
             }
         };
         let (sure, whole) = (update.removals_certain, update.is_full);
@@ -332,37 +338,38 @@
             return;
         }
         desk.store.raise_era(era);
-        self.doubts.met.set(true);
-        let before = desk.is_informed();
+        self.restore.peer_synced.set(true);
+        let before = desk.is_synced();
         let news = desk.mirror.borrow_mut().apply(update);
         let is_news = !news.is_empty();
         if let Some(config) = config
-            && let Err(fault) = self.put_in_force(config)
+            && let Err(fault) = self.activate_config(config)
         {
-            skipped("config", &fault);
+            log_skipped("config", &fault);
         }
         if era > 0 {
-            self.note_doubts(replaced, sure);
+            self.note_copy_certainty(replaced, sure);
         }
-        self.apply(news, sure);
+        self.apply_changes(news, sure);
         // Its own copy may lack what the other box believes by now.
-        desk.sure.set(sure && !self.doubts.settling.get());
-        desk.listed.set(true);
+        desk.removals_certain
+            .set(sure && !self.restore.settling.get());
+        desk.upstreams_listed.set(true);
         if let Some(at) = proven_at(asked, age) {
-            desk.fresh.borrow_mut().confirm(at);
+            desk.freshness.borrow_mut().confirm(at);
         }
         if !self.is_reader() && age <= self.pace().max_age {
-            self.failed.set(None);
-            desk.store_away.set(false);
+            self.failed_at.set(None);
+            desk.store_down.set(false);
         }
-        desk.note_read();
+        desk.update_synced();
         if !before {
             let fields = json!({"from": &**from, "whole": whole, "age_ms": age.as_millis() as u64});
-            log::line(Level::Info, "store", "learned", fields);
+            log::event(Level::Info, "store", "learned", fields);
         }
         if is_news {
             self.changed.notify_waiters();
-            self.spread_news().await;
+            self.notify_pollers().await;
         }
     }
 }
--- a/crates/ashgauged/src/relay/follow/prove.rs
+++ b/crates/ashgauged/src/relay/follow/prove.rs
@@ -11,66 +11,66 @@
 use tokio::time::{sleep, timeout};
 
 use super::super::{census, log, place, quarantine};
-use super::Follower;
+use super::StoreFollower;
 
 /// First pause after a call that failed; doubled up to [`PAUSE_MOST`].
-pub const PAUSE_FIRST: Duration = Duration::from_millis(100);
+pub const MIN_RETRY_DELAY: Duration = Duration::from_millis(100);
 
 /// Longest pause after a call that failed: a store that is back is noticed
 /// within the users' bound on configurations (2 s) with time to spare.
-const PAUSE_MOST: Duration = Duration::from_millis(500);
+const MAX_RETRY_DELAY: Duration = Duration::from_millis(500);
 
 /// The same while other boxes inform this one: refused calls are priced, too.
-const PAUSE_INFORMED: Duration = Duration::from_millis(2000);
+const INFORMED_RETRY_DELAY: Duration = Duration::from_millis(2000);
 
 /// For the call of a watch that has gathered changes.
-const GATHER_SLACK: Duration = Duration::from_millis(100);
+const BATCH_MARGIN: Duration = Duration::from_millis(100);
 
-impl Follower {
+impl StoreFollower {
     /// Proves again and again that what is known is still so, while this box
     /// reads.
-    pub(super) async fn confirm(self: Rc<Self>) {
-        let mut pause = PAUSE_FIRST;
+    pub(super) async fn confirm_loop(self: Rc<Self>) {
+        let mut pause = MIN_RETRY_DELAY;
         loop {
-            self.until_reader().await;
+            self.wait_until_reader().await;
             let began = self.desk.now();
-            let informed = self.desk.is_informed();
+            let informed = self.desk.is_synced();
             let confirmed = self.confirm_once().await;
-            self.desk.roster.borrow_mut().expire(self.desk.now());
-            self.note_sure();
-            if !informed && self.desk.is_informed() {
-                self.spread_news().await;
+            self.desk.registry.borrow_mut().expire(self.desk.now());
+            self.update_certainty();
+            if !informed && self.desk.is_synced() {
+                self.notify_pollers().await;
             }
             match confirmed {
                 Ok(()) => {
-                    pause = PAUSE_FIRST;
+                    pause = MIN_RETRY_DELAY;
                     // A watch that failed asks earlier.
-                    let rest = (began + self.proof_time()).saturating_sub(self.desk.now());
-                    let _ = timeout(rest, self.check.notified()).await;
+                    let rest = (began + self.proof_interval()).saturating_sub(self.desk.now());
+                    let _ = timeout(rest, self.check_now.notified()).await;
                 }
                 Err(fault) => {
-                    self.lost("confirm", &fault);
+                    self.note_store_failure("confirm", &fault);
                     sleep(pause).await;
-                    pause = (pause * 2).min(self.pause_most());
+                    pause = (pause * 2).min(self.max_retry_delay());
                 }
             }
         }
     }
 
-    fn pause_most(&self) -> Duration {
-        let age = self.desk.fresh.borrow().age(self.desk.now());
-        let stale = self.desk.settings().ask_pace().max_age;
+    fn max_retry_delay(&self) -> Duration {
+        let age = self.desk.freshness.borrow().age(self.desk.now());
+        let stale = self.desk.settings().poll_pace().max_age;
         match age.is_some_and(|age| age <= stale) {
-            true => PAUSE_INFORMED,
-            false => PAUSE_MOST,
+            true => INFORMED_RETRY_DELAY,
+            false => MAX_RETRY_DELAY,
         }
     }
 
-    fn proof_time(&self) -> Duration {
+    fn proof_interval(&self) -> Duration {
         let settings = self.desk.settings();
         match self.is_shared.get() {
-            true => settings.reader_time(),
-            false => settings.confirm_time(),
+            true => settings.reader_interval(),
+            false => settings.confirm_interval(),
         }
     }
 
@@ -78,9 +78,9 @@
     /// anew.
     pub(super) async fn confirm_once(&self) -> Result<(), StoreError> {
         let desk = &self.desk;
-        let known = desk.is_informed();
-        if self.failed.get().is_none() {
-            if !known && !self.begun.replace(true) {
+        let known = desk.is_synced();
+        if self.failed_at.get().is_none() {
+            if !known && !self.first_read.replace(true) {
                 // The watches' first reading is under way.
                 return Ok(());
             }
@@ -89,17 +89,17 @@
             }
         }
         self.read_config().await?;
-        if desk.routing().version == 0 && self.failed.get().is_none() {
+        if desk.routing().version == 0 && self.failed_at.get().is_none() {
             // Nothing can be served yet, and the watch brings the upstreams.
             return Ok(());
         }
-        let missed = self.read_servers().await?;
+        let missed = self.read_upstreams().await?;
         if known && missed {
             // A watch that did not bring this may hang on a silent connection.
             self.restart.notify_waiters();
-            self.spread_news().await;
+            self.notify_pollers().await;
         }
-        self.regained().await;
+        self.note_store_recovery().await;
         Ok(())
     }
 
@@ -108,10 +108,10 @@
     async fn prove(&self) -> Result<bool, StoreError> {
         let asked = self.desk.now();
         let at = config::revision(&self.desk.store).await;
-        self.desk.count_call("proof", &at);
+        self.desk.count_store_call("proof", &at);
         let covered = self.covers(at?).await;
         if covered {
-            self.desk.fresh.borrow_mut().confirm(asked);
+            self.desk.freshness.borrow_mut().confirm(asked);
         }
         Ok(covered)
     }
@@ -122,7 +122,7 @@
     async fn covers(&self, at: Revision) -> bool {
         // The watch may be gathering what is missing. What was known before
         // ages meanwhile, so there is time for one such wait.
-        let until = self.desk.now() + self.servers_gather() + GATHER_SLACK;
+        let until = self.desk.now() + self.upstreams_batch_delay() + BATCH_MARGIN;
         loop {
             let changed = self.changed.notified();
             if self.desk.mirror.borrow().covers(at) {
@@ -130,28 +130,28 @@
             }
             let rest = until.saturating_sub(self.desk.now());
             if timeout(rest, changed).await.is_err() {
-                return self.covers_own(at).await;
+                return self.covers_own_objects(at).await;
             }
         }
     }
 
-    async fn covers_own(&self, at: Revision) -> bool {
-        if self.is_young() {
+    async fn covers_own_objects(&self, at: Revision) -> bool {
+        if self.is_recent() {
             return false;
         }
-        self.add_known(place::written_rounds(&self.desk).await);
+        self.note_revisions(place::round_revisions(&self.desk).await);
         if self.desk.mirror.borrow().covers(at) {
             return true;
         }
-        self.add_known(census::written(&self.desk).await);
+        self.note_revisions(census::announce_revisions(&self.desk).await);
         if self.desk.mirror.borrow().covers(at) {
             return true;
         }
-        self.add_known(quarantine::written(&self.desk).await);
+        self.note_revisions(quarantine::hold_revisions(&self.desk).await);
         self.desk.mirror.borrow().covers(at)
     }
 
-    fn add_known(&self, read: Result<Vec<Revision>, StoreError>) {
+    fn note_revisions(&self, read: Result<Vec<Revision>, StoreError>) {
         match read {
             Ok(revisions) => {
                 let mut mirror = self.desk.mirror.borrow_mut();
@@ -160,7 +160,7 @@
             // Everything is read anew then.
             Err(fault) => {
                 let fields = json!({"fault": fault.to_string()});
-                log::line(Level::Debug, "store", "own objects not read", fields);
+                log::event(Level::Debug, "store", "own objects not read", fields);
             }
         }
     }
--- a/crates/ashgauged/src/relay/forecast.rs
+++ b/crates/ashgauged/src/relay/forecast.rs
@@ -8,9 +8,9 @@
 use ashgauge::routing::ServiceId;
 use serde_json::json;
 
-use super::desk::Desk;
-use super::open::SILENT_MOST;
-use super::request::Admitted;
+use super::desk::SharedState;
+use super::open::MAX_SILENCE;
+use super::request::AdmittedRequest;
 
 /// What is expected of a stream on its chain.
 #[derive(Clone, Copy)]
@@ -20,22 +20,22 @@
     /// Time to the first event, corrected by what was learned of the service.
     pub first: Duration,
     /// When the chain was chosen.
-    made: Duration,
+    made_at: Duration,
 }
 
 impl Estimate {
     /// Silence before the first event after which the engines are checked, `least` at the
     /// least.
-    pub fn patience(&self, least: Duration) -> Duration {
-        forecast::check_delay(self.first, least, SILENT_MOST)
+    pub fn silence_limit(&self, least: Duration) -> Duration {
+        forecast::check_delay(self.first, least, MAX_SILENCE)
     }
 }
 
 /// Forecasts a request on a chain that it is not counted on yet, if its service lets
 /// streams in by their class.
-pub fn estimate(desk: &Desk, a: &Admitted, stages: &[Stage]) -> Option<Estimate> {
+pub fn estimate(desk: &SharedState, a: &AdmittedRequest, stages: &[Stage]) -> Option<Estimate> {
     a.class?;
-    let (service, prompt) = (&a.service.name, a.ask.prompt_tokens);
+    let (service, prompt) = (&a.service.name, a.client_request.prompt_tokens);
     let model = a.service.model.as_ref()?;
     let forecast = desk.forecast(service, model, stages, prompt);
     let calibrations = desk.calibrations.borrow();
@@ -43,19 +43,19 @@
     let first = calibration.apply(forecast.first_event);
     if prompt == 0 || forecast.is_capped() {
         let fields = json!({"prompt": prompt, "forecast_ms": first.as_millis() as u64});
-        a.record.step("rough forecast", fields);
+        a.record.log_step("rough forecast", fields);
     }
     Some(Estimate {
         forecast,
         first,
-        made: desk.now(),
+        made_at: desk.now(),
     })
 }
 
 /// Learns from the first event of a stream of which nothing but the load of its chain
 /// decided when it came.
-pub fn learn(desk: &Desk, service: &ServiceId, estimate: &Estimate, now: Duration) {
-    let actual = now.saturating_sub(estimate.made);
+pub fn calibrate(desk: &SharedState, service: &ServiceId, estimate: &Estimate, now: Duration) {
+    let actual = now.saturating_sub(estimate.made_at);
     let Some(ratio) = estimate.forecast.ratio(actual) else {
         return;
     };
--- a/crates/ashgauged/src/relay/forward.rs
+++ b/crates/ashgauged/src/relay/forward.rs
@@ -20,47 +20,48 @@
 use serde_json::json;
 use spdlog::Level;
 
-use super::desk::Desk;
+use super::desk::SharedState;
 use super::dial;
 use super::gate;
 use super::log;
-use super::loss::{self, Loss};
+use super::loss::{self, BrokenRun};
 use super::notice;
 use super::permit;
-use super::pick::PICKS_MOST;
+use super::pick::MAX_PICKS;
 use super::quarantine;
 use super::record::Record;
 use super::request::{
-    Admitted, BACK_FULL, BACK_UNSURE, Hold, Whole, finish, held_back, is_allowed, is_held, lost,
-    note_outcome, own, refused, unsure_time, whole,
+    AdmittedRequest, FullResponse, LoadGuard, RETRY_AFTER_FULL, RETRY_AFTER_UNSYNCED,
+    apply_refusal, failure_outcome, finish, is_authorized, is_quarantined, note_outcome,
+    own_response, refuse_quarantined, unsynced_retry_after, upstream_response,
 };
 use super::retry;
 use super::serve::Body;
 use super::stream;
 
 /// Longest answer of a plain service that is held until it is whole.
-const ANSWER_MOST: usize = 16 << 20;
+const MAX_ANSWER_BYTES: usize = 16 << 20;
 
 /// Part of the aim after which a repeatable request is given up on an
 /// upstream that stays silent.
-const SILENT_SHARE: f64 = 0.6;
+const SILENCE_AIM_SHARE: f64 = 0.6;
 
 /// Multiple of an upstream's learned time after which it counts as silent.
-const SILENT_FACTOR: f64 = 4.0;
+const SILENCE_FACTOR: f64 = 4.0;
 
 /// Answers one request.
-pub async fn handle(desk: Rc<Desk>, request: Request<Incoming>) -> Response<Body> {
+pub async fn handle(desk: Rc<SharedState>, request: Request<Incoming>) -> Response<Body> {
     let arrived = desk.now();
     let (head, body) = request.into_parts();
     let ask = match ingress::parse_request(&head) {
         Ok(ask) => ask,
         Err(why) => {
-            log::line(Level::Info, "request", "malformed", json!({"why": why}));
-            return own(StatusCode::BAD_REQUEST, None, None);
+            log::event(Level::Info, "request", "malformed", json!({"why": why}));
+            return own_response(StatusCode::BAD_REQUEST, None, None);
         }
     };
-    desk.wait_known(startup_wait(desk.uptime())).await;
-    let (route, service, team) = match admit(&desk, &ask) {
+    desk.wait_synced(startup_wait(desk.uptime())).await;
+    let (route, service, team) = match resolve(&desk, &ask) {
         Ok(admitted) => admitted,
         Err(refusal) => return refuse(&desk, &ask, refusal, arrived),
     };
@@ -72,15 +73,15 @@
         Err((status, why)) => {
             record.end(why);
             let not_run = status == StatusCode::SERVICE_UNAVAILABLE;
-            return own(status, Some(&ask), not_run.then_some(BACK_FULL));
+            return own_response(status, Some(&ask), not_run.then_some(RETRY_AFTER_FULL));
         }
     };
     let digest = digest_of(&head, &ask, team.as_deref(), &body);
     record.digest = Some(digest);
     let mut handoff = Attempts::new(until, route.max_attempts, route.is_retryable());
-    let mut admitted = Admitted {
+    let mut admitted = AdmittedRequest {
         head,
-        ask,
+        client_request: ask,
         body,
         digest,
         route,
@@ -92,13 +93,13 @@
     };
     admitted.class = gate::class_of(&desk, &admitted);
     admitted.record.class = admitted.class;
-    quarantine::settle(&desk, digest).await;
-    if is_held(&desk, &admitted) {
-        return held_back(&desk, admitted, false);
+    quarantine::await_checks(&desk, digest).await;
+    if is_quarantined(&desk, &admitted) {
+        return refuse_quarantined(&desk, admitted, false);
     }
-    desk.budgets.earn(desk.now(), &admitted.service.name);
+    desk.retry_budgets.earn(desk.now(), &admitted.service.name);
     match admitted.route.stream {
-        Some(rule) => stream::answer(desk, admitted, handoff, rule).await,
+        Some(rule) => stream::handle_stream(desk, admitted, handoff, rule).await,
         None => send_plain(&desk, admitted, &mut handoff).await,
     }
 }
@@ -122,7 +123,7 @@
     /// The box is about to end.
     Stopping,
     /// The box does not know what is in force.
-    Unsure,
+    Unsynced,
     /// No route leads there.
     NoRoute,
     /// The key is missing or unknown.
@@ -131,23 +132,23 @@
     NoService,
 }
 
-type Way = (Arc<Route>, Arc<Service>, Option<Arc<Team>>);
+type Destination = (Arc<Route>, Arc<Service>, Option<Arc<Team>>);
 
-fn admit(desk: &Desk, ask: &ClientRequest) -> Result<Way, Refusal> {
+fn resolve(desk: &SharedState, ask: &ClientRequest) -> Result<Destination, Refusal> {
     let routing = desk.routing();
-    if desk.stopped.get() {
+    if desk.is_stopped.get() {
         return Err(Refusal::Stopping);
     }
-    let sure = desk.fresh.borrow().is_fresh(desk.now());
+    let sure = desk.freshness.borrow().is_fresh(desk.now());
     if routing.version == 0 {
-        return Err(Refusal::Unsure);
+        return Err(Refusal::Unsynced);
     }
     // What a stale configuration lacks may be there by now.
-    let or_unsure = |refusal| if sure { refusal } else { Refusal::Unsure };
+    let or_unsure = |refusal| if sure { refusal } else { Refusal::Unsynced };
     let route = routing.find_route(&ask.host, &ask.path);
     let route = route.ok_or(or_unsure(Refusal::NoRoute))?;
     let team = match routing.authorize(route, ask.key.as_deref()) {
-        Access::Team(_) if !sure => return Err(Refusal::Unsure),
+        Access::Team(_) if !sure => return Err(Refusal::Unsynced),
         Access::Team(team) => Some(team),
         Access::Anonymous => None,
         Access::Denied => return Err(or_unsure(Refusal::NoKey)),
@@ -159,7 +160,7 @@
 }
 
 fn refuse(
-    desk: &Rc<Desk>,
+    desk: &Rc<SharedState>,
     ask: &ClientRequest,
     refusal: Refusal,
     arrived: Duration,
@@ -171,59 +172,63 @@
             StatusCode::SERVICE_UNAVAILABLE,
             Some(Duration::ZERO),
         ),
-        Refusal::Unsure => (
+        Refusal::Unsynced => (
             "unsure",
             StatusCode::SERVICE_UNAVAILABLE,
-            Some(unsure_time(desk)),
+            Some(unsynced_retry_after(desk)),
         ),
         Refusal::NoRoute => ("no route", StatusCode::NOT_FOUND, None),
         Refusal::NoKey => ("no key", StatusCode::UNAUTHORIZED, None),
         Refusal::NoService => (
             "no service",
             StatusCode::SERVICE_UNAVAILABLE,
-            Some(BACK_UNSURE),
+            Some(RETRY_AFTER_UNSYNCED),
         ),
     };
     record.end(what);
-    own(status, Some(ask), after)
+    own_response(status, Some(ask), after)
 }
 
-async fn send_plain(desk: &Rc<Desk>, mut a: Admitted, handoff: &mut Attempts) -> Response<Body> {
+async fn send_plain(
+    desk: &Rc<SharedState>,
+    mut a: AdmittedRequest,
+    handoff: &mut Attempts,
+) -> Response<Body> {
     loop {
-        if !is_allowed(desk, &a) {
+        if !is_authorized(desk, &a) {
             return finish(desk, a, FailureKind::NotRun);
         }
-        quarantine::settle(desk, a.digest).await;
-        if is_held(desk, &a) {
-            return held_back(desk, a, handoff.may_have_run());
+        quarantine::await_checks(desk, a.digest).await;
+        if is_quarantined(desk, &a) {
+            return refuse_quarantined(desk, a, handoff.may_have_run());
         }
-        let Some((id, addr)) = choose(desk, &a, handoff).await else {
+        let Some((id, addr)) = choose_upstream(desk, &a, handoff).await else {
             let end = handoff.failure(desk.now());
             return finish(desk, a, end);
         };
         handoff.record_send(id.clone());
         a.record.sends.push(id.clone());
         let began = desk.now();
-        let (outcome, answer) = match try_plain(desk, &a, handoff, &id, &addr).await {
+        let (outcome, answer) = match send_once(desk, &a, handoff, &id, &addr).await {
             Ok(answer) if !answer.status().is_server_error() => {
                 desk.quarantine.borrow_mut().clear_losses(a.digest);
                 a.record.end("answered");
-                return whole(answer);
+                return upstream_response(answer);
             }
             Ok(answer) => (SendOutcome::Failed, Some(answer)),
             Err(outcome) => (outcome, None),
         };
         note_outcome(desk, &a, &id, outcome);
         if outcome == SendOutcome::Lost
-            && loss::look(desk, &a, Loss::before_answer(&id, began)).await
+            && loss::check_loss(desk, &a, BrokenRun::before_answer(&id, began)).await
         {
             handoff.record_lost();
         }
-        match (retry::next(desk, &a, handoff, outcome), answer) {
+        match (retry::next_step(desk, &a, handoff, outcome), answer) {
             (Decision::Resend, _) => {}
             (Decision::Forward, Some(answer)) => {
                 a.record.end("failed upstream");
-                return whole(answer);
+                return upstream_response(answer);
             }
             (Decision::Fail(end), _) => return finish(desk, a, end),
             (Decision::Forward, None) => return finish(desk, a, FailureKind::Unknown),
@@ -232,29 +237,33 @@
 }
 
 /// Chooses an upstream that takes one more request.
-async fn choose(desk: &Desk, a: &Admitted, handoff: &Attempts) -> Option<(UpstreamId, String)> {
-    for _ in 0..PICKS_MOST {
-        let (id, addr) = desk.choose(&a.service.name, handoff.tried())?;
-        if permit::take(desk, &id).await {
+async fn choose_upstream(
+    desk: &SharedState,
+    a: &AdmittedRequest,
+    handoff: &Attempts,
+) -> Option<(UpstreamId, String)> {
+    for _ in 0..MAX_PICKS {
+        let (id, addr) = desk.choose_upstream(&a.service.name, handoff.tried())?;
+        if permit::acquire(desk, &id).await {
             return Some((id, addr));
         }
     }
     None
 }
 
-async fn try_plain(
-    desk: &Rc<Desk>,
-    a: &Admitted,
+async fn send_once(
+    desk: &Rc<SharedState>,
+    a: &AdmittedRequest,
     handoff: &Attempts,
     id: &UpstreamId,
     addr: &str,
-) -> Result<Whole, SendOutcome> {
+) -> Result<FullResponse, SendOutcome> {
     let began = desk.now();
-    let _hold = Hold::plain(desk, id);
+    let _hold = LoadGuard::for_upstream(desk, id);
     let connect = Duration::from_millis(desk.settings().timing.connect_ms);
     let line = dial::connect(addr, connect.min(handoff.time_left(began))).await;
     let line = line.map_err(|_| SendOutcome::NotSent)?;
-    if !is_allowed(desk, a) {
+    if !is_authorized(desk, a) {
         return Err(SendOutcome::NotSent);
     }
     let left = handoff.time_left(desk.now());
@@ -266,60 +275,62 @@
         time_left: left,
         last_event: None,
     };
-    notice::check_send(desk, id, &a.ask.id);
+    notice::count_send(desk, id, &a.client_request.id);
     let request = engine::build_request(&a.head, a.body.clone(), &target);
     let limit =
         match a.route.is_retryable() && handoff.tried().len() < a.route.max_attempts as usize {
-            true => silence(desk, a, id).min(left),
+            true => silence_timeout(desk, a, id).min(left),
             false => left,
         };
-    let collecting = collect(desk, id, line, request, &a.ask.id);
+    let collecting = collect_answer(desk, id, line, request, &a.client_request.id);
     let answer = desk.clock.within(limit, collecting).await;
     let (answer, load) = answer.ok_or(SendOutcome::Lost)??;
-    let mut roster = desk.roster.borrow_mut();
+    let mut roster = desk.registry.borrow_mut();
     if let Some((running, waiting)) = load {
         roster.note_load(id, running, waiting);
     }
     if !answer.status().is_server_error() {
         let now = desk.now();
         roster.record_latency(now, id, now - began);
-        desk.metrics.first.observe(a.record.took().as_secs_f64());
+        desk.metrics
+            .first_seconds
+            .observe(a.record.elapsed().as_secs_f64());
     }
     Ok(answer)
 }
 
 /// How long a repeatable request waits on a silent upstream.
-fn silence(desk: &Desk, a: &Admitted, id: &str) -> Duration {
-    let roster = desk.roster.borrow();
+fn silence_timeout(desk: &SharedState, a: &AdmittedRequest, id: &str) -> Duration {
+    let roster = desk.registry.borrow();
     let learned = roster.get(id).map_or(0.0, |e| e.latency_seconds);
-    let usual = Duration::from_secs_f64(learned * SILENT_FACTOR);
-    a.route.target_latency.mul_f64(SILENT_SHARE).max(usual)
+    let usual = Duration::from_secs_f64(learned * SILENCE_FACTOR);
+    a.route.target_latency.mul_f64(SILENCE_AIM_SHARE).max(usual)
 }
 
-type Collected = (Whole, Option<(u32, u32)>);
+type CollectedAnswer = (FullResponse, Option<(u32, u32)>);
 
 /// Sends on a fresh connection and reads the whole answer.
-async fn collect(
-    desk: &Rc<Desk>,
+async fn collect_answer(
+    desk: &Rc<SharedState>,
     upstream: &UpstreamId,
-    line: dial::Line,
+    line: dial::Connection,
     request: Request<Full<Bytes>>,
     id: &str,
-) -> Result<Collected, SendOutcome> {
+) -> Result<CollectedAnswer, SendOutcome> {
     let sent = desk.now();
-    let exchange = line.send(request).await.map_err(|e| lost(&e))?;
+    let exchange = line.send(request).await.map_err(|e| failure_outcome(&e))?;
     let (parts, body) = exchange.response.into_parts();
-    notice::take(desk, upstream, sent, &parts);
+    notice::apply(desk, upstream, sent, &parts);
     let load = engine::parse_load(&parts.headers);
     match engine::classify(&parts, id) {
         verdict @ (Verdict::Full(_) | Verdict::Stale(_)) => {
-            refused(desk, upstream, verdict);
+            apply_refusal(desk, upstream, verdict);
             return Err(SendOutcome::NotRun);
         }
         Verdict::Foreign => return Err(SendOutcome::Lost),
         Verdict::Answer => {}
     }
-    let body = Limited::new(body, ANSWER_MOST).collect().await;
+    let body = Limited::new(body, MAX_ANSWER_BYTES).collect().await;
     let body = body.map_err(|_| SendOutcome::Lost)?.to_bytes();
     let mut answer = Response::new(body);
     *answer.status_mut() = parts.status;
--- a/crates/ashgauged/src/relay/gate.rs
+++ b/crates/ashgauged/src/relay/gate.rs
@@ -14,56 +14,59 @@
 use rand::Rng;
 use tokio::time::sleep;
 
-use super::desk::Desk;
+use super::desk::SharedState;
 use super::levels;
-use super::request::Admitted;
-use super::state::State;
+use super::request::AdmittedRequest;
+use super::state::ServiceAdmission;
 
 /// Time between two reckonings of a level: words of other boxes come no faster.
-const RECKON_EVERY: Duration = Duration::from_millis(50);
+const LEVEL_INTERVAL: Duration = Duration::from_millis(50);
 
 /// Time between two reckonings while no streams arrive: for operators, and for the
 /// account of streams that are held up, for which a pressure counts a little longer.
-const WATCH_EVERY: Duration = Duration::from_millis(300);
+const IDLE_LEVEL_INTERVAL: Duration = Duration::from_millis(300);
 
 /// Whether streams of a service are let in by the level.
-pub fn is_on(desk: &Desk, service: &Service) -> bool {
+pub fn sheds_streams(desk: &SharedState, service: &Service) -> bool {
     let has_engines = service.model.as_ref().is_some_and(|m| m.layers > 0);
-    has_engines && is_shed(desk, &service.name)
+    has_engines && is_shedding_enabled(desk, &service.name)
 }
 
 /// Whether shedding is switched on for a service, by its routes' ranks and the setting.
-pub fn is_shed(desk: &Desk, service: &str) -> bool {
+pub fn is_shedding_enabled(desk: &SharedState, service: &str) -> bool {
     let routing = desk.routing();
     let ranks = routing.priorities(service);
     ranks.is_some_and(|r| desk.settings().sheds(r))
 }
 
 /// The priority class of a request, if its service lets streams in by those.
-pub fn class_of(desk: &Desk, a: &Admitted) -> Option<Class> {
-    if a.route.stream.is_none() || !is_on(desk, &a.service) {
+pub fn class_of(desk: &SharedState, a: &AdmittedRequest) -> Option<Class> {
+    if a.route.stream.is_none() || !sheds_streams(desk, &a.service) {
         return None;
     }
     let team = a.team.as_ref().and_then(|t| t.priority);
-    Some(Class::new(team, a.route.priority, a.is_repeat()))
+    Some(Class::new(team, a.route.priority, a.is_retry()))
 }
 
 /// Notes a stream that wants to begin, and decides whether it may; if not, says when its
 /// caller is to come back.
-pub fn admit(desk: &Rc<Desk>, a: &mut Admitted) -> Result<Option<Admission>, Duration> {
+pub fn admit(
+    desk: &Rc<SharedState>,
+    a: &mut AdmittedRequest,
+) -> Result<Option<Admission>, Duration> {
     let (Some(model), Some(class)) = (a.service.model.as_ref(), a.class) else {
         return Ok(None);
     };
     let team = demand::key(a.team.as_ref().map_or("", |t| t.name.as_str()));
-    note(desk, a, model, class, team);
-    reckon(desk, &a.service, model);
+    note_demand(desk, a, model, class, team);
+    update_level(desk, &a.service, model);
     let start = desk.rng().random_range(0.0..1.0);
     let now = desk.now();
-    let (is_in, level) = desk.gates.with(&a.service.name, |s| {
+    let (is_in, level) = desk.admissions.with(&a.service.name, |s| {
         let is_in = s.gate.admit(class, team, start);
         s.count(class, is_in);
         if is_in {
-            s.account.record_request(now);
+            s.recovery_budget.record_request(now);
         }
         (is_in, s.class())
     });
@@ -77,56 +80,68 @@
             begun: Cell::new(false),
         }));
     }
-    Err(back_after(desk, a))
+    Err(retry_after(desk, a))
 }
 
 /// When the caller of a request that is refused for overload is to come back.
-pub fn back_after(desk: &Desk, a: &Admitted) -> Duration {
-    let patience = a.ask.timeout.unwrap_or(a.route.timeout);
+pub fn retry_after(desk: &SharedState, a: &AdmittedRequest) -> Duration {
+    let patience = a.client_request.timeout.unwrap_or(a.route.timeout);
     let draw = desk.rng().random_range(0.0..1.0);
     level::retry_after(patience, draw)
 }
 
-fn note(desk: &Desk, a: &Admitted, model: &Model, class: Class, team: demand::TeamKey) {
+fn note_demand(
+    desk: &SharedState,
+    a: &AdmittedRequest,
+    model: &Model,
+    class: Class,
+    team: demand::TeamKey,
+) {
     let source = DemandSource {
         service: demand::key(&a.service.name),
         class,
         team: Some(team),
     };
     let work = demand::relative_work(
-        (a.ask.prompt_tokens, a.ask.answer_tokens),
+        (
+            a.client_request.prompt_tokens,
+            a.client_request.answer_tokens,
+        ),
         (model.typical_prompt, model.typical_output),
     );
     let now = desk.now();
-    desk.gates
+    desk.admissions
         .with(&a.service.name, |s| s.meter.record(now, source, work));
 }
 
 /// Reckons the level anew, if it is old.
-fn reckon(desk: &Desk, service: &Service, model: &Model) {
+fn update_level(desk: &SharedState, service: &Service, model: &Model) {
     let now = desk.now();
-    let is_due = desk.gates.with(&service.name, |s| {
-        let is_due = s.reckoned.is_none_or(|at| now >= at + RECKON_EVERY);
+    let is_due = desk.admissions.with(&service.name, |s| {
+        let is_due = s.level_at.is_none_or(|at| now >= at + LEVEL_INTERVAL);
         if is_due {
-            s.reckoned = Some(now);
+            s.level_at = Some(now);
         }
         is_due
     });
     if !is_due {
         return;
     }
-    let (demands, ends) = desk.flows(&service.name);
+    let (demands, ends) = desk.fleet_demand(&service.name);
     let known = Observation {
         demands,
         pressure: desk.pressure(service, model),
         completion_rate: ends,
-        boxes: desk.shares.borrow().present_boxes(f64::from(desk.boxes())),
-        age: desk.words_age(),
+        boxes: desk
+            .fleet_load
+            .borrow()
+            .present_boxes(f64::from(desk.fleet_size())),
+        age: desk.report_age(),
         report_interval: desk.role().traffic_interval(),
         full_slowdown: growth(desk, service, model),
     };
-    let boxes = desk.shares.borrow().boxes();
-    desk.gates.with(&service.name, |s| {
+    let boxes = desk.fleet_load.borrow().boxes();
+    desk.admissions.with(&service.name, |s| {
         let estimate = s.estimator.estimate(now, &known);
         let (demands, pressure) = (&estimate.demands, estimate.pressure);
         let basis = LevelInputs::new(
@@ -137,7 +152,8 @@
             boxes,
         );
         s.estimator.record_allowed_rate(now, basis.allowed_rate);
-        s.account.set_pressure(now, known.pressure.max_share());
+        s.recovery_budget
+            .set_pressure(now, known.pressure.max_share());
         s.gate
             .set_level(now, AdmissionLevel::new(demands, basis.allowed_rate));
         s.basis = Some(basis);
@@ -145,36 +161,36 @@
     });
 }
 
-fn growth(desk: &Desk, service: &Service, model: &Model) -> f64 {
-    let roster = desk.roster.borrow();
+fn growth(desk: &SharedState, service: &Service, model: &Model) -> f64 {
+    let roster = desk.registry.borrow();
     pressure::full_slowdown(model, roster.of_service(&service.name).map(|e| &e.upstream))
 }
 
 /// Reckons levels also while no streams arrive, as long as the process runs, so that what
 /// operators see is not older than [`WATCH_EVERY`] and the end of a level is logged.
-pub async fn watch(desk: Rc<Desk>) {
+pub async fn update_levels(desk: Rc<SharedState>) {
     loop {
-        sleep(WATCH_EVERY).await;
+        sleep(IDLE_LEVEL_INTERVAL).await;
         let routing = desk.routing();
         for service in routing.services.values() {
             match &service.model {
-                Some(model) if is_on(&desk, service) => reckon(&desk, service, model),
+                Some(model) if sheds_streams(&desk, service) => update_level(&desk, service, model),
                 _ => {}
             }
         }
         let is_off = |name: &ServiceId| {
             let service = routing.services.get(name);
-            !service.is_some_and(|s| is_on(&desk, s))
+            !service.is_some_and(|s| sheds_streams(&desk, s))
         };
         let now = desk.now();
-        for name in desk.gates.names().into_iter().filter(is_off) {
-            desk.gates.with(&name, |s| lift(now, &name, s));
+        for name in desk.admissions.names().into_iter().filter(is_off) {
+            desk.admissions.with(&name, |s| clear_level(now, &name, s));
         }
     }
 }
 
 /// Ends the level of a service for which shedding was switched off.
-fn lift(now: Duration, service: &ServiceId, state: &mut State) {
+fn clear_level(now: Duration, service: &ServiceId, state: &mut ServiceAdmission) {
     state.gate.set_level(now, None);
     state.estimator = Estimator::default();
     state.basis = None;
@@ -183,14 +199,14 @@
 
 /// A stream that was let in; notes its end when it is dropped.
 pub struct Admission {
-    desk: Rc<Desk>,
+    desk: Rc<SharedState>,
     service: ServiceId,
     begun: Cell<bool>,
 }
 
 impl Admission {
     /// Notes that an engine runs the stream: one that none takes frees no room as it ends.
-    pub fn begin(&self) {
+    pub fn note_started(&self) {
         self.begun.set(true);
     }
 }
@@ -202,7 +218,7 @@
         }
         let (now, key) = (self.desk.now(), demand::key(&self.service));
         self.desk
-            .gates
+            .admissions
             .with(&self.service, |s| s.meter.record_completion(now, key));
     }
 }
--- a/crates/ashgauged/src/relay/levels.rs
+++ b/crates/ashgauged/src/relay/levels.rs
@@ -11,9 +11,9 @@
 use serde_json::json;
 use spdlog::Level as Severity;
 
-use super::desk::Desk;
+use super::desk::SharedState;
 use super::log;
-use super::state::State;
+use super::state::ServiceAdmission;
 
 /// Value of the level's gauge where all classes are admitted.
 const ALL_ADMITTED: i64 = -1;
@@ -29,14 +29,14 @@
     /// Time since that class last changed, in milliseconds.
     since_ms: u64,
     #[serde(flatten)]
-    cause: Cause,
+    cause: LevelCause,
     /// Classes that are asked for, or were since the box started.
     classes: Vec<ClassStatus>,
 }
 
 /// What a level was computed from, in requests a second and shares.
 #[derive(Serialize)]
-struct Cause {
+struct LevelCause {
     asked: f64,
     /// Nothing (`null`) if no bound is in use.
     allowed: f64,
@@ -62,9 +62,9 @@
     refused: u64,
 }
 
-impl Cause {
+impl LevelCause {
     fn new(basis: &LevelInputs) -> Self {
-        Cause {
+        LevelCause {
             asked: basis.demand_rate(),
             allowed: basis.allowed_rate,
             ends: basis.completion_rate,
@@ -77,22 +77,22 @@
 }
 
 /// Levels of the services for which shedding is switched on.
-pub fn status(desk: &Desk) -> Vec<LevelStatus> {
+pub fn status(desk: &SharedState) -> Vec<LevelStatus> {
     let (now, uptime) = (desk.now(), desk.uptime());
-    desk.gates.reckoned(|service, state, basis| {
+    desk.admissions.with_levels(|service, state, basis| {
         let since = now.saturating_sub(state.gate.since()).min(uptime);
         LevelStatus {
             service: service.to_string(),
             class: state.class(),
             team_rate: state.gate.level().map(|l| l.team_limit),
             since_ms: since.as_millis() as u64,
-            cause: Cause::new(basis),
-            classes: classes(state, basis),
+            cause: LevelCause::new(basis),
+            classes: class_statuses(state, basis),
         }
     })
 }
 
-fn classes(state: &State, basis: &LevelInputs) -> Vec<ClassStatus> {
+fn class_statuses(state: &ServiceAdmission, basis: &LevelInputs) -> Vec<ClassStatus> {
     let asked = basis.classes.iter().map(|(class, _)| *class);
     let all: BTreeSet<Class> = asked.chain(state.counts.keys().copied()).collect();
     let one = |class: Class| {
@@ -118,9 +118,9 @@
 }
 
 /// Sets the gauges to the service under the highest pressure.
-pub fn set_gauges(desk: &Desk) {
+pub fn set_gauges(desk: &SharedState) {
     let metrics = &desk.metrics;
-    let levels = desk.gates.reckoned(|_, state, basis| {
+    let levels = desk.admissions.with_levels(|_, state, basis| {
         let before = state
             .class()
             .map(|class| basis.classes_before(class) as i64);
@@ -135,22 +135,22 @@
         return;
     };
     metrics.level.set(level);
-    for (bound, share) in bounds(&pressure) {
+    for (bound, share) in pressure_bounds(&pressure) {
         metrics.pressure.with_label_values(&[bound]).set(share);
     }
 }
 
-fn bounds(pressure: &Pressure) -> [(&'static str, f64); 2] {
+fn pressure_bounds(pressure: &Pressure) -> [(&'static str, f64); 2] {
     [("memory", pressure.memory), ("slots", pressure.slots)]
 }
 
 /// Logs a change of a service's level, once a second at most.
-pub fn log_change(now: Duration, service: &ServiceId, state: &mut State) {
+pub fn log_change(now: Duration, service: &ServiceId, state: &mut ServiceAdmission) {
     let Some(change) = state.report.change(now, state.class()) else {
         return;
     };
     let mut fields = match &state.basis {
-        Some(basis) => json!(Cause::new(basis)),
+        Some(basis) => json!(LevelCause::new(basis)),
         // Shedding was switched off.
         None => json!({}),
     };
@@ -165,5 +165,5 @@
     if let LevelChange::Ended(lasted) = change {
         fields["lasted_ms"] = json!(lasted.as_millis() as u64);
     }
-    log::line(Severity::Info, "admission", "level", fields);
+    log::event(Severity::Info, "admission", "level", fields);
 }
--- a/crates/ashgauged/src/relay/log.rs
+++ b/crates/ashgauged/src/relay/log.rs
@@ -14,13 +14,13 @@
 use spdlog::{Level, LevelFilter, Logger, ThreadPool};
 
 /// Lines that may wait to be written.
-const QUEUE: usize = 1024;
+const QUEUE_CAPACITY: usize = 1024;
 
 /// Time between two times that written lines are flushed.
-const FLUSH_EVERY: Duration = Duration::from_millis(500);
+const FLUSH_INTERVAL: Duration = Duration::from_millis(500);
 
 /// Name of the box, which every line has.
-static BOX: OnceLock<String> = OnceLock::new();
+static BOX_ID: OnceLock<String> = OnceLock::new();
 
 /// Lines that found the queue full.
 static DROPPED: AtomicU64 = AtomicU64::new(0);
@@ -31,7 +31,7 @@
 ///
 /// Fails if the level is none, or the writing thread cannot be started.
 pub fn start(level: &str, id: &str) -> Result<()> {
-    BOX.get_or_init(|| id.into());
+    BOX_ID.get_or_init(|| id.into());
     let level = match level {
         "error" => Level::Error,
         "warn" => Level::Warn,
@@ -44,7 +44,7 @@
         .std_stream(StdStream::Stdout)
         .formatter(formatter)
         .build()?;
-    let capacity = std::num::NonZeroUsize::new(QUEUE);
+    let capacity = std::num::NonZeroUsize::new(QUEUE_CAPACITY);
     let mut pool = ThreadPool::builder();
     if let Some(capacity) = capacity {
         let _ = pool.capacity(capacity);
@@ -62,13 +62,13 @@
         })
         .build()?;
     let logger = Arc::new(logger);
-    logger.set_flush_period(Some(FLUSH_EVERY));
+    logger.set_flush_period(Some(FLUSH_INTERVAL));
     spdlog::set_default_logger(logger);
     Ok(())
 }
 
 /// Writes one line: what was decided, and from which inputs.
-pub fn line(level: Level, part: &str, what: &str, fields: Value) {
+pub fn event(level: Level, part: &str, what: &str, fields: Value) {
     let logger = spdlog::default_logger();
     if !logger.should_log(level) {
         return;
@@ -80,7 +80,7 @@
         "at_ms".into(),
         (now.unwrap_or_default().as_millis() as u64).into(),
     );
-    line.insert("box".into(), BOX.get().map_or("", String::as_str).into());
+    line.insert("box".into(), BOX_ID.get().map_or("", String::as_str).into());
     line.insert("part".into(), part.into());
     line.insert("what".into(), what.into());
     if let Value::Object(fields) = fields {
--- a/crates/ashgauged/src/relay/loss.rs
+++ b/crates/ashgauged/src/relay/loss.rs
@@ -10,39 +10,39 @@
 use spdlog::Level;
 use tokio::time::sleep;
 
-use super::desk::Desk;
-use super::request::Admitted;
+use super::desk::SharedState;
+use super::request::AdmittedRequest;
 use super::{log, probe, quarantine};
 
 /// Pauses before an upstream that was still there is looked at once more. A process that
 /// ends closes its sockets one after the other: within milliseconds, but on a busy machine
 /// later than 40 ms.
-const AGAIN_AFTER: [Duration; 3] = [
+const RECHECK_DELAYS: [Duration; 3] = [
     Duration::from_millis(40),
     Duration::from_millis(80),
     Duration::from_millis(160),
 ];
 
 /// A run that broke off, as its upstream may have been lost.
-pub struct Loss {
+pub struct BrokenRun {
     /// The upstream that the request was sent to.
     pub upstream: UpstreamId,
     /// When the request was sent, or the head of its answer came.
     pub began: Duration,
     /// Whole events that the run brought.
-    pub events: u64,
+    pub event_count: u64,
     /// Whether it has shown that the request does not end its upstream.
-    pub proven: bool,
+    pub proven_safe: bool,
 }
 
-impl Loss {
+impl BrokenRun {
     /// A run that broke off before the head of an answer came.
     pub fn before_answer(upstream: &UpstreamId, began: Duration) -> Self {
-        Loss {
+        BrokenRun {
             upstream: upstream.clone(),
             began,
-            events: 0,
-            proven: false,
+            event_count: 0,
+            proven_safe: false,
         }
     }
 }
@@ -52,28 +52,28 @@
 ///
 /// Such runs go to upstreams of their own where that can be: those that were cut off
 /// together would else be lost together again, and look alike.
-pub struct Trial {
-    desk: Rc<Desk>,
+pub struct SuspectRun {
+    desk: Rc<SharedState>,
     upstream: UpstreamId,
 }
 
-impl Trial {
+impl SuspectRun {
     /// Notes that a request goes to an upstream, if others were lost under it.
-    pub fn begin(desk: &Rc<Desk>, digest: Digest, upstream: &UpstreamId) -> Option<Self> {
+    pub fn begin(desk: &Rc<SharedState>, digest: Digest, upstream: &UpstreamId) -> Option<Self> {
         if !desk.quarantine.borrow().is_suspect(digest) {
             return None;
         }
-        desk.trials.borrow_mut().push(upstream.clone());
-        Some(Trial {
+        desk.suspect_runs.borrow_mut().push(upstream.clone());
+        Some(SuspectRun {
             desk: desk.clone(),
             upstream: upstream.clone(),
         })
     }
 }
 
-impl Drop for Trial {
+impl Drop for SuspectRun {
     fn drop(&mut self) {
-        let mut trials = self.desk.trials.borrow_mut();
+        let mut trials = self.desk.suspect_runs.borrow_mut();
         if let Some(at) = trials.iter().position(|id| *id == self.upstream) {
             trials.swap_remove(at);
         }
@@ -81,35 +81,35 @@
 }
 
 /// What is to be noted if the upstream is lost.
-struct Suspicion {
+struct SuspectedLoss {
     /// Id of the try.
     id: String,
     digest: Digest,
-    loss: Loss,
+    loss: BrokenRun,
     /// The start that is laid to the request, if it is.
     start: Option<InstanceKey>,
     /// Holds other sends of the request up while it is looked into.
-    _check: Option<Check>,
+    _check: Option<LossCheck>,
 }
 
 /// A check of an upstream that is laid to a request, until it is dropped.
-struct Check {
-    desk: Rc<Desk>,
-    lost: InstanceLoss,
+struct LossCheck {
+    desk: Rc<SharedState>,
+    loss: InstanceLoss,
 }
 
-impl Check {
-    fn begin(desk: &Rc<Desk>, lost: InstanceLoss) -> Self {
+impl LossCheck {
+    fn begin(desk: &Rc<SharedState>, lost: InstanceLoss) -> Self {
         desk.quarantine.borrow_mut().begin_check(lost);
         let desk = desk.clone();
-        Check { desk, lost }
+        LossCheck { desk, loss: lost }
     }
 }
 
-impl Drop for Check {
+impl Drop for LossCheck {
     fn drop(&mut self) {
-        self.desk.quarantine.borrow_mut().end_check(self.lost);
-        self.desk.checked.notify_waiters();
+        self.desk.quarantine.borrow_mut().end_check(self.loss);
+        self.desk.check_notify.notify_waiters();
     }
 }
 
@@ -118,17 +118,17 @@
 /// twice by ending their engines would break though others could go on with them.
 ///
 /// One that is still there is looked at some more times, while the request goes on.
-pub async fn look(desk: &Rc<Desk>, a: &Admitted, loss: Loss) -> bool {
+pub async fn check_loss(desk: &Rc<SharedState>, a: &AdmittedRequest, loss: BrokenRun) -> bool {
     let digest = a.digest;
     // Its entry may be gone after the look.
-    let start = blamed(desk, &loss);
-    let suspicion = Suspicion {
-        id: a.ask.id.clone(),
+    let start = blamed_instance(desk, &loss);
+    let suspicion = SuspectedLoss {
+        id: a.client_request.id.clone(),
         digest,
         loss,
         start,
         _check: start.map(|start| {
-            Check::begin(
+            LossCheck::begin(
                 desk,
                 InstanceLoss {
                     digest,
@@ -143,7 +143,7 @@
     }
     let desk = desk.clone();
     tokio::task::spawn_local(async move {
-        for pause in AGAIN_AFTER {
+        for pause in RECHECK_DELAYS {
             sleep(pause).await;
             if probe::is_lost(&desk, &suspicion.loss.upstream).await {
                 return suspicion.confirm(&desk);
@@ -155,27 +155,27 @@
 
 /// The start of an upstream whose loss is laid to the request: unless the request had
 /// run well before, or the upstream was to end anyway.
-fn blamed(desk: &Desk, loss: &Loss) -> Option<InstanceKey> {
-    let roster = desk.roster.borrow();
+fn blamed_instance(desk: &SharedState, loss: &BrokenRun) -> Option<InstanceKey> {
+    let roster = desk.registry.borrow();
     let entry = roster.get(&loss.upstream)?;
     let upstream = &entry.upstream;
-    let counts = !loss.proven && !entry.is_leaving();
+    let counts = !loss.proven_safe && !entry.is_leaving();
     counts.then(|| instance_key(&upstream.id, upstream.started_ms))
 }
 
-impl Suspicion {
+impl SuspectedLoss {
     /// Notes that the upstream is lost. New tries go elsewhere at once, also if other
     /// streams heard it a moment ago.
-    fn confirm(self, desk: &Rc<Desk>) {
+    fn confirm(self, desk: &Rc<SharedState>) {
         let now = desk.now();
-        desk.roster
+        desk.registry
             .borrow_mut()
             .note_unreachable(now, &self.loss.upstream);
         // Leaving lost engines out does not stop a request that ends them: it goes on
         // to the next one with each repeat.
         if let Some(start) = self.start {
             let digest = self.digest;
-            quarantine::note(
+            quarantine::record_loss(
                 desk,
                 InstanceLoss {
                     digest,
@@ -184,20 +184,20 @@
             );
         }
         let run = desk.now().saturating_sub(self.loss.began);
-        let events = if self.loss.events == 0 {
+        let events = if self.loss.event_count == 0 {
             "none"
         } else {
             "some"
         };
-        desk.metrics.losses.with_label_values(&[events]).inc();
+        desk.metrics.lost_runs.with_label_values(&[events]).inc();
         let fields = json!({
             "id": self.id,
             "upstream": &*self.loss.upstream,
             "digest": digest::format_digest(self.digest),
             "run_ms": run.as_millis() as u64,
-            "events": self.loss.events,
+            "events": self.loss.event_count,
             "counts": self.start.is_some(),
         });
-        log::line(Level::Info, "request", "upstream lost", fields);
+        log::event(Level::Info, "request", "upstream lost", fields);
     }
 }
--- a/crates/ashgauged/src/relay/metrics.rs
+++ b/crates/ashgauged/src/relay/metrics.rs
@@ -18,7 +18,7 @@
 pub struct Metrics {
     registry: Registry,
     /// Requests by how they ended.
-    pub ends: IntCounterVec,
+    pub requests: IntCounterVec,
     /// Sends to upstreams by outcome.
     pub sends: IntCounterVec,
     /// Retries that were asked for, by whether the budget had one left.
@@ -28,21 +28,21 @@
     /// Repairs of streams by kind.
     pub repairs: IntCounterVec,
     /// Calls to the store by kind and result.
-    pub store: IntCounterVec,
+    pub store_calls: IntCounterVec,
     /// Orders to engines by reply.
     pub orders: IntCounterVec,
     /// Datagrams of other boxes, by what became of them.
-    pub words: IntCounterVec,
+    pub datagrams: IntCounterVec,
     /// Upstreams lost while they ran a request, by whether it had brought events.
-    pub losses: IntCounterVec,
+    pub lost_runs: IntCounterVec,
     /// Answers by which upstreams wanted nothing from this box for some time.
-    pub rests: IntCounter,
+    pub backoffs: IntCounter,
     /// Sends to upstreams within such times.
-    pub rested: IntCounter,
+    pub backoff_sends: IntCounter,
     /// Permits that were asked for, by what came of it.
     pub permits: IntCounterVec,
     /// Upstreams that name a limit.
-    pub limited: IntGauge,
+    pub limited_upstreams: IntGauge,
     /// Sends to such upstreams.
     pub limited_sends: IntCounter,
     /// Streams by whether the level admitted them.
@@ -54,25 +54,25 @@
     /// Upstreams that became suspect.
     pub suspects: IntCounter,
     /// Engines that other boxes reported, by what came of it.
-    pub heard: IntCounterVec,
+    pub reported_suspects: IntCounterVec,
     /// Time to the first byte of an answer.
-    pub first: Histogram,
+    pub first_seconds: Histogram,
     /// Time to the end of an answer.
-    pub whole: Histogram,
+    pub total_seconds: Histogram,
     /// Time from a stream's last event before a repair to the next one.
-    pub gap: Histogram,
+    pub repair_gap: Histogram,
     /// Actual times to first events, divided by their forecasts.
     pub forecast_ratio: Histogram,
     /// Version of the configuration in force.
-    pub version: IntGauge,
+    pub config_version: IntGauge,
     /// How often the store has come back from a copy.
-    pub era: IntGauge,
+    pub store_era: IntGauge,
     /// Requests that are held back, as they end upstreams.
-    pub held: IntGauge,
+    pub held_requests: IntGauge,
     /// Requests under way.
     pub inflight: IntGauge,
     /// Lines of the log that were dropped.
-    pub dropped: IntGauge,
+    pub dropped_lines: IntGauge,
 }
 
 impl Metrics {
@@ -113,7 +113,7 @@
         let pressure = GaugeVec::new(pressure, &["bound"])?;
         registry.register(Box::new(pressure.clone()))?;
         Ok(Metrics {
-            ends: counters("ashgauge_requests_total", "Requests by end", "end")?,
+            requests: counters("ashgauge_requests_total", "Requests by end", "end")?,
             sends: counters("ashgauge_sends_total", "Sends by outcome", "outcome")?,
             retries: counters("ashgauge_retries_total", "Retries by result", "result")?,
             repairs: counters("ashgauge_repairs_total", "Repairs of streams", "kind")?,
@@ -122,35 +122,35 @@
                 "Repairs, resends and checks by use and result",
                 &["use", "result"],
             )?,
-            store: labelled(
+            store_calls: labelled(
                 "ashgauge_store_calls_total",
                 "Store calls by kind and result",
                 &["call", "result"],
             )?,
             orders: counters("ashgauge_orders_total", "Orders by reply", "reply")?,
-            losses: counters(
+            lost_runs: counters(
                 "ashgauge_lost_runs_total",
                 "Runs whose upstream was lost, by events before",
                 "events",
             )?,
-            words: counters("ashgauge_words_total", "Datagrams of other boxes", "result")?,
-            first: histogram("ashgauge_first_seconds", "Time to the first byte")?,
-            whole: histogram("ashgauge_whole_seconds", "Time to the end")?,
-            gap: histogram("ashgauge_repair_gap_seconds", "Pause of a repaired stream")?,
+            datagrams: counters("ashgauge_words_total", "Datagrams of other boxes", "result")?,
+            first_seconds: histogram("ashgauge_first_seconds", "Time to the first byte")?,
+            total_seconds: histogram("ashgauge_whole_seconds", "Time to the end")?,
+            repair_gap: histogram("ashgauge_repair_gap_seconds", "Pause of a repaired stream")?,
             forecast_ratio: distribution(
                 "ashgauge_forecast_ratio",
                 "Actual times to first events, divided by their forecasts",
                 &RATIO_BUCKETS,
             )?,
-            version: gauge("ashgauge_config_version", "Configuration in force")?,
-            era: gauge("ashgauge_store_era", "Returns of the store from a copy")?,
-            held: gauge("ashgauge_held_requests", "Requests that are held back")?,
+            config_version: gauge("ashgauge_config_version", "Configuration in force")?,
+            store_era: gauge("ashgauge_store_era", "Returns of the store from a copy")?,
+            held_requests: gauge("ashgauge_held_requests", "Requests that are held back")?,
             inflight: gauge("ashgauge_inflight", "Requests under way")?,
-            dropped: gauge("ashgauge_log_dropped", "Lines of the log that were dropped")?,
-            rests: counter("ashgauge_rests_total", "Rests that upstreams asked for")?,
-            rested: counter("ashgauge_sends_at_rest_total", "Sends to upstreams at rest")?,
+            dropped_lines: gauge("ashgauge_log_dropped", "Lines of the log that were dropped")?,
+            backoffs: counter("ashgauge_rests_total", "Rests that upstreams asked for")?,
+            backoff_sends: counter("ashgauge_sends_at_rest_total", "Sends to upstreams at rest")?,
             permits: counters("ashgauge_permits_total", "Permits by result", "result")?,
-            limited: gauge("ashgauge_limited_upstreams", "Upstreams that name a limit")?,
+            limited_upstreams: gauge("ashgauge_limited_upstreams", "Upstreams that name a limit")?,
             limited_sends: counter(
                 "ashgauge_limited_sends_total",
                 "Sends to upstreams that name a limit",
@@ -166,7 +166,7 @@
             )?,
             pressure,
             suspects: counter("ashgauge_suspects_total", "Upstreams that became suspect")?,
-            heard: counters(
+            reported_suspects: counters(
                 "ashgauge_suspects_heard_total",
                 "Engines that other boxes reported, by result",
                 "result",
@@ -176,7 +176,7 @@
     }
 
     /// Writes all of them as text.
-    pub fn write(&self) -> String {
+    pub fn encode(&self) -> String {
         let mut out = Vec::new();
         let encoded = TextEncoder::new().encode(&self.registry.gather(), &mut out);
         match encoded {
--- a/crates/ashgauged/src/relay/mod.rs
+++ b/crates/ashgauged/src/relay/mod.rs
@@ -56,8 +56,8 @@
 use tokio::task::LocalSet;
 use tokio::time::{Instant, sleep};
 
-use desk::Desk;
-use follow::Follower;
+use desk::SharedState;
+use follow::StoreFollower;
 use metrics::Metrics;
 use peers::Peers;
 use place::Placer;
@@ -66,20 +66,20 @@
 /// How long callers may still be sent here after the box said that it is not
 /// ready: the balancer asks every second and believes the second no. Requests
 /// that come later, on kept connections, are refused.
-const BALANCER_TIME: Duration = Duration::from_millis(2600);
+const BALANCER_GRACE: Duration = Duration::from_millis(2600);
 
 /// How long there must be no request before the process ends, so that the
 /// last answer is out.
-const QUIET_TIME: Duration = Duration::from_millis(150);
+const IDLE_GRACE: Duration = Duration::from_millis(150);
 
 /// Time kept between the last answer and the kill.
 const KILL_MARGIN: Duration = Duration::from_millis(700);
 
 /// Time between two looks whether the settings file has changed.
-const FILE_EVERY: Duration = Duration::from_secs(2);
+const SETTINGS_POLL_INTERVAL: Duration = Duration::from_secs(2);
 
 /// Time between two looks whether the last request has ended.
-const LOOK_EVERY: Duration = Duration::from_millis(50);
+const STOP_POLL_INTERVAL: Duration = Duration::from_millis(50);
 
 /// Runs the box until it is told to stop.
 ///
@@ -110,22 +110,22 @@
         "ready": ready.local_addr()?.to_string(),
         "metrics": metrics.as_ref().and_then(|m| m.local_addr().ok()).map(|a| a.to_string()),
     });
-    log::line(Level::Info, "box", "started", fields);
-    let desk = Rc::new(Desk::new(settings, Metrics::new()?));
+    log::event(Level::Info, "box", "started", fields);
+    let desk = Rc::new(SharedState::new(settings, Metrics::new()?));
     let peers = Peers::start(&desk).await?;
     if let Some((peers, _)) = &peers {
-        tokio::task::spawn_local(tell::tell(desk.clone(), peers.clone()));
-        tokio::task::spawn_local(quarantine::tell(desk.clone(), peers.clone()));
-        tokio::task::spawn_local(suspicion::tell(desk.clone(), peers.clone()));
+        tokio::task::spawn_local(tell::broadcast(desk.clone(), peers.clone()));
+        tokio::task::spawn_local(quarantine::broadcast(desk.clone(), peers.clone()));
+        tokio::task::spawn_local(suspicion::broadcast(desk.clone(), peers.clone()));
     }
-    Follower::start(desk.clone(), peers);
+    StoreFollower::start(desk.clone(), peers);
     Placer::start(desk.clone());
-    tokio::task::spawn_local(clock::watch(desk.clone()));
-    tokio::task::spawn_local(gate::watch(desk.clone()));
+    tokio::task::spawn_local(clock::watch_suspension(desk.clone()));
+    tokio::task::spawn_local(gate::update_levels(desk.clone()));
     tokio::task::spawn_local(serve::accept(desk.clone(), callers));
-    tokio::task::spawn_local(serve::answer_ready(desk.clone(), ready));
+    tokio::task::spawn_local(serve::serve_readiness(desk.clone(), ready));
     if let Some(listener) = metrics {
-        tokio::task::spawn_local(serve::answer_metrics(desk.clone(), listener));
+        tokio::task::spawn_local(serve::serve_metrics(desk.clone(), listener));
     }
     wait_for_stop(&desk, path).await?;
     stop(&desk).await;
@@ -133,18 +133,18 @@
 }
 
 /// Waits for the signal to stop; a hang-up reads the settings again.
-async fn wait_for_stop(desk: &Desk, path: &Path) -> Result<()> {
+async fn wait_for_stop(desk: &SharedState, path: &Path) -> Result<()> {
     let mut term = signal(SignalKind::terminate())?;
     let mut int = signal(SignalKind::interrupt())?;
     let mut hup = signal(SignalKind::hangup())?;
-    let mut changed = changed_at(path);
+    let mut changed = modified_at(path);
     loop {
         tokio::select! {
             _ = term.recv() => return Ok(()),
             _ = int.recv() => return Ok(()),
             _ = hup.recv() => reload(desk, path),
-            () = sleep(FILE_EVERY) => {
-                let now = changed_at(path);
+            () = sleep(SETTINGS_POLL_INTERVAL) => {
+                let now = modified_at(path);
                 if now.is_some() && std::mem::replace(&mut changed, now) != now {
                     reload(desk, path);
                 }
@@ -154,50 +154,50 @@
 }
 
 /// Puts changed settings in force, as far as that goes without a new start.
-fn reload(desk: &Desk, path: &Path) {
+fn reload(desk: &SharedState, path: &Path) {
     match Settings::load(path) {
         Ok(new) => {
             let changed = new != *desk.settings();
             if changed {
                 desk.reload(new);
             }
-            log::line(Level::Info, "box", "reloaded", json!({"changed": changed}));
+            log::event(Level::Info, "box", "reloaded", json!({"changed": changed}));
         }
         Err(e) => {
             let fields = json!({"kept": "the settings before", "fault": format!("{e:#}")});
-            log::line(Level::Warn, "box", "not reloaded", fields);
+            log::event(Level::Warn, "box", "not reloaded", fields);
         }
     }
 }
 
 /// When the settings file was last changed, if that can be told.
-fn changed_at(path: &Path) -> Option<SystemTime> {
+fn modified_at(path: &Path) -> Option<SystemTime> {
     std::fs::metadata(path).ok()?.modified().ok()
 }
 
 /// Ends the requests under way, within the time that is left.
-async fn stop(desk: &Desk) {
+async fn stop(desk: &SharedState) {
     let began = Instant::now();
-    desk.stopping.set(true);
-    let most = desk.settings().stop_time();
+    desk.is_stopping.set(true);
+    let most = desk.settings().stop_timeout();
     let most = most.saturating_sub(KILL_MARGIN);
-    log::line(
+    log::event(
         Level::Info,
         "box",
         "stopping",
         json!({"inflight": desk.inflight.get()}),
     );
-    sleep(BALANCER_TIME.min(most)).await;
-    desk.stopped.set(true);
+    sleep(BALANCER_GRACE.min(most)).await;
+    desk.is_stopped.set(true);
     let mut busy = Instant::now();
-    while busy.elapsed() < QUIET_TIME && began.elapsed() < most {
-        sleep(LOOK_EVERY).await;
+    while busy.elapsed() < IDLE_GRACE && began.elapsed() < most {
+        sleep(STOP_POLL_INTERVAL).await;
         if desk.inflight.get() > 0 {
             busy = Instant::now();
         }
     }
     let fields = json!({"cut": desk.inflight.get(), "ms": began.elapsed().as_millis() as u64});
-    log::line(Level::Info, "box", "stopped", fields);
+    log::event(Level::Info, "box", "stopped", fields);
     log::flush();
 }
 
--- a/crates/ashgauged/src/relay/notice.rs
+++ b/crates/ashgauged/src/relay/notice.rs
@@ -8,13 +8,13 @@
 use serde_json::json;
 use spdlog::Level;
 
-use super::desk::Desk;
+use super::desk::SharedState;
 use super::{log, permit};
 
 /// Takes in what the head of an upstream's answer says of it, to a request that went out
 /// at `sent`.
-pub fn take(desk: &Desk, upstream: &str, sent: Duration, head: &response::Parts) {
-    take_limit(desk, upstream, sent, head);
+pub fn apply(desk: &SharedState, upstream: &str, sent: Duration, head: &response::Parts) {
+    apply_limit(desk, upstream, sent, head);
     if engine::is_leaving(&head.headers) {
         note_leaving(desk, upstream);
     }
@@ -23,10 +23,10 @@
         Ok(None) => return,
         Err(text) => {
             let fields = json!({"upstream": upstream, "text": text});
-            return log::line(Level::Warn, "roster", "rest cannot be read", fields);
+            return log::event(Level::Warn, "roster", "rest cannot be read", fields);
         }
     };
-    let mut roster = desk.roster.borrow_mut();
+    let mut roster = desk.registry.borrow_mut();
     // An engine behind the first one of a chain asks by way of that.
     let named = engine::engine_at_fault(&head.headers).and_then(|addr| roster.by_addr(addr));
     let named = named.map(|e| e.upstream.id.clone());
@@ -35,18 +35,18 @@
     if let Some(id) = &named {
         roster.note_backoff(now, id, rest);
     }
-    desk.metrics.rests.inc();
+    desk.metrics.backoffs.inc();
     let fields = json!({
         "upstream": upstream,
         "named": named.as_deref(),
         "rest_ms": rest.as_millis() as u64,
     });
-    log::line(Level::Info, "roster", "asks for rest", fields);
+    log::event(Level::Info, "roster", "asks for rest", fields);
 }
 
 /// Notes what an upstream takes from all boxes together. A refusal or a failure that names
 /// nothing says nothing of that.
-fn take_limit(desk: &Desk, upstream: &str, sent: Duration, head: &response::Parts) {
+fn apply_limit(desk: &SharedState, upstream: &str, sent: Duration, head: &response::Parts) {
     let (now, mut limits) = (desk.now(), desk.permits.limits.borrow_mut());
     let rate = match engine::rate_limit(&head.headers) {
         Ok(None) if !head.status.is_success() => return,
@@ -54,51 +54,55 @@
         Err(text) => {
             if limits.should_log(now) {
                 let fields = json!({"upstream": upstream, "text": text});
-                log::line(Level::Warn, "roster", "limit cannot be read", fields);
+                log::event(Level::Warn, "roster", "limit cannot be read", fields);
             }
             return;
         }
     };
     if limits.record(now, upstream, sent, rate) {
         let fields = json!({"upstream": upstream, "rate": rate});
-        log::line(Level::Info, "roster", "names its limit", fields);
+        log::event(Level::Info, "roster", "names its limit", fields);
         if rate.is_none() {
-            desk.roster
+            desk.registry
                 .borrow_mut()
                 .unblock(share::upstream_key(upstream));
         }
         drop(limits);
-        permit::note_count(desk);
+        permit::update_gauge(desk);
     }
 }
 
 /// Notes that an upstream's answer says that it leaves, so that nothing new goes there
 /// and streams are led away, also while the store is down or its entry comes late.
-pub fn note_leaving(desk: &Desk, upstream: &str) {
-    if !desk.roster.borrow_mut().note_leaving(desk.now(), upstream) {
+pub fn note_leaving(desk: &SharedState, upstream: &str) {
+    if !desk
+        .registry
+        .borrow_mut()
+        .note_leaving(desk.now(), upstream)
+    {
         return;
     }
-    log::line(
+    log::event(
         Level::Info,
         "roster",
         "says that it leaves",
         json!({"upstream": upstream}),
     );
-    desk.wake_streams();
+    desk.notify_streams();
 }
 
 /// Counts a send to an upstream that names a limit, and notes one that wants nothing from
 /// this box, as when it asked for that while the connection came up.
-pub fn check_send(desk: &Desk, upstream: &str, id: &str) {
+pub fn count_send(desk: &SharedState, upstream: &str, id: &str) {
     if desk.permits.limits.borrow().rate(upstream).is_some() {
         desk.metrics.limited_sends.inc();
     }
-    let roster = desk.roster.borrow();
+    let roster = desk.registry.borrow();
     let Some(left) = roster.get(upstream).and_then(|e| e.backoff(desk.now())) else {
         return;
     };
-    desk.metrics.rested.inc();
+    desk.metrics.backoff_sends.inc();
     let left = left.as_millis() as u64;
     let fields = json!({"id": id, "upstream": upstream, "left_ms": left});
-    log::line(Level::Warn, "request", "sent at rest", fields);
+    log::event(Level::Warn, "request", "sent at rest", fields);
 }
--- a/crates/ashgauged/src/relay/pack.rs
+++ b/crates/ashgauged/src/relay/pack.rs
@@ -14,7 +14,7 @@
 use super::log;
 
 /// Most bytes that an update may take unpacked: many times what any fleet announces.
-const UNPACKED_MOST: u64 = 32 << 20;
+const MAX_UNPACKED_BYTES: u64 = 32 << 20;
 
 /// Packs an update: what thousands of engines announce, as it is, is more than a box
 /// with a slow link can hand to thirty others within a second.
@@ -37,11 +37,11 @@
 pub fn unpack(bytes: &[u8]) -> Result<Update> {
     let mut plain = Vec::new();
     let unpacked = DeflateDecoder::new(bytes)
-        .take(UNPACKED_MOST + 1)
+        .take(MAX_UNPACKED_BYTES + 1)
         .read_to_end(&mut plain);
     unpacked.wrap_err("the update cannot be unpacked")?;
-    if plain.len() as u64 > UNPACKED_MOST {
-        bail!("the update is larger than {UNPACKED_MOST} bytes unpacked");
+    if plain.len() as u64 > MAX_UNPACKED_BYTES {
+        bail!("the update is larger than {MAX_UNPACKED_BYTES} bytes unpacked");
     }
     Ok(postcard::from_bytes(&plain)?)
 }
@@ -52,7 +52,7 @@
         Ok(bytes) => Some(bytes),
         Err(e) => {
             let fields = json!({"cause": e.to_string()});
-            log::line(Level::Warn, "fleet", "not told", fields);
+            log::event(Level::Warn, "fleet", "not told", fields);
             None
         }
     }
--- a/crates/ashgauged/src/relay/peers.rs
+++ b/crates/ashgauged/src/relay/peers.rs
@@ -29,76 +29,76 @@
 use tokio::sync::mpsc;
 use tokio::time::sleep;
 
-use super::desk::{Asked, Desk};
-use super::fetch::{self, ANSWER_PATH, Fetch};
+use super::desk::{LastQuery, SharedState};
+use super::fetch::{self, ANSWER_PATH, FetchRequest};
 use super::{census, log, pack, permit, quarantine, suspicion};
 
 /// Largest datagram that is read; a word on 860 engines takes 12 kB.
-const DATAGRAM_MOST: usize = 60_000;
+const MAX_DATAGRAM_BYTES: usize = 60_000;
 
 /// Largest answer that goes out as a datagram: what an Ethernet frame carries
 /// in one piece.
-const ANSWER_MOST: usize = 1400;
+const MAX_ANSWER_BYTES: usize = 1400;
 
 /// Pause after the socket could not be read.
-const READ_PAUSE: Duration = Duration::from_millis(500);
+const READ_RETRY_DELAY: Duration = Duration::from_millis(500);
 
 /// Least time between two looks at the boxes because of a stranger's datagram.
-const RECOUNT_EVERY: Duration = Duration::from_secs(1);
+const MIN_REFRESH_INTERVAL: Duration = Duration::from_secs(1);
 
 /// Least time between two lines on boxes that ask by a later revision.
-const LATER_EVERY: Duration = Duration::from_secs(1);
+const LATER_LOG_INTERVAL: Duration = Duration::from_secs(1);
 
 /// How long a box that asked is told of news: some rounds of questions.
-const ASKER_TIME: Duration = Duration::from_secs(4);
+const POLLER_TTL: Duration = Duration::from_secs(4);
 
 /// How long a ticket is good.
-pub const TICKET_TIME: Duration = Duration::from_secs(3);
+pub const FETCH_TOKEN_TTL: Duration = Duration::from_secs(3);
 
 /// Boxes that may fetch at one time: where a fleet starts, all turn to the first
 /// reader that knows something. The others ask the next one, or again.
-const TICKETS_MOST: usize = MAX_READER_BOXES;
+const MAX_FETCH_TOKENS: usize = MAX_READER_BOXES;
 
 /// Packed updates that are kept: boxes that start together lack the same, and those
 /// that go on lack what came with the last changes.
-const PACKED_MOST: usize = 4;
+const MAX_CACHED_UPDATES: usize = 4;
 
 /// Ports that are tried if the system chooses them.
-const BIND_TRIES: u32 = 32;
+const MAX_BIND_TRIES: u32 = 32;
 
 /// Messages that may wait for the following task.
-const HEARD_MOST: usize = 256;
+const MAX_QUEUED_MESSAGES: usize = 256;
 
 /// What the other boxes said.
 #[derive(Debug)]
-pub enum Heard {
+pub enum PeerMessage {
     /// An answer, and when its question went out if it was fetched.
     Answer(Answer, Option<Duration>),
     /// An answer could not be fetched from this box.
-    NotFetched(BoxId),
+    FetchFailed(BoxId),
     /// A box knows something new.
     News(BoxId),
 }
 
 /// This box's way to the others.
 pub struct Peers {
-    desk: Rc<Desk>,
+    desk: Rc<SharedState>,
     socket: Rc<UdpSocket>,
-    heard: mpsc::Sender<Heard>,
+    messages: mpsc::Sender<PeerMessage>,
     /// Until when each ticket is good.
     tickets: RefCell<HashMap<FetchToken, Duration>>,
     /// What was packed last, the latest last.
-    packed: RefCell<VecDeque<Packed>>,
+    packed_updates: RefCell<VecDeque<PackedUpdate>>,
     /// When it was last told that a box asks by a later revision.
-    later: Cell<Duration>,
+    later_logged_at: Cell<Duration>,
 }
 
 /// A packed update, and what it was made for.
-struct Packed {
+struct PackedUpdate {
     /// Revision up to which its receivers know everything.
     after: Revision,
     /// Revision up to which they do afterwards.
-    upto: Revision,
+    until: Revision,
     /// The mirror's edition that it holds.
     edition: u64,
     /// Whether entries that are gone are certainly gone.
@@ -112,7 +112,9 @@
     /// # Errors
     ///
     /// Fails if the address cannot be bound.
-    pub async fn start(desk: &Rc<Desk>) -> Result<Option<(Rc<Self>, mpsc::Receiver<Heard>)>> {
+    pub async fn start(
+        desk: &Rc<SharedState>,
+    ) -> Result<Option<(Rc<Self>, mpsc::Receiver<PeerMessage>)>> {
         let Some(addr) = desk.settings().peer.clone() else {
             return Ok(None);
         };
@@ -120,19 +122,19 @@
         let socket = Rc::new(socket);
         // Boxes start to hear each other once.
         let _ = desk.permits.socket.set(socket.clone());
-        desk.heard_at.set(Some(socket.local_addr()?));
-        let (heard, messages) = mpsc::channel(HEARD_MOST);
+        desk.peer_addr.set(Some(socket.local_addr()?));
+        let (heard, messages) = mpsc::channel(MAX_QUEUED_MESSAGES);
         let peers = Rc::new(Peers {
             desk: desk.clone(),
             socket,
-            heard,
+            messages: heard,
             tickets: RefCell::default(),
-            packed: RefCell::default(),
-            later: Cell::default(),
+            packed_updates: RefCell::default(),
+            later_logged_at: Cell::default(),
         });
-        tokio::task::spawn_local(peers.clone().hear());
-        let (fetches, asked) = mpsc::channel(HEARD_MOST);
-        tokio::task::spawn_local(peers.clone().answer_fetches(asked));
+        tokio::task::spawn_local(peers.clone().receive());
+        let (fetches, asked) = mpsc::channel(MAX_QUEUED_MESSAGES);
+        tokio::task::spawn_local(peers.clone().serve_fetches(asked));
         tokio::task::spawn_local(fetch::serve(listener, fetches));
         Ok(Some((peers, messages)))
     }
@@ -156,15 +158,15 @@
     pub async fn fetch(self: Rc<Self>, to: BoxId, question: Query, most: Duration) {
         let asked = self.desk.now();
         let heard = match self.fetch_once(&to, &question, most).await {
-            Ok(answer) => Heard::Answer(answer, Some(asked)),
+            Ok(answer) => PeerMessage::Answer(answer, Some(asked)),
             Err(e) => {
                 let fields = json!({"from": &*to, "fault": format!("{e:#}")});
-                log::line(Level::Info, "fleet", "answer not fetched", fields);
-                Heard::NotFetched(to)
+                log::event(Level::Info, "fleet", "answer not fetched", fields);
+                PeerMessage::FetchFailed(to)
             }
         };
         // The following task ends with the process only.
-        let _ = self.heard.send(heard).await;
+        let _ = self.messages.send(heard).await;
     }
 
     async fn fetch_once(&self, to: &BoxId, question: &Query, most: Duration) -> Result<Answer> {
@@ -192,15 +194,15 @@
     }
 
     /// Tells the boxes that asked lately that there is something new.
-    pub async fn spread_news(&self) {
+    pub async fn notify_pollers(&self) {
         let now = self.desk.now();
         let own: BoxId = self.desk.settings().id.as_str().into();
         let Some(bytes) = pack::encode(&Datagram::Changed(own)) else {
             return;
         };
         let to: Vec<SocketAddr> = {
-            let mut askers = self.desk.askers.borrow_mut();
-            askers.retain(|_, asked| now < asked.at + ASKER_TIME);
+            let mut askers = self.desk.pollers.borrow_mut();
+            askers.retain(|_, asked| now < asked.asked_at + POLLER_TTL);
             let peers = self.desk.peers.borrow();
             let addrs = askers.keys().filter_map(|id| peers.get(id));
             addrs.map(|p| p.addr).collect()
@@ -210,30 +212,30 @@
         }
     }
 
-    async fn hear(self: Rc<Self>) {
-        let mut buffer = vec![0; DATAGRAM_MOST];
+    async fn receive(self: Rc<Self>) {
+        let mut buffer = vec![0; MAX_DATAGRAM_BYTES];
         let mut counted = Duration::ZERO;
         loop {
             let Ok((len, from)) = self.socket.recv_from(&mut buffer).await else {
-                sleep(READ_PAUSE).await;
+                sleep(READ_RETRY_DELAY).await;
                 continue;
             };
-            let result = self.take(&buffer[..len], from).await;
+            let result = self.handle_datagram(&buffer[..len], from).await;
             let label = [result.label()];
-            self.desk.metrics.words.with_label_values(&label).inc();
+            self.desk.metrics.datagrams.with_label_values(&label).inc();
             let now = self.desk.now();
-            if result == Taken::Stranger && now >= counted + RECOUNT_EVERY {
+            if result == DatagramResult::Stranger && now >= counted + MIN_REFRESH_INTERVAL {
                 // It may be a box that has just come.
                 counted = now;
-                tokio::task::spawn_local(census::look_once(self.desk.clone()));
+                tokio::task::spawn_local(census::refresh(self.desk.clone()));
             }
         }
     }
 
     /// Takes a datagram in; returns what became of it.
-    async fn take(&self, bytes: &[u8], addr: SocketAddr) -> Taken {
+    async fn handle_datagram(&self, bytes: &[u8], addr: SocketAddr) -> DatagramResult {
         let Ok(datagram) = postcard::from_bytes::<Datagram>(bytes) else {
-            return Taken::Unreadable;
+            return DatagramResult::Unreadable;
         };
         let listed = self
             .desk
@@ -242,135 +244,135 @@
             .get(datagram.from())
             .map(|p| p.addr);
         if listed != Some(addr) {
-            return Taken::Stranger;
+            return DatagramResult::Stranger;
         }
         match datagram {
-            Datagram::Load(word) => self.take_load(word),
+            Datagram::Load(word) => self.handle_load(word),
             Datagram::Query(question) => {
-                self.answer(question, addr).await;
-                Taken::Question
+                self.handle_query(question, addr).await;
+                DatagramResult::Question
             }
-            Datagram::Answer(answer) => self.pass_on(Heard::Answer(answer, None)),
-            Datagram::Changed(from) => self.pass_on(Heard::News(from)),
+            Datagram::Answer(answer) => self.forward(PeerMessage::Answer(answer, None)),
+            Datagram::Changed(from) => self.forward(PeerMessage::News(from)),
             Datagram::Losses(from, report) => {
-                quarantine::hear(&self.desk, &from, &report);
-                Taken::Heard
+                quarantine::merge_report(&self.desk, &from, &report);
+                DatagramResult::Accepted
             }
             Datagram::Suspects(from, starts) => {
-                suspicion::hear(&self.desk, &from, &starts);
-                Taken::Heard
+                suspicion::handle_reports(&self.desk, &from, &starts);
+                DatagramResult::Accepted
             }
             Datagram::AskPermit(ask) => {
-                permit::answer(&self.desk, ask, addr);
-                Taken::Question
+                permit::handle_ask(&self.desk, ask, addr);
+                DatagramResult::Question
             }
             Datagram::Permit(reply) => {
-                permit::take_reply(&self.desk, reply);
-                Taken::Heard
+                permit::handle_reply(&self.desk, reply);
+                DatagramResult::Accepted
             }
         }
     }
 
-    fn take_load(&self, mut word: LoadReport) -> Taken {
+    fn handle_load(&self, mut word: LoadReport) -> DatagramResult {
         let now = self.desk.now();
         let (suspects, slow) = (word.suspects.clone(), word.slow.clone());
-        permit::hear(&self.desk, &word.from, &word.limits);
+        permit::merge_limits(&self.desk, &word.from, &word.limits);
         if self.desk.role() != Role::Hub {
             word.suspects.clear();
             word.slow.clear();
         }
-        if !self.desk.shares.borrow_mut().apply(now, word) {
-            return Taken::Late;
+        if !self.desk.fleet_load.borrow_mut().apply(now, word) {
+            return DatagramResult::Late;
         }
-        let mut roster = self.desk.roster.borrow_mut();
+        let mut roster = self.desk.registry.borrow_mut();
         if !suspects.is_empty() {
             roster.note_peer_suspects(now, &suspects);
         }
         roster.note_peer_slow(now, &slow);
-        Taken::Heard
+        DatagramResult::Accepted
     }
 
-    fn pass_on(&self, heard: Heard) -> Taken {
-        match self.heard.try_send(heard) {
-            Ok(()) => Taken::Heard,
-            Err(_) => Taken::Late,
+    fn forward(&self, heard: PeerMessage) -> DatagramResult {
+        match self.messages.try_send(heard) {
+            Ok(()) => DatagramResult::Accepted,
+            Err(_) => DatagramResult::Late,
         }
     }
 
-    async fn answer(&self, question: Query, addr: SocketAddr) {
+    async fn handle_query(&self, question: Query, addr: SocketAddr) {
         let now = self.desk.now();
-        let asked = Asked {
-            at: now,
-            known: question.after,
+        let asked = LastQuery {
+            asked_at: now,
+            revision: question.after,
         };
         let from = question.from.clone();
-        self.note_later(&question);
-        self.desk.askers.borrow_mut().insert(from, asked);
+        self.log_later_revision(&question);
+        self.desk.pollers.borrow_mut().insert(from, asked);
         if let Some(bytes) = self.encode_answer(&question) {
             self.send(addr, &bytes).await;
         }
     }
 
     /// Writes a line if a box knows more than this one, once a second at most.
-    fn note_later(&self, question: &Query) {
+    fn log_later_revision(&self, question: &Query) {
         let (now, covered) = (self.desk.now(), self.desk.mirror.borrow().covered());
-        if question.after <= covered || now < self.later.get() + LATER_EVERY {
+        if question.after <= covered || now < self.later_logged_at.get() + LATER_LOG_INTERVAL {
             return;
         }
-        self.later.set(now);
+        self.later_logged_at.set(now);
         let fields = json!({
             "from": &*question.from,
             "after": [revision::era(question.after), revision::count(question.after)],
             "known": [revision::era(covered), revision::count(covered)],
         });
-        log::line(Level::Info, "fleet", "asked by a later revision", fields);
+        log::event(Level::Info, "fleet", "asked by a later revision", fields);
     }
 
     /// The datagram that answers a question: what this box knows, or how to fetch it.
     fn encode_answer(&self, question: &Query) -> Option<Vec<u8>> {
-        if self.last_packed(question.after).is_none() {
-            let bytes = pack::encode(&Datagram::Answer(self.answer_to(question)))?;
-            if bytes.len() <= ANSWER_MOST {
+        if self.cached_update(question.after).is_none() {
+            let bytes = pack::encode(&Datagram::Answer(self.build_answer(question)))?;
+            if bytes.len() <= MAX_ANSWER_BYTES {
                 return Some(bytes);
             }
         }
-        let packed = self.pack(question.after)?;
-        let large = self.ticket_for(question, packed.len() as u64);
+        let packed = self.pack_update(question.after)?;
+        let large = self.issue_token(question, packed.len() as u64);
         pack::encode(&Datagram::Answer(large))
     }
 
     /// What a box that knows everything up to `after` lacks, if it was packed and
     /// nothing has changed.
-    fn last_packed(&self, after: Revision) -> Option<Bytes> {
-        let (mirror, sure) = (self.desk.mirror.borrow(), self.desk.sure.get());
+    fn cached_update(&self, after: Revision) -> Option<Bytes> {
+        let (mirror, sure) = (self.desk.mirror.borrow(), self.desk.removals_certain.get());
         let now = (after, mirror.covered(), mirror.generation(), sure);
-        let packed = self.packed.borrow();
+        let packed = self.packed_updates.borrow();
         let mut packed = packed.iter();
-        let known = packed.find(|p| (p.after, p.upto, p.edition, p.sure) == now)?;
+        let known = packed.find(|p| (p.after, p.until, p.edition, p.sure) == now)?;
         Some(known.bytes.clone())
     }
 
     /// What a box that knows everything up to `after` lacks, packed.
-    fn pack(&self, after: Revision) -> Option<Bytes> {
-        if let Some(bytes) = self.last_packed(after) {
+    fn pack_update(&self, after: Revision) -> Option<Bytes> {
+        if let Some(bytes) = self.cached_update(after) {
             return Some(bytes);
         }
-        let (mirror, sure) = (self.desk.mirror.borrow(), self.desk.sure.get());
+        let (mirror, sure) = (self.desk.mirror.borrow(), self.desk.removals_certain.get());
         let bytes = match pack::pack(&mirror.update(after, sure)) {
             Ok(bytes) => Bytes::from(bytes),
             Err(e) => {
                 let fields = json!({"cause": e.to_string()});
-                log::line(Level::Warn, "fleet", "not packed", fields);
+                log::event(Level::Warn, "fleet", "not packed", fields);
                 return None;
             }
         };
-        let mut packed = self.packed.borrow_mut();
-        if packed.len() >= PACKED_MOST {
+        let mut packed = self.packed_updates.borrow_mut();
+        if packed.len() >= MAX_CACHED_UPDATES {
             packed.pop_front();
         }
-        packed.push_back(Packed {
+        packed.push_back(PackedUpdate {
             after,
-            upto: mirror.covered(),
+            until: mirror.covered(),
             edition: mirror.generation(),
             sure,
             bytes: bytes.clone(),
@@ -381,35 +383,38 @@
     /// What this box knows now, packed for a box that fetches it.
     fn packed_answer(&self, question: &Query) -> Option<Answer> {
         let desk = &self.desk;
-        let age = desk.fresh.borrow().age(desk.now());
-        let body = match age.filter(|_| desk.is_informed()) {
+        let age = desk.freshness.borrow().age(desk.now());
+        let body = match age.filter(|_| desk.is_synced()) {
             Some(age) => AnswerBody::Compressed {
                 age,
-                bytes: self.pack(question.after)?.to_vec(),
+                bytes: self.pack_update(question.after)?.to_vec(),
             },
-            None => self.nothing(),
+            None => self.empty_body(),
         };
         Some(self.answer_with(question, body))
     }
 
     /// What this box knows now. The age counts to this moment, which is after
     /// the question was asked.
-    fn answer_to(&self, question: &Query) -> Answer {
+    fn build_answer(&self, question: &Query) -> Answer {
         let desk = &self.desk;
-        let age = desk.fresh.borrow().age(desk.now());
-        let body = match age.filter(|_| desk.is_informed()) {
+        let age = desk.freshness.borrow().age(desk.now());
+        let body = match age.filter(|_| desk.is_synced()) {
             Some(age) => AnswerBody::Update {
                 age,
-                update: desk.mirror.borrow().update(question.after, desk.sure.get()),
+                update: desk
+                    .mirror
+                    .borrow()
+                    .update(question.after, desk.removals_certain.get()),
             },
-            None => self.nothing(),
+            None => self.empty_body(),
         };
         self.answer_with(question, body)
     }
 
-    fn nothing(&self) -> AnswerBody {
+    fn empty_body(&self) -> AnswerBody {
         let now = self.desk.now();
-        let asked = self.desk.vacant_at.get();
+        let asked = self.desk.config_missing_at.get();
         AnswerBody::Empty {
             asked_ago: asked.map(|at| now.saturating_sub(at)),
         }
@@ -424,15 +429,15 @@
         }
     }
 
-    fn ticket_for(&self, question: &Query, bytes: u64) -> Answer {
+    fn issue_token(&self, question: &Query, bytes: u64) -> Answer {
         let ticket = self.desk.rng().random();
         let now = self.desk.now();
         let mut tickets = self.tickets.borrow_mut();
         tickets.retain(|_, until| now < *until);
-        if tickets.len() >= TICKETS_MOST {
+        if tickets.len() >= MAX_FETCH_TOKENS {
             return self.answer_with(question, AnswerBody::Empty { asked_ago: None });
         }
-        tickets.insert(ticket, now + TICKET_TIME);
+        tickets.insert(ticket, now + FETCH_TOKEN_TTL);
         self.answer_with(
             question,
             AnswerBody::TooLarge {
@@ -443,8 +448,8 @@
     }
 
     /// Answers what comes over connections, to boxes that have a ticket.
-    async fn answer_fetches(self: Rc<Self>, mut asked: mpsc::Receiver<Fetch>) {
-        while let Some(Fetch { question, reply }) = asked.recv().await {
+    async fn serve_fetches(self: Rc<Self>, mut asked: mpsc::Receiver<FetchRequest>) {
+        while let Some(FetchRequest { question, reply }) = asked.recv().await {
             let ticket = question.fetch_token;
             let until = ticket.and_then(|t| self.tickets.borrow_mut().remove(&t));
             let is_good = until.is_some_and(|until| self.desk.now() < until);
@@ -457,9 +462,9 @@
 
 /// What became of a datagram.
 #[derive(Clone, Copy, Debug, PartialEq)]
-enum Taken {
+enum DatagramResult {
     /// It was taken in.
-    Heard,
+    Accepted,
     /// It was a question.
     Question,
     /// A later one was taken in before, or too many wait.
@@ -470,14 +475,14 @@
     Stranger,
 }
 
-impl Taken {
+impl DatagramResult {
     fn label(self) -> &'static str {
         match self {
-            Taken::Heard => "heard",
-            Taken::Question => "question",
-            Taken::Late => "late",
-            Taken::Unreadable => "unreadable",
-            Taken::Stranger => "stranger",
+            DatagramResult::Accepted => "heard",
+            DatagramResult::Question => "question",
+            DatagramResult::Late => "late",
+            DatagramResult::Unreadable => "unreadable",
+            DatagramResult::Stranger => "stranger",
         }
     }
 }
@@ -487,7 +492,7 @@
 async fn bind(addr: &str) -> Result<(UdpSocket, TcpListener)> {
     let hint = || format!("cannot hear boxes on {addr}; free the port or set another");
     let mut tries = match addr.ends_with(":0") {
-        true => BIND_TRIES,
+        true => MAX_BIND_TRIES,
         false => 1,
     };
     loop {
--- a/crates/ashgauged/src/relay/permit.rs
+++ b/crates/ashgauged/src/relay/permit.rs
@@ -17,24 +17,24 @@
 use tokio::sync::oneshot;
 use tokio::time::timeout;
 
-use super::desk::Desk;
+use super::desk::SharedState;
 use super::{log, pack};
 
 /// For a box's answer. It takes a millisecond or two, and longer on a box that has used up
 /// its share of a processor.
-const REPLY_TIME: Duration = Duration::from_millis(40);
+const REPLY_TIMEOUT: Duration = Duration::from_millis(40);
 
 /// Boxes that are asked for one permit.
-const ASKED_MOST: u32 = 2;
+const MAX_ASKED_BOXES: u32 = 2;
 
 /// Takes a permit if the upstream needs one; without one it is left alone for a while.
-pub async fn take(desk: &Desk, id: &UpstreamId) -> bool {
+pub async fn acquire(desk: &SharedState, id: &UpstreamId) -> bool {
     let key = share::upstream_key(id);
     let told = desk.permits.limits.borrow().report_of(desk.now(), key);
     let Some(told) = told.filter(|t| t.rate.is_some()) else {
         return true;
     };
-    let verdict = ask(desk, told).await;
+    let verdict = request_permit(desk, told).await;
     let result = match verdict {
         Some(Verdict::Granted) => "given",
         Some(Verdict::Unlimited) => "free",
@@ -45,16 +45,16 @@
     let Some(time) = permit::closed_for(verdict) else {
         return true;
     };
-    desk.roster.borrow_mut().block(desk.now(), id, time);
+    desk.registry.borrow_mut().block(desk.now(), id, time);
     false
 }
 
 /// Asks the box that gives permits for an upstream, which may be this one, and the next
 /// one if it does not answer; nothing if that doesn't either.
-async fn ask(desk: &Desk, told: LimitReport) -> Option<Verdict> {
+async fn request_permit(desk: &SharedState, told: LimitReport) -> Option<Verdict> {
     let mut silent = None;
-    for _ in 0..ASKED_MOST {
-        match giver(desk, told.key, silent.as_ref()) {
+    for _ in 0..MAX_ASKED_BOXES {
+        match next_issuer(desk, told.key, silent.as_ref()) {
             Issuer::Local(place) => return Some(decide(desk, told.key, place)),
             Issuer::Remote(id) => match ask_box(desk, &id, told).await {
                 Some(verdict) => return Some(verdict),
@@ -65,14 +65,14 @@
     None
 }
 
-fn giver(desk: &Desk, key: UpstreamKey, silent: Option<&BoxId>) -> Issuer {
-    let (passed, shares) = (desk.permits.passed.borrow(), desk.shares.borrow());
-    let (own, order) = (desk.settings().id.clone(), order(desk, key));
+fn next_issuer(desk: &SharedState, key: UpstreamKey, silent: Option<&BoxId>) -> Issuer {
+    let (passed, shares) = (desk.permits.silent_boxes.borrow(), desk.fleet_load.borrow());
+    let (own, order) = (desk.settings().id.clone(), issuers_of(desk, key));
     let hears = |id: &BoxId| shares.hears_from(id);
     permit::choose_issuer(
         desk.now(),
         &own,
-        desk.boxes(),
+        desk.fleet_size(),
         &order,
         &passed,
         silent,
@@ -81,11 +81,11 @@
 }
 
 /// Boxes that give permits for an upstream, the first first.
-fn order(desk: &Desk, key: UpstreamKey) -> Vec<BoxId> {
+fn issuers_of(desk: &SharedState, key: UpstreamKey) -> Vec<BoxId> {
     permit::issuer_order(key, &desk.permits.givers.borrow())
 }
 
-async fn ask_box(desk: &Desk, to: &BoxId, told: LimitReport) -> Option<Verdict> {
+async fn ask_box(desk: &SharedState, to: &BoxId, told: LimitReport) -> Option<Verdict> {
     let id = desk.rng().random();
     let addr = desk.peers.borrow().get(to).map(|p| p.addr)?;
     let (sender, answer) = oneshot::channel();
@@ -96,9 +96,9 @@
     };
     desk.permits.await_answer(id, sender);
     send(desk, addr, &Datagram::AskPermit(ask));
-    let verdict = timeout(REPLY_TIME, answer).await;
-    desk.permits.open.borrow_mut().remove(&id);
-    let mut passed = desk.permits.passed.borrow_mut();
+    let verdict = timeout(REPLY_TIMEOUT, answer).await;
+    desk.permits.pending.borrow_mut().remove(&id);
+    let mut passed = desk.permits.silent_boxes.borrow_mut();
     match verdict {
         Ok(Ok(verdict)) => {
             passed.clear(to);
@@ -113,54 +113,54 @@
 }
 
 /// Answers another box that asks for a permit.
-pub fn answer(desk: &Desk, ask: PermitRequest, addr: SocketAddr) {
-    hear(desk, &ask.from, &[ask.limit]);
+pub fn handle_ask(desk: &SharedState, ask: PermitRequest, addr: SocketAddr) {
+    merge_limits(desk, &ask.from, &[ask.limit]);
     let key = ask.limit.key;
     let reply = PermitReply {
         from: desk.settings().id.as_str().into(),
         id: ask.id,
-        verdict: decide(desk, key, place(desk, key)),
+        verdict: decide(desk, key, issuer_rank(desk, key)),
         limit: desk.permits.limits.borrow().report_of(desk.now(), key),
     };
     send(desk, addr, &Datagram::Permit(reply));
 }
 
 /// Takes another box's answer.
-pub fn take_reply(desk: &Desk, reply: PermitReply) {
+pub fn handle_reply(desk: &SharedState, reply: PermitReply) {
     if let Some(told) = reply.limit {
-        hear(desk, &reply.from, &[told]);
+        merge_limits(desk, &reply.from, &[told]);
     }
-    if let Some(waiting) = desk.permits.open.borrow_mut().remove(&reply.id) {
+    if let Some(waiting) = desk.permits.pending.borrow_mut().remove(&reply.id) {
         // Whoever asked may have gone on without it.
         let _ = waiting.send(reply.verdict);
     }
 }
 
 /// Takes what another box told of limits.
-pub fn hear(desk: &Desk, from: &BoxId, told: &[LimitReport]) {
+pub fn merge_limits(desk: &SharedState, from: &BoxId, told: &[LimitReport]) {
     let news = desk.permits.limits.borrow_mut().merge(desk.now(), told);
     for key in &news {
         let rate = desk.permits.limits.borrow().rate_of(*key);
-        let id = id_of(desk, *key);
+        let id = upstream_of(desk, *key);
         let fields = json!({"upstream": id.as_deref(), "rate": rate, "from": &**from});
-        log::line(Level::Info, "roster", "limit told", fields);
+        log::event(Level::Info, "roster", "limit told", fields);
         if rate.is_none() {
-            desk.roster.borrow_mut().unblock(*key);
+            desk.registry.borrow_mut().unblock(*key);
         }
     }
     if !news.is_empty() {
-        note_count(desk);
+        update_gauge(desk);
     }
 }
 
 /// Keeps the figure of upstreams in need.
-pub fn note_count(desk: &Desk) {
+pub fn update_gauge(desk: &SharedState) {
     let count = desk.permits.limits.borrow().len();
-    desk.metrics.limited.set(count as i64);
+    desk.metrics.limited_upstreams.set(count as i64);
 }
 
 /// Forgets what is too old to matter.
-pub fn expire(desk: &Desk) {
+pub fn expire(desk: &SharedState) {
     let now = desk.now();
     desk.permits.limits.borrow_mut().expire(now);
     desk.permits.grants.borrow_mut().expire(now);
@@ -168,52 +168,52 @@
 
 /// When a caller is to come back whom a service's upstreams in need cannot serve, if they
 /// are what stands in the way.
-pub fn back_after(desk: &Desk, service: &Service) -> Option<Duration> {
-    let wait = time_left(desk, service)?;
-    let rate = rate_left(desk, &service.name)?;
+pub fn retry_after(desk: &SharedState, service: &Service) -> Option<Duration> {
+    let wait = limit_wait(desk, service)?;
+    let rate = closed_rate(desk, &service.name)?;
     let now = desk.now();
     let mut schedule = desk.permits.schedule.borrow_mut();
-    let each = rate / f64::from(desk.boxes().max(1));
+    let each = rate / f64::from(desk.fleet_size().max(1));
     Some(schedule.retry_after(now, &service.name, wait, each))
 }
 
 /// How long until a service's upstreams take one more request, if that is what stands in
 /// the way.
-pub fn time_left(desk: &Desk, service: &Service) -> Option<Duration> {
-    rate_left(desk, &service.name)?;
-    desk.rest_left(service)
+pub fn limit_wait(desk: &SharedState, service: &Service) -> Option<Duration> {
+    closed_rate(desk, &service.name)?;
+    desk.backoff_left(service)
 }
 
 /// Requests a second that the upstreams of a service take that are left alone for now.
-fn rate_left(desk: &Desk, service: &ServiceId) -> Option<f64> {
-    let (roster, limits) = (desk.roster.borrow(), desk.permits.limits.borrow());
+fn closed_rate(desk: &SharedState, service: &ServiceId) -> Option<f64> {
+    let (roster, limits) = (desk.registry.borrow(), desk.permits.limits.borrow());
     let closed = roster.of_service(service);
     let closed = closed.filter(|e| e.blocked_for(desk.now()).is_some());
     let rates = closed.filter_map(|e| limits.rate(&e.upstream.id));
     Some(rates.sum()).filter(|rate| *rate > 0.0)
 }
 
-fn decide(desk: &Desk, key: UpstreamKey, place: IssuerRank) -> Verdict {
+fn decide(desk: &SharedState, key: UpstreamKey, place: IssuerRank) -> Verdict {
     let permits = &desk.permits;
     let mut grants = permits.grants.borrow_mut();
     grants.decide(desk.now(), &permits.limits.borrow(), key, place)
 }
 
 /// What this box is among those that may give permits for an upstream.
-fn place(desk: &Desk, key: UpstreamKey) -> IssuerRank {
-    let shares = desk.shares.borrow();
+fn issuer_rank(desk: &SharedState, key: UpstreamKey) -> IssuerRank {
+    let shares = desk.fleet_load.borrow();
     let hears = |id: &BoxId| shares.hears_from(id);
-    permit::issuer_rank(&desk.settings().id, &order(desk, key), hears)
+    permit::issuer_rank(&desk.settings().id, &issuers_of(desk, key), hears)
 }
 
-fn id_of(desk: &Desk, key: UpstreamKey) -> Option<UpstreamId> {
-    let roster = desk.roster.borrow();
+fn upstream_of(desk: &SharedState, key: UpstreamKey) -> Option<UpstreamId> {
+    let roster = desk.registry.borrow();
     let mut all = roster.iter().map(|e| &e.upstream.id);
     all.find(|id| share::upstream_key(id) == key).cloned()
 }
 
 /// Sends one datagram; one that does not get out is taken for lost on its way.
-fn send(desk: &Desk, to: SocketAddr, datagram: &Datagram) {
+fn send(desk: &SharedState, to: SocketAddr, datagram: &Datagram) {
     let Some(bytes) = pack::encode(datagram) else {
         return;
     };
--- a/crates/ashgauged/src/relay/pieces.rs
+++ b/crates/ashgauged/src/relay/pieces.rs
@@ -8,30 +8,30 @@
 use tokio::sync::mpsc;
 use tokio::task::JoinHandle;
 
-use super::serve::Broken;
+use super::serve::AbortedBody;
 
 /// The body of a stream's answer; ends its task when it is dropped.
-pub struct Pieces {
+pub struct StreamBody {
     /// What the pump sends.
-    pub pieces: mpsc::Receiver<Result<Bytes, Broken>>,
+    pub chunks: mpsc::Receiver<Result<Bytes, AbortedBody>>,
     /// The pump.
     pub task: JoinHandle<()>,
 }
 
-impl HttpBody for Pieces {
+impl HttpBody for StreamBody {
     type Data = Bytes;
-    type Error = Broken;
+    type Error = AbortedBody;
 
     fn poll_frame(
         mut self: Pin<&mut Self>,
         cx: &mut Context<'_>,
-    ) -> Poll<Option<Result<Frame<Bytes>, Broken>>> {
-        let piece = self.pieces.poll_recv(cx);
+    ) -> Poll<Option<Result<Frame<Bytes>, AbortedBody>>> {
+        let piece = self.chunks.poll_recv(cx);
         piece.map(|p| p.map(|p| p.map(Frame::data)))
     }
 }
 
-impl Drop for Pieces {
+impl Drop for StreamBody {
     fn drop(&mut self) {
         self.task.abort();
     }
--- a/crates/ashgauged/src/relay/place.rs
+++ b/crates/ashgauged/src/relay/place.rs
@@ -24,18 +24,18 @@
 use tokio::sync::Semaphore;
 use tokio::time::sleep;
 
-use super::desk::Desk;
+use super::desk::SharedState;
 use super::log;
 
 /// Kind of the objects that say which engine is to hold what.
 const KIND: &str = "ashgauge-placements";
 
 /// Time between two looks for engines that hold nothing.
-const LOOK_EVERY: Duration = Duration::from_millis(250);
+const POLL_INTERVAL: Duration = Duration::from_millis(250);
 
 /// Pause after a look that found nothing to do; an engine that becomes suspect
 /// or lets an order lapse is noticed as late.
-const REST_TIME: Duration = Duration::from_millis(750);
+const IDLE_PAUSE: Duration = Duration::from_millis(750);
 
 /// How long no engine may have come or gone before ranges are chosen, so that
 /// those of one start are placed together.
@@ -46,52 +46,56 @@
 
 /// Longest wait for engines to stop coming and going, once layers were given:
 /// while a release goes on they never do.
-const RESETTLE_MOST: Duration = Duration::from_millis(700);
+const MAX_RESETTLE_WAIT: Duration = Duration::from_millis(700);
 
 /// The same before, when the fleet starts; entries come in over some seconds.
-const SETTLE_MOST: Duration = Duration::from_millis(6000);
+const MAX_SETTLE_WAIT: Duration = Duration::from_millis(6000);
 
 /// Boxes wait up to this long, each at random, so that mostly one writes.
-const STAGGER_MOST: Duration = Duration::from_millis(300);
+const MAX_STAGGER: Duration = Duration::from_millis(300);
 
 /// For an engine's answer to an order, which takes milliseconds.
-const ORDER_TIME: Duration = Duration::from_millis(700);
+const ORDER_TIMEOUT: Duration = Duration::from_millis(700);
 
 /// Times an order is sent at most.
-const ORDER_TRIES: u32 = 4;
+const MAX_ORDER_TRIES: u32 = 4;
 
 /// Orders of a box that wait for an answer at one time: each has a connection.
-const ORDERS_MOST: usize = 256;
+const MAX_OPEN_ORDERS: usize = 256;
 
 /// Pause before an order that got no answer is sent again; it may have been
 /// taken, and then the engine's report shows it.
-const ORDER_PAUSE: Duration = Duration::from_millis(1200);
+const ORDER_RETRY_DELAY: Duration = Duration::from_millis(1200);
 
 /// Revisions of earlier rounds that are kept; rounds follow each other within
 /// seconds at the most, and boxes look as often.
-const WRITTEN_MOST: usize = 16;
+const MAX_KEPT_REVISIONS: usize = 16;
 
 /// What an engine's announcement may lag behind its loading.
-const SHOW_TIME: Duration = Duration::from_secs(3);
+const ANNOUNCE_LAG: Duration = Duration::from_secs(3);
 
 /// Ranges of one service's engines, as stored.
 #[derive(Clone, Debug, Default, Serialize, Deserialize)]
-struct Stored {
+struct StoredRound {
     /// The box that gives the orders.
-    by: String,
+    #[serde(rename = "by")]
+    owner: String,
     /// Number of the writing, one more each time.
     round: u64,
     /// The ranges that it orders.
     ranges: Vec<Assignment>,
     /// Whether engines break off what uses the layers that they give up.
     #[serde(default)]
-    cut: bool,
+    #[serde(rename = "cut")]
+    abort: bool,
     /// Ranges that were ordered before and had not shown yet.
     #[serde(default)]
-    earlier: Vec<PendingAssignment>,
+    #[serde(rename = "earlier")]
+    unannounced: Vec<PendingAssignment>,
     /// Revisions of the store at which the last rounds before were written.
     #[serde(default)]
-    written: Vec<Revision>,
+    #[serde(rename = "written")]
+    revisions: Vec<Revision>,
 }
 
 /// Revisions at which boxes wrote rounds of orders lately, as they were known
@@ -100,11 +104,11 @@
 /// # Errors
 ///
 /// As every call of the store.
-pub async fn written_rounds(desk: &Desk) -> Result<Vec<Revision>, StoreError> {
-    let stored = desk.store.list_stale::<Stored>(KIND).await;
-    desk.count_call("stale", &stored);
+pub async fn round_revisions(desk: &SharedState) -> Result<Vec<Revision>, StoreError> {
+    let stored = desk.store.list_stale::<StoredRound>(KIND).await;
+    desk.count_store_call("stale", &stored);
     let revisions = stored?.into_iter().flat_map(|object| {
-        let mut revisions = object.value.written;
+        let mut revisions = object.value.revisions;
         revisions.push(object.revision);
         revisions
     });
@@ -113,45 +117,45 @@
 
 /// Follows the engines and places those that hold nothing.
 pub struct Placer {
-    desk: Rc<Desk>,
+    desk: Rc<SharedState>,
     /// Places of orders that wait for an answer.
-    orders: Rc<Semaphore>,
+    order_slots: Rc<Semaphore>,
     /// Ranges ordered by some box that do not show yet.
     pending: PendingAssignments,
     /// Round of each service that was taken into `pending`.
     rounds: OrderRounds,
-    edition: u64,
+    registry_generation: u64,
     /// When engines last came, went or changed.
-    changed: Duration,
+    changed_at: Duration,
     /// Until when nothing is looked for, unless engines come, go or change.
-    rest_until: Duration,
+    idle_until: Duration,
     /// When they first did since the last look.
-    unsettled: Option<Duration>,
+    unsettled_since: Option<Duration>,
 }
 
 impl Placer {
     /// Starts the duty; its task runs as long as the process.
-    pub fn start(desk: Rc<Desk>) {
+    pub fn start(desk: Rc<SharedState>) {
         let placer = Placer {
             desk,
-            orders: Rc::new(Semaphore::new(ORDERS_MOST)),
+            order_slots: Rc::new(Semaphore::new(MAX_OPEN_ORDERS)),
             pending: PendingAssignments::default(),
             rounds: OrderRounds::default(),
-            edition: 0,
-            changed: Duration::ZERO,
-            rest_until: Duration::ZERO,
-            unsettled: None,
+            registry_generation: 0,
+            changed_at: Duration::ZERO,
+            idle_until: Duration::ZERO,
+            unsettled_since: None,
         };
         tokio::task::spawn_local(placer.run());
     }
 
     async fn run(mut self) {
         loop {
-            sleep(LOOK_EVERY).await;
+            sleep(POLL_INTERVAL).await;
             // A box that does not read hears late of what others ordered.
-            let reads = *self.desk.reads.borrow();
-            let idle = !reads || self.desk.stopping.get() || self.desk.store_away.get();
-            if idle || !self.has_settled() || self.desk.now() < self.rest_until {
+            let reads = *self.desk.reads_store.borrow();
+            let idle = !reads || self.desk.is_stopping.get() || self.desk.store_down.get();
+            if idle || !self.has_settled() || self.desk.now() < self.idle_until {
                 continue;
             }
             let routing = self.desk.routing();
@@ -159,9 +163,9 @@
                 let Some(model) = service.model.as_ref().filter(|m| m.layers > 0) else {
                     continue;
                 };
-                if let Err(fault) = self.look(service, model).await {
+                if let Err(fault) = self.place_unassigned(service, model).await {
                     let fields = json!({"service": &*service.name, "fault": fault.to_string()});
-                    log::line(Level::Warn, "placement", "not written", fields);
+                    log::event(Level::Warn, "placement", "not written", fields);
                 }
             }
         }
@@ -169,67 +173,77 @@
 
     fn has_settled(&mut self) -> bool {
         let now = self.desk.now();
-        let roster = self.desk.roster.borrow();
-        if roster.generation() != self.edition {
-            self.edition = roster.generation();
-            self.changed = now;
-            self.rest_until = now;
-            self.unsettled.get_or_insert(now);
+        let roster = self.desk.registry.borrow();
+        if roster.generation() != self.registry_generation {
+            self.registry_generation = roster.generation();
+            self.changed_at = now;
+            self.idle_until = now;
+            self.unsettled_since.get_or_insert(now);
         }
         let placed = roster.iter().any(|e| e.upstream.layers.is_some());
         let (time, most) = match placed {
-            true => (RESETTLE_TIME, RESETTLE_MOST),
-            false => (SETTLE_TIME, SETTLE_MOST),
+            true => (RESETTLE_TIME, MAX_RESETTLE_WAIT),
+            false => (SETTLE_TIME, MAX_SETTLE_WAIT),
         };
-        let long = self.unsettled.is_some_and(|since| now >= since + most);
-        let settled = long || now >= self.changed + time;
+        let long = self
+            .unsettled_since
+            .is_some_and(|since| now >= since + most);
+        let settled = long || now >= self.changed_at + time;
         if settled {
-            self.unsettled = None;
+            self.unsettled_since = None;
         }
         settled
     }
 
     /// Places the engines of a service that hold nothing, if any.
-    async fn look(&mut self, service: &Service, model: &Model) -> Result<(), StoreError> {
-        if self.wanted(service, model).is_empty() {
-            self.rest_until = self.desk.now() + REST_TIME;
+    async fn place_unassigned(
+        &mut self,
+        service: &Service,
+        model: &Model,
+    ) -> Result<(), StoreError> {
+        if self.plan_ranges(service, model).is_empty() {
+            self.idle_until = self.desk.now() + IDLE_PAUSE;
             return Ok(());
         }
-        let stagger = self.desk.rng().random_range(Duration::ZERO..STAGGER_MOST);
+        let stagger = self.desk.rng().random_range(Duration::ZERO..MAX_STAGGER);
         sleep(stagger).await;
-        let read = self.desk.store.get::<Stored>(KIND, &service.name).await;
-        self.desk.count_call("get", &read);
+        let read = self
+            .desk
+            .store
+            .get::<StoredRound>(KIND, &service.name)
+            .await;
+        self.desk.count_store_call("get", &read);
         let (stored, revision) = match read {
             Ok(object) => (object.value, Some(object.revision)),
-            Err(StoreError::NotFound) => (Stored::default(), None),
+            Err(StoreError::NotFound) => (StoredRound::default(), None),
             Err(fault) => return Err(fault),
         };
         let era = revision.map_or_else(|| *self.desk.store.subscribe_era().borrow(), revision::era);
-        if self.is_unheard(service, era, &stored) {
-            self.give(service, model, era, stored);
+        if self.is_unacknowledged(service, era, &stored) {
+            self.issue_orders(service, model, era, stored);
             return Ok(());
         }
-        self.take_in(service, model, era, &stored);
-        let ranges = self.wanted(service, model);
+        self.adopt_round(service, model, era, &stored);
+        let ranges = self.plan_ranges(service, model);
         if ranges.is_empty() {
             return Ok(());
         }
-        let next = Stored {
-            by: self.desk.settings().id.clone(),
+        let next = StoredRound {
+            owner: self.desk.settings().id.clone(),
             round: stored.round + 1,
-            cut: !self.has_chain(service, model),
+            abort: !self.has_chain(service, model),
             ranges,
-            earlier: self.unshown(service),
-            written: last_revisions(stored.written, revision),
+            unannounced: self.unannounced(service),
+            revisions: recent_revisions(stored.revisions, revision),
         };
         let store = &self.desk.store;
         let written = match revision {
             Some(revision) => store.replace(KIND, &service.name, revision, &next).await,
             None => store.create(KIND, &service.name, &next).await,
         };
-        self.desk.count_call("write", &written);
+        self.desk.count_store_call("write", &written);
         match written {
-            Ok(()) => self.give(service, model, era, next),
+            Ok(()) => self.issue_orders(service, model, era, next),
             // Another box was first; its ranges are taken in at the next look.
             Err(StoreError::Conflict) => {}
             Err(fault) => return Err(fault),
@@ -240,24 +254,24 @@
     /// Whether this box wrote the round without hearing of it: the answer was
     /// lost, or the process ended before the orders. Giving them again is safe,
     /// as each names the count of orders before it.
-    fn is_unheard(&self, service: &Service, era: Era, stored: &Stored) -> bool {
-        let is_own = stored.by == self.desk.settings().id;
+    fn is_unacknowledged(&self, service: &Service, era: Era, stored: &StoredRound) -> bool {
+        let is_own = stored.owner == self.desk.settings().id;
         is_own && self.rounds.may_be_unsent(&service.name, era, stored.round)
     }
 
     /// Takes a stored round into account, once.
-    fn take_in(&mut self, service: &Service, model: &Model, era: Era, stored: &Stored) {
+    fn adopt_round(&mut self, service: &Service, model: &Model, era: Era, stored: &StoredRound) {
         if !self.rounds.is_newer(&service.name, era, stored.round) {
             return;
         }
         self.rounds.record(service.name.clone(), era, stored.round);
-        self.note(model, &stored.ranges);
-        self.pending.merge(self.desk.now(), &stored.earlier);
+        self.note_orders(model, &stored.ranges);
+        self.pending.merge(self.desk.now(), &stored.unannounced);
     }
 
     /// Ranges of a service's engines that were ordered and do not show yet.
-    fn unshown(&self, service: &Service) -> Vec<PendingAssignment> {
-        let roster = self.desk.roster.borrow();
+    fn unannounced(&self, service: &Service) -> Vec<PendingAssignment> {
+        let roster = self.desk.registry.borrow();
         let of_service = |id: &str| {
             let entry = roster.get(id);
             entry.is_some_and(|e| e.upstream.service == service.name)
@@ -267,16 +281,16 @@
         told
     }
 
-    fn note(&mut self, model: &Model, ranges: &[Assignment]) {
-        let time = load_time(model, ranges) + SHOW_TIME;
+    fn note_orders(&mut self, model: &Model, ranges: &[Assignment]) {
+        let time = load_time(model, ranges) + ANNOUNCE_LAG;
         self.pending.add(self.desk.now(), ranges, time);
     }
 
     /// Ranges for the engines that hold nothing and were ordered nothing, or
     /// for one that is needed elsewhere.
-    fn wanted(&mut self, service: &Service, model: &Model) -> Vec<Assignment> {
+    fn plan_ranges(&mut self, service: &Service, model: &Model) -> Vec<Assignment> {
         let now = self.desk.now();
-        let roster = self.desk.roster.borrow();
+        let roster = self.desk.registry.borrow();
         self.pending.expire(now);
         self.pending.retain(|id, span| {
             let entry = roster.get(id);
@@ -285,7 +299,7 @@
         let entries = roster
             .of_service(&service.name)
             .filter(|e| e.is_usable(now));
-        let seats: Vec<PlacedEngine> = entries.filter_map(|e| self.seat(e)).collect();
+        let seats: Vec<PlacedEngine> = entries.filter_map(|e| self.to_seat(e)).collect();
         placement::plan(model, &seats)
     }
 
@@ -296,7 +310,7 @@
     /// power. A box that reaches less than half of the engines may be cut off itself.
     fn has_chain(&self, service: &Service, model: &Model) -> bool {
         let now = self.desk.now();
-        let roster = self.desk.roster.borrow();
+        let roster = self.desk.registry.borrow();
         let usable = || {
             roster
                 .of_service(&service.name)
@@ -307,7 +321,7 @@
         is_cut_off || placement::covers_model(model.layers, spans)
     }
 
-    fn seat(&self, entry: &UpstreamState) -> Option<PlacedEngine> {
+    fn to_seat(&self, entry: &UpstreamState) -> Option<PlacedEngine> {
         let upstream = &entry.upstream;
         let ordered = self.pending.layers(&upstream.id);
         Some(PlacedEngine {
@@ -320,33 +334,33 @@
     }
 
     /// Gives the orders of a round that this box has written.
-    fn give(&mut self, service: &Service, model: &Model, era: Era, stored: Stored) {
+    fn issue_orders(&mut self, service: &Service, model: &Model, era: Era, stored: StoredRound) {
         let fields = json!({
             "service": &*service.name,
             "round": stored.round,
             "engines": stored.ranges.len(),
-            "cut": stored.cut,
+            "cut": stored.abort,
         });
-        log::line(Level::Info, "placement", "ordering", fields);
+        log::event(Level::Info, "placement", "ordering", fields);
         self.rounds.record(service.name.clone(), era, stored.round);
-        self.note(model, &stored.ranges);
-        let time = load_time(model, &stored.ranges) + SHOW_TIME;
-        let giving = if stored.cut {
+        self.note_orders(model, &stored.ranges);
+        let time = load_time(model, &stored.ranges) + ANNOUNCE_LAG;
+        let giving = if stored.abort {
             ReleaseMode::Cut
         } else {
             ReleaseMode::Wait
         };
         for range in stored.ranges {
-            let (desk, orders) = (self.desk.clone(), self.orders.clone());
-            tokio::task::spawn_local(give_order(desk, orders, range, giving, time));
+            let (desk, orders) = (self.desk.clone(), self.order_slots.clone());
+            tokio::task::spawn_local(order_and_verify(desk, orders, range, giving, time));
         }
     }
 }
 
 /// The revisions of earlier rounds with that of the last one.
-fn last_revisions(mut written: Vec<Revision>, last: Option<Revision>) -> Vec<Revision> {
+fn recent_revisions(mut written: Vec<Revision>, last: Option<Revision>) -> Vec<Revision> {
     written.extend(last);
-    let old = written.len().saturating_sub(WRITTEN_MOST);
+    let old = written.len().saturating_sub(MAX_KEPT_REVISIONS);
     written.drain(..old);
     written
 }
@@ -364,19 +378,19 @@
 
 /// Orders one engine to hold a range, and writes a line if it does not show
 /// the range in time.
-async fn give_order(
-    desk: Rc<Desk>,
+async fn order_and_verify(
+    desk: Rc<SharedState>,
     orders: Rc<Semaphore>,
     range: Assignment,
     giving: ReleaseMode,
     time: Duration,
 ) {
-    order(desk.clone(), &orders, range.clone(), giving).await;
+    send_order(desk.clone(), &orders, range.clone(), giving).await;
     sleep(time).await;
-    let Some((addr, _)) = open_order(&desk, &range) else {
+    let Some((addr, _)) = pending_order(&desk, &range) else {
         return;
     };
-    let report = engine::fetch_report(&desk.client, &addr, ORDER_TIME).await;
+    let report = engine::fetch_report(&desk.client, &addr, ORDER_TIMEOUT).await;
     let fields = json!({
         "upstream": &*range.id,
         "layers": range.layers,
@@ -384,16 +398,21 @@
         "orders": report.as_ref().map(|r| r.orders).ok(),
         "fault": report.err().map(|e| e.to_string()),
     });
-    log::line(Level::Warn, "placement", "not shown", fields);
+    log::event(Level::Warn, "placement", "not shown", fields);
 }
 
 /// Orders one engine to hold a range, until it says that it does.
-async fn order(desk: Rc<Desk>, orders: &Semaphore, range: Assignment, giving: ReleaseMode) {
+async fn send_order(
+    desk: Rc<SharedState>,
+    orders: &Semaphore,
+    range: Assignment,
+    giving: ReleaseMode,
+) {
     let mut before = None;
-    for attempt in 1..=ORDER_TRIES {
+    for attempt in 1..=MAX_ORDER_TRIES {
         // It is never closed.
         let place = orders.acquire().await;
-        let Some((addr, held)) = open_order(&desk, &range) else {
+        let Some((addr, held)) = pending_order(&desk, &range) else {
             return;
         };
         // It has carried out another box's order meanwhile, which is newer.
@@ -408,9 +427,9 @@
             true => Some(0),
             false => match count_orders(&desk, &range, &addr).await {
                 // It carries out an order, which is this one or a later one.
-                Count::Busy => return,
-                Count::Orders(orders) => Some(orders),
-                Count::Unknown => None,
+                OrderCount::Busy => return,
+                OrderCount::Taken(orders) => Some(orders),
+                OrderCount::Unknown => None,
             },
         };
         if let Some(orders) = orders {
@@ -421,39 +440,39 @@
                 range.layers,
                 giving,
                 Some(orders),
-                ORDER_TIME,
+                ORDER_TIMEOUT,
             );
             let reply = reply.await;
-            note_reply(&desk, &range, attempt, &reply);
+            log_reply(&desk, &range, attempt, &reply);
             if matches!(reply, OrderReply::Begun | OrderReply::Holds) {
                 return;
             }
         }
         drop(place);
-        sleep(ORDER_PAUSE).await;
+        sleep(ORDER_RETRY_DELAY).await;
     }
 }
 
 /// What an engine says of the orders that it has taken.
-enum Count {
-    Orders(u64),
+enum OrderCount {
+    Taken(u64),
     Busy,
     Unknown,
 }
 
-async fn count_orders(desk: &Desk, range: &Assignment, addr: &str) -> Count {
-    match engine::fetch_report(&desk.client, addr, ORDER_TIME).await {
-        Ok(report) if report.busy => Count::Busy,
-        Ok(report) => Count::Orders(report.orders),
+async fn count_orders(desk: &SharedState, range: &Assignment, addr: &str) -> OrderCount {
+    match engine::fetch_report(&desk.client, addr, ORDER_TIMEOUT).await {
+        Ok(report) if report.busy => OrderCount::Busy,
+        Ok(report) => OrderCount::Taken(report.orders),
         Err(e) => {
             let fields = json!({"upstream": &*range.id, "fault": e.to_string()});
-            log::line(Level::Warn, "placement", "no report", fields);
-            Count::Unknown
+            log::event(Level::Warn, "placement", "no report", fields);
+            OrderCount::Unknown
         }
     }
 }
 
-fn note_reply(desk: &Desk, range: &Assignment, attempt: u32, reply: &OrderReply) {
+fn log_reply(desk: &SharedState, range: &Assignment, attempt: u32, reply: &OrderReply) {
     let done = matches!(reply, OrderReply::Begun | OrderReply::Holds);
     let label = if done { "taken" } else { "not taken" };
     desk.metrics.orders.with_label_values(&[label]).inc();
@@ -463,12 +482,12 @@
         "attempt": attempt,
         "reply": format!("{reply:?}"),
     });
-    log::line(Level::Info, "placement", "ordered", fields);
+    log::event(Level::Info, "placement", "ordered", fields);
 }
 
 /// Address of an engine that does not show the range yet, and what it holds.
-fn open_order(desk: &Desk, range: &Assignment) -> Option<(String, Option<LayerRange>)> {
-    let roster = desk.roster.borrow();
+fn pending_order(desk: &SharedState, range: &Assignment) -> Option<(String, Option<LayerRange>)> {
+    let roster = desk.registry.borrow();
     let entry = roster.get(&range.id)?;
     let upstream = &entry.upstream;
     let shown = upstream.layers == Some(range.layers) || entry.is_leaving();
--- a/crates/ashgauged/src/relay/probe.rs
+++ b/crates/ashgauged/src/relay/probe.rs
@@ -21,46 +21,46 @@
 use tokio::task::JoinSet;
 use tokio::time::timeout;
 
-use super::desk::Desk;
-use super::request::Admitted;
-use super::state::probes::{Cached, cell, is_known};
+use super::desk::SharedState;
+use super::request::AdmittedRequest;
+use super::state::probes::{ProbeCache, cached_cell, is_cached};
 use super::{gate, log, notice, recovery};
 
 /// For a connection to come up; a healthy one takes under 2 ms. A machine without
 /// power answers nothing, so each millisecond here is one more of pause for every
 /// stream that it held: at 50 ms only one in ten of 157 resumed streams paused for
 /// less than 243 ms, of 250 that may be.
-const PROBE_TIME: Duration = Duration::from_millis(25);
+const PROBE_TIMEOUT: Duration = Duration::from_millis(25);
 
 /// How long a probe's result serves others that ask.
-const SHARED_TIME: Duration = Duration::from_millis(200);
+const MAX_PROBE_AGE: Duration = Duration::from_millis(200);
 
 /// The same for a look after a connection broke: what was found before it says
 /// nothing, and streams that break together share one look.
-const LOST_SHARED: Duration = Duration::from_millis(20);
+const MAX_RECHECK_AGE: Duration = Duration::from_millis(20);
 
 /// For an engine's report of its state.
-const REPORT_TIME: Duration = Duration::from_millis(100);
+const REPORT_TIMEOUT: Duration = Duration::from_millis(100);
 
 /// How long an engine's report serves others that ask; it is some hundred
 /// milliseconds old itself, and priced.
-const REPORT_SHARED: Duration = Duration::from_millis(700);
+const MAX_REPORT_AGE: Duration = Duration::from_millis(700);
 
 /// Factor from which on an engine counts as slow.
-const SLOW_LEAST: f64 = 1.5;
+const MIN_SLOW_FACTOR: f64 = 1.5;
 
 /// Finds the engines of a chain that take no connection.
 ///
 /// Under pressure those need none that were heard after `since`, when what a request waits
 /// for was due.
-pub async fn find_dead(
-    desk: &Rc<Desk>,
-    a: &Admitted,
+pub async fn find_unreachable(
+    desk: &Rc<SharedState>,
+    a: &AdmittedRequest,
     stages: &[Stage],
     since: Duration,
 ) -> Vec<UpstreamId> {
     let mut probes = JoinSet::new();
-    for id in to_check(desk, a, stages, since) {
+    for id in engines_to_probe(desk, a, stages, since) {
         let desk = desk.clone();
         probes.spawn_local(async move {
             let alive = is_alive(&desk, &id).await;
@@ -78,34 +78,39 @@
 }
 
 /// The engines of a chain that are connected to, for want of a sign of them.
-fn to_check(desk: &Desk, a: &Admitted, stages: &[Stage], since: Duration) -> Vec<UpstreamId> {
+fn engines_to_probe(
+    desk: &SharedState,
+    a: &AdmittedRequest,
+    stages: &[Stage],
+    since: Duration,
+) -> Vec<UpstreamId> {
     let mut ids: Vec<UpstreamId> = stages.iter().map(|s| s.upstream.clone()).collect();
     if a.class.is_none() {
         return ids;
     }
     let now = desk.now();
-    let since = match recovery::is_pressed(desk, a) {
-        true => since.max(now.saturating_sub(SHARED_TIME)),
+    let since = match recovery::is_under_pressure(desk, a) {
+        true => since.max(now.saturating_sub(MAX_PROBE_AGE)),
         false => now,
     };
-    let roster = desk.roster.borrow();
+    let roster = desk.registry.borrow();
     let heard = |id: &UpstreamId| roster.get(id).and_then(UpstreamState::last_activity);
     ids.retain(|id| !roster.get(id).is_some_and(|e| e.is_active(now)) && heard(id) <= Some(since));
     // A lost one is among those that were heard longest ago; chains that lost the same
     // one are not to check their other engines in the same order.
     ids.sort_by_cached_key(|id| (heard(id), desk.rng().random::<u32>()));
     drop(roster);
-    let alive = &desk.probes.alive;
-    ids.retain(|id| may_look(desk, &a.service.name, alive, id, SHARED_TIME));
+    let alive = &desk.probes.reachable;
+    ids.retain(|id| may_probe(desk, &a.service.name, alive, id, MAX_PROBE_AGE));
     ids
 }
 
 /// Whether there is an answer of an engine to share, or it may be asked for one; the
 /// question then stands for all that ask meanwhile.
-fn may_look<T>(
-    desk: &Desk,
+fn may_probe<T>(
+    desk: &SharedState,
     service: &ServiceId,
-    cached: &Cached<T>,
+    cached: &ProbeCache<T>,
     id: &str,
     shared: Duration,
 ) -> bool {
@@ -114,41 +119,45 @@
         // That it is gone is known without a connection.
         return true;
     };
-    if is_known(cached, now, &addr, shared) {
+    if is_cached(cached, now, &addr, shared) {
         return true;
     }
     let may = recovery::take_check(desk, service);
     if may {
-        cell(cached, now, &addr, shared);
+        cached_cell(cached, now, &addr, shared);
     }
     may
 }
 
 /// Whether an engine is asked how it is. Under pressure only the first of a chain is: it
 /// names the one that holds the chain up.
-fn may_ask(desk: &Desk, a: &Admitted, n: usize, id: &str) -> bool {
+fn may_query(desk: &SharedState, a: &AdmittedRequest, n: usize, id: &str) -> bool {
     if a.class.is_none() {
         return true;
     }
-    if n > 0 && recovery::is_pressed(desk, a) {
+    if n > 0 && recovery::is_under_pressure(desk, a) {
         return false;
     }
     let reports = &desk.probes.reports;
-    may_look(desk, &a.service.name, reports, id, REPORT_SHARED)
+    may_probe(desk, &a.service.name, reports, id, MAX_REPORT_AGE)
 }
 
 /// Asks the engines of a chain how they are, and notes which are slow.
 /// Returns the engine that the first one names as the cause of the silence of
 /// the request.
-pub async fn ask_engines(desk: &Rc<Desk>, a: &Admitted, stages: &[Stage]) -> Option<UpstreamId> {
-    let id = a.ask.id.as_str();
+pub async fn query_engines(
+    desk: &Rc<SharedState>,
+    a: &AdmittedRequest,
+    stages: &[Stage],
+) -> Option<UpstreamId> {
+    let id = a.client_request.id.as_str();
     let mut asked = JoinSet::new();
     for (n, stage) in stages.iter().enumerate() {
-        if !may_ask(desk, a, n, &stage.upstream) {
+        if !may_query(desk, a, n, &stage.upstream) {
             continue;
         }
         let (desk, upstream) = (desk.clone(), stage.upstream.clone());
-        asked.spawn_local(async move { (n, report(&desk, &upstream).await) });
+        asked.spawn_local(async move { (n, fetch_report(&desk, &upstream).await) });
     }
     let mut culprit = None;
     while let Some(answer) = asked.join_next().await {
@@ -156,10 +165,10 @@
         let Ok((n, Some(report))) = answer else {
             continue;
         };
-        note_report(desk, &stages[n].upstream, &report);
+        apply_report(desk, &stages[n].upstream, &report);
         let mut stalled = report.stalled.iter().filter(|s| n == 0 && s.id == id);
         if let Some(stalled) = stalled.next() {
-            let roster = desk.roster.borrow();
+            let roster = desk.registry.borrow();
             culprit = roster
                 .by_addr(&stalled.address)
                 .map(|e| e.upstream.id.clone());
@@ -168,85 +177,85 @@
     culprit
 }
 
-fn note_report(desk: &Desk, id: &str, report: &Report) {
+fn apply_report(desk: &SharedState, id: &str, report: &Report) {
     if report.leaving {
         notice::note_leaving(desk, id);
     }
     let factor = report.time_factor.unwrap_or(1.0);
-    let news = desk.roster.borrow_mut().note_slow(desk.now(), id, factor);
-    if news && factor >= SLOW_LEAST {
+    let news = desk.registry.borrow_mut().note_slow(desk.now(), id, factor);
+    if news && factor >= MIN_SLOW_FACTOR {
         let fields = json!({"upstream": id, "factor": factor});
-        log::line(Level::Info, "roster", "slow", fields);
+        log::event(Level::Info, "roster", "slow", fields);
     }
 }
 
-async fn report(desk: &Desk, id: &str) -> Option<Rc<Report>> {
+async fn fetch_report(desk: &SharedState, id: &str) -> Option<Rc<Report>> {
     let addr = address(desk, id)?;
-    let cell = cell(&desk.probes.reports, desk.now(), &addr, REPORT_SHARED);
+    let cell = cached_cell(&desk.probes.reports, desk.now(), &addr, MAX_REPORT_AGE);
     let ask = async {
-        let report = engine::fetch_report(&desk.client, &addr, REPORT_TIME).await;
+        let report = engine::fetch_report(&desk.client, &addr, REPORT_TIMEOUT).await;
         report.ok().map(Rc::new)
     };
     cell.get_or_init(|| ask).await.clone()
 }
 
 /// Suspects an upstream if it takes no connection.
-pub async fn check(desk: Rc<Desk>, id: UpstreamId) {
-    if is_spared(&desk, &id) {
+pub async fn check_upstream(desk: Rc<SharedState>, id: UpstreamId) {
+    if lacks_check_budget(&desk, &id) {
         return;
     }
     if !is_alive(&desk, &id).await {
-        desk.suspect(&id, "named by another, no connection");
+        desk.mark_suspect(&id, "named by another, no connection");
     }
 }
 
 /// Whether an upstream is not checked, as there are no checks left for its service.
-fn is_spared(desk: &Desk, id: &str) -> bool {
-    let roster = desk.roster.borrow();
+fn lacks_check_budget(desk: &SharedState, id: &str) -> bool {
+    let roster = desk.registry.borrow();
     let Some(entry) = roster.get(id).filter(|e| !e.is_active(desk.now())) else {
         return false;
     };
     let service = entry.upstream.service.clone();
     drop(roster);
     let routing = desk.routing();
-    let is_on = |s: &Arc<Service>| gate::is_on(desk, s);
+    let is_on = |s: &Arc<Service>| gate::sheds_streams(desk, s);
     let is_on = routing.services.get(&service).is_some_and(is_on);
-    is_on && !may_look(desk, &service, &desk.probes.alive, id, SHARED_TIME)
+    is_on && !may_probe(desk, &service, &desk.probes.reachable, id, MAX_PROBE_AGE)
 }
 
 /// What a check of an engine that another box reports found.
-pub enum Found {
+pub enum ProbeResult {
     /// It accepts connections.
     Alive,
     /// It does not.
     Lost,
     /// It is not listed any more.
-    Gone,
+    Delisted,
 }
 
 /// Whether the account of a service allows the check of an engine that another box
 /// reports. The connection then stands for all that ask meanwhile.
-pub fn may_check(desk: &Desk, service: &ServiceId, id: &str) -> bool {
-    may_look(desk, service, &desk.probes.alive, id, LOST_SHARED)
+pub fn may_check_reported(desk: &SharedState, service: &ServiceId, id: &str) -> bool {
+    may_probe(desk, service, &desk.probes.reachable, id, MAX_RECHECK_AGE)
 }
 
 /// Connects to an engine that another box reports, which [`may_check`] allowed.
 ///
 /// What streams heard and what was found a moment ago is from before the other box's
 /// connection failed, or may be: streams hear an engine up to 60 ms after such an event.
-pub async fn check_reported(desk: &Desk, id: &str) -> Found {
-    match takes_connection(desk, id, LOST_SHARED).await {
-        true => Found::Alive,
-        false if address(desk, id).is_none() => Found::Gone,
-        false => Found::Lost,
+pub async fn check_reported(desk: &SharedState, id: &str) -> ProbeResult {
+    match accepts_connections(desk, id, MAX_RECHECK_AGE).await {
+        true => ProbeResult::Alive,
+        false if address(desk, id).is_none() => ProbeResult::Delisted,
+        false => ProbeResult::Lost,
     }
 }
 
 /// Whether a connection of this box to an address has just failed.
-pub fn has_failed(desk: &Desk, addr: &str) -> bool {
-    let alive = desk.probes.alive.borrow();
+pub fn failed_recently(desk: &SharedState, addr: &str) -> bool {
+    let alive = desk.probes.reachable.borrow();
     let recent = alive.get(addr);
-    let recent = recent.filter(|(at, _)| desk.now() < *at + SHARED_TIME);
+    let recent = recent.filter(|(at, _)| desk.now() < *at + MAX_PROBE_AGE);
     recent.is_some_and(|(_, cell)| cell.get() == Some(&false))
 }
 
@@ -254,35 +263,35 @@
 ///
 /// That streams heard it a moment ago says nothing here. It takes nothing out of the
 /// account: without it a stream loses an attempt for an engine that is lost.
-pub async fn is_lost(desk: &Desk, id: &str) -> bool {
-    !takes_connection(desk, id, LOST_SHARED).await
+pub async fn is_lost(desk: &SharedState, id: &str) -> bool {
+    !accepts_connections(desk, id, MAX_RECHECK_AGE).await
 }
 
 /// Whether an upstream takes a connection; one that is gone does not.
-async fn is_alive(desk: &Desk, id: &str) -> bool {
+async fn is_alive(desk: &SharedState, id: &str) -> bool {
     let heard = |e: &UpstreamState| e.is_active(desk.now());
-    if desk.roster.borrow().get(id).is_some_and(heard) {
+    if desk.registry.borrow().get(id).is_some_and(heard) {
         return true;
     }
-    takes_connection(desk, id, SHARED_TIME).await
+    accepts_connections(desk, id, MAX_PROBE_AGE).await
 }
 
 /// Connects to an upstream, or goes by what was found less than `shared` ago.
-async fn takes_connection(desk: &Desk, id: &str, shared: Duration) -> bool {
+async fn accepts_connections(desk: &SharedState, id: &str, shared: Duration) -> bool {
     let Some(addr) = address(desk, id) else {
         return false;
     };
-    let cell = cell(&desk.probes.alive, desk.now(), &addr, shared);
+    let cell = cached_cell(&desk.probes.reachable, desk.now(), &addr, shared);
     let probe = async {
         matches!(
-            timeout(PROBE_TIME, TcpStream::connect(&addr)).await,
+            timeout(PROBE_TIMEOUT, TcpStream::connect(&addr)).await,
             Ok(Ok(_))
         )
     };
     *cell.get_or_init(|| probe).await
 }
 
-fn address(desk: &Desk, id: &str) -> Option<String> {
-    let roster = desk.roster.borrow();
+fn address(desk: &SharedState, id: &str) -> Option<String> {
+    let roster = desk.registry.borrow();
     roster.get(id).map(|e| e.upstream.addr.clone())
 }
