--- a/crates/ashgauged/src/relay/pump/mend.rs
+++ b/crates/ashgauged/src/relay/pump/mend.rs
@@ -15,38 +15,39 @@
 use serde_json::json;
 use tokio::time::sleep;
 
-use super::super::loss::{self, Loss};
-use super::super::open::{Run, SILENT_MOST, begin, id_at};
-use super::super::pick::{self, pick_late};
-use super::super::probe::{ask_engines, find_dead};
+use super::super::loss::{self, BrokenRun};
+use super::super::open::{MAX_SILENCE, Run, start_run, upstream_at};
+use super::super::pick::{self, pick_or_wait};
+use super::super::probe::{find_unreachable, query_engines};
 use super::super::recovery;
-use super::super::request::{Hold, note_outcome};
+use super::super::request::{LoadGuard, note_outcome};
 use super::super::retry;
-use super::super::select::Wish;
-use super::{Go, Pump};
+use super::super::select::ChainCriteria;
+use super::{EventForwarder, ForwardState};
 
 /// Repairs of one stream at most; each one lost an engine.
-const REPAIRS_MOST: u32 = 6;
+const MAX_REPAIRS: u32 = 6;
 
 /// Pause before a stream looks again for a way around engines that leave.
-const LEAVE_EVERY: Duration = Duration::from_millis(500);
+const LEAVE_RETRY_INTERVAL: Duration = Duration::from_millis(500);
 
 /// For an engine's answer to a change of the chain, which takes milliseconds.
-const REPATH_TIME: Duration = Duration::from_millis(150);
+const REPATH_TIMEOUT: Duration = Duration::from_millis(150);
 
-impl Pump {
+impl EventForwarder {
     /// Notes which engines are lost after an answer broke off, and lets the stream
     /// go on elsewhere.
-    pub(super) async fn broken(&mut self, cause: &str) -> Go {
-        self.a
-            .record
-            .step("stream broke", json!({"cause": cause, "last": self.last}));
+    pub(super) async fn handle_break(&mut self, cause: &str) -> ForwardState {
+        self.request.record.log_step(
+            "stream broke",
+            json!({"cause": cause, "last": self.last_id}),
+        );
         // What was heard longer ago than a moment before it broke says nothing.
         let since = self.desk.now();
-        let dead = find_dead(&self.desk, &self.a, &self.run.stages, since).await;
+        let dead = find_unreachable(&self.desk, &self.request, &self.run.stages, since).await;
         dead.iter()
-            .for_each(|id| self.desk.suspect(id, "no connection"));
-        if loss::look(&self.desk, &self.a, self.loss()).await {
+            .for_each(|id| self.desk.mark_suspect(id, "no connection"));
+        if loss::check_loss(&self.desk, &self.request, self.broken_run()).await {
             self.handoff.record_lost();
         }
         self.resume("broken", false).await
@@ -54,99 +55,101 @@
 
     /// An answer that ends is whole, unless it brought nothing and its engine is lost:
     /// without a length, one that was cut off ends in the same way.
-    pub(super) async fn ended(&mut self) -> Go {
-        if self.run.events > 0 || !loss::look(&self.desk, &self.a, self.loss()).await {
-            return Go::Done;
+    pub(super) async fn handle_end(&mut self) -> ForwardState {
+        if self.run.event_count > 0
+            || !loss::check_loss(&self.desk, &self.request, self.broken_run()).await
+        {
+            return ForwardState::Done;
         }
         self.handoff.record_lost();
         self.resume("ended without an event", false).await
     }
 
     /// Looks for the cause of a silence.
-    pub(super) async fn check(&mut self) -> Go {
+    pub(super) async fn handle_silence(&mut self) -> ForwardState {
         self.silence.record_check();
         let due = self.silence.last_event() + Duration::from_secs_f64(self.silence.event_gap());
-        let dead = find_dead(&self.desk, &self.a, &self.run.stages, due).await;
+        let dead = find_unreachable(&self.desk, &self.request, &self.run.stages, due).await;
         if !dead.is_empty() {
             dead.iter()
-                .for_each(|id| self.desk.suspect(id, "no connection"));
+                .for_each(|id| self.desk.mark_suspect(id, "no connection"));
             return self.repair(dead).await;
         }
-        if self.is_late() && self.may_leave() {
+        if self.is_overdue() && self.may_move() {
             return self.resume("silent", true).await;
         }
-        match ask_engines(&self.desk, &self.a, &self.run.stages).await {
+        match query_engines(&self.desk, &self.request, &self.run.stages).await {
             // A report lags; it may name an engine that was led around already.
             Some(id) if self.run.stages.iter().any(|s| s.upstream == id) => {
-                self.desk.suspect(&id, "reported as stalled");
+                self.desk.mark_suspect(&id, "reported as stalled");
                 self.repair(vec![id]).await
             }
-            _ => Go::On,
+            _ => ForwardState::Continue,
         }
     }
 
     /// Repairs the chain if another stream found one of its engines lost, or
     /// leads it away from engines that will soon be.
-    pub(super) async fn leave_suspects(&mut self) -> Go {
+    pub(super) async fn handle_upstream_change(&mut self) -> ForwardState {
         let now = self.desk.now();
-        let lost = self.stages_where(|e, _| e.is_suspect(now));
+        let lost = self.engines_where(|e, _| e.is_suspect(now));
         if !lost.is_empty() {
             return self.repair(lost).await;
         }
         // One that had no turn yet to leave its silent engines.
-        if self.a.class.is_some() && self.is_late() {
-            return match self.may_leave() {
+        if self.request.class.is_some() && self.is_overdue() {
+            return match self.may_move() {
                 true => self.resume("silent", true).await,
-                false => Go::On,
+                false => ForwardState::Continue,
             };
         }
-        self.leave_early().await;
-        Go::On
+        self.avoid_leaving().await;
+        ForwardState::Continue
     }
 
     /// Whether nothing has come for so long that the stream goes on elsewhere.
-    fn is_late(&self) -> bool {
-        self.desk.now() >= self.late_at()
+    fn is_overdue(&self) -> bool {
+        self.desk.now() >= self.overdue_at()
     }
 
-    fn late_at(&self) -> Duration {
-        self.silence.last_event() + SILENT_MOST
+    fn overdue_at(&self) -> Duration {
+        self.silence.last_event() + MAX_SILENCE
     }
 
     /// Whether a stream whose engines all answer is led elsewhere now. It may go on by
     /// itself, so it waits for its turn as long as it takes.
-    fn may_leave(&mut self) -> bool {
-        let may = recovery::take(&self.desk, &self.a);
-        self.look_again(may);
+    fn may_move(&mut self) -> bool {
+        let may = recovery::take_budget(&self.desk, &self.request);
+        self.schedule_recheck(may);
         may
     }
 
     /// The same for a stream that cannot go on by itself, which waits until it is late
     /// at most.
     fn may_repair(&mut self) -> bool {
-        let may = recovery::take_until(&self.desk, &self.a, self.late_at());
-        self.look_again(may);
+        let may = recovery::take_or_overdue(&self.desk, &self.request, self.overdue_at());
+        self.schedule_recheck(may);
         may
     }
 
     /// Has the stream looked at soon that has no turn.
-    fn look_again(&mut self, may: bool) {
-        if self.a.class.is_none() {
+    fn schedule_recheck(&mut self, may: bool) {
+        if self.request.class.is_none() {
             return;
         }
         let now = self.desk.now();
-        self.leave_at = match may {
-            true => self.leave_at.map(|at| at.max(now + LEAVE_EVERY)),
-            false => Some(now + recovery::LOOK_EVERY),
+        self.recheck_at = match may {
+            true => self.recheck_at.map(|at| at.max(now + LEAVE_RETRY_INTERVAL)),
+            false => Some(now + recovery::POLL_INTERVAL),
         };
     }
 
     /// Waits for the turn of a stream whose answer has ended; returns false if its caller
     /// leaves.
-    async fn wait_turn(&mut self) -> bool {
+    async fn wait_for_budget(&mut self) -> bool {
         while !self.may_repair() {
             tokio::select! {
-                () = sleep(recovery::LOOK_EVERY) => {}
+                () = sleep(recovery::POLL_INTERVAL) => {}
                 () = self.sender.closed() => return false,
             }
         }
@@ -160,39 +163,39 @@
     /// The first engine cannot be changed without another run. A stream that
     /// will have ended before an engine leaves stays; one that gives up its part
     /// waits for what passes.
-    async fn leave_early(&mut self) {
-        self.leave_at = None;
+    async fn avoid_leaving(&mut self) {
+        self.recheck_at = None;
         if self.ends_soon() {
             return;
         }
-        let mut ends = self.stages_where(|e, stage| {
+        let mut ends = self.engines_where(|e, stage| {
             let held = e.upstream.layers.unwrap_or(LayerRange { first: 0, end: 0 });
             let gives_up = held.first > stage.first || held.end < stage.end;
             gives_up || e.is_leaving()
         });
         let first = self.run.stages[0].upstream.clone();
-        ends.retain(|id| *id != first && !self.left.contains(id));
-        if ends.is_empty() || self.repairs >= REPAIRS_MOST {
+        ends.retain(|id| *id != first && !self.left_engines.contains(id));
+        if ends.is_empty() || self.repairs >= MAX_REPAIRS {
             return;
         }
         let before = self.desk.count_crossings(&self.run.stages);
         let detour = self.detour(&ends);
         let detour = detour.filter(|(stages, _)| self.desk.count_crossings(stages) <= before);
         let Some((stages, text)) = detour else {
-            self.leave_at = Some(self.desk.now() + LEAVE_EVERY);
+            self.recheck_at = Some(self.desk.now() + LEAVE_RETRY_INTERVAL);
             return;
         };
-        if !recovery::take(&self.desk, &self.a) {
-            self.leave_at = Some(self.desk.now() + LEAVE_EVERY);
+        if !recovery::take_budget(&self.desk, &self.request) {
+            self.recheck_at = Some(self.desk.now() + LEAVE_RETRY_INTERVAL);
             return;
         }
-        self.left.extend(ends.iter().cloned());
+        self.left_engines.extend(ends.iter().cloned());
         self.repath(&ends, stages, &text).await;
     }
 
     /// Engines of the chain, but for those that are gone, for which `is_so`.
-    fn stages_where(&self, is_so: impl Fn(&UpstreamState, &Stage) -> bool) -> Vec<UpstreamId> {
-        let roster = self.desk.roster.borrow();
+    fn engines_where(&self, is_so: impl Fn(&UpstreamState, &Stage) -> bool) -> Vec<UpstreamId> {
+        let roster = self.desk.registry.borrow();
         let stages = self.run.stages.iter();
         let found = stages.filter(|s| roster.get(&s.upstream).is_some_and(|e| is_so(e, s)));
         found.map(|s| s.upstream.clone()).collect()
@@ -201,13 +204,13 @@
     /// Whether the answer ends by itself before an engine that leaves does.
     fn ends_soon(&self) -> bool {
         let progress = Progress {
-            answer_tokens: self.a.ask.answer_tokens,
-            events: self.last.unwrap_or(0),
+            answer_tokens: self.request.client_request.answer_tokens,
+            events: self.last_id.unwrap_or(0),
             event_gap: self.silence.event_gap(),
         };
-        let model = self.a.service.model.as_ref();
+        let model = self.request.service.model.as_ref();
         let event_tokens = model.map_or(1, |m| m.event_tokens);
-        progress.ends_within(event_tokens, self.desk.settings().drain_time())
+        progress.ends_within(event_tokens, self.desk.settings().drain_bound())
     }
 
     /// Leads the stream around lost engines, or lets it go on elsewhere.
@@ -215,17 +218,17 @@
     /// A detour through another data centre sends all tokens so far over its
     /// pipe, which takes seconds if many streams lose the same engine; a whole
     /// chain elsewhere reads them anew in a fraction of that.
-    async fn repair(&mut self, lost: Vec<UpstreamId>) -> Go {
+    async fn repair(&mut self, lost: Vec<UpstreamId>) -> ForwardState {
         if !self.may_repair() {
-            return Go::On;
+            return ForwardState::Continue;
         }
         let first = &self.run.stages[0].upstream;
         if lost.contains(first) {
             self.handoff.record_lost();
-            loss::look(&self.desk, &self.a, self.loss()).await;
+            loss::check_loss(&self.desk, &self.request, self.broken_run()).await;
             return self.resume("first engine lost", true).await;
         }
-        if self.repairs >= REPAIRS_MOST {
+        if self.repairs >= MAX_REPAIRS {
             return self.resume("repaired too often", true).await;
         }
         let Some((stages, text)) = self.detour(&lost) else {
@@ -234,11 +237,11 @@
         let before = self.desk.count_crossings(&self.run.stages);
         let crosses = self.desk.count_crossings(&stages) > before;
         if crosses && self.try_resume("the detour crosses").await {
-            return Go::On;
+            return ForwardState::Continue;
         }
         self.repairs += 1;
         if self.repath(&lost, stages, &text).await {
-            return Go::On;
+            return ForwardState::Continue;
         }
         self.resume("not led around", true).await
     }
@@ -247,8 +250,9 @@
     /// whether it does.
     async fn repath(&mut self, lost: &[UpstreamId], stages: Vec<Stage>, text: &str) -> bool {
         let silent = self.silent_ms();
-        let (client, id) = (&self.desk.client, &self.a.ask.id);
-        let reply = engine::order_repath(client, &self.run.first, id, text, REPATH_TIME).await;
+        let (client, id) = (&self.desk.client, &self.request.client_request.id);
+        let reply =
+            engine::order_repath(client, &self.run.first_addr, id, text, REPATH_TIMEOUT).await;
         let done = matches!(reply, OrderReply::Begun | OrderReply::Holds);
         let label = if done { "led around" } else { "not led around" };
         self.desk.metrics.repairs.with_label_values(&[label]).inc();
@@ -256,35 +260,35 @@
             "lost": lost.iter().map(|l| &**l).collect::<Vec<_>>(),
             "chain": text,
             "reply": format!("{reply:?}"),
-            "last": self.last,
+            "last": self.last_id,
             "silent_ms": silent,
         });
-        self.a.record.step("repath", fields);
+        self.request.record.log_step("repath", fields);
         if let OrderReply::Unfit(Some(addr)) = &reply
-            && let Some(id) = id_at(&self.desk, addr)
+            && let Some(id) = upstream_at(&self.desk, addr)
         {
             let now = self.desk.now();
-            self.desk.roster.borrow_mut().note_full(now, &id);
+            self.desk.registry.borrow_mut().note_full(now, &id);
         }
         if !done {
             return false;
         }
-        if let Some(model) = &self.a.service.model {
-            let tokens = self.a.most_tokens();
-            self.desk.note_crossings(model, &stages, tokens);
+        if let Some(model) = &self.request.service.model {
+            let tokens = self.request.max_tokens();
+            self.desk.note_transfers(model, &stages, tokens);
             let new = stages.iter().filter(|s| !self.run.stages.contains(s));
-            let service = &self.a.service.name;
-            self.desk.note_reading(model, service, new, tokens);
+            let service = &self.request.service.name;
+            self.desk.note_prefill(model, service, new, tokens);
         }
-        self.run.hold = Hold::chain(&self.desk, &stages, self.a.usual_tokens());
+        self.run.load_guard = LoadGuard::for_chain(&self.desk, &stages, self.request.mean_tokens());
         self.run.stages = stages;
-        self.count_anew();
+        self.restart_silence();
         true
     }
 
     /// The chain with the lost engines' ranges given to others.
     fn detour(&self, lost: &[UpstreamId]) -> Option<(Vec<Stage>, String)> {
-        let model = self.a.service.model.as_ref()?;
+        let model = self.request.service.model.as_ref()?;
         let mut stages: Vec<Stage> = Vec::new();
         for stage in &self.run.stages {
             if !lost.contains(&stage.upstream) {
@@ -295,58 +299,58 @@
             // An engine may be named only once in a chain.
             avoid.extend(self.run.stages.iter().map(|s| s.upstream.clone()));
             avoid.extend(stages.iter().map(|s| s.upstream.clone()));
-            stages.extend(self.fill(model, stage, &avoid)?);
+            stages.extend(self.fill_range(model, stage, &avoid)?);
         }
         if !chain::covers(0, model.layers, &stages) {
             return None;
         }
-        let (text, _) = self.desk.chain_text(&stages)?;
+        let (text, _) = self.desk.encode_chain(&stages)?;
         Some((stages, text))
     }
 
-    fn fill(&self, model: &Model, stage: &Stage, avoid: &[UpstreamId]) -> Option<Vec<Stage>> {
+    fn fill_range(&self, model: &Model, stage: &Stage, avoid: &[UpstreamId]) -> Option<Vec<Stage>> {
         let span = LayerRange {
             first: stage.first,
             end: stage.end,
         };
         // Without ids there was no other run, so this one brought all events.
-        let last = self.last.unwrap_or(self.run.events);
-        let wish = Wish {
+        let last = self.last_id.unwrap_or(self.run.event_count);
+        let wish = ChainCriteria {
             need: None,
             slack: Slack::Streaming,
-            shape: pick::shape(&self.a, model, Some(last)),
+            size: pick::request_size(&self.request, model, Some(last)),
         };
         self.desk
-            .choose_chain(&self.a.service.name, model, span, avoid, wish)
+            .choose_chain(&self.request.service.name, model, span, avoid, wish)
     }
 
     /// Lets another chain go on behind the last event that was passed on.
     ///
     /// If that cannot be and `alive` says that the present answer may still
     /// go on, it is waited for.
-    pub(super) async fn resume(&mut self, why: &'static str, alive: bool) -> Go {
-        if !alive && self.can_resume() && !self.wait_turn().await {
-            return Go::Break("caller left");
+    pub(super) async fn resume(&mut self, why: &'static str, alive: bool) -> ForwardState {
+        if !alive && self.can_resume() && !self.wait_for_budget().await {
+            return ForwardState::Abort("caller left");
         }
         match self.try_resume(why).await || alive {
-            true => Go::On,
-            false => Go::Break("broken"),
+            true => ForwardState::Continue,
+            false => ForwardState::Abort("broken"),
         }
     }
 
     /// The run as it stands, if its first engine is lost.
-    fn loss(&self) -> Loss {
-        Loss {
+    fn broken_run(&self) -> BrokenRun {
+        BrokenRun {
             upstream: self.run.stages[0].upstream.clone(),
-            began: self.run.began,
-            events: self.run.events,
-            proven: self.run.proven,
+            began: self.run.head_at,
+            event_count: self.run.event_count,
+            proven_safe: self.run.proven_safe,
         }
     }
 
     /// Whether another run may go on where this one stands.
     fn can_resume(&self) -> bool {
-        self.rule.resumable && (self.last.is_some() || !self.passed)
+        self.rule.resumable && (self.last_id.is_some() || !self.has_forwarded)
     }
 
     /// As [`Pump::resume`]; returns whether it goes on elsewhere.
@@ -357,48 +361,49 @@
         let mut avoid = vec![self.run.stages[0].upstream.clone()];
         let mut outcome = SendOutcome::Lost;
         loop {
-            let next = retry::next(&self.desk, &self.a, &mut self.handoff, outcome);
+            let next = retry::next_step(&self.desk, &self.request, &mut self.handoff, outcome);
             if next != Decision::Resend {
                 return false;
             }
-            let (desk, a) = (&self.desk, &mut self.a);
+            let (desk, a) = (&self.desk, &mut self.request);
             let began = desk.now();
-            let Ok(chosen) = pick_late(desk, a, &self.handoff, &avoid, self.last).await else {
+            let Ok(chosen) = pick_or_wait(desk, a, &self.handoff, &avoid, self.last_id).await
+            else {
                 return false;
             };
-            match begin(desk, a, &mut self.handoff, &mut avoid, self.last, chosen).await {
+            match start_run(desk, a, &mut self.handoff, &mut avoid, self.last_id, chosen).await {
                 Ok(run) => {
-                    self.resumed(why, run);
+                    self.adopt_run(why, run);
                     return true;
                 }
                 Err(failed) => {
-                    note_outcome(&self.desk, &self.a, &failed.upstream, failed.outcome);
+                    note_outcome(&self.desk, &self.request, &failed.upstream, failed.outcome);
                     outcome = failed.outcome;
                     if outcome == SendOutcome::Lost {
-                        let loss = Loss::before_answer(&failed.upstream, began);
-                        if loss::look(&self.desk, &self.a, loss).await {
+                        let loss = BrokenRun::before_answer(&failed.upstream, began);
+                        if loss::check_loss(&self.desk, &self.request, loss).await {
                             self.handoff.record_lost();
                         }
                     }
-                    recovery::wait_turn(&self.desk, &self.a).await;
+                    recovery::wait_for_budget(&self.desk, &self.request).await;
                 }
             }
         }
     }
 
-    fn resumed(&mut self, why: &str, run: Run) {
+    fn adopt_run(&mut self, why: &str, run: Run) {
         let resumed = self.desk.metrics.repairs.with_label_values(&["resumed"]);
         resumed.inc();
         let fields = json!({
             "why": why,
-            "last": self.last,
-            "first": run.first,
+            "last": self.last_id,
+            "first": run.first_addr,
             "silent_ms": self.silent_ms(),
         });
-        self.a.record.step("resumed", fields);
+        self.request.record.log_step("resumed", fields);
         self.run = run;
         self.buffer.clear();
-        self.count_anew();
+        self.restart_silence();
     }
 
     /// Milliseconds since something came, or since the last repair.
@@ -407,8 +412,8 @@
     }
 
     /// Counts the silence of the stream from now on.
-    fn count_anew(&mut self) {
-        self.broke.get_or_insert(self.silence.last_event());
+    fn restart_silence(&mut self) {
+        self.broke_at.get_or_insert(self.silence.last_event());
         self.silence.reset(self.desk.now());
     }
 }
--- a/crates/ashgauged/src/relay/pump/mod.rs
+++ b/crates/ashgauged/src/relay/pump/mod.rs
@@ -16,146 +16,149 @@
 use tokio::sync::{mpsc, watch};
 use tokio::time::sleep_until;
 
-use super::desk::Desk;
+use super::desk::SharedState;
 use super::forecast;
-use super::open::{Run, SILENT_MOST};
-use super::pieces::Pieces;
-use super::request::Admitted;
-use super::serve::Broken;
+use super::open::{MAX_SILENCE, Run};
+use super::pieces::StreamBody;
+use super::request::AdmittedRequest;
+use super::serve::AbortedBody;
 
 /// Pieces that may wait for a slow caller.
-const WAITING_MOST: usize = 64;
+const MAX_QUEUED_CHUNKS: usize = 64;
 
 /// Bytes of an event that is not whole yet, at most.
-const EVENT_MOST: usize = 1 << 20;
+const MAX_EVENT_BYTES: usize = 1 << 20;
 
 /// Least time between two notes that a chain's engines are there.
-const HEAR_EVERY: Duration = Duration::from_millis(20);
+const LIVENESS_INTERVAL: Duration = Duration::from_millis(20);
 
 /// Starts passing a stream's events on; the body ends the task when dropped.
 pub fn start(
-    desk: Rc<Desk>,
-    a: Admitted,
+    desk: Rc<SharedState>,
+    a: AdmittedRequest,
     handoff: Attempts,
     rule: StreamPolicy,
     run: Run,
-) -> Pieces {
-    let (sender, pieces) = mpsc::channel(WAITING_MOST);
+) -> StreamBody {
+    let (sender, pieces) = mpsc::channel(MAX_QUEUED_CHUNKS);
     let now = desk.now();
-    let pump = Pump {
-        last: a.ask.last_event,
-        passed: false,
+    let pump = EventForwarder {
+        last_id: a.client_request.last_event,
+        has_forwarded: false,
         buffer: BytesMut::new(),
         silence: SilenceTimer::new(now),
-        told: Duration::ZERO,
+        liveness_at: Duration::ZERO,
         event_at: now,
-        left: Vec::new(),
-        leave_at: None,
+        left_engines: Vec::new(),
+        recheck_at: None,
         repairs: 0,
-        broke: None,
-        suspects: desk.suspects.subscribe(),
+        broke_at: None,
+        upstream_changes: desk.upstream_changes.subscribe(),
         sender,
         run,
         rule,
         handoff,
-        a,
+        request: a,
         desk,
     };
     let task = tokio::task::spawn_local(pump.run());
-    Pieces { pieces, task }
+    StreamBody {
+        chunks: pieces,
+        task,
+    }
 }
 
 /// Copies one stream.
-struct Pump {
-    desk: Rc<Desk>,
-    a: Admitted,
+struct EventForwarder {
+    desk: Rc<SharedState>,
+    request: AdmittedRequest,
     handoff: Attempts,
     rule: StreamPolicy,
     run: Run,
-    sender: mpsc::Sender<Result<Bytes, Broken>>,
-    suspects: watch::Receiver<u64>,
+    sender: mpsc::Sender<Result<Bytes, AbortedBody>>,
+    upstream_changes: watch::Receiver<u64>,
     /// Bytes of an event that is not whole yet.
     buffer: BytesMut,
     /// Id of the last whole event that the caller has.
-    last: Option<u64>,
+    last_id: Option<u64>,
     /// Whether an event was passed on.
-    passed: bool,
+    has_forwarded: bool,
     /// How long nothing has come, and how long that is usual.
     silence: SilenceTimer,
     /// When the chain's engines were last noted as being there.
-    told: Duration,
+    liveness_at: Duration,
     /// When the last event was passed on.
     event_at: Duration,
     /// Engines that the stream left before their end, or tried to.
-    left: Vec<UpstreamId>,
+    left_engines: Vec<UpstreamId>,
     /// When to look again for a way around engines that leave.
-    leave_at: Option<Duration>,
+    recheck_at: Option<Duration>,
     repairs: u32,
     /// When the last bytes before a repair came, until the next come.
-    broke: Option<Duration>,
+    broke_at: Option<Duration>,
 }
 
 /// What a pump saw next.
-enum Seen {
+enum StreamInput {
     Data(Bytes),
     End,
     Broken(String),
     Silence,
-    Suspect,
+    UpstreamChange,
     Deadline,
-    Left,
+    CallerLeft,
 }
 
 /// Whether a stream goes on.
 #[derive(PartialEq)]
-enum Go {
-    On,
+enum ForwardState {
+    Continue,
     Done,
-    Break(&'static str),
+    Abort(&'static str),
 }
 
-impl Pump {
+impl EventForwarder {
     async fn run(mut self) {
         loop {
-            let go = match self.next().await {
-                Seen::Data(bytes) => self.take(bytes).await,
-                Seen::End if self.buffer.is_empty() => self.ended().await,
-                Seen::End => self.resume("half an event at the end", false).await,
-                Seen::Broken(cause) => self.broken(&cause).await,
-                Seen::Silence => self.check().await,
-                Seen::Suspect => self.leave_suspects().await,
-                Seen::Deadline => Go::Break("late"),
-                Seen::Left => return,
+            let go = match self.next_input().await {
+                StreamInput::Data(bytes) => self.forward(bytes).await,
+                StreamInput::End if self.buffer.is_empty() => self.handle_end().await,
+                StreamInput::End => self.resume("half an event at the end", false).await,
+                StreamInput::Broken(cause) => self.handle_break(&cause).await,
+                StreamInput::Silence => self.handle_silence().await,
+                StreamInput::UpstreamChange => self.handle_upstream_change().await,
+                StreamInput::Deadline => ForwardState::Abort("late"),
+                StreamInput::CallerLeft => return,
             };
             match go {
-                Go::On => {}
-                Go::Done => {
-                    let took = self.a.record.took();
-                    self.desk.note_stay(&self.a.service.name, took);
-                    if self.run.events > 0 {
+                ForwardState::Continue => {}
+                ForwardState::Done => {
+                    let took = self.request.record.elapsed();
+                    self.desk.note_duration(&self.request.service.name, took);
+                    if self.run.event_count > 0 {
                         self.desk
                             .quarantine
                             .borrow_mut()
-                            .clear_losses(self.a.digest);
+                            .clear_losses(self.request.digest);
                     }
-                    self.a.record.end("answered");
+                    self.request.record.end("answered");
                     return;
                 }
-                Go::Break(why) => {
-                    self.a.record.end(why);
+                ForwardState::Abort(why) => {
+                    self.request.record.end(why);
                     // A caller that left does not miss it.
-                    let _ = self.sender.send(Err(Broken)).await;
+                    let _ = self.sender.send(Err(AbortedBody)).await;
                     return;
                 }
             }
         }
     }
 
-    async fn next(&mut self) -> Seen {
-        let silent = self.silent_at();
+    async fn next_input(&mut self) -> StreamInput {
+        let silent = self.silence_deadline();
         let until = self.handoff.deadline();
         let now = self.desk.now();
-        let leave = self.leave_at.unwrap_or(until);
+        let leave = self.recheck_at.unwrap_or(until);
         let wait = silent.min(until).min(leave).saturating_sub(now);
         let alarm = tokio::time::Instant::now() + wait;
         let body = self.run.exchange.response.body_mut();
@@ -163,83 +166,86 @@
             biased;
             frame = body.frame() => match frame {
                 Some(Ok(frame)) => match frame.into_data() {
-                    Ok(data) => Seen::Data(data),
-                    Err(_) => Seen::Data(Bytes::new()),
+                    Ok(data) => StreamInput::Data(data),
+                    Err(_) => StreamInput::Data(Bytes::new()),
                 },
-                Some(Err(e)) => Seen::Broken(e.to_string()),
-                None => Seen::End,
+                Some(Err(e)) => StreamInput::Broken(e.to_string()),
+                None => StreamInput::End,
             },
-            () = self.sender.closed() => Seen::Left,
-            Ok(()) = self.suspects.changed() => Seen::Suspect,
+            () = self.sender.closed() => StreamInput::CallerLeft,
+            Ok(()) = self.upstream_changes.changed() => StreamInput::UpstreamChange,
             () = sleep_until(alarm) => match self.desk.now() {
-                now if now >= until => Seen::Deadline,
-                now if now < silent && now >= leave => Seen::Suspect,
-                _ => Seen::Silence,
+                now if now >= until => StreamInput::Deadline,
+                now if now < silent && now >= leave => StreamInput::UpstreamChange,
+                _ => StreamInput::Silence,
             },
         }
     }
 
     /// When the stream counts as silent.
-    fn silent_at(&self) -> Duration {
+    fn silence_deadline(&self) -> Duration {
         let settings = self.desk.settings();
         let ms = Duration::from_millis;
         let (first, least) = (settings.timing.first_ms, settings.timing.silence_ms);
         match &self.run.estimate {
-            Some(estimate) if !self.passed => {
-                let first = estimate.patience(ms(first));
-                self.silence.next_check_within(first, first, SILENT_MOST)
+            Some(estimate) if !self.has_forwarded => {
+                let first = estimate.silence_limit(ms(first));
+                self.silence.next_check_within(first, first, MAX_SILENCE)
             }
             _ => self.silence.next_check(ms(first), ms(least)),
         }
     }
 
     /// Passes whole events on.
-    async fn take(&mut self, bytes: Bytes) -> Go {
+    async fn forward(&mut self, bytes: Bytes) -> ForwardState {
         let now = self.desk.now();
         self.silence.record_event(now);
-        self.hear_engines(now);
-        if let Some(broke) = self.broke.take() {
-            self.desk.metrics.gap.observe((now - broke).as_secs_f64());
+        self.note_liveness(now);
+        if let Some(broke) = self.broke_at.take() {
+            self.desk
+                .metrics
+                .repair_gap
+                .observe((now - broke).as_secs_f64());
         }
         self.buffer.extend_from_slice(&bytes);
         let whole = events::scan_complete(&self.buffer);
         if whole.len == 0 {
-            return match self.buffer.len() > EVENT_MOST {
-                true => Go::Break("event too long"),
-                false => Go::On,
+            return match self.buffer.len() > MAX_EVENT_BYTES {
+                true => ForwardState::Abort("event too long"),
+                false => ForwardState::Continue,
             };
         }
-        if !self.follows(whole.first_id) {
+        if !self.is_next_event(whole.first_id) {
             return self.resume("events out of order", false).await;
         }
         let piece = self.buffer.split_to(whole.len).freeze();
-        self.last = whole.last_id.or(self.last);
+        self.last_id = whole.last_id.or(self.last_id);
         self.note_pause(now);
-        if whole.count > 0 && !self.passed {
+        if whole.count > 0 && !self.has_forwarded {
             self.learn_forecast(now);
         }
-        self.passed |= whole.count > 0;
-        self.run.events += whole.count as u64;
+        self.has_forwarded |= whole.count > 0;
+        self.run.event_count += whole.count as u64;
         if whole.count > 0 {
-            self.prove(now);
+            self.note_proven(now);
         }
         let left = self.handoff.time_left(now);
         let sending = self.sender.send(Ok(piece));
         match self.desk.clock.within(left, sending).await {
-            Some(Ok(())) => Go::On,
-            Some(Err(_)) => Go::Break("caller left"),
-            None => Go::Break("late"),
+            Some(Ok(())) => ForwardState::Continue,
+            Some(Err(_)) => ForwardState::Abort("caller left"),
+            None => ForwardState::Abort("late"),
         }
     }
 
     /// Notes that the chain's engines are there, for other streams' checks: more
     /// than half of all connections to engines were for these.
-    fn hear_engines(&mut self, now: Duration) {
-        if now < self.told + HEAR_EVERY {
+    fn note_liveness(&mut self, now: Duration) {
+        if now < self.liveness_at + LIVENESS_INTERVAL {
             return;
         }
-        self.told = now;
-        let mut roster = self.desk.roster.borrow_mut();
+        self.liveness_at = now;
+        let mut roster = self.desk.registry.borrow_mut();
         for stage in &self.run.stages {
             roster.note_activity(now, &stage.upstream);
         }
@@ -247,10 +253,10 @@
 
     /// Notes the pause before an event, for the request's line.
     fn note_pause(&mut self, now: Duration) {
-        let record = &mut self.a.record;
-        match self.passed {
-            true => record.pause = record.pause.max(now - self.event_at),
-            false => record.first = Some(record.took()),
+        let record = &mut self.request.record;
+        match self.has_forwarded {
+            true => record.longest_pause = record.longest_pause.max(now - self.event_at),
+            false => record.first_event = Some(record.elapsed()),
         }
         self.event_at = now;
     }
@@ -258,33 +264,34 @@
     /// Compares the time of the first event with its forecast. A loss, a refusal or a
     /// repair makes an event late that the forecast knows nothing of.
     fn learn_forecast(&self, now: Duration) {
-        let was_sent_once = self.a.record.sends.len() == 1 && self.a.ask.last_event.is_none();
-        let was_repaired = self.repairs > 0 || !self.left.is_empty();
+        let was_sent_once = self.request.record.sends.len() == 1
+            && self.request.client_request.last_event.is_none();
+        let was_repaired = self.repairs > 0 || !self.left_engines.is_empty();
         if let Some(estimate) = &self.run.estimate
             && was_sent_once
             && !was_repaired
         {
-            forecast::learn(&self.desk, &self.a.service.name, estimate, now);
+            forecast::calibrate(&self.desk, &self.request.service.name, estimate, now);
         }
     }
 
     /// Notes once that the request does not end its upstream.
-    fn prove(&mut self, now: Duration) {
+    fn note_proven(&mut self, now: Duration) {
         let run = &mut self.run;
         let first = run.first_event.get_or_insert(now);
-        if !run.proven && is_safe_run(*first, now) {
-            run.proven = true;
-            run.trial = None;
+        if !run.proven_safe && is_safe_run(*first, now) {
+            run.proven_safe = true;
+            run.suspect_run = None;
             self.desk
                 .quarantine
                 .borrow_mut()
-                .clear_losses(self.a.digest);
+                .clear_losses(self.request.digest);
         }
     }
 
     /// Whether an event with this id comes next.
-    fn follows(&self, first: Option<u64>) -> bool {
-        match (self.last, first) {
+    fn is_next_event(&self, first: Option<u64>) -> bool {
+        match (self.last_id, first) {
             (Some(last), Some(first)) => first == last + 1,
             _ => true,
         }
--- a/crates/ashgauged/src/relay/quarantine.rs
+++ b/crates/ashgauged/src/relay/quarantine.rs
@@ -15,8 +15,8 @@
 use spdlog::Level;
 use tokio::time::sleep;
 
-use super::desk::Desk;
-use super::follow::skipped;
+use super::desk::SharedState;
+use super::follow::log_skipped;
 use super::log;
 use super::pack;
 use super::peers::Peers;
@@ -26,36 +26,36 @@
 
 /// How long losses are gathered before they are told: those of one upstream are
 /// found within milliseconds of each other.
-const GATHER_TIME: Duration = Duration::from_millis(10);
+const BATCH_DELAY: Duration = Duration::from_millis(10);
 
 /// First pause after a call to the store that failed; doubled up to
 /// [`PAUSE_MOST`].
-const PAUSE_FIRST: Duration = Duration::from_millis(500);
+const MIN_RETRY_DELAY: Duration = Duration::from_millis(500);
 
 /// Longest pause after a call that failed, as calls are priced.
-const PAUSE_MOST: Duration = Duration::from_secs(15);
+const MAX_RETRY_DELAY: Duration = Duration::from_secs(15);
 
 /// A held request as it is stored.
 #[derive(Debug, Serialize, Deserialize)]
-struct Stored {
+struct StoredHold {
     /// Until when it is held back, in Unix seconds.
     until_s: u64,
 }
 
 /// Notes that an upstream was lost under a request.
-pub fn note(desk: &Rc<Desk>, lost: InstanceLoss) {
+pub fn record_loss(desk: &Rc<SharedState>, lost: InstanceLoss) {
     let holds = desk.quarantine.borrow_mut().record_loss(desk.now(), lost);
     if holds {
         log_held(desk, lost.digest, "lost here");
-        tokio::task::spawn_local(keep(desk.clone(), lost.digest));
+        tokio::task::spawn_local(persist(desk.clone(), lost.digest));
     }
-    desk.lost.notify_one();
+    desk.loss_notify.notify_one();
 }
 
 /// Waits while a request may be held back by what is being looked into.
-pub async fn settle(desk: &Desk, digest: Digest) {
+pub async fn await_checks(desk: &SharedState, digest: Digest) {
     loop {
-        let checked = desk.checked.notified();
+        let checked = desk.check_notify.notified();
         if !desk.quarantine.borrow().may_be_quarantined(digest) {
             return;
         }
@@ -64,7 +64,7 @@
 }
 
 /// Takes what another box told; a hub hands it on to those that do not hear it.
-pub fn hear(desk: &Desk, from: &str, report: &Report) {
+pub fn merge_report(desk: &SharedState, from: &str, report: &Report) {
     let now = desk.now();
     let news = desk.quarantine.borrow_mut().merge(now, report);
     for digest in news {
@@ -80,22 +80,22 @@
         Audience::All
     };
     if desk.quarantine.borrow_mut().forward(now, report, to) {
-        desk.lost.notify_one();
+        desk.loss_notify.notify_one();
     }
 }
 
 /// Tells other boxes of losses as they are found, as long as the process runs;
 /// words that are told now and then make good what is lost of it.
-pub async fn tell(desk: Rc<Desk>, peers: Rc<Peers>) {
+pub async fn broadcast(desk: Rc<SharedState>, peers: Rc<Peers>) {
     loop {
-        desk.lost.notified().await;
-        sleep(GATHER_TIME).await;
+        desk.loss_notify.notified().await;
+        sleep(BATCH_DELAY).await;
         let told = [
-            (Audience::All, desk.listeners()),
+            (Audience::All, desk.report_targets()),
             (Audience::Downstream, desk.leaves()),
         ];
         for (audience, boxes) in told {
-            let Some(bytes) = report(&desk, 0, audience) else {
+            let Some(bytes) = encode_report(&desk, 0, audience) else {
                 continue;
             };
             for (_, peer) in boxes {
@@ -106,7 +106,7 @@
 }
 
 /// The datagram that tells an audience what this box knows, if it knows anything.
-pub fn report(desk: &Desk, turn: u64, to: Audience) -> Option<Vec<u8>> {
+pub fn encode_report(desk: &SharedState, turn: u64, to: Audience) -> Option<Vec<u8>> {
     let report = desk.quarantine.borrow().report(desk.now(), turn, to);
     if report.is_empty() {
         return None;
@@ -116,17 +116,17 @@
 }
 
 /// Reads the held requests from the store, until that succeeds.
-pub async fn read(desk: Rc<Desk>) {
-    let mut pause = PAUSE_FIRST;
+pub async fn load_held(desk: Rc<SharedState>) {
+    let mut pause = MIN_RETRY_DELAY;
     loop {
-        let listed = desk.store.list::<Stored>(KIND, skipped).await;
-        desk.count_call("list", &listed);
+        let listed = desk.store.list::<StoredHold>(KIND, log_skipped).await;
+        desk.count_store_call("list", &listed);
         match listed {
-            Ok(listing) => return take(&desk, listing.objects),
-            Err(fault) => note_fault("read", &fault),
+            Ok(listing) => return apply_stored(&desk, listing.objects),
+            Err(fault) => log_fault("read", &fault),
         }
         sleep(pause).await;
-        pause = (pause * 2).min(PAUSE_MOST);
+        pause = (pause * 2).min(MAX_RETRY_DELAY);
     }
 }
 
@@ -136,20 +136,20 @@
 /// # Errors
 ///
 /// As every call of the store.
-pub async fn written(desk: &Desk) -> Result<Vec<Revision>, StoreError> {
-    let stored = desk.store.list_stale::<Stored>(KIND).await;
-    desk.count_call("stale", &stored);
+pub async fn hold_revisions(desk: &SharedState) -> Result<Vec<Revision>, StoreError> {
+    let stored = desk.store.list_stale::<StoredHold>(KIND).await;
+    desk.count_store_call("stale", &stored);
     let stored = stored?;
     let revisions = stored.iter().map(|object| object.revision).collect();
-    take(desk, stored);
+    apply_stored(desk, stored);
     Ok(revisions)
 }
 
-fn take(desk: &Desk, stored: Vec<Object<Stored>>) {
+fn apply_stored(desk: &SharedState, stored: Vec<Object<StoredHold>>) {
     let now_s = unix_time().as_secs();
     for object in stored {
         let Ok(digest) = u64::from_str_radix(&object.name, 16) else {
-            log::line(
+            log::event(
                 Level::Warn,
                 "quarantine",
                 "not a digest",
@@ -170,58 +170,62 @@
 
 /// Keeps what is held back again each time the store came back from a copy, which may not
 /// hold it. One of the boxes that read the store is enough; the others find it there.
-pub async fn renew(desk: Rc<Desk>) {
+pub async fn restore_held(desk: Rc<SharedState>) {
     let mut eras = desk.store.subscribe_era();
     // The store's client lives as long as the desk.
     while eras.changed().await.is_ok() {
-        if !*desk.reads.borrow() {
+        if !*desk.reads_store.borrow() {
             continue;
         }
         let held = desk.quarantine.borrow().quarantined(desk.now());
         for (digest, _) in held {
-            keep(desk.clone(), digest).await;
+            persist(desk.clone(), digest).await;
         }
     }
 }
 
 /// Puts a held request into the store, for boxes that start later; tries until that
 /// is done or it is held back no longer.
-async fn keep(desk: Rc<Desk>, digest: Digest) {
-    let mut pause = PAUSE_FIRST;
+async fn persist(desk: Rc<SharedState>, digest: Digest) {
+    let mut pause = MIN_RETRY_DELAY;
     loop {
         let Some(left) = desk.quarantine.borrow().time_left(desk.now(), digest) else {
             return;
         };
-        match keep_once(&desk, digest, left).await {
+        match persist_once(&desk, digest, left).await {
             Ok(()) => return,
-            Err(fault) => note_fault("keep", &fault),
+            Err(fault) => log_fault("keep", &fault),
         }
         sleep(pause).await;
-        pause = (pause * 2).min(PAUSE_MOST);
+        pause = (pause * 2).min(MAX_RETRY_DELAY);
     }
 }
 
-async fn keep_once(desk: &Desk, digest: Digest, left: Duration) -> Result<(), StoreError> {
+async fn persist_once(
+    desk: &SharedState,
+    digest: Digest,
+    left: Duration,
+) -> Result<(), StoreError> {
     let name = digest::format_digest(digest);
-    let stored = Stored {
+    let stored = StoredHold {
         until_s: (unix_time() + left).as_secs(),
     };
     let created = desk.store.create(KIND, &name, &stored).await;
-    desk.count_call("write", &created);
+    desk.count_store_call("write", &created);
     match created {
         Err(StoreError::Conflict) => {}
         other => return other,
     }
     // Another box kept it, or it was held back before.
-    let known = desk.store.get::<Stored>(KIND, &name).await;
-    desk.count_call("get", &known);
+    let known = desk.store.get::<StoredHold>(KIND, &name).await;
+    desk.count_store_call("get", &known);
     let known = known?;
     if known.value.until_s >= unix_time().as_secs() {
         return Ok(());
     }
     let replaced = desk.store.replace(KIND, &name, known.revision, &stored);
     let replaced = replaced.await;
-    desk.count_call("write", &replaced);
+    desk.count_store_call("write", &replaced);
     replaced
 }
 
@@ -233,14 +237,14 @@
     now.unwrap_or_default()
 }
 
-fn log_held(desk: &Desk, digest: Digest, why: &str) {
+fn log_held(desk: &SharedState, digest: Digest, why: &str) {
     let held = desk.quarantine.borrow().quarantined(desk.now()).len();
-    desk.metrics.held.set(held as i64);
+    desk.metrics.held_requests.set(held as i64);
     let fields = json!({"digest": digest::format_digest(digest), "why": why, "held": held});
-    log::line(Level::Warn, "quarantine", "held back", fields);
+    log::event(Level::Warn, "quarantine", "held back", fields);
 }
 
-fn note_fault(call: &str, fault: &StoreError) {
+fn log_fault(call: &str, fault: &StoreError) {
     let fields = json!({"call": call, "fault": fault.to_string()});
-    log::line(Level::Info, "quarantine", "store", fields);
+    log::event(Level::Info, "quarantine", "store", fields);
 }
--- a/crates/ashgauged/src/relay/record.rs
+++ b/crates/ashgauged/src/relay/record.rs
@@ -10,12 +10,12 @@
 use serde_json::json;
 use spdlog::Level;
 
-use super::desk::Desk;
+use super::desk::SharedState;
 use super::log;
 
 /// The line and the figures that a request leaves behind.
 pub struct Record {
-    desk: Rc<Desk>,
+    desk: Rc<SharedState>,
     id: String,
     route: String,
     /// Tells repeats of a request from others, once its body was read.
@@ -28,17 +28,22 @@
     /// Upstreams or chains that it was sent to.
     pub sends: Vec<Arc<str>>,
     /// Time to the first event of a stream.
-    pub first: Option<Duration>,
+    pub first_event: Option<Duration>,
     /// Forecast of the time from the send that brought it, or the last one, to that event.
     forecast: Option<Duration>,
     /// Longest pause between two events that were passed on.
-    pub pause: Duration,
+    pub longest_pause: Duration,
     ended: bool,
 }
 
 impl Record {
     /// Begins the record of a request that arrived at `arrived`.
-    pub fn new(desk: &Rc<Desk>, ask: &ClientRequest, route: &str, arrived: Duration) -> Self {
+    pub fn new(
+        desk: &Rc<SharedState>,
+        ask: &ClientRequest,
+        route: &str,
+        arrived: Duration,
+    ) -> Self {
         Record {
             desk: desk.clone(),
             id: ask.id.clone(),
@@ -48,30 +53,30 @@
             level: None,
             arrived,
             sends: Vec::new(),
-            first: None,
+            first_event: None,
             forecast: None,
-            pause: Duration::ZERO,
+            longest_pause: Duration::ZERO,
             ended: false,
         }
     }
 
     /// Time since the request arrived.
-    pub fn took(&self) -> Duration {
+    pub fn elapsed(&self) -> Duration {
         self.desk.now().saturating_sub(self.arrived)
     }
 
     /// Notes what is forecast for a send, if no event came before.
     pub fn note_forecast(&mut self, first: Duration) {
-        if self.first.is_none() {
+        if self.first_event.is_none() {
             self.forecast = Some(first);
         }
     }
 
     /// Writes a line about a step of this request.
-    pub fn step(&self, what: &str, mut fields: serde_json::Value) {
+    pub fn log_step(&self, what: &str, mut fields: serde_json::Value) {
         fields["id"] = self.id.as_str().into();
-        fields["ms"] = (self.took().as_millis() as u64).into();
-        log::line(Level::Info, "request", what, fields);
+        fields["ms"] = (self.elapsed().as_millis() as u64).into();
+        log::event(Level::Info, "request", what, fields);
     }
 
     /// Notes how the request ended.
@@ -79,10 +84,10 @@
         if std::mem::replace(&mut self.ended, true) {
             return;
         }
-        let took = self.took();
-        self.desk.metrics.ends.with_label_values(&[what]).inc();
-        self.desk.metrics.whole.observe(took.as_secs_f64());
-        let age = self.desk.fresh.borrow().age(self.desk.now());
+        let took = self.elapsed();
+        self.desk.metrics.requests.with_label_values(&[what]).inc();
+        self.desk.metrics.total_seconds.observe(took.as_secs_f64());
+        let age = self.desk.freshness.borrow().age(self.desk.now());
         let sends: Vec<&str> = self.sends.iter().map(|s| &**s).collect();
         let mut fields = json!({
             "id": self.id,
@@ -92,8 +97,8 @@
             "sends": sends,
             "config": self.desk.routing.borrow().version,
             "config_age_ms": age.map(|a| a.as_millis() as u64),
-            "first_ms": self.first.map(|f| f.as_millis() as u64),
-            "pause_ms": self.pause.as_millis() as u64,
+            "first_ms": self.first_event.map(|f| f.as_millis() as u64),
+            "pause_ms": self.longest_pause.as_millis() as u64,
             "ms": took.as_millis() as u64,
         });
         if let Some(class) = self.class {
@@ -105,7 +110,7 @@
         if let Some(forecast) = self.forecast {
             fields["forecast_ms"] = (forecast.as_millis() as u64).into();
         }
-        log::line(Level::Info, "request", "ended", fields);
+        log::event(Level::Info, "request", "ended", fields);
     }
 }
 
--- a/crates/ashgauged/src/relay/retry.rs
+++ b/crates/ashgauged/src/relay/retry.rs
@@ -4,19 +4,28 @@
 use ashgauge::handoff::{Attempts, Decision, SendOutcome};
 use serde_json::json;
 
-use super::desk::Desk;
-use super::request::Admitted;
+use super::desk::SharedState;
+use super::request::AdmittedRequest;
 
 /// Decides what follows after a send of a request that brought no good answer.
-pub fn next(desk: &Desk, a: &Admitted, handoff: &mut Attempts, outcome: SendOutcome) -> Decision {
-    handoff.decide(desk.now(), outcome, || take(desk, a))
+pub fn next_step(
+    desk: &SharedState,
+    a: &AdmittedRequest,
+    handoff: &mut Attempts,
+    outcome: SendOutcome,
+) -> Decision {
+    handoff.decide(desk.now(), outcome, || take_retry(desk, a))
 }
 
 /// Takes one retry out of the service's budget; returns false if none is left.
-fn take(desk: &Desk, a: &Admitted) -> bool {
+fn take_retry(desk: &SharedState, a: &AdmittedRequest) -> bool {
     let (now, service) = (desk.now(), &a.service.name);
-    let before = desk.budgets.with(service, |window| window.balance(now));
-    let taken = desk.budgets.with(service, |window| window.withdraw(now));
+    let before = desk
+        .retry_budgets
+        .with(service, |window| window.balance(now));
+    let taken = desk
+        .retry_budgets
+        .with(service, |window| window.withdraw(now));
     let result = if taken { "taken" } else { "refused" };
     desk.metrics.retries.with_label_values(&[result]).inc();
     let fields = json!({
@@ -25,9 +34,9 @@
         "earned": before.earned,
         "spent": before.spent,
         "left": before.left,
-        "boxes": desk.budgets.boxes(),
+        "boxes": desk.retry_budgets.boxes(),
         "up_ms": desk.uptime().as_millis() as u64,
     });
-    a.record.step("retry", fields);
+    a.record.log_step("retry", fields);
     taken
 }
--- a/crates/ashgauged/src/relay/select.rs
+++ b/crates/ashgauged/src/relay/select.rs
@@ -19,31 +19,35 @@
 use ashgauge::slack::Slack;
 use ashgauge::upstream::LayerRange;
 
-use super::desk::Desk;
+use super::desk::SharedState;
 
 /// Share of the memory near up to which those who come back late choose as streams
 /// of a lost engine do: they come back together, as they were cut together, and by
 /// the time of a whole answer all would go to the same engines. Where memory is
 /// scarce a chain must be quick as a whole, as it holds memory for as long.
-const ROOM_TOGETHER: f64 = 0.4;
+const MAX_SIMULTANEOUS_FILL: f64 = 0.4;
 
 /// What a chain is chosen for.
 #[derive(Clone, Copy)]
-pub struct Wish {
+pub struct ChainCriteria {
     /// Room that it needs; none for a stream that goes on, which is not held up.
     pub need: Option<Requirements>,
     /// How the request stands against its aim.
     pub slack: Slack,
     /// What it has to read and to write; `None` stands for a usual request.
-    pub shape: Option<RequestSize>,
+    pub size: Option<RequestSize>,
 }
 
-impl Desk {
+impl SharedState {
     /// Chooses an upstream of a plain service.
-    pub fn choose(&self, service: &str, tried: &[UpstreamId]) -> Option<(UpstreamId, String)> {
-        let roster = self.roster.borrow();
-        let (pipes, shares) = (self.pipes.borrow(), self.shares.borrow());
-        let scene = self.scene(&roster, &pipes, &shares, service);
+    pub fn choose_upstream(
+        &self,
+        service: &str,
+        tried: &[UpstreamId],
+    ) -> Option<(UpstreamId, String)> {
+        let roster = self.registry.borrow();
+        let (pipes, shares) = (self.wan_usage.borrow(), self.fleet_load.borrow());
+        let scene = self.selection_context(&roster, &pipes, &shares, service);
         let id = choice::select_upstream(&scene, tried, &mut *self.rng())?;
         let addr = roster.get(&id)?.upstream.addr.clone();
         Some((id, addr))
@@ -57,19 +61,19 @@
         model: &Model,
         span: LayerRange,
         avoid: &[UpstreamId],
-        wish: Wish,
+        wish: ChainCriteria,
     ) -> Option<Vec<Stage>> {
-        let roster = self.roster.borrow();
-        let (pipes, shares) = (self.pipes.borrow(), self.shares.borrow());
-        let scene = self.scene(&roster, &pipes, &shares, service);
+        let roster = self.registry.borrow();
+        let (pipes, shares) = (self.wan_usage.borrow(), self.fleet_load.borrow());
+        let scene = self.selection_context(&roster, &pipes, &shares, service);
         let together = match wish.slack {
             Slack::Streaming => true,
-            Slack::Late => choice::local_utilization(&scene, model) < ROOM_TOGETHER,
+            Slack::Late => choice::local_utilization(&scene, model) < MAX_SIMULTANEOUS_FILL,
             Slack::OnTime => false,
         };
         let scene = SelectionContext {
             simultaneous: together,
-            size: wish.shape,
+            size: wish.size,
             ..scene
         };
         choice::select_chain(&scene, model, span, avoid, wish.need, &mut *self.rng())
@@ -77,34 +81,34 @@
 
     /// How long until a request of a service can go somewhere, if upstreams that want
     /// rest are what it lacks.
-    pub fn rest_left(&self, service: &Service) -> Option<Duration> {
-        let roster = self.roster.borrow();
-        let (pipes, shares) = (self.pipes.borrow(), self.shares.borrow());
-        let scene = self.scene(&roster, &pipes, &shares, &service.name);
+    pub fn backoff_left(&self, service: &Service) -> Option<Duration> {
+        let roster = self.registry.borrow();
+        let (pipes, shares) = (self.wan_usage.borrow(), self.fleet_load.borrow());
+        let scene = self.selection_context(&roster, &pipes, &shares, &service.name);
         let model = service.model.as_ref().filter(|m| m.layers > 0);
         choice::backoff_left(&scene, model, &mut *self.rng())
     }
 
     /// Share of an engine's memory that requests hold, as far as is known.
     pub fn fullness(&self, id: &str) -> Option<f64> {
-        let (roster, routing) = (self.roster.borrow(), self.routing());
+        let (roster, routing) = (self.registry.borrow(), self.routing());
         let entry = roster.get(id)?;
         let service = routing.services.get(&entry.upstream.service)?;
-        let (pipes, shares) = (self.pipes.borrow(), self.shares.borrow());
-        let scene = self.scene(&roster, &pipes, &shares, &service.name);
+        let (pipes, shares) = (self.wan_usage.borrow(), self.fleet_load.borrow());
+        let scene = self.selection_context(&roster, &pipes, &shares, &service.name);
         choice::memory_utilization(&scene, service.model.as_ref()?, entry)
     }
 
     /// How many of a service's engines are filled up to the share at which they
     /// get no first sends, and how many hold layers.
     pub fn count_full(&self, service: &Service) -> (usize, usize) {
-        let limit = self.line(&service.name, |l| l.fill_limit());
+        let limit = self.with_queue(&service.name, |l| l.fill_limit());
         let (roster, pipes, shares) = (
-            self.roster.borrow(),
-            self.pipes.borrow(),
-            self.shares.borrow(),
+            self.registry.borrow(),
+            self.wan_usage.borrow(),
+            self.fleet_load.borrow(),
         );
-        let scene = self.scene(&roster, &pipes, &shares, &service.name);
+        let scene = self.selection_context(&roster, &pipes, &shares, &service.name);
         let model = service.model.as_ref();
         model.map_or((0, 0), |m| choice::count_full(&scene, m, limit))
     }
@@ -112,23 +116,23 @@
     /// How near the engines of a service are to what they can do.
     pub fn pressure(&self, service: &Service, model: &Model) -> Pressure {
         let (roster, pipes, shares) = (
-            self.roster.borrow(),
-            self.pipes.borrow(),
-            self.shares.borrow(),
+            self.registry.borrow(),
+            self.wan_usage.borrow(),
+            self.fleet_load.borrow(),
         );
-        let scene = self.scene(&roster, &pipes, &shares, &service.name);
+        let scene = self.selection_context(&roster, &pipes, &shares, &service.name);
         Pressure::from_context(&scene, model)
     }
 
     /// What the callers of all boxes ask of a service, and requests of it that end each
     /// second; boxes that were not heard lately are taken to do as those that were.
-    pub fn flows(&self, service: &str) -> (Demands, f64) {
-        let own = self.gates.flows(self.now());
-        let shares = self.shares.borrow();
+    pub fn fleet_demand(&self, service: &str) -> (Demands, f64) {
+        let own = self.admissions.own_traffic(self.now());
+        let shares = self.fleet_load.borrow();
         let flows = shares.flows(&own);
         let heard = shares.boxes() as f64 + 1.0;
         // More are heard than there are where some are in a hub's sum as well.
-        let factor = shares.present_boxes(f64::from(self.boxes())) / heard;
+        let factor = shares.present_boxes(f64::from(self.fleet_size())) / heard;
         let key = demand::key(service);
         let mut demands = flows.demands_of(key);
         for (_, demand) in &mut demands {
@@ -145,15 +149,15 @@
         stages: &[Stage],
         prompt: u32,
     ) -> Forecast {
-        let roster = self.roster.borrow();
-        let (pipes, shares) = (self.pipes.borrow(), self.shares.borrow());
-        let scene = self.scene(&roster, &pipes, &shares, service);
+        let roster = self.registry.borrow();
+        let (pipes, shares) = (self.wan_usage.borrow(), self.fleet_load.borrow());
+        let scene = self.selection_context(&roster, &pipes, &shares, service);
         forecast::forecast(&scene, model, stages, prompt)
     }
 
     /// Writes a chain for the wire, with the first engine's address.
-    pub fn chain_text(&self, stages: &[Stage]) -> Option<(String, String)> {
-        let roster = self.roster.borrow();
+    pub fn encode_chain(&self, stages: &[Stage]) -> Option<(String, String)> {
+        let roster = self.registry.borrow();
         let addr = |id: &str| roster.get(id).map(|e| e.upstream.addr.as_str());
         let text = platform::engine::format_chain(stages, addr)?;
         let first = addr(&stages.first()?.upstream)?;
@@ -162,7 +166,7 @@
 
     /// How often a chain changes data centre.
     pub fn count_crossings(&self, stages: &[Stage]) -> usize {
-        let roster = self.roster.borrow();
+        let roster = self.registry.borrow();
         let place = |s: &Stage| {
             roster
                 .get(&s.upstream)
@@ -174,9 +178,9 @@
 
     /// Notes what goes between data centres for `tokens` tokens that a chain
     /// reads.
-    pub fn note_crossings(&self, model: &Model, stages: &[Stage], tokens: u32) {
-        let (roster, now) = (self.roster.borrow(), self.now());
-        let mut pipes = self.pipes.borrow_mut();
+    pub fn note_transfers(&self, model: &Model, stages: &[Stage], tokens: u32) {
+        let (roster, now) = (self.registry.borrow(), self.now());
+        let mut pipes = self.wan_usage.borrow_mut();
         let place = |s: &Stage| {
             roster
                 .get(&s.upstream)
@@ -192,18 +196,18 @@
     }
 
     /// Notes that engines are to read `tokens` tokens, each through its stage.
-    pub fn note_reading<'a>(
+    pub fn note_prefill<'a>(
         &self,
         model: &Model,
         service: &str,
         stages: impl Iterator<Item = &'a Stage>,
         tokens: u32,
     ) {
-        let mut roster = self.roster.borrow_mut();
-        let (pipes, shares) = (self.pipes.borrow(), self.shares.borrow());
+        let mut roster = self.registry.borrow_mut();
+        let (pipes, shares) = (self.wan_usage.borrow(), self.fleet_load.borrow());
         for stage in stages {
             let layers = stage.end - stage.first;
-            let scene = self.scene(&roster, &pipes, &shares, service);
+            let scene = self.selection_context(&roster, &pipes, &shares, service);
             let entry = roster.get(&stage.upstream);
             let seconds = entry.map(|e| cost::prefill_seconds(&scene, model, e, layers, tokens));
             if let Some(seconds) = seconds {
@@ -213,12 +217,12 @@
     }
 
     /// Boxes of one data centre, on average.
-    fn neighbours(&self, roster: &UpstreamRegistry) -> f64 {
+    fn mean_local_boxes(&self, roster: &UpstreamRegistry) -> f64 {
         let places = roster.data_centres().max(1) as f64;
-        (f64::from(self.boxes()) / places).max(1.0)
+        (f64::from(self.fleet_size()) / places).max(1.0)
     }
 
-    fn scene<'a>(
+    fn selection_context<'a>(
         &'a self,
         roster: &'a UpstreamRegistry,
         pipes: &'a WanUsage,
@@ -230,11 +234,11 @@
             wan_usage: pipes,
             fleet_load: shares,
             service,
-            data_centre: &self.place,
-            remote_interval: self.lag.get(),
-            boxes: f64::from(self.boxes()),
-            local_boxes: self.neighbours(roster),
-            request_duration: self.stay(service),
+            data_centre: &self.data_centre,
+            remote_interval: self.report_interval.get(),
+            boxes: f64::from(self.fleet_size()),
+            local_boxes: self.mean_local_boxes(roster),
+            request_duration: self.mean_duration(service),
             simultaneous: false,
             size: None,
             now: self.now(),
--- a/crates/ashgauged/src/relay/serve.rs
+++ b/crates/ashgauged/src/relay/serve.rs
@@ -22,58 +22,58 @@
 use tokio::sync::Notify;
 use tokio::time::{Instant, sleep, sleep_until};
 
-use super::desk::Desk;
+use super::desk::SharedState;
 use super::{forward, levels, log, status};
 
 /// Pause after a connection could not be accepted, which mostly means that
 /// the descriptors are used up.
-const ACCEPT_PAUSE: Duration = Duration::from_millis(20);
+const ACCEPT_RETRY_DELAY: Duration = Duration::from_millis(20);
 
 /// Longest time for one request on a connection. Requests have limits of their
 /// own, far below; this ends connections whose callers never read.
-const BUSY_MOST: Duration = Duration::from_secs(600);
+const MAX_REQUEST_TIME: Duration = Duration::from_secs(600);
 
 /// Path of the box's view of the fleet, on the metrics' port.
 const STATUS_PATH: &str = "/status";
 
 /// Least size of hyper's buffer for a head.
-const BUFFER_LEAST: usize = 8192;
+const MIN_BUFFER_BYTES: usize = 8192;
 
 /// Body of an answer.
-pub type Body = UnsyncBoxBody<Bytes, Broken>;
+pub type Body = UnsyncBoxBody<Bytes, AbortedBody>;
 
 /// The answer cannot be brought to its end; the connection must break so that
 /// it does not look whole.
 #[derive(Debug)]
-pub struct Broken;
+pub struct AbortedBody;
 
-impl std::fmt::Display for Broken {
+impl std::fmt::Display for AbortedBody {
     fn fmt(&self, f: &mut std::fmt::Formatter<'_>) -> std::fmt::Result {
         f.write_str("the answer broke off")
     }
 }
 
-impl std::error::Error for Broken {}
+impl std::error::Error for AbortedBody {}
 
 /// Accepts callers' connections as long as the process runs.
-pub async fn accept(desk: Rc<Desk>, listener: TcpListener) {
+pub async fn accept(desk: Rc<SharedState>, listener: TcpListener) {
     loop {
         match listener.accept().await {
             Ok((stream, _)) => {
-                tokio::task::spawn_local(connection(desk.clone(), stream));
+                tokio::task::spawn_local(serve_connection(desk.clone(), stream));
             }
             Err(e) => {
                 let fields = json!({"cause": e.to_string()});
-                log::line(Level::Warn, "caller", "not accepted", fields);
-                sleep(ACCEPT_PAUSE).await;
+                log::event(Level::Warn, "caller", "not accepted", fields);
+                sleep(ACCEPT_RETRY_DELAY).await;
             }
         }
     }
 }
 
 /// Answers the balancer's question on a port of its own.
-pub async fn answer_ready(desk: Rc<Desk>, listener: TcpListener) {
-    serve_simple(listener, move |_| {
+pub async fn serve_readiness(desk: Rc<SharedState>, listener: TcpListener) {
+    serve_text(listener, move |_| {
         let status = match desk.is_ready() {
             true => StatusCode::OK,
             false => StatusCode::SERVICE_UNAVAILABLE,
@@ -84,27 +84,27 @@
 }
 
 /// Serves the metrics, and the box's view of the fleet under `/status`.
-pub async fn answer_metrics(desk: Rc<Desk>, listener: TcpListener) {
-    serve_simple(listener, move |request| {
+pub async fn serve_metrics(desk: Rc<SharedState>, listener: TcpListener) {
+    serve_text(listener, move |request| {
         if request.uri().path() == STATUS_PATH {
-            return (StatusCode::OK, status::write(&desk));
+            return (StatusCode::OK, status::encode(&desk));
         }
         desk.metrics.inflight.set(desk.inflight.get() as i64);
-        desk.metrics.dropped.set(log::dropped() as i64);
+        desk.metrics.dropped_lines.set(log::dropped() as i64);
         levels::set_gauges(&desk);
-        (StatusCode::OK, desk.metrics.write())
+        (StatusCode::OK, desk.metrics.encode())
     })
     .await;
 }
 
-async fn serve_simple(
+async fn serve_text(
     listener: TcpListener,
     answer: impl Fn(Request<Incoming>) -> (StatusCode, String) + 'static,
 ) {
     let answer = Rc::new(answer);
     loop {
         let Ok((stream, _)) = listener.accept().await else {
-            sleep(ACCEPT_PAUSE).await;
+            sleep(ACCEPT_RETRY_DELAY).await;
             continue;
         };
         let answer = answer.clone();
@@ -134,29 +134,29 @@
     Busy,
 }
 
-struct Activity {
+struct ConnectionActivity {
     phase: Cell<Phase>,
     since: Cell<Instant>,
     /// Tells that a head has begun, which may take less time than a rest.
-    begun: Notify,
+    head_begun: Notify,
 }
 
-impl Activity {
+impl ConnectionActivity {
     fn set(&self, phase: Phase) {
         self.phase.set(phase);
         self.since.set(Instant::now());
     }
 }
 
-async fn connection(desk: Rc<Desk>, stream: TcpStream) {
+async fn serve_connection(desk: Rc<SharedState>, stream: TcpStream) {
     // Without it small events come later, and nothing else changes.
     let _ = stream.set_nodelay(true);
-    let activity = Rc::new(Activity {
+    let activity = Rc::new(ConnectionActivity {
         phase: Cell::new(Phase::Idle),
         since: Cell::new(Instant::now()),
-        begun: Notify::new(),
+        head_begun: Notify::new(),
     });
-    let io = Timed {
+    let io = TrackedSocket {
         inner: TokioIo::new(stream),
         activity: activity.clone(),
     };
@@ -164,31 +164,31 @@
     let (shared, active) = (desk.clone(), activity.clone());
     let service = service_fn(move |request| {
         active.set(Phase::Busy);
-        let busy = Busy::new(&shared, &active);
+        let busy = RequestGuard::new(&shared, &active);
         let desk = shared.clone();
         async move {
             let mut response = forward::handle(desk.clone(), request).await;
-            if desk.stopping.get() {
+            if desk.is_stopping.get() {
                 let close = HeaderValue::from_static("close");
                 response.headers_mut().insert(CONNECTION, close);
             }
-            let response = response.map(|body| Answer { body, _busy: busy });
+            let response = response.map(|body| TrackedBody { body, _busy: busy });
             Ok::<_, Infallible>(response)
         }
     });
     let serving = http1::Builder::new()
-        .max_buf_size(bounds.header_bytes.max(BUFFER_LEAST))
+        .max_buf_size(bounds.header_bytes.max(MIN_BUFFER_BYTES))
         .half_close(false)
         .serve_connection(io, service);
     tokio::pin!(serving);
     loop {
-        let until = limit(&desk, &activity);
+        let until = deadline(&desk, &activity);
         tokio::select! {
             // The caller sees its connection end; there is nobody to tell.
             _ = serving.as_mut() => return,
-            () = activity.begun.notified() => {}
+            () = activity.head_begun.notified() => {}
             () = sleep_until(until) => {
-                if Instant::now() >= limit(&desk, &activity) {
+                if Instant::now() >= deadline(&desk, &activity) {
                     return;
                 }
             }
@@ -197,23 +197,23 @@
 }
 
 /// When the connection has used up the time for what it is doing.
-fn limit(desk: &Desk, activity: &Activity) -> Instant {
+fn deadline(desk: &SharedState, activity: &ConnectionActivity) -> Instant {
     let bounds = desk.routing().client_limits;
     let since = activity.since.get();
     match activity.phase.get() {
         Phase::Idle => since + bounds.idle_timeout,
         Phase::Head => since + bounds.header_timeout,
-        Phase::Busy => since + BUSY_MOST,
+        Phase::Busy => since + MAX_REQUEST_TIME,
     }
 }
 
 /// A socket that notes when a request begins.
-struct Timed {
+struct TrackedSocket {
     inner: TokioIo<TcpStream>,
-    activity: Rc<Activity>,
+    activity: Rc<ConnectionActivity>,
 }
 
-impl Read for Timed {
+impl Read for TrackedSocket {
     fn poll_read(
         mut self: Pin<&mut Self>,
         cx: &mut Context<'_>,
@@ -223,13 +223,13 @@
         let idle = self.activity.phase.get() == Phase::Idle;
         if idle && matches!(polled, Poll::Ready(Ok(()))) {
             self.activity.set(Phase::Head);
-            self.activity.begun.notify_one();
+            self.activity.head_begun.notify_one();
         }
         polled
     }
 }
 
-impl Write for Timed {
+impl Write for TrackedSocket {
     fn poll_write(
         mut self: Pin<&mut Self>,
         cx: &mut Context<'_>,
@@ -260,22 +260,22 @@
 }
 
 /// Counts a request from its head until its whole answer is in hyper's hands.
-struct Busy {
-    desk: Rc<Desk>,
-    activity: Rc<Activity>,
+struct RequestGuard {
+    desk: Rc<SharedState>,
+    activity: Rc<ConnectionActivity>,
 }
 
-impl Busy {
-    fn new(desk: &Rc<Desk>, activity: &Rc<Activity>) -> Self {
+impl RequestGuard {
+    fn new(desk: &Rc<SharedState>, activity: &Rc<ConnectionActivity>) -> Self {
         desk.inflight.set(desk.inflight.get() + 1);
-        Busy {
+        RequestGuard {
             desk: desk.clone(),
             activity: activity.clone(),
         }
     }
 }
 
-impl Drop for Busy {
+impl Drop for RequestGuard {
     fn drop(&mut self) {
         self.desk.inflight.set(self.desk.inflight.get() - 1);
         self.activity.set(Phase::Idle);
@@ -283,19 +283,19 @@
 }
 
 /// An answer's body; the connection rests once it is dropped.
-struct Answer {
+struct TrackedBody {
     body: Body,
-    _busy: Busy,
+    _busy: RequestGuard,
 }
 
-impl HttpBody for Answer {
+impl HttpBody for TrackedBody {
     type Data = Bytes;
-    type Error = Broken;
+    type Error = AbortedBody;
 
     fn poll_frame(
         mut self: Pin<&mut Self>,
         cx: &mut Context<'_>,
-    ) -> Poll<Option<Result<Frame<Bytes>, Broken>>> {
+    ) -> Poll<Option<Result<Frame<Bytes>, AbortedBody>>> {
         Pin::new(&mut self.body).poll_frame(cx)
     }
 
--- a/crates/ashgauged/src/relay/settings.rs
+++ b/crates/ashgauged/src/relay/settings.rs
@@ -210,7 +210,7 @@
     /// Age of the configuration past which no key is believed any more.
     ///
     /// A part of the bound is left for the way of the request to the upstream.
-    pub fn key_age(&self) -> Duration {
+    pub fn max_key_age(&self) -> Duration {
         match self.bounds.strict_keys {
             true => Duration::from_secs_f64(self.bounds.revoke_ms / 1e3 * KEY_SHARE),
             false => Duration::MAX,
@@ -219,31 +219,34 @@
 
     /// Time between two proofs that the configuration in force is known; one
     /// that gets no answer leaves time for another within the age of a key.
-    pub fn confirm_time(&self) -> Duration {
-        let spare = self.store_time() + CONFIRM_SPARE;
-        let most = self.key_age().saturating_sub(spare).max(self.key_age() / 2);
+    pub fn confirm_interval(&self) -> Duration {
+        let spare = self.store_timeout() + CONFIRM_MARGIN;
+        let most = self
+            .max_key_age()
+            .saturating_sub(spare)
+            .max(self.max_key_age() / 2);
         Duration::from_millis(self.timing.confirm_ms).min(most)
     }
 
     /// The same where few boxes ask for all. What they know is heard a round of
     /// questions later, so both times together stay below the bound on upstreams
     /// that leave, also if the box that was asked has lost the store.
-    pub fn reader_time(&self) -> Duration {
-        let most = self.drain_time().mul_f64(PROOF_SHARE);
+    pub fn reader_interval(&self) -> Duration {
+        let most = self.drain_bound().mul_f64(PROOF_SHARE);
         Duration::from_millis(self.timing.reader_ms)
             .min(most)
-            .min(self.confirm_time())
+            .min(self.confirm_interval())
     }
 
     /// When a box asks those that read.
-    pub fn ask_pace(&self) -> PollTiming {
+    pub fn poll_pace(&self) -> PollTiming {
         let ms = Duration::from_millis;
-        let every = self.drain_time().mul_f64(ASK_SHARE);
+        let every = self.drain_bound().mul_f64(ASK_SHARE);
         PollTiming {
             interval: ms(self.timing.ask_ms).min(every),
             answer_timeout: ms(self.timing.answer_ms),
             fetch_timeout: ms(self.timing.fetch_ms),
-            max_age: self.reader_time() + self.drain_time().mul_f64(STALE_SHARE),
+            max_age: self.reader_interval() + self.drain_bound().mul_f64(STALE_SHARE),
         }
     }
 
@@ -267,28 +270,28 @@
     }
 
     /// Time within which boxes must know that an upstream is leaving.
-    pub fn drain_time(&self) -> Duration {
+    pub fn drain_bound(&self) -> Duration {
         Duration::from_secs_f64(self.bounds.drain_ms / 1e3)
     }
 
     /// Time within which a configuration must be in force.
-    pub fn apply_time(&self) -> Duration {
+    pub fn apply_bound(&self) -> Duration {
         Duration::from_secs_f64(self.bounds.apply_ms / 1e3)
     }
 
     /// For an answer of the store; one that takes longer cannot prove anything
     /// in time.
-    pub fn store_time(&self) -> Duration {
-        Duration::from_millis(self.timing.store_ms).min(self.key_age() / 3)
+    pub fn store_timeout(&self) -> Duration {
+        Duration::from_millis(self.timing.store_ms).min(self.max_key_age() / 3)
     }
 
     /// Time from the signal to stop until the process is killed.
-    pub fn stop_time(&self) -> Duration {
+    pub fn stop_timeout(&self) -> Duration {
         Duration::from_secs_f64(self.bounds.stop_s)
     }
 
     /// Retries that the fleet allows.
-    pub fn allowance(&self) -> Allowance {
+    pub fn retry_allowance(&self) -> Allowance {
         Allowance {
             window: Duration::from_secs_f64(self.bounds.retry_window_s),
             ratio: self.bounds.retry_share,
@@ -332,22 +335,22 @@
             ("timing.silence_ms", t.silence_ms as f64),
         ];
         for (name, value) in positive {
-            if !(1e-3..=TIME_MOST).contains(&value) {
-                bail!("{name}: {value} must be above 0 and at most {TIME_MOST}");
+            if !(1e-3..=MAX_TIME_MS).contains(&value) {
+                bail!("{name}: {value} must be above 0 and at most {MAX_TIME_MS}");
             }
         }
         for (name, value) in [
             ("bounds.retry_share", b.retry_share),
             ("bounds.retry_extra", b.retry_extra),
         ] {
-            if !(0.0..=TIME_MOST).contains(&value) {
+            if !(0.0..=MAX_TIME_MS).contains(&value) {
                 bail!("{name}: {value} must not be negative");
             }
         }
-        let link = self.link_mbps.unwrap_or(LINK_MOST);
-        if !(0.0..=LINK_MOST).contains(&link) {
+        let link = self.link_mbps.unwrap_or(MAX_LINK_MBPS);
+        if !(0.0..=MAX_LINK_MBPS).contains(&link) {
             bail!(
-                "link_mbps: {link} must be from 0 to {LINK_MOST}; leave it out if it is not known"
+                "link_mbps: {link} must be from 0 to {MAX_LINK_MBPS}; leave it out if it is not known"
             );
         }
         if self.readers == Some(0) {
@@ -369,10 +372,10 @@
 const STALE_SHARE: f64 = 0.15;
 
 /// Largest link that a setting may name, in Mbit/s.
-const LINK_MOST: f64 = 1e6;
+const MAX_LINK_MBPS: f64 = 1e6;
 
 /// Largest figure that a setting may have; a day in milliseconds.
-const TIME_MOST: f64 = 86_400_000.0;
+const MAX_TIME_MS: f64 = 86_400_000.0;
 
 /// Share of the bound on withdrawn keys that knowledge may age.
 ///
@@ -381,4 +384,4 @@
 const KEY_SHARE: f64 = 0.9;
 
 /// For the pause after a proof without an answer, and for the next one.
-const CONFIRM_SPARE: Duration = Duration::from_millis(300);
+const CONFIRM_MARGIN: Duration = Duration::from_millis(300);
--- a/crates/ashgauged/src/relay/state/budgets.rs
+++ b/crates/ashgauged/src/relay/state/budgets.rs
@@ -8,7 +8,7 @@
 use ashgauge::routing::ServiceId;
 
 /// The box's part of the fleet's retries, by service.
-pub struct Budgets {
+pub struct RetryBudgets {
     allowance: Cell<Allowance>,
     /// Boxes that share it, once they are counted.
     boxes: Cell<Option<u32>>,
@@ -16,10 +16,10 @@
     windows: RefCell<HashMap<ServiceId, SlidingBudget>>,
 }
 
-impl Budgets {
+impl RetryBudgets {
     /// Makes the budgets of a process that started at `started`.
     pub fn new(allowance: Allowance, started: Duration) -> Self {
-        Budgets {
+        RetryBudgets {
             allowance: Cell::new(allowance),
             boxes: Cell::new(None),
             started,
@@ -36,7 +36,7 @@
     }
 
     /// Sets the number of boxes that share it.
-    pub fn share_with(&self, boxes: u32) {
+    pub fn set_boxes(&self, boxes: u32) {
         self.boxes.set(Some(boxes));
         for window in self.windows.borrow_mut().values_mut() {
             window.set_boxes(boxes);
@@ -64,10 +64,10 @@
     pub fn with<T>(&self, service: &ServiceId, of: impl FnOnce(&mut SlidingBudget) -> T) -> T {
         let mut windows = self.windows.borrow_mut();
         let window = windows.entry(service.clone());
-        of(window.or_insert_with(|| self.make()))
+        of(window.or_insert_with(|| self.new_window()))
     }
 
-    fn make(&self) -> SlidingBudget {
+    fn new_window(&self) -> SlidingBudget {
         let mut window = SlidingBudget::new(self.allowance.get(), self.started, rand::random());
         if let Some(boxes) = self.boxes.get() {
             window.set_boxes(boxes);
--- a/crates/ashgauged/src/relay/state/clock.rs
+++ b/crates/ashgauged/src/relay/state/clock.rs
@@ -11,7 +11,7 @@
     read: fn() -> Duration,
     start: Duration,
     /// Tells that the machine was suspended.
-    woken: watch::Sender<u64>,
+    resumed: watch::Sender<u64>,
 }
 
 impl Clock {
@@ -20,7 +20,7 @@
         Clock {
             read,
             start: read(),
-            woken: watch::Sender::new(0),
+            resumed: watch::Sender::new(0),
         }
     }
 
@@ -30,19 +30,19 @@
     }
 
     /// Hears of each time after which the machine goes on.
-    pub fn woken(&self) -> watch::Receiver<u64> {
-        self.woken.subscribe()
+    pub fn resumptions(&self) -> watch::Receiver<u64> {
+        self.resumed.subscribe()
     }
 
     /// Lets everything that waits look at its time anew.
-    pub fn wake(&self) {
-        self.woken.send_modify(|n| *n += 1);
+    pub fn notify_resumed(&self) {
+        self.resumed.send_modify(|n| *n += 1);
     }
 
     /// Waits for `work`, for `limit` by this clock at most; `None` if that is over.
     pub async fn within<T>(&self, limit: Duration, work: impl Future<Output = T>) -> Option<T> {
         let until = self.elapsed().saturating_add(limit);
-        let mut woken = self.woken();
+        let mut woken = self.resumptions();
         tokio::pin!(work);
         loop {
             let rest = until.saturating_sub(self.elapsed());
@@ -65,10 +65,10 @@
     match clock_gettime(ClockId::CLOCK_BOOTTIME) {
         Ok(time) => time.into(),
         // A kernel without that clock suspends nothing that this process sees.
-        Err(_) => steady_time(),
+        Err(_) => monotonic_time(),
     }
 }
 
-fn steady_time() -> Duration {
+fn monotonic_time() -> Duration {
     clock_gettime(ClockId::CLOCK_MONOTONIC).map_or(Duration::ZERO, Duration::from)
 }
--- a/crates/ashgauged/src/relay/state/gates.rs
+++ b/crates/ashgauged/src/relay/state/gates.rs
@@ -14,15 +14,15 @@
 
 /// Demand and admission, by service.
 #[derive(Default)]
-pub struct Gates {
-    services: RefCell<HashMap<ServiceId, State>>,
+pub struct AdmissionStates {
+    services: RefCell<HashMap<ServiceId, ServiceAdmission>>,
     /// When a line about a refused repair was last written.
-    written: Cell<Option<Duration>>,
+    logged_at: Cell<Option<Duration>>,
 }
 
 /// Demand for one service, and who is let in.
 #[derive(Default)]
-pub struct State {
+pub struct ServiceAdmission {
     /// What this box's callers ask for.
     pub meter: DemandMeter,
     /// Estimates demand and load now, from reports that are some time old.
@@ -30,7 +30,7 @@
     /// Who is let in.
     pub gate: AdmissionGate,
     /// When the level was last reckoned.
-    pub reckoned: Option<Duration>,
+    pub level_at: Option<Duration>,
     /// What the level was reckoned from; nothing while shedding is off.
     pub basis: Option<LevelInputs>,
     /// When changes of the level are logged.
@@ -38,7 +38,7 @@
     /// Requests of this box by class, since its start.
     pub counts: BTreeMap<Class, Counts>,
     /// What is done for streams that are held up.
-    pub account: RecoveryBudget,
+    pub recovery_budget: RecoveryBudget,
 }
 
 /// Requests that were admitted or refused by the level.
@@ -50,7 +50,7 @@
     pub refused: u64,
 }
 
-impl State {
+impl ServiceAdmission {
     /// Counts a request of a class.
     pub fn count(&mut self, class: Class, is_in: bool) {
         let counts = self.counts.entry(class).or_default();
@@ -66,9 +66,9 @@
     }
 }
 
-impl Gates {
+impl AdmissionStates {
     /// Uses the state of a service.
-    pub fn with<T>(&self, service: &ServiceId, of: impl FnOnce(&mut State) -> T) -> T {
+    pub fn with<T>(&self, service: &ServiceId, of: impl FnOnce(&mut ServiceAdmission) -> T) -> T {
         let mut services = self.services.borrow_mut();
         of(services.entry(service.clone()).or_default())
     }
@@ -79,7 +79,10 @@
     }
 
     /// Uses the states of the services whose level is reckoned, in the order of their names.
-    pub fn reckoned<T>(&self, of: impl Fn(&ServiceId, &State, &LevelInputs) -> T) -> Vec<T> {
+    pub fn with_levels<T>(
+        &self,
+        of: impl Fn(&ServiceId, &ServiceAdmission, &LevelInputs) -> T,
+    ) -> Vec<T> {
         let services = self.services.borrow();
         let mut named: Vec<_> = services.iter().collect();
         named.sort_unstable_by_key(|(name, _)| *name);
@@ -89,16 +92,16 @@
     }
 
     /// Whether a line may be written, as none was within `every`.
-    pub fn may_write(&self, now: Duration, every: Duration) -> bool {
-        let is_due = self.written.get().is_none_or(|at| now >= at + every);
+    pub fn may_log(&self, now: Duration, every: Duration) -> bool {
+        let is_due = self.logged_at.get().is_none_or(|at| now >= at + every);
         if is_due {
-            self.written.set(Some(now));
+            self.logged_at.set(Some(now));
         }
         is_due
     }
 
     /// What this box's callers ask of all services, and what ends.
-    pub fn flows(&self, now: Duration) -> Traffic {
+    pub fn own_traffic(&self, now: Duration) -> Traffic {
         let mut services = self.services.borrow_mut();
         let own = services.values_mut().map(|s| s.meter.traffic(now));
         let own: Vec<Traffic> = own.collect();
--- a/crates/ashgauged/src/relay/state/mod.rs
+++ b/crates/ashgauged/src/relay/state/mod.rs
@@ -6,8 +6,8 @@
 mod permits;
 pub mod probes;
 
-pub use budgets::Budgets;
+pub use budgets::RetryBudgets;
 pub use clock::{Clock, boot_time};
-pub use gates::{Gates, State};
+pub use gates::{AdmissionStates, ServiceAdmission};
 pub use permits::Permits;
 pub use probes::Probes;
--- a/crates/ashgauged/src/relay/state/permits.rs
+++ b/crates/ashgauged/src/relay/state/permits.rs
@@ -21,12 +21,12 @@
     /// When refused callers come back.
     pub schedule: RefCell<RetrySchedule>,
     /// Boxes that did not answer.
-    pub passed: RefCell<SkippedBoxes>,
+    pub silent_boxes: RefCell<SkippedBoxes>,
     /// Boxes that may give permits, as all boxes know them; none if this one hears no
     /// others.
     pub givers: RefCell<Rc<Vec<BoxId>>>,
     /// Asks that were not answered yet.
-    pub open: RefCell<HashMap<PermitRequestId, oneshot::Sender<Verdict>>>,
+    pub pending: RefCell<HashMap<PermitRequestId, oneshot::Sender<Verdict>>>,
     /// The socket by which the boxes hear each other.
     pub socket: OnceCell<Rc<UdpSocket>>,
 }
@@ -34,7 +34,7 @@
 impl Permits {
     /// Keeps who waits for the answer to an ask; those who have left wait no more.
     pub fn await_answer(&self, id: PermitRequestId, answer: oneshot::Sender<Verdict>) {
-        let mut open = self.open.borrow_mut();
+        let mut open = self.pending.borrow_mut();
         open.retain(|_, waiting| !waiting.is_closed());
         open.insert(id, answer);
     }
--- a/crates/ashgauged/src/relay/status.rs
+++ b/crates/ashgauged/src/relay/status.rs
@@ -11,7 +11,7 @@
 use ashgauge::share;
 use serde::Serialize;
 
-use super::desk::Desk;
+use super::desk::SharedState;
 use super::levels::{self, LevelStatus};
 
 /// What a box knows, and how old it is.
@@ -114,14 +114,14 @@
     failures: f64,
 }
 
-fn held(desk: &Desk) -> Vec<(String, u64)> {
+fn held_requests(desk: &SharedState) -> Vec<(String, u64)> {
     let held = desk.quarantine.borrow().quarantined(desk.now());
     let text = |(digest, left): (u64, Duration)| (digest::format_digest(digest), left.as_secs());
     held.into_iter().map(text).collect()
 }
 
-fn retries(desk: &Desk) -> Vec<RetryStatus> {
-    let balances = desk.budgets.balances(desk.now()).into_iter();
+fn retry_statuses(desk: &SharedState) -> Vec<RetryStatus> {
+    let balances = desk.retry_budgets.balances(desk.now()).into_iter();
     let status = balances.map(|(service, balance)| RetryStatus {
         service: service.to_string(),
         earned: balance.earned,
@@ -131,44 +131,44 @@
     status.collect()
 }
 
-fn limits(desk: &Desk) -> Vec<LimitStatus> {
-    let (roster, permits) = (desk.roster.borrow(), &desk.permits);
+fn limit_statuses(desk: &SharedState) -> Vec<LimitStatus> {
+    let (roster, permits) = (desk.registry.borrow(), &desk.permits);
     let (limits, grants) = (permits.limits.borrow(), permits.grants.borrow());
     let named = roster.iter().filter_map(|e| {
         let (id, key) = (&e.upstream.id, share::upstream_key(&e.upstream.id));
         Some(LimitStatus {
             upstream: id.to_string(),
             rate: limits.rate_of(key)?,
-            givers: texts(&issuer_order(key, &permits.givers.borrow())),
+            givers: to_strings(&issuer_order(key, &permits.givers.borrow())),
             given: grants.issued(key),
         })
     });
     named.collect()
 }
 
-fn texts(boxes: &[BoxId]) -> Vec<String> {
+fn to_strings(boxes: &[BoxId]) -> Vec<String> {
     boxes.iter().map(|id| id.to_string()).collect()
 }
 
-fn informs(desk: &Desk) -> Vec<Informed> {
+fn informed_boxes(desk: &SharedState) -> Vec<Informed> {
     let (now, covered) = (desk.now(), desk.mirror.borrow().covered());
-    let (askers, peers) = (desk.askers.borrow(), desk.peers.borrow());
+    let (askers, peers) = (desk.pollers.borrow(), desk.peers.borrow());
     let mut places: BTreeMap<&str, Informed> = BTreeMap::new();
     for (id, asked) in askers.iter() {
         let Some(peer) = peers.get(id) else {
             continue;
         };
-        let place = places.entry(&peer.place).or_default();
-        place.data_centre = peer.place.to_string();
+        let place = places.entry(&peer.data_centre).or_default();
+        place.data_centre = peer.data_centre.to_string();
         place.boxes += 1;
-        place.current += usize::from(asked.known >= covered);
-        let age = now.saturating_sub(asked.at).as_millis() as u64;
+        place.current += usize::from(asked.revision >= covered);
+        let age = now.saturating_sub(asked.asked_at).as_millis() as u64;
         place.oldest_ms = place.oldest_ms.max(age);
     }
     places.into_values().collect()
 }
 
-fn role(desk: &Desk) -> String {
+fn role(desk: &SharedState) -> String {
     match desk.role() {
         Role::Peer => "tells all".into(),
         Role::Hub => "hub".into(),
@@ -177,11 +177,11 @@
 }
 
 /// Writes the status as JSON.
-pub fn write(desk: &Desk) -> String {
+pub fn encode(desk: &SharedState) -> String {
     let now = desk.now();
     let settings = desk.settings();
-    let roster = desk.roster.borrow();
-    let shares = desk.shares.borrow();
+    let roster = desk.registry.borrow();
+    let shares = desk.fleet_load.borrow();
     let upstreams = roster.iter().map(|e| UpstreamStatus {
         id: e.upstream.id.to_string(),
         service: e.upstream.service.to_string(),
@@ -206,21 +206,25 @@
         data_centre: settings.data_centre.clone(),
         ready: desk.is_ready(),
         config_version: desk.routing.borrow().version,
-        config_age_ms: desk.fresh.borrow().age(now).map(|a| a.as_millis() as u64),
-        store_away: desk.store_away.get(),
-        reads: *desk.reads.borrow(),
+        config_age_ms: desk
+            .freshness
+            .borrow()
+            .age(now)
+            .map(|a| a.as_millis() as u64),
+        store_away: desk.store_down.get(),
+        reads: *desk.reads_store.borrow(),
         era: revision::era(desk.mirror.borrow().covered()),
         revision: revision::count(desk.mirror.borrow().covered()),
-        boxes: desk.boxes(),
+        boxes: desk.fleet_size(),
         role: role(desk),
-        readers: texts(&desk.readers.borrow().ids),
-        informs: informs(desk),
+        readers: to_strings(&desk.readers.borrow().ids),
+        informs: informed_boxes(desk),
         boxes_heard: shares.boxes(),
         inflight: desk.inflight.get(),
-        retries: retries(desk),
-        held: held(desk),
+        retries: retry_statuses(desk),
+        held: held_requests(desk),
         suspects: desk.quarantine.borrow().suspect_count(),
-        limits: limits(desk),
+        limits: limit_statuses(desk),
         levels: levels::status(desk),
         upstreams,
     };
--- a/crates/ashgauged/src/relay/stream.rs
+++ b/crates/ashgauged/src/relay/stream.rs
@@ -10,96 +10,104 @@
 use platform::engine;
 use serde_json::json;
 
-use super::desk::Desk;
+use super::desk::SharedState;
 use super::gate;
-use super::loss::{self, Loss};
-use super::open::{begin, head_of};
-use super::pick::{NoWay, pick_late, pick_open};
+use super::loss::{self, BrokenRun};
+use super::open::{response_head, start_run};
+use super::pick::{PickError, pick_or_wait, pick_with_permit};
 use super::pump;
 use super::recovery;
-use super::request::{Admitted, finish, held_back, no_room, note_outcome, shed, whole};
+use super::request::{
+    AdmittedRequest, finish, note_outcome, refuse_no_capacity, refuse_overload, refuse_quarantined,
+    upstream_response,
+};
 use super::retry;
 use super::serve::Body;
-use super::turn::Turn;
+use super::turn::CapacityWait;
 
 /// Answers a request whose answer is a stream.
-pub async fn answer(
-    desk: Rc<Desk>,
-    mut a: Admitted,
+pub async fn handle_stream(
+    desk: Rc<SharedState>,
+    mut a: AdmittedRequest,
     mut handoff: Attempts,
     rule: StreamPolicy,
 ) -> Response<Body> {
     a.admission = match gate::admit(&desk, &mut a) {
         Ok(admission) => admission,
-        Err(after) => return shed(a, after),
+        Err(after) => return refuse_overload(a, after),
     };
     let mut avoid = Vec::new();
-    let mut turn = Turn::new(&desk, &a);
+    let mut turn = CapacityWait::new(&desk, &a);
     let run = loop {
         // One that may have run cannot be refused as not run; it goes on at once.
         let may_have_run = handoff.may_have_run();
         if !may_have_run && !turn.wait(&a).await {
-            return no_room(&desk, a);
+            return refuse_no_capacity(&desk, a);
         }
-        let last = a.ask.last_event;
+        let last = a.client_request.last_event;
         let chosen = match may_have_run {
-            true => pick_late(&desk, &a, &handoff, &avoid, last).await,
-            false => pick_open(&desk, &a, &handoff, &avoid, false, last).await,
+            true => pick_or_wait(&desk, &a, &handoff, &avoid, last).await,
+            false => pick_with_permit(&desk, &a, &handoff, &avoid, false, last).await,
         };
         let chosen = match chosen {
             Ok(chosen) => chosen,
-            Err(NoWay::Closed(_)) if may_have_run => {
+            Err(PickError::AtLimit(_)) if may_have_run => {
                 let end = handoff.failure(desk.now());
                 return finish(&desk, a, end);
             }
-            Err(NoWay::Closed(wait)) if !turn.has_time(wait) => return no_room(&desk, a),
-            Err(NoWay::Crowded | NoWay::Closed(_)) => {
-                turn.join(&a);
+            Err(PickError::AtLimit(wait)) if !turn.fits_deadline(wait) => {
+                return refuse_no_capacity(&desk, a);
+            }
+            Err(PickError::NoCapacity | PickError::AtLimit(_)) => {
+                turn.wait_for_capacity(&a);
                 continue;
             }
-            Err(NoWay::Held) => return held_back(&desk, a, may_have_run),
-            Err(NoWay::NoChain | NoWay::Denied) => {
-                a.record.step("no chain", json!({"avoided": avoid.len()}));
+            Err(PickError::Quarantined) => return refuse_quarantined(&desk, a, may_have_run),
+            Err(PickError::NoChain | PickError::Denied) => {
+                a.record
+                    .log_step("no chain", json!({"avoided": avoid.len()}));
                 let end = handoff.failure(desk.now());
                 return finish(&desk, a, end);
             }
         };
-        turn.let_in();
+        turn.note_admitted();
         let began = desk.now();
-        let failed = match begin(&desk, &mut a, &mut handoff, &mut avoid, None, chosen).await {
+        let failed = match start_run(&desk, &mut a, &mut handoff, &mut avoid, None, chosen).await {
             Ok(run) => break run,
             Err(failed) => failed,
         };
         note_outcome(&desk, &a, &failed.upstream, failed.outcome);
         if failed.outcome == SendOutcome::Lost {
-            let loss = Loss::before_answer(&failed.upstream, began);
-            if loss::look(&desk, &a, loss).await {
+            let loss = BrokenRun::before_answer(&failed.upstream, began);
+            if loss::check_loss(&desk, &a, loss).await {
                 handoff.record_lost();
             }
         }
         let is_refused = !may_have_run && failed.outcome == SendOutcome::NotRun;
         if is_refused && !recovery::may_resend(&desk, &a, &handoff, &avoid) {
-            let after = gate::back_after(&desk, &a);
-            return shed(a, after);
+            let after = gate::retry_after(&desk, &a);
+            return refuse_overload(a, after);
         }
-        let next = retry::next(&desk, &a, &mut handoff, failed.outcome);
+        let next = retry::next_step(&desk, &a, &mut handoff, failed.outcome);
         match (next, failed.answer) {
             (Decision::Resend, _) if is_refused => {}
-            (Decision::Resend, _) => recovery::wait_turn(&desk, &a).await,
+            (Decision::Resend, _) => recovery::wait_for_budget(&desk, &a).await,
             (Decision::Forward, Some(answer)) => {
                 a.record.end("failed upstream");
-                return whole(answer);
+                return upstream_response(answer);
             }
             (Decision::Fail(end), _) => return finish(&desk, a, end),
             (Decision::Forward, None) => return finish(&desk, a, FailureKind::Unknown),
         }
     };
     if let Some(admission) = &a.admission {
-        admission.begin();
+        admission.note_started();
     }
-    desk.metrics.first.observe(a.record.took().as_secs_f64());
+    desk.metrics
+        .first_seconds
+        .observe(a.record.elapsed().as_secs_f64());
     let mut head = Response::new(());
-    let parts = head_of(&run.exchange);
+    let parts = response_head(&run.exchange);
     *head.status_mut() = parts.status;
     *head.headers_mut() = engine::answer_headers(&parts);
     let body = pump::start(desk, a, handoff, rule, run);
--- a/crates/ashgauged/src/relay/suspicion.rs
+++ b/crates/ashgauged/src/relay/suspicion.rs
@@ -15,17 +15,17 @@
 use spdlog::Level;
 use tokio::time::sleep;
 
-use super::desk::{Desk, Peer};
+use super::desk::{Peer, SharedState};
 use super::peers::Peers;
-use super::probe::{self, Found};
+use super::probe::{self, ProbeResult};
 use super::{gate, log, pack};
 
 /// How long engines are gathered before the others are notified: those that are lost
 /// together are found within milliseconds of each other.
-const GATHER_TIME: Duration = Duration::from_millis(5);
+const BATCH_DELAY: Duration = Duration::from_millis(5);
 
 /// An engine that another box reports.
-struct Reported {
+struct ReportedEngine {
     start: InstanceKey,
     id: UpstreamId,
     service: ServiceId,
@@ -34,69 +34,69 @@
 }
 
 /// Notes an engine that this box suspects, if its own connection failed a moment ago.
-pub fn note(desk: &Desk, id: &str) {
-    let roster = desk.roster.borrow();
+pub fn note_suspect(desk: &SharedState, id: &str) {
+    let roster = desk.registry.borrow();
     let Some(entry) = roster.get(id) else {
         return;
     };
     let upstream = &entry.upstream;
-    if !is_on(desk, &upstream.service) || !probe::has_failed(desk, &upstream.addr) {
+    if !sheds_streams(desk, &upstream.service) || !probe::failed_recently(desk, &upstream.addr) {
         return;
     }
     let start = instance_key(&upstream.id, upstream.started_ms);
     if desk.suspicions.borrow_mut().record_found(desk.now(), start) {
-        desk.suspected.notify_one();
+        desk.suspect_notify.notify_one();
     }
 }
 
 /// Takes what another box reports: a hub forwards it to those that do not hear that box,
 /// and engines on which this one has streams are checked. The report itself makes none
 /// suspect, as its sender may be cut off from engines that others reach.
-pub fn hear(desk: &Rc<Desk>, from: &BoxId, starts: &[InstanceKey]) {
+pub fn handle_reports(desk: &Rc<SharedState>, from: &BoxId, starts: &[InstanceKey]) {
     let now = desk.now();
     let starts = &starts[..starts.len().min(MAX_SUSPECTS_SENT)];
     let audience = audience(desk, from);
-    for reported in find(desk, starts) {
+    for reported in find_reported(desk, starts) {
         let start = reported.start;
         if desk
             .suspicions
             .borrow_mut()
             .record_report(now, start, audience)
         {
-            desk.suspected.notify_one();
+            desk.suspect_notify.notify_one();
         }
-        let has_budget = || probe::may_check(desk, &reported.service, &reported.id);
+        let has_budget = || probe::may_check_reported(desk, &reported.service, &reported.id);
         let mut suspicions = desk.suspicions.borrow_mut();
         if reported.is_used && suspicions.begin_check(now, start, has_budget) {
-            tokio::task::spawn_local(check(desk.clone(), from.clone(), reported.id));
+            tokio::task::spawn_local(check_reported(desk.clone(), from.clone(), reported.id));
         } else {
-            count(desk, "ignored");
+            count_result(desk, "ignored");
         }
     }
 }
 
 /// Checks an engine that another box reports, and suspects it if it accepts no connection.
-async fn check(desk: Rc<Desk>, from: BoxId, id: UpstreamId) {
+async fn check_reported(desk: Rc<SharedState>, from: BoxId, id: UpstreamId) {
     let found = probe::check_reported(&desk, &id).await;
     desk.suspicions.borrow_mut().end_check();
     match found {
-        Found::Alive => count(&desk, "alive"),
-        Found::Gone => count(&desk, "ignored"),
-        Found::Lost => {
-            count(&desk, "confirmed");
+        ProbeResult::Alive => count_result(&desk, "alive"),
+        ProbeResult::Delisted => count_result(&desk, "ignored"),
+        ProbeResult::Lost => {
+            count_result(&desk, "confirmed");
             let fields = json!({"upstream": &*id, "from": &*from});
-            log::line(Level::Warn, "roster", "told", fields);
-            desk.suspect(&id, "told by another, no connection");
+            log::event(Level::Warn, "roster", "told", fields);
+            desk.mark_suspect(&id, "told by another, no connection");
         }
     }
 }
 
 /// Notifies the other boxes, as long as the process runs. What is lost of it is not sent
 /// again: boxes find lost engines by their own streams as well.
-pub async fn tell(desk: Rc<Desk>, peers: Rc<Peers>) {
+pub async fn broadcast(desk: Rc<SharedState>, peers: Rc<Peers>) {
     loop {
-        desk.suspected.notified().await;
-        sleep(GATHER_TIME).await;
+        desk.suspect_notify.notified().await;
+        sleep(BATCH_DELAY).await;
         loop {
             let told = desk.suspicions.borrow_mut().take_pending(desk.now());
             if told.is_empty() {
@@ -105,13 +105,13 @@
             let to_all = told.iter().filter(|(_, to)| *to == Audience::All);
             let to_all = to_all.map(|(start, _)| *start).collect();
             let to_below = told.iter().map(|(start, _)| *start).collect();
-            send(&desk, &peers, to_all, desk.listeners()).await;
+            send(&desk, &peers, to_all, desk.report_targets()).await;
             send(&desk, &peers, to_below, desk.leaves()).await;
         }
     }
 }
 
-async fn send(desk: &Desk, peers: &Peers, starts: Vec<InstanceKey>, to: Vec<(BoxId, Peer)>) {
+async fn send(desk: &SharedState, peers: &Peers, starts: Vec<InstanceKey>, to: Vec<(BoxId, Peer)>) {
     if starts.is_empty() || to.is_empty() {
         return;
     }
@@ -125,7 +125,7 @@
 }
 
 /// Whom this box forwards a report to: a hub tells those that do not hear its sender.
-fn audience(desk: &Desk, from: &BoxId) -> Option<Audience> {
+fn audience(desk: &SharedState, from: &BoxId) -> Option<Audience> {
     if desk.role() != Role::Hub {
         return None;
     }
@@ -138,8 +138,8 @@
 }
 
 /// The engines among some starts whose service lets streams in by their class.
-fn find(desk: &Desk, starts: &[InstanceKey]) -> Vec<Reported> {
-    let (now, roster) = (desk.now(), desk.roster.borrow());
+fn find_reported(desk: &SharedState, starts: &[InstanceKey]) -> Vec<ReportedEngine> {
+    let (now, roster) = (desk.now(), desk.registry.borrow());
     let mut services: HashMap<ServiceId, bool> = HashMap::new();
     let mut found = Vec::new();
     for entry in roster.iter() {
@@ -151,9 +151,9 @@
         let service = upstream.service.clone();
         let is_on = services
             .entry(service.clone())
-            .or_insert_with(|| is_on(desk, &service));
+            .or_insert_with(|| sheds_streams(desk, &service));
         if *is_on {
-            found.push(Reported {
+            found.push(ReportedEngine {
                 start,
                 id: upstream.id.clone(),
                 service,
@@ -164,12 +164,15 @@
     found
 }
 
-fn is_on(desk: &Desk, service: &str) -> bool {
+fn sheds_streams(desk: &SharedState, service: &str) -> bool {
     let routing = desk.routing();
     let service = routing.services.get(service);
-    service.is_some_and(|s| gate::is_on(desk, s))
+    service.is_some_and(|s| gate::sheds_streams(desk, s))
 }
 
-fn count(desk: &Desk, result: &str) {
-    desk.metrics.heard.with_label_values(&[result]).inc();
+fn count_result(desk: &SharedState, result: &str) {
+    desk.metrics
+        .reported_suspects
+        .with_label_values(&[result])
+        .inc();
 }
--- a/crates/ashgauged/src/relay/tell.rs
+++ b/crates/ashgauged/src/relay/tell.rs
@@ -15,78 +15,78 @@
 use rand::Rng;
 use tokio::time::sleep;
 
-use super::desk::{Desk, Peer};
+use super::desk::{Peer, SharedState};
 use super::pack;
 use super::peers::Peers;
 use super::{gate, permit, quarantine};
 
 /// Longest time without a word, so that the others know that this box is there.
-const SILENT_MOST: Duration = Duration::from_millis(500);
+const MAX_REPORT_INTERVAL: Duration = Duration::from_millis(500);
 
 /// Tells other boxes, as long as the process runs.
-pub async fn tell(desk: Rc<Desk>, peers: Rc<Peers>) {
+pub async fn broadcast(desk: Rc<SharedState>, peers: Rc<Peers>) {
     let boot = desk.rng().random();
-    let mut teller = Teller {
+    let mut teller = LoadReporter {
         boot,
-        number: 0,
-        near: Told::default(),
-        far: Told::default(),
-        below: HashMap::new(),
+        sequence: 0,
+        local: LastReport::default(),
+        remote: LastReport::default(),
+        leaf_times: HashMap::new(),
         desk,
         peers,
     };
     loop {
-        teller.turn().await;
+        teller.report_once().await;
     }
 }
 
 /// What a box tells, and when it did last.
-struct Teller {
-    desk: Rc<Desk>,
+struct LoadReporter {
+    desk: Rc<SharedState>,
     peers: Rc<Peers>,
     boot: u64,
-    number: u64,
+    sequence: u64,
     /// What boxes of the own data centre were told.
-    near: Told,
+    local: LastReport,
     /// What boxes elsewhere were told.
-    far: Told,
+    remote: LastReport,
     /// When those below were told each of the words for them.
-    below: HashMap<Scope, Duration>,
+    leaf_times: HashMap<Scope, Duration>,
 }
 
-impl Teller {
-    async fn turn(&mut self) {
+impl LoadReporter {
+    async fn report_once(&mut self) {
         let desk = self.desk.clone();
-        let (role, listeners) = (desk.role(), desk.listeners());
-        let here = listeners.iter().filter(|(_, p)| p.near).count();
+        let (role, listeners) = (desk.role(), desk.report_targets());
+        let here = listeners.iter().filter(|(_, p)| p.is_local).count();
         let (near_time, far_time) = role.intervals(here, listeners.len());
         sleep(near_time.min(far_time)).await;
         let now = desk.now();
         let lag = role.remote_interval(listeners.len());
-        desk.lag.set(lag);
-        desk.shares.borrow_mut().expire(now, lag);
+        desk.report_interval.set(lag);
+        desk.fleet_load.borrow_mut().expire(now, lag);
         permit::expire(&desk);
-        let own = own_sum(&desk);
+        let own = own_load(&desk);
         let told = match role {
             Role::Hub => {
                 let hubs = desk.readers.borrow().clone();
                 let is_hub = |id: &str| hubs.ids.iter().any(|hub| **hub == *id);
-                desk.shares
+                desk.fleet_load
                     .borrow()
                     .subtree_sum(own.clone(), is_hub)
                     .truncated()
             }
             _ => own.clone(),
         };
-        self.tell_listeners(now, &listeners, (near_time, far_time), told)
+        self.report_to_peers(now, &listeners, (near_time, far_time), told)
             .await;
         if role == Role::Hub {
-            self.tell_below(now, own).await;
+            self.report_to_leaves(now, own).await;
         }
     }
 
     /// Tells the boxes that are told the same, near ones more often.
-    async fn tell_listeners(
+    async fn report_to_peers(
         &mut self,
         now: Duration,
         listeners: &[(Arc<str>, Peer)],
@@ -94,8 +94,8 @@
         sum: LoadSum,
     ) {
         let limits = self.desk.permits.limits.borrow().rates();
-        let to_near = self.near.is_due(now, near_time, &sum.usage, &limits);
-        let to_far = self.far.is_due(now, far_time, &sum.usage, &limits);
+        let to_near = self.local.is_due(now, near_time, &sum.usage, &limits);
+        let to_far = self.remote.is_due(now, far_time, &sum.usage, &limits);
         for (near, due, time) in [(true, to_near, near_time), (false, to_far, far_time)] {
             if !due {
                 continue;
@@ -105,22 +105,22 @@
                 sum.suspects.clear();
                 sum.slow.clear();
             }
-            let to = listeners.iter().filter(|(_, p)| p.near == near);
+            let to = listeners.iter().filter(|(_, p)| p.is_local == near);
             let to: Vec<&Peer> = to.map(|(_, p)| p).collect();
             self.send(Scope::Own, sum, &to).await;
             self.send_losses(Audience::All, &to).await;
         }
         if to_near {
-            self.near.note(now, &sum.usage, &limits);
+            self.local.update(now, &sum.usage, &limits);
         }
         if to_far {
-            self.far.note(now, &sum.usage, &limits);
+            self.remote.update(now, &sum.usage, &limits);
         }
     }
 
     /// Tells the boxes that hear of the others by this one what all have together.
-    async fn tell_below(&mut self, now: Duration, own: LoadSum) {
-        let told = |scope: &Scope| self.below.get(scope).copied().unwrap_or_default();
+    async fn report_to_leaves(&mut self, now: Duration, own: LoadSum) {
+        let told = |scope: &Scope| self.leaf_times.get(scope).copied().unwrap_or_default();
         let due =
             hub::leaf_scopes().filter(|scope| now >= told(scope) + hub::leaf_interval(*scope));
         let due: Vec<Scope> = due.collect();
@@ -128,14 +128,14 @@
             return;
         }
         let leaves = self.desk.leaves();
-        let parts = Parts::new(&self.desk, own);
+        let parts = LoadTotals::new(&self.desk, own);
         for scope in due {
-            self.below.insert(scope, now);
+            self.leaf_times.insert(scope, now);
             let mut by_place: HashMap<Arc<str>, LoadSum> = HashMap::new();
             for (id, leaf) in &leaves {
-                let part = by_place.entry(leaf.place.clone());
-                let part = part.or_insert_with(|| parts.of(scope, &leaf.place));
-                let part = self.desk.shares.borrow().without(part, id);
+                let part = by_place.entry(leaf.data_centre.clone());
+                let part = part.or_insert_with(|| parts.for_scope(scope, &leaf.data_centre));
+                let part = self.desk.fleet_load.borrow().without(part, id);
                 self.send(scope, part.truncated(), &[leaf]).await;
             }
             if scope == Scope::Remote(0) {
@@ -146,12 +146,12 @@
     }
 
     async fn send(&mut self, scope: Scope, sum: LoadSum, to: &[&Peer]) {
-        self.number += 1;
+        self.sequence += 1;
         let now = self.desk.now();
         let word = LoadReport {
             from: Arc::from(self.desk.settings().id.as_str()),
             boot: self.boot,
-            sequence: self.number,
+            sequence: self.sequence,
             scope,
             boxes: sum.boxes,
             usage: sum.usage,
@@ -176,7 +176,7 @@
 
     /// Tells losses again, as a datagram may have been lost.
     async fn send_losses(&self, audience: Audience, to: &[&Peer]) {
-        let Some(report) = quarantine::report(&self.desk, self.number, audience) else {
+        let Some(report) = quarantine::encode_report(&self.desk, self.sequence, audience) else {
             return;
         };
         for peer in to {
@@ -186,29 +186,29 @@
 }
 
 /// What all boxes have together, by the data centre of the upstreams.
-struct Parts {
-    whole: LoadSum,
-    places: HashMap<UpstreamKey, Arc<str>>,
+struct LoadTotals {
+    total: LoadSum,
+    data_centres: HashMap<UpstreamKey, Arc<str>>,
 }
 
-impl Parts {
-    fn new(desk: &Desk, own: LoadSum) -> Self {
-        let roster = desk.roster.borrow();
+impl LoadTotals {
+    fn new(desk: &SharedState, own: LoadSum) -> Self {
+        let roster = desk.registry.borrow();
         let places = roster.iter().map(|e| &e.upstream);
         let places = places.map(|u| (share::upstream_key(&u.id), u.data_centre.clone()));
-        Parts {
-            whole: desk.shares.borrow().fleet_sum(own),
-            places: places.collect(),
+        LoadTotals {
+            total: desk.fleet_load.borrow().fleet_sum(own),
+            data_centres: places.collect(),
         }
     }
 
     /// What is told to a box in a data centre.
-    fn of(&self, scope: Scope, place: &str) -> LoadSum {
+    fn for_scope(&self, scope: Scope, place: &str) -> LoadSum {
         let is_told = |key| {
-            let other = self.places.get(&key);
+            let other = self.data_centres.get(&key);
             other.is_some_and(|other| hub::is_in_scope(scope, key, **other == *place))
         };
-        let mut part = self.whole.filtered(is_told);
+        let mut part = self.total.filtered(is_told);
         if scope != Scope::Local {
             part.suspects.clear();
             part.slow.clear();
@@ -219,13 +219,13 @@
 
 /// What some boxes were told last, and when.
 #[derive(Default)]
-struct Told {
+struct LastReport {
     uses: UsageList,
     limits: LimitRates,
     at: Duration,
 }
 
-impl Told {
+impl LastReport {
     /// Whether they are to be told again: after `time` if something changed.
     fn is_due(
         &self,
@@ -236,10 +236,10 @@
     ) -> bool {
         let age = now.saturating_sub(self.at);
         let news = self.uses != uses || self.limits != *limits;
-        age >= time.max(SILENT_MOST) || (news && age >= time)
+        age >= time.max(MAX_REPORT_INTERVAL) || (news && age >= time)
     }
 
-    fn note(&mut self, now: Duration, uses: &[(UpstreamKey, Usage)], limits: &LimitRates) {
+    fn update(&mut self, now: Duration, uses: &[(UpstreamKey, Usage)], limits: &LimitRates) {
         self.uses = uses.to_vec();
         self.limits = limits.clone();
         self.at = now;
@@ -247,8 +247,8 @@
 }
 
 /// What this box has on the upstreams that it uses.
-fn own_sum(desk: &Desk) -> LoadSum {
-    let (roster, now) = (desk.roster.borrow(), desk.now());
+fn own_load(desk: &SharedState) -> LoadSum {
+    let (roster, now) = (desk.registry.borrow(), desk.now());
     let uses = roster.iter().map(|e| (e, e.usage(now)));
     let uses = uses.filter(|(_, used)| *used != Usage::default());
     let mut uses: UsageList = uses
@@ -262,7 +262,7 @@
         suspects: suspects
             .map(|e| share::upstream_key(&e.upstream.id))
             .collect(),
-        flows: desk.gates.flows(now),
-        slow: roster.slow_upstreams(now, |service| gate::is_shed(desk, service)),
+        flows: desk.admissions.own_traffic(now),
+        slow: roster.slow_upstreams(now, |service| gate::is_shedding_enabled(desk, service)),
     }
 }
--- a/crates/ashgauged/src/relay/turn.rs
+++ b/crates/ashgauged/src/relay/turn.rs
@@ -9,68 +9,68 @@
 use serde_json::json;
 use tokio::time::sleep;
 
-use super::desk::Desk;
-use super::request::Admitted;
+use super::desk::SharedState;
+use super::request::AdmittedRequest;
 
 /// Longest wait for room. A request that would wait longer is refused at once
 /// and comes back when there may be room.
-const WAIT_MOST: Duration = Duration::from_millis(400);
+const MAX_WAIT: Duration = Duration::from_millis(400);
 
 /// The same for a request that comes back: most callers ask twice only, so
 /// another refusal is the last word. Callers leave after two seconds.
-const WAIT_BACK: Duration = Duration::from_millis(1200);
+const MAX_RETRY_WAIT: Duration = Duration::from_millis(1200);
 
 /// Part of the expected wait that must fit: the expectation is rough, and one
 /// that is refused may have been let in.
-const WAIT_SURE: f64 = 0.5;
+const MIN_WAIT_SHARE: f64 = 0.5;
 
 /// Time between two looks of the request that is next; some five requests end
 /// meanwhile over the users' fleets.
-const LOOK_EVERY: Duration = Duration::from_millis(20);
+const POLL_INTERVAL: Duration = Duration::from_millis(20);
 
 /// A request that is to be let in; leaves the line when it is dropped.
-pub struct Turn {
-    desk: Rc<Desk>,
+pub struct CapacityWait {
+    desk: Rc<SharedState>,
     service: ServiceId,
     ticket: Option<Ticket>,
     /// Whether it is made for the first time.
-    first: bool,
-    until: Duration,
+    is_first: bool,
+    deadline: Duration,
 }
 
-impl Turn {
+impl CapacityWait {
     /// A request that does not wait yet.
-    pub fn new(desk: &Rc<Desk>, a: &Admitted) -> Self {
-        let first = !a.is_back();
-        let most = if first { WAIT_MOST } else { WAIT_BACK };
-        Turn {
+    pub fn new(desk: &Rc<SharedState>, a: &AdmittedRequest) -> Self {
+        let first = !a.may_be_retry();
+        let most = if first { MAX_WAIT } else { MAX_RETRY_WAIT };
+        CapacityWait {
             desk: desk.clone(),
             service: a.service.name.clone(),
             ticket: None,
-            first,
-            until: desk.now() + most,
+            is_first: first,
+            deadline: desk.now() + most,
         }
     }
 
     /// Puts the request into the line, if it is not there, as no chain has room.
-    pub fn join(&mut self, a: &Admitted) {
+    pub fn wait_for_capacity(&mut self, a: &AdmittedRequest) {
         if self.ticket.is_none() {
             let fields = json!({
                 "full": self.desk.count_full(&a.service),
-                "limit": self.desk.line(&self.service, |l| l.fill_limit()),
-                "boxes_heard": self.desk.shares.borrow().boxes(),
+                "limit": self.desk.with_queue(&self.service, |l| l.fill_limit()),
+                "boxes_heard": self.desk.fleet_load.borrow().boxes(),
             });
-            a.record.step("waits for room", fields);
+            a.record.log_step("waits for room", fields);
         }
-        self.enter(a);
+        self.enqueue(a);
     }
 
-    fn enter(&mut self, a: &Admitted) {
+    fn enqueue(&mut self, a: &AdmittedRequest) {
         if self.ticket.is_none() {
             let team = a.team.as_ref().map_or("", |t| t.name.as_str());
             let rank = a.rank(&self.desk);
-            let ticket = self.desk.line(&self.service, |l| {
-                l.enqueue(rank, self.first, &Arc::from(team))
+            let ticket = self.desk.with_queue(&self.service, |l| {
+                l.enqueue(rank, self.is_first, &Arc::from(team))
             });
             self.ticket = Some(ticket);
         }
@@ -78,21 +78,21 @@
 
     /// Waits until the request may look for a chain; returns false if it would
     /// take too long.
-    pub async fn wait(&mut self, a: &Admitted) -> bool {
+    pub async fn wait(&mut self, a: &AdmittedRequest) -> bool {
         let rank = a.rank(&self.desk);
         let line_ahead = |l: &mut AdmissionQueue| l.ahead_of_new(rank);
-        if self.ticket.is_none() && self.desk.line(&self.service, line_ahead) > 0 {
-            self.enter(a);
+        if self.ticket.is_none() && self.desk.with_queue(&self.service, line_ahead) > 0 {
+            self.enqueue(a);
         }
         let Some(ticket) = &self.ticket else {
             return true;
         };
         loop {
-            let ahead = self.desk.line(&self.service, |l| l.ahead(ticket));
-            if self.takes_too_long(ahead) {
+            let ahead = self.desk.with_queue(&self.service, |l| l.ahead(ticket));
+            if self.exceeds_deadline(ahead) {
                 return false;
             }
-            sleep(LOOK_EVERY).await;
+            sleep(POLL_INTERVAL).await;
             if ahead == 0 {
                 return true;
             }
@@ -100,33 +100,36 @@
     }
 
     /// Whether the request may wait for so long.
-    pub fn has_time(&self, wait: Duration) -> bool {
-        self.desk.now() + wait <= self.until
+    pub fn fits_deadline(&self, wait: Duration) -> bool {
+        self.desk.now() + wait <= self.deadline
     }
 
     /// Whether a request with so many ahead is better refused now.
-    fn takes_too_long(&self, ahead: usize) -> bool {
-        let wait = self.desk.line(&self.service, |l| l.expected_wait(ahead));
+    fn exceeds_deadline(&self, ahead: usize) -> bool {
+        let wait = self
+            .desk
+            .with_queue(&self.service, |l| l.expected_wait(ahead));
         let now = self.desk.now();
-        now >= self.until || now + wait.mul_f64(WAIT_SURE) > self.until
+        now >= self.deadline || now + wait.mul_f64(MIN_WAIT_SHARE) > self.deadline
     }
 
     /// Notes that the request was let in.
-    pub fn let_in(&mut self) {
+    pub fn note_admitted(&mut self) {
         let now = self.desk.now();
-        self.desk.line(&self.service, |l| l.note_admitted(now));
-        self.leave();
+        self.desk
+            .with_queue(&self.service, |l| l.note_admitted(now));
+        self.dequeue();
     }
 
-    fn leave(&mut self) {
+    fn dequeue(&mut self) {
         if let Some(ticket) = self.ticket.take() {
-            self.desk.line(&self.service, |l| l.remove(&ticket));
+            self.desk.with_queue(&self.service, |l| l.remove(&ticket));
         }
     }
 }
 
-impl Drop for Turn {
+impl Drop for CapacityWait {
     fn drop(&mut self) {
-        self.leave();
+        self.dequeue();
     }
 }
