--- a/crates/ashgauge/src/scene.rs
+++ b/crates/ashgauge/src/context.rs
@@ -5,11 +5,11 @@
 
 use rand::Rng;
 
-use crate::entry::UpstreamState;
-use crate::pipes::WanUsage;
-use crate::roster::UpstreamRegistry;
-use crate::shape::RequestSize;
-use crate::share::FleetLoad;
+use crate::load_report::FleetLoad;
+use crate::registry::UpstreamRegistry;
+use crate::request_size::RequestSize;
+use crate::upstream_state::UpstreamState;
+use crate::wan::WanUsage;
 
 /// Costs are spread by this share at random, so that boxes that know the same
 /// do not all choose the same.
--- a/crates/ashgauge/src/cost.rs
+++ b/crates/ashgauge/src/cost.rs
@@ -5,11 +5,11 @@
 use rand::Rng;
 
 use crate::chain::Layer;
-use crate::entry::UpstreamState;
+use crate::context::{EstimatedLoad, SelectionContext};
+use crate::request_size::RequestSize;
 use crate::routing::Model;
-use crate::scene::{EstimatedLoad, SelectionContext};
-use crate::shape::RequestSize;
 use crate::upstream::LayerRange;
+use crate::upstream_state::UpstreamState;
 
 /// Most of an engine's time that it is taken to read prompts: its cost is at most
 /// four times as high for it. What the others have there is known late in a large
--- a/crates/ashgauge/src/forecast.rs
+++ b/crates/ashgauge/src/forecast.rs
@@ -6,10 +6,10 @@
 use std::time::Duration;
 
 use crate::chain::{Layer, Stage};
+use crate::context::{EstimatedLoad, SelectionContext};
 use crate::cost;
-use crate::entry::UpstreamState;
 use crate::routing::Model;
-use crate::scene::{EstimatedLoad, SelectionContext};
+use crate::upstream_state::UpstreamState;
 
 /// Longest time that is forecast: past it no caller waits, and a product of absurd
 /// figures stays a time.
--- a/crates/ashgauge/src/hub.rs
+++ b/crates/ashgauge/src/hub.rs
@@ -8,9 +8,9 @@
 
 use std::time::Duration;
 
+use crate::load_report::{Scope, UpstreamKey, report_intervals};
 use crate::member::BoxId;
 use crate::reader::Readers;
-use crate::share::{Scope, UpstreamKey, report_intervals};
 
 /// Boxes of a fleet in which each tells every other one: a word from far away comes
 /// about twice a second then, as over hubs.
--- a/crates/ashgauge/src/mirror.rs
+++ b/crates/ashgauge/src/mirror.rs
@@ -14,7 +14,7 @@
 
 use serde::{Deserialize, Serialize};
 
-use crate::fresh::RevisionTracker;
+use crate::freshness::RevisionTracker;
 use crate::member::UpstreamId;
 use crate::revision;
 use crate::upstream::Upstream;
--- a/crates/ashgauge/src/node/admit.rs
+++ b/crates/ashgauge/src/node/admit.rs
@@ -3,9 +3,9 @@
 use std::time::Duration;
 
 use super::*;
-use crate::load::DurationEstimate;
 use crate::policy::Target;
 use crate::queue::Job;
+use crate::upstream_stats::DurationEstimate;
 
 /// Time to come back after, when nothing better is known.
 const RETRY_AFTER: Duration = Duration::from_secs(1);
--- a/crates/ashgauge/src/node/call.rs
+++ b/crates/ashgauge/src/node/call.rs
@@ -2,7 +2,7 @@
 
 use std::time::Duration;
 
-use super::flow::upstream_addr;
+use super::pipeline::upstream_addr;
 use super::*;
 use crate::member::UpstreamId;
 
@@ -77,7 +77,7 @@
             self.stats.dropped += 1;
             return;
         };
-        let timing = crate::load::OrderTiming {
+        let timing = crate::upstream_stats::OrderTiming {
             round_trip: self.now - since,
             ran: self.now - since,
             layers: 1,
--- a/crates/ashgauge/src/node/mod.rs
+++ b/crates/ashgauge/src/node/mod.rs
@@ -2,11 +2,11 @@
 
 mod admit;
 mod call;
+mod claims;
 mod dispatch;
-mod fleet;
-mod flow;
-mod held;
-mod keyed;
+mod peers;
+mod pipeline;
+mod quarantined;
 mod recover;
 mod status;
 mod store;
@@ -25,7 +25,6 @@
 use crate::editor::Editor;
 use crate::lease::Lease;
 use crate::limit::TeamLimits;
-use crate::load::{DurationEstimate, UpstreamStatsMap};
 use crate::member::{BoxId, MemberList, Members, UpstreamId};
 use crate::order::Orders;
 use crate::policy::{Policy, Team};
@@ -34,8 +33,9 @@
 use crate::record::{Record, RecordKind};
 use crate::retry::RetryBudget;
 use crate::table::{Table, Version};
+use crate::upstream_stats::{DurationEstimate, UpstreamStatsMap};
 
-use flow::Pipeline;
+use pipeline::Pipeline;
 
 pub use status::{Stats, Status, UpstreamStatus};
 pub use types::*;
--- a/crates/ashgauge/src/node/fleet.rs
+++ b/crates/ashgauge/src/node/peers.rs
@@ -220,7 +220,7 @@
             .orders
             .due_orders(self.now, term, &self.policy.goals, fenced);
         for (upstream, goal) in due {
-            let addr = flow::upstream_addr(&self.members, &upstream);
+            let addr = pipeline::upstream_addr(&self.members, &upstream);
             if addr.is_empty() {
                 continue;
             }
--- a/crates/ashgauge/src/node/flow.rs
+++ b/crates/ashgauge/src/node/pipeline.rs
@@ -4,8 +4,8 @@
 
 use super::*;
 use crate::chain::Stage;
-use crate::load::OrderTiming;
 use crate::member::UpstreamId;
+use crate::upstream_stats::OrderTiming;
 
 /// The stages of one running request.
 pub(super) struct Pipeline {
--- a/crates/ashgauge/src/node/recover.rs
+++ b/crates/ashgauge/src/node/recover.rs
@@ -2,7 +2,7 @@
 
 use std::time::Duration;
 
-use super::flow::{AbandonedStage, upstream_addr};
+use super::pipeline::{AbandonedStage, upstream_addr};
 use super::*;
 use crate::chain::Layer;
 
--- a/crates/ashgauge/src/permit/mod.rs
+++ b/crates/ashgauge/src/permit/mod.rs
@@ -8,13 +8,13 @@
 
 mod grants;
 mod limits;
-mod passed;
 mod schedule;
+mod skipped;
 
 pub use grants::{IssuerRank, PermitBuckets};
 pub use limits::{LimitRates, LimitReport, UpstreamLimits};
-pub use passed::SkippedBoxes;
 pub use schedule::RetrySchedule;
+pub use skipped::SkippedBoxes;
 
 use std::cmp::Reverse;
 use std::time::Duration;
--- a/crates/ashgauge/src/placement.rs
+++ b/crates/ashgauge/src/placement.rs
@@ -12,8 +12,8 @@
 
 use crate::chain::Layer;
 use crate::member::UpstreamId;
-use crate::rate;
 use crate::routing::Model;
+use crate::throughput;
 use crate::upstream::LayerRange;
 
 /// Least and largest share of an engine's memory that weights may take.
@@ -475,7 +475,7 @@
         parts.push((seat.accelerator.as_str(), layers));
         missing -= layers;
         if missing == 0 {
-            rate += rate::chain_throughput(model, &parts);
+            rate += throughput::chain_throughput(model, &parts);
             (parts, missing) = (Vec::new(), model.layers);
         }
     }
--- a/crates/ashgauge/src/asker.rs
+++ b/crates/ashgauge/src/poller.rs
@@ -9,7 +9,7 @@
 use rand::Rng;
 
 use crate::member::BoxId;
-use crate::question::{AnswerBody, QueryId};
+use crate::query::{AnswerBody, QueryId};
 use crate::reader::Backoffs;
 
 /// Questions that may still be answered; answers take milliseconds, and a round
--- a/crates/ashgauge/src/pressure.rs
+++ b/crates/ashgauge/src/pressure.rs
@@ -1,8 +1,8 @@
 //! How near the engines of a service are to what they can do.
 
+use crate::context::{EstimatedLoad, SelectionContext};
 use crate::cost;
 use crate::routing::Model;
-use crate::scene::{EstimatedLoad, SelectionContext};
 use crate::upstream::Upstream;
 
 /// Part by which requests stay longer at full engines where the configuration does not tell
--- a/crates/ashgauge/src/question.rs
+++ b/crates/ashgauge/src/query.rs
@@ -12,11 +12,11 @@
 
 use serde::{Deserialize, Serialize};
 
+use crate::load_report::LoadReport;
 use crate::member::BoxId;
 use crate::mirror::{Revision, Update};
 use crate::permit;
 use crate::quarantine::{InstanceKey, Report};
-use crate::share::LoadReport;
 
 /// Number of a question, chosen at random.
 pub type QueryId = u64;
--- a/crates/ashgauge/src/roster.rs
+++ b/crates/ashgauge/src/registry.rs
@@ -4,11 +4,11 @@
 use std::collections::{HashMap, HashSet};
 use std::time::Duration;
 
-use crate::entry::UpstreamState;
+use crate::load_report::{self, SlowUpstreams, UpstreamKey};
 use crate::member::UpstreamId;
 use crate::notice::{AbsentNotices, UpstreamNotice};
-use crate::share::{self, SlowUpstreams, UpstreamKey};
 use crate::upstream::Upstream;
+use crate::upstream_state::UpstreamState;
 
 /// Factors on an engine's time are told in this part of one.
 const SLOW_FACTOR_SCALE: f64 = 10.0;
@@ -66,7 +66,7 @@
     /// they are used where there is no other way.
     pub fn note_peer_suspects(&mut self, now: Duration, keys: &[UpstreamKey]) {
         for (id, entry) in &mut self.entries {
-            if keys.contains(&share::upstream_key(id)) {
+            if keys.contains(&load_report::upstream_key(id)) {
                 entry.note_peer_suspect(now);
             }
         }
@@ -78,7 +78,7 @@
             return;
         }
         for (id, entry) in &mut self.entries {
-            let key = share::upstream_key(id);
+            let key = load_report::upstream_key(id);
             if let Ok(at) = slow.binary_search_by_key(&key, |(key, _)| *key) {
                 entry.note_peer_slow(now, f64::from(slow[at].1) / SLOW_FACTOR_SCALE);
             }
@@ -92,7 +92,7 @@
         let tenths = |factor: f64| (factor * SLOW_FACTOR_SCALE).min(f64::from(u16::MAX)) as u16;
         let slow = told.filter_map(|e| {
             let factor = e.own_slowness(now)?;
-            Some((share::upstream_key(&e.upstream.id), tenths(factor)))
+            Some((load_report::upstream_key(&e.upstream.id), tenths(factor)))
         });
         let mut slow: SlowUpstreams = slow.collect();
         slow.sort_unstable();
@@ -245,7 +245,7 @@
     /// Notes that an upstream names no limit any more.
     pub fn unblock(&mut self, key: UpstreamKey) {
         for (id, entry) in &mut self.entries {
-            if share::upstream_key(id) == key {
+            if load_report::upstream_key(id) == key {
                 entry.unblock();
             }
         }
--- a/crates/ashgauge/src/choice.rs
+++ b/crates/ashgauge/src/selection.rs
@@ -6,12 +6,12 @@
 use rand::Rng;
 
 use crate::chain::{self, Edge, Layer, Stage};
+use crate::context::{EstimatedLoad, SelectionContext};
 use crate::cost::{self, CostModel};
-use crate::entry::UpstreamState;
 use crate::member::UpstreamId;
 use crate::routing::Model;
-use crate::scene::{EstimatedLoad, SelectionContext};
 use crate::upstream::LayerRange;
+use crate::upstream_state::UpstreamState;
 
 /// Time assumed for an upstream that has not answered yet, in seconds.
 const DEFAULT_LATENCY_SECONDS: f64 = 0.02;
--- a/crates/ashgauge/src/entry.rs
+++ b/crates/ashgauge/src/upstream_state.rs
@@ -2,8 +2,8 @@
 
 use std::time::Duration;
 
+use crate::load_report::Usage;
 use crate::notice::UpstreamNotice;
-use crate::share::Usage;
 use crate::upstream::Upstream;
 
 /// How long an upstream that failed is left out before it is tried again.
--- a/crates/ashgauge/tests/choice.rs
+++ b/crates/ashgauge/tests/choice.rs
@@ -7,13 +7,13 @@
 use std::time::Duration;
 
 use ashgauge::chain::covers;
-use ashgauge::choice::{self, Requirements};
 use ashgauge::cost;
-use ashgauge::pipes::WanUsage;
-use ashgauge::roster::UpstreamRegistry;
+use ashgauge::load_report::{self, FleetLoad, LoadReport, Scope, Usage};
+use ashgauge::registry::UpstreamRegistry;
 use ashgauge::routing::Model;
-use ashgauge::share::{self, FleetLoad, LoadReport, Scope, Usage};
+use ashgauge::selection::{self, Requirements};
 use ashgauge::upstream::LayerRange;
+use ashgauge::wan::WanUsage;
 use engines::{BOXES, model, placed, scene, twins};
 use proptest::prelude::*;
 use rand::SeedableRng;
@@ -30,7 +30,7 @@
 fn no_engine_is_asked_for_more_than_it_has_room_for() {
     let mut model = model();
     model.layers = 10;
-    let all = choice::all_layers(model.layers);
+    let all = selection::all_layers(model.layers);
     let mut roster = UpstreamRegistry::default();
     roster.put(engines::upstream("fast", "a", "large", Some(all), 1));
     roster.put(engines::upstream("slow", "a", "medium", Some(all), 2));
@@ -41,7 +41,7 @@
     for _ in 0..40 {
         let stages = {
             let scene = scene(&roster, &pipes, &shares, &place);
-            choice::select_chain(&scene, &model, all, &[], None, &mut rng)
+            selection::select_chain(&scene, &model, all, &[], None, &mut rng)
         };
         for stage in stages.expect("a chain") {
             roster.begin_request(&stage.upstream, usual(&model, 10));
@@ -62,10 +62,10 @@
     let mut rng = SmallRng::seed_from_u64(2);
     for place in ["a", "b", "c"].map(Arc::from) {
         let scene = scene(&roster, &pipes, &shares, &place);
-        let stages = choice::select_chain(
+        let stages = selection::select_chain(
             &scene,
             &model(),
-            choice::all_layers(80),
+            selection::all_layers(80),
             &[],
             None,
             &mut rng,
@@ -87,10 +87,10 @@
     let (pipes, place) = (WanUsage::default(), Arc::from("a"));
     let mut rng = SmallRng::seed_from_u64(seed);
     let scene = scene(roster, &pipes, shares, &place);
-    let stages = choice::select_chain(
+    let stages = selection::select_chain(
         &scene,
         &model(),
-        choice::all_layers(80),
+        selection::all_layers(80),
         &[],
         None,
         &mut rng,
@@ -138,7 +138,7 @@
         sequence: 1,
         scope: Scope::Own,
         boxes: 1,
-        usage: vec![(share::upstream_key(id), used)],
+        usage: vec![(load_report::upstream_key(id), used)],
         suspects: Vec::new(),
         limits: Vec::new(),
         flows: Default::default(),
@@ -178,7 +178,14 @@
     let chosen = |shares: &FleetLoad| {
         let mut rng = SmallRng::seed_from_u64(4);
         let scene = scene(&roster, &pipes, shares, &place);
-        choice::select_chain(&scene, &model, choice::all_layers(80), &[], need, &mut rng)
+        selection::select_chain(
+            &scene,
+            &model,
+            selection::all_layers(80),
+            &[],
+            need,
+            &mut rng,
+        )
     };
     assert!(chosen(&FleetLoad::default()).is_some());
     let full = Usage {
@@ -195,7 +202,7 @@
         sequence: 1,
         scope: Scope::Own,
         boxes: 1,
-        usage: vec![(share::upstream_key("b2"), full)],
+        usage: vec![(load_report::upstream_key("b2"), full)],
         suspects: Vec::new(),
         limits: Vec::new(),
         flows: Default::default(),
@@ -270,10 +277,10 @@
     let (mut pipes, shares) = (WanUsage::default(), FleetLoad::default());
     let mut rng = SmallRng::seed_from_u64(3);
     let unused = scene(&roster, &pipes, &shares, &place);
-    let stages = choice::select_chain(
+    let stages = selection::select_chain(
         &unused,
         &model(),
-        choice::all_layers(80),
+        selection::all_layers(80),
         &[],
         None,
         &mut rng,
@@ -285,7 +292,14 @@
         }
     }
     let used = scene(&roster, &pipes, &shares, &place);
-    let stages = choice::select_chain(&used, &model(), choice::all_layers(80), &[], None, &mut rng);
+    let stages = selection::select_chain(
+        &used,
+        &model(),
+        selection::all_layers(80),
+        &[],
+        None,
+        &mut rng,
+    );
     assert_eq!(stages, None);
 }
 
@@ -321,7 +335,7 @@
         let avoid = [Arc::from(format!("e{avoided}"))];
         let mut rng = SmallRng::seed_from_u64(seed);
         let scene = scene(&roster, &pipes, &shares, &place);
-        let stages = choice::select_chain(&scene, &model(), choice::all_layers(80), &avoid, None, &mut rng);
+        let stages = selection::select_chain(&scene, &model(), selection::all_layers(80), &avoid, None, &mut rng);
         let held = |layer: u32| {
             roster.iter().any(|e| {
                 e.upstream.id != avoid[0] && e.upstream.layers.is_some_and(|l| l.contains(layer))
@@ -352,17 +366,17 @@
         let (pipes, shares, place) = (WanUsage::default(), FleetLoad::default(), Arc::from("a"));
         let scene = scene(roster, &pipes, &shares, &place);
         let mut rng = SmallRng::seed_from_u64(3);
-        let chain = choice::select_chain(&scene, &model(), whole_half(), &[], None, &mut rng);
+        let chain = selection::select_chain(&scene, &model(), whole_half(), &[], None, &mut rng);
         chain.map(|stages| stages[0].upstream.to_string())
     };
-    roster.note_peer_suspects(now, &[share::upstream_key("b1")]);
+    roster.note_peer_suspects(now, &[load_report::upstream_key("b1")]);
     assert_eq!(chosen(&roster).as_deref(), Some("b2"));
     // No verdict: with both lost by hearsay one of them is tried.
-    roster.note_peer_suspects(now, &[share::upstream_key("b2")]);
+    roster.note_peer_suspects(now, &[load_report::upstream_key("b2")]);
     assert!(chosen(&roster).is_some());
     // What this box hears itself counts for more.
     let mut roster = twins();
-    roster.note_peer_suspects(now, &[share::upstream_key("b1")]);
+    roster.note_peer_suspects(now, &[load_report::upstream_key("b1")]);
     roster.note_activity(now, "b1");
     assert!(!roster.get("b1").is_some_and(|e| e.is_peer_suspect(now)));
     assert!(!roster.get("b2").is_some_and(|e| e.is_peer_suspect(now)));
@@ -383,7 +397,14 @@
     let find = |roster: &UpstreamRegistry| {
         let mut rng = SmallRng::seed_from_u64(1);
         let scene = scene(roster, &pipes, &shares, &place);
-        choice::select_chain(&scene, &model, choice::all_layers(80), &[], need, &mut rng)
+        selection::select_chain(
+            &scene,
+            &model,
+            selection::all_layers(80),
+            &[],
+            need,
+            &mut rng,
+        )
     };
     let slots = (192.0 / (BOXES / 3.0)) as u32;
     for first in ["a1", "a2"] {
@@ -414,7 +435,7 @@
     let mut choose = |roster: &UpstreamRegistry, tried: &[&str]| {
         let scene = scene(roster, &pipes, &shares, &place);
         let tried: Vec<_> = tried.iter().map(|t| (*t).into()).collect();
-        choice::select_upstream(&scene, &tried, &mut rng).map(|id| id.to_string())
+        selection::select_upstream(&scene, &tried, &mut rng).map(|id| id.to_string())
     };
     assert_eq!(choose(&roster, &["first"]).as_deref(), Some("second"));
     // One that may be lost goes before one that the store no longer has.
--- a/crates/ashgauge/tests/choice_closed.rs
+++ b/crates/ashgauge/tests/choice_closed.rs
@@ -5,10 +5,10 @@
 use std::sync::Arc;
 use std::time::Duration;
 
-use ashgauge::choice::{self};
-use ashgauge::pipes::WanUsage;
-use ashgauge::roster::UpstreamRegistry;
-use ashgauge::share::FleetLoad;
+use ashgauge::load_report::FleetLoad;
+use ashgauge::registry::UpstreamRegistry;
+use ashgauge::selection::{self};
+use ashgauge::wan::WanUsage;
 use engines::{model, placed, scene};
 use rand::SeedableRng;
 use rand::rngs::SmallRng;
@@ -19,7 +19,7 @@
 fn no_chain_has_an_engine_at_rest() {
     let (pipes, shares, place) = (WanUsage::default(), FleetLoad::default(), Arc::from("a"));
     let now = scene(&placed(), &pipes, &shares, &place).now;
-    let span = choice::all_layers(80);
+    let span = selection::all_layers(80);
     for seed in 0..20 {
         let mut roster = placed();
         let mut rng = SmallRng::seed_from_u64(seed);
@@ -28,7 +28,7 @@
         let mut chosen = Vec::new();
         loop {
             let scene = scene(&roster, &pipes, &shares, &place);
-            let Some(stages) = choice::select_chain(&scene, &model(), span, &[], None, &mut rng)
+            let Some(stages) = selection::select_chain(&scene, &model(), span, &[], None, &mut rng)
             else {
                 break;
             };
@@ -41,7 +41,7 @@
             rest += Duration::from_secs(1);
         }
         let scene = scene(&roster, &pipes, &shares, &place);
-        let left = choice::backoff_left(&scene, Some(&model()), &mut rng);
+        let left = selection::backoff_left(&scene, Some(&model()), &mut rng);
         assert_eq!(left, Some(Duration::from_secs(10)));
     }
 }
@@ -53,10 +53,11 @@
     let (pipes, shares, place) = (WanUsage::default(), FleetLoad::default(), Arc::from("a"));
     let mut roster = placed();
     let now = scene(&roster, &pipes, &shares, &place).now;
-    let (span, second) = (choice::all_layers(80), Duration::from_secs(1));
+    let (span, second) = (selection::all_layers(80), Duration::from_secs(1));
     let mut rng = SmallRng::seed_from_u64(1);
-    let leads =
-        |e: &ashgauge::entry::UpstreamState| e.upstream.layers.is_some_and(|l| l.first == 0);
+    let leads = |e: &ashgauge::upstream_state::UpstreamState| {
+        e.upstream.layers.is_some_and(|l| l.first == 0)
+    };
     let all: Vec<_> = roster.iter().cloned().collect();
     let behind = all
         .iter()
@@ -65,7 +66,8 @@
     let mut led = 0;
     loop {
         let scene = scene(&roster, &pipes, &shares, &place);
-        let Some(stages) = choice::select_chain(&scene, &model(), span, &[], None, &mut rng) else {
+        let Some(stages) = selection::select_chain(&scene, &model(), span, &[], None, &mut rng)
+        else {
             break;
         };
         led += 1;
@@ -73,7 +75,7 @@
     }
     assert!(led >= 2, "{led}");
     let scene = scene(&roster, &pipes, &shares, &place);
-    let left = choice::backoff_left(&scene, Some(&model()), &mut rng);
+    let left = selection::backoff_left(&scene, Some(&model()), &mut rng);
     assert_eq!(left, Some(second * (10 - led)));
 }
 
@@ -86,7 +88,7 @@
     let second = Duration::from_secs(1);
     let left = |roster: &UpstreamRegistry, rng: &mut SmallRng| {
         let scene = scene(roster, &pipes, &shares, &place);
-        choice::backoff_left(&scene, None, rng)
+        selection::backoff_left(&scene, None, rng)
     };
     assert_eq!(left(&roster, &mut rng), None);
     let now = scene(&roster, &pipes, &shares, &place).now;
@@ -98,7 +100,7 @@
     roster.note_backoff(now, "e2", second * 2);
     assert_eq!(left(&roster, &mut rng), Some(second * 2));
     assert_eq!(
-        choice::select_upstream(&scene(&roster, &pipes, &shares, &place), &[], &mut rng),
+        selection::select_upstream(&scene(&roster, &pipes, &shares, &place), &[], &mut rng),
         None
     );
 }
--- a/crates/ashgauge/tests/common/mod.rs
+++ b/crates/ashgauge/tests/common/mod.rs
@@ -3,7 +3,7 @@
 // Each test uses a part of it.
 #![allow(dead_code)]
 
-use ashgauge::share::{LoadReport, Scope, UsageList};
+use ashgauge::load_report::{LoadReport, Scope, UsageList};
 use proptest::test_runner::{Config, RngSeed};
 use rand::RngCore;
 
--- a/crates/ashgauge/tests/cost.rs
+++ b/crates/ashgauge/tests/cost.rs
@@ -5,13 +5,13 @@
 use std::sync::Arc;
 use std::time::Duration;
 
-use ashgauge::choice;
+use ashgauge::context::SelectionContext;
 use ashgauge::forecast::forecast;
-use ashgauge::pipes::WanUsage;
+use ashgauge::load_report::FleetLoad;
 use ashgauge::placement::plan;
 use ashgauge::routing::Model;
-use ashgauge::scene::SelectionContext;
-use ashgauge::share::FleetLoad;
+use ashgauge::selection;
+use ashgauge::wan::WanUsage;
 use engines::{fleet, model, scene, twins};
 use rand::SeedableRng;
 use rand::rngs::SmallRng;
@@ -51,8 +51,8 @@
                 simultaneous: together,
                 ..scene(&roster, &pipes, &shares, &place)
             };
-            let span = choice::all_layers(model.layers);
-            let stages = choice::select_chain(&scene, &model, span, &[], None, &mut rng);
+            let span = selection::all_layers(model.layers);
+            let stages = selection::select_chain(&scene, &model, span, &[], None, &mut rng);
             let (step, request) = (model.step_time, model.step_per_request);
             let stages = stages.unwrap_or_else(|| panic!("no chain: {step:?}, {request:?}"));
             forecast(&scene, &model, &stages, 0);
--- a/crates/ashgauge/tests/engines/mod.rs
+++ b/crates/ashgauge/tests/engines/mod.rs
@@ -5,13 +5,13 @@
 use std::sync::Arc;
 use std::time::Duration;
 
-use ashgauge::pipes::WanUsage;
+use ashgauge::context::SelectionContext;
+use ashgauge::load_report::FleetLoad;
 use ashgauge::placement::{Assignment, PlacedEngine, plan};
-use ashgauge::roster::UpstreamRegistry;
+use ashgauge::registry::UpstreamRegistry;
 use ashgauge::routing::{Accelerator, Model};
-use ashgauge::scene::SelectionContext;
-use ashgauge::share::FleetLoad;
 use ashgauge::upstream::{LayerRange, Upstream};
+use ashgauge::wan::WanUsage;
 
 /// A model of 80 layers and four kinds of accelerators.
 pub fn model() -> Model {
--- a/crates/ashgauge/tests/fleet/mod.rs
+++ b/crates/ashgauge/tests/fleet/mod.rs
@@ -18,8 +18,8 @@
 use ashgauge::estimate::{Estimator, Observation};
 use ashgauge::hub;
 use ashgauge::level::{self, AdmissionGate, AdmissionLevel};
+use ashgauge::load_report::{self, FleetLoad, LoadReport, LoadSum, Scope, Usage};
 use ashgauge::pressure::Pressure;
-use ashgauge::share::{self, FleetLoad, LoadReport, LoadSum, Scope, Usage};
 use rand::rngs::SmallRng;
 use rand::{Rng, SeedableRng};
 
@@ -378,7 +378,7 @@
         };
         let own = LoadSum {
             boxes: 1,
-            usage: vec![(share::upstream_key(ENGINES), used)],
+            usage: vec![(load_report::upstream_key(ENGINES), used)],
             suspects: Vec::new(),
             flows: self.meter.traffic(now).truncated(),
             slow: Vec::new(),
@@ -435,8 +435,8 @@
 }
 
 /// The number that stands for the engines in words.
-pub fn engines_key() -> share::UpstreamKey {
-    share::upstream_key(ENGINES)
+pub fn engines_key() -> load_report::UpstreamKey {
+    load_report::upstream_key(ENGINES)
 }
 
 /// Mean work of a caller's requests.
@@ -457,7 +457,7 @@
         .for_each(|(_, u)| used.add(u));
     LoadSum {
         boxes: parts.clone().map(|p| p.boxes).sum(),
-        usage: vec![(share::upstream_key(ENGINES), used)],
+        usage: vec![(load_report::upstream_key(ENGINES), used)],
         suspects: Vec::new(),
         flows: Traffic::sum(parts.map(|p| &p.flows)),
         slow: Vec::new(),
--- a/crates/ashgauge/tests/forecast.rs
+++ b/crates/ashgauge/tests/forecast.rs
@@ -7,13 +7,13 @@
 use std::time::Duration;
 
 use ashgauge::chain::Stage;
+use ashgauge::context::SelectionContext;
 use ashgauge::forecast::{Calibration, Forecast, MAX_FORECAST, check_delay, forecast};
-use ashgauge::pipes::WanUsage;
-use ashgauge::roster::UpstreamRegistry;
+use ashgauge::load_report::{FleetLoad, Usage, upstream_key};
+use ashgauge::registry::UpstreamRegistry;
 use ashgauge::routing::{Accelerator, Model};
-use ashgauge::scene::SelectionContext;
-use ashgauge::share::{FleetLoad, Usage, upstream_key};
 use ashgauge::upstream::LayerRange;
+use ashgauge::wan::WanUsage;
 use engines::{model, scene, twins, upstream};
 use proptest::prelude::*;
 
--- a/crates/ashgauge/tests/handoff.rs
+++ b/crates/ashgauge/tests/handoff.rs
@@ -4,7 +4,7 @@
 
 use std::time::Duration;
 
-use ashgauge::handoff::{Attempts, Decision, FailureKind, SendOutcome};
+use ashgauge::attempts::{Attempts, Decision, FailureKind, SendOutcome};
 use ashgauge::retry::{Allowance, SlidingBudget};
 use proptest::prelude::*;
 
--- a/crates/ashgauge/tests/hub.rs
+++ b/crates/ashgauge/tests/hub.rs
@@ -6,10 +6,10 @@
 use std::time::Duration;
 
 use ashgauge::hub::{self, LOCAL_INTERVAL, REMOTE_INTERVAL, Role};
+use ashgauge::load_report::{FleetLoad, LoadReport, LoadSum, Scope, Usage, UsageList};
 use ashgauge::member::BoxId;
-use ashgauge::question::Datagram;
+use ashgauge::query::Datagram;
 use ashgauge::reader::{self, Backoffs, Fleet, Member, Readers};
-use ashgauge::share::{FleetLoad, LoadReport, LoadSum, Scope, Usage, UsageList};
 use proptest::prelude::*;
 use rand::rngs::SmallRng;
 use rand::{Rng, SeedableRng};
--- a/crates/ashgauge/tests/knowledge.rs
+++ b/crates/ashgauge/tests/knowledge.rs
@@ -6,9 +6,9 @@
 use std::time::Duration;
 
 use ashgauge::events::{CompleteEvents, scan_complete};
-use ashgauge::fresh::{Freshness, RevisionTracker};
+use ashgauge::freshness::{Freshness, RevisionTracker};
 use ashgauge::notice::AbsentNotices;
-use ashgauge::roster::UpstreamRegistry;
+use ashgauge::registry::UpstreamRegistry;
 use ashgauge::routing::{Access, ClientLimits, Route, RoutingConfig, Team};
 use ashgauge::upstream::Upstream;
 use engines::upstream;
--- a/crates/ashgauge/tests/limited/mod.rs
+++ b/crates/ashgauge/tests/limited/mod.rs
@@ -4,12 +4,12 @@
 use std::collections::{BinaryHeap, HashMap};
 use std::time::Duration;
 
+use ashgauge::load_report;
 use ashgauge::member::BoxId;
 use ashgauge::permit::{
     Issuer, PermitBuckets, SkippedBoxes, UpstreamLimits, Verdict, choose_issuer, closed_for,
     issuer_order, issuer_rank,
 };
-use ashgauge::share;
 use rand::rngs::SmallRng;
 use rand::{Rng, SeedableRng};
 
@@ -141,7 +141,7 @@
             &names[..]
         };
         World {
-            order: issuer_order(share::upstream_key(ID), all),
+            order: issuer_order(load_report::upstream_key(ID), all),
             nodes: names.iter().map(|_| Node::default()).collect(),
             names,
             run: run.clone(),
@@ -278,7 +278,7 @@
 
     /// Asks for a permit if one is needed, and not the box that was `silent`.
     fn ask(&mut self, n: usize, silent: Option<usize>) {
-        let (now, key) = (at(self.now), share::upstream_key(ID));
+        let (now, key) = (at(self.now), load_report::upstream_key(ID));
         let Some(told) = self.nodes[n]
             .limits
             .report_of(now, key)
@@ -331,7 +331,7 @@
         if !self.reaches(to) || !self.reaches(from) {
             return;
         }
-        let (now, key) = (at(self.now), share::upstream_key(ID));
+        let (now, key) = (at(self.now), load_report::upstream_key(ID));
         if let Some(told) = self.nodes[from].limits.report_of(now, key) {
             self.nodes[to].limits.merge(now, &[told]);
         }
--- a/crates/ashgauge/tests/overload_faults.rs
+++ b/crates/ashgauge/tests/overload_faults.rs
@@ -6,7 +6,7 @@
 
 use ashgauge::class::Class;
 use ashgauge::demand::{self, Demand, DemandSource, TeamSketch, Traffic};
-use ashgauge::share::{LoadSum, Usage};
+use ashgauge::load_report::{LoadSum, Usage};
 use fleet::load::{BEGIN, BOXES, END, GOODPUT_LEAST, RECOVER, burst};
 use fleet::{Fault, SERVICE, World};
 
--- a/crates/ashgauge/tests/placement.rs
+++ b/crates/ashgauge/tests/placement.rs
@@ -4,8 +4,8 @@
 mod engines;
 
 use ashgauge::placement::{PlacedEngine, layer_capacity, layer_coverage, plan};
-use ashgauge::rate::chain_throughput;
 use ashgauge::routing::{Accelerator, Model};
+use ashgauge::throughput::chain_throughput;
 use engines::{apply, fleet, model, seats};
 use proptest::prelude::*;
 
--- a/crates/ashgauge/tests/question.rs
+++ b/crates/ashgauge/tests/question.rs
@@ -4,8 +4,8 @@
 
 use std::time::Duration;
 
-use ashgauge::fresh::Freshness;
-use ashgauge::question::proven_at;
+use ashgauge::freshness::Freshness;
+use ashgauge::query::proven_at;
 use proptest::prelude::*;
 
 const BOXES: usize = 4;
--- a/crates/ashgauge/tests/reader.rs
+++ b/crates/ashgauge/tests/reader.rs
@@ -4,9 +4,9 @@
 
 use std::time::Duration;
 
-use ashgauge::asker::{PollAction, PollFailure, PollTiming, Poller};
 use ashgauge::member::BoxId;
-use ashgauge::question::AnswerBody;
+use ashgauge::poller::{PollAction, PollFailure, PollTiming, Poller};
+use ashgauge::query::AnswerBody;
 use ashgauge::reader::{Backoffs, Fleet, Member, Readers, reader_count};
 use proptest::prelude::*;
 use rand::SeedableRng;
--- a/crates/ashgauge/tests/reserve.rs
+++ b/crates/ashgauge/tests/reserve.rs
@@ -8,15 +8,15 @@
 use std::time::Duration;
 
 use ashgauge::chain::Stage;
-use ashgauge::choice::{self, RESERVED_SHARE, Requirements};
+use ashgauge::context::SelectionContext;
 use ashgauge::cost;
+use ashgauge::load_report::{self, FleetLoad, LoadReport, Usage, UsageList};
 use ashgauge::member::UpstreamId;
-use ashgauge::pipes::WanUsage;
 use ashgauge::placement::plan;
-use ashgauge::roster::UpstreamRegistry;
+use ashgauge::registry::UpstreamRegistry;
 use ashgauge::routing::{Accelerator, Model};
-use ashgauge::scene::SelectionContext;
-use ashgauge::share::{self, FleetLoad, LoadReport, Usage, UsageList};
+use ashgauge::selection::{self, RESERVED_SHARE, Requirements};
+use ashgauge::wan::WanUsage;
 use common::Fixed;
 use engines::{BOXES, apply, fleet, model, roster, scene};
 use rand::rngs::SmallRng;
@@ -71,10 +71,10 @@
                 ..need
             });
             let mut draws = Fixed(draw);
-            choice::select_chain(
+            selection::select_chain(
                 &scene,
                 &model(),
-                choice::all_layers(80),
+                selection::all_layers(80),
                 &[],
                 need,
                 &mut draws,
@@ -113,7 +113,7 @@
     model.accelerators.insert("slow".into(), slow);
     let mut roster = UpstreamRegistry::default();
     for (n, (place, card)) in THREE.into_iter().enumerate() {
-        let all = Some(choice::all_layers(model.layers));
+        let all = Some(selection::all_layers(model.layers));
         roster.put(engines::upstream(place, place, card, all, n));
     }
     (model, roster)
@@ -139,14 +139,14 @@
     let mut shares = FleetLoad::default();
     let uses = THREE.iter().enumerate().map(|(n, (id, _))| {
         let entry = roster.get(id).expect("an engine");
-        let room = cost::memory_capacity(&model, entry, choice::all_layers(model.layers));
+        let room = cost::memory_capacity(&model, entry, selection::all_layers(model.layers));
         let used = Usage {
             requests: 1,
             head_requests: (filled.slots[n] * LIMIT * f64::from(entry.upstream.slots)) as u32,
             token_layers: (filled.memory[n] * LIMIT * room) as u32,
             prefill_ms: 0,
         };
-        (share::upstream_key(id), used)
+        (load_report::upstream_key(id), used)
     });
     let now = Duration::from_secs(100);
     assert!(shares.apply(now, word("box-2", now, uses.collect())));
@@ -163,7 +163,14 @@
     });
     let draw = |seed| -> Option<Vec<Stage>> {
         let mut rng = SmallRng::seed_from_u64(seed);
-        choice::select_chain(&scene, &model, choice::all_layers(10), &[], need, &mut rng)
+        selection::select_chain(
+            &scene,
+            &model,
+            selection::all_layers(10),
+            &[],
+            need,
+            &mut rng,
+        )
     };
     let first = draw(0);
     (1..20).for_each(|seed| assert_eq!(draw(seed), first));
@@ -287,7 +294,8 @@
     /// Requests each second that fill the engines of a data centre up to the limit.
     fn rate(&self) -> f64 {
         let entry = self.boxes[0].1.iter().next().expect("an engine");
-        let room = cost::memory_capacity(&self.model, entry, choice::all_layers(self.model.layers));
+        let room =
+            cost::memory_capacity(&self.model, entry, selection::all_layers(self.model.layers));
         LIMIT * room * EACH as f64 / self.tokens() as f64 / STAY.as_secs_f64()
     }
 
@@ -319,7 +327,7 @@
         for (n, (place, roster, _)) in self.boxes.iter().enumerate() {
             let uses = roster
                 .iter()
-                .map(|e| (share::upstream_key(&e.upstream.id), e.usage(self.now)));
+                .map(|e| (load_report::upstream_key(&e.upstream.id), e.usage(self.now)));
             let word = word(place, self.now, uses.collect());
             self.words.push_back((self.now + AGE, n, word));
         }
@@ -342,8 +350,9 @@
             fill_limit: LIMIT,
             reserved_share: self.reserved,
         });
-        let (model, all) = (&self.model, choice::all_layers(self.model.layers));
-        let Some(chain) = choice::select_chain(&scene, model, all, &[], need, &mut self.rng) else {
+        let (model, all) = (&self.model, selection::all_layers(self.model.layers));
+        let Some(chain) = selection::select_chain(&scene, model, all, &[], need, &mut self.rng)
+        else {
             served.refused += 1;
             return;
         };
--- a/crates/ashgauge/tests/shape.rs
+++ b/crates/ashgauge/tests/shape.rs
@@ -7,17 +7,17 @@
 use std::time::Duration;
 
 use ashgauge::chain::Stage;
-use ashgauge::choice;
+use ashgauge::context::SelectionContext;
 use ashgauge::cost;
+use ashgauge::load_report::FleetLoad;
 use ashgauge::member::UpstreamId;
-use ashgauge::pipes::WanUsage;
 use ashgauge::placement::plan;
-use ashgauge::roster::UpstreamRegistry;
+use ashgauge::registry::UpstreamRegistry;
+use ashgauge::request_size::RequestSize;
 use ashgauge::routing::{Accelerator, Model};
-use ashgauge::scene::SelectionContext;
-use ashgauge::shape::RequestSize;
-use ashgauge::share::FleetLoad;
+use ashgauge::selection;
 use ashgauge::upstream::LayerRange;
+use ashgauge::wan::WanUsage;
 use common::Fixed;
 use engines::{BOXES, apply, fleet, model, roster, scene};
 use rand::rngs::SmallRng;
@@ -73,10 +73,10 @@
         ..scene(&roster, &pipes, &shares, &place)
     };
     let mut draws = Fixed(rng.random());
-    choice::select_chain(
+    selection::select_chain(
         &scene,
         &model(),
-        choice::all_layers(80),
+        selection::all_layers(80),
         &[],
         None,
         &mut draws,
@@ -137,7 +137,7 @@
             prefill_factor: read_factor,
         };
         model.accelerators.insert(name.into(), card);
-        let all = Some(choice::all_layers(model.layers));
+        let all = Some(selection::all_layers(model.layers));
         roster.put(engines::upstream(name, "a", name, all, n));
     }
     (model, roster)
@@ -146,8 +146,8 @@
 /// The first engine that is chosen.
 fn first(scene: &SelectionContext, model: &Model, seed: u64) -> UpstreamId {
     let mut rng = SmallRng::seed_from_u64(seed);
-    let all = choice::all_layers(model.layers);
-    let chain = choice::select_chain(scene, model, all, &[], None, &mut rng);
+    let all = selection::all_layers(model.layers);
+    let chain = selection::select_chain(scene, model, all, &[], None, &mut rng);
     chain.expect("a chain")[0].upstream.clone()
 }
 
@@ -181,7 +181,7 @@
 #[test]
 fn shapes_count_under_load() {
     let (model, mut roster) = reader_and_writer();
-    let all = choice::all_layers(model.layers);
+    let all = selection::all_layers(model.layers);
     for id in ["reader", "writer"] {
         let room = cost::memory_capacity(&model, roster.get(id).expect("an engine"), all);
         let requests = (12.0 * 3.0 / BOXES) as u32;
@@ -273,7 +273,14 @@
         ..scene(&roster, &pipes, &shares, &place)
     };
     let mut rng = SmallRng::seed_from_u64(seed);
-    let chain = choice::select_chain(&scene, &model, choice::all_layers(10), &[], None, &mut rng);
+    let chain = selection::select_chain(
+        &scene,
+        &model,
+        selection::all_layers(10),
+        &[],
+        None,
+        &mut rng,
+    );
     chain.expect("a chain")[1].upstream.clone()
 }
 
@@ -304,7 +311,7 @@
 #[test]
 fn bad_figures_give_a_bounded_guess() {
     let (mut model, mut roster) = reader_and_writer();
-    let all = Some(choice::all_layers(model.layers));
+    let all = Some(selection::all_layers(model.layers));
     roster.put(engines::upstream("unknown", "a", "no such card", all, 3));
     let usual = RequestSize::typical(&model);
     assert_eq!(RequestSize::clamped(0, 0, &model), usual);
--- a/crates/ashgauge/tests/shape_spread.rs
+++ b/crates/ashgauge/tests/shape_spread.rs
@@ -6,16 +6,16 @@
 use std::sync::Arc;
 use std::time::Duration;
 
-use ashgauge::choice;
+use ashgauge::context::SelectionContext;
 use ashgauge::cost;
-use ashgauge::entry::UpstreamState;
+use ashgauge::load_report::{self, FleetLoad, LoadReport, Scope};
 use ashgauge::member::UpstreamId;
-use ashgauge::pipes::WanUsage;
-use ashgauge::roster::UpstreamRegistry;
+use ashgauge::registry::UpstreamRegistry;
+use ashgauge::request_size::RequestSize;
 use ashgauge::routing::Model;
-use ashgauge::scene::SelectionContext;
-use ashgauge::shape::RequestSize;
-use ashgauge::share::{self, FleetLoad, LoadReport, Scope};
+use ashgauge::selection;
+use ashgauge::upstream_state::UpstreamState;
+use ashgauge::wan::WanUsage;
 use engines::{model, scene};
 use rand::rngs::SmallRng;
 use rand::{Rng, SeedableRng};
@@ -66,7 +66,7 @@
         model.token_mb = 0.02;
         let mut roster = UpstreamRegistry::default();
         for (n, card) in cards.iter().enumerate() {
-            let all = Some(choice::all_layers(model.layers));
+            let all = Some(selection::all_layers(model.layers));
             roster.put(engines::upstream(&n.to_string(), "a", card, all, n));
         }
         World {
@@ -103,8 +103,8 @@
             now: self.now,
             ..scene(roster, &pipes, shares, &place)
         };
-        let (model, all) = (&self.model, choice::all_layers(self.model.layers));
-        let chain = choice::select_chain(&scene, model, all, &[], None, &mut self.rng);
+        let (model, all) = (&self.model, selection::all_layers(self.model.layers));
+        let chain = selection::select_chain(&scene, model, all, &[], None, &mut self.rng);
         let id = chain.expect("a chain")[0].upstream.clone();
         let engine = roster.get(&id).expect("an engine");
         let read = cost::prefill_seconds(&scene, model, engine, all.len(), self.shape.prompt);
@@ -137,7 +137,8 @@
     /// Lets all boxes tell what they have.
     fn tell(&mut self) {
         for (n, (roster, _)) in self.boxes.iter().enumerate() {
-            let used = |e: &UpstreamState| (share::upstream_key(&e.upstream.id), e.usage(self.now));
+            let used =
+                |e: &UpstreamState| (load_report::upstream_key(&e.upstream.id), e.usage(self.now));
             let word = LoadReport {
                 from: format!("box-{n}").into(),
                 boot: 1,
--- a/crates/ashgauge/tests/share.rs
+++ b/crates/ashgauge/tests/share.rs
@@ -5,7 +5,7 @@
 use std::collections::HashMap;
 use std::time::Duration;
 
-use ashgauge::share::{self, FleetLoad, LoadReport, Usage, report_intervals};
+use ashgauge::load_report::{self, FleetLoad, LoadReport, Usage, report_intervals};
 use proptest::prelude::*;
 
 const SECOND: Duration = Duration::from_secs(1);
@@ -22,7 +22,7 @@
         sequence: number,
         ..common::word(
             &format!("box-{from}"),
-            vec![(share::upstream_key("e1"), used)],
+            vec![(load_report::upstream_key("e1"), used)],
         )
     }
 }
@@ -128,7 +128,7 @@
         word.boxes = u32::MAX;
         shares.apply(SECOND, word);
     }
-    let sum = shares.fleet_sum(share::LoadSum::default());
+    let sum = shares.fleet_sum(load_report::LoadSum::default());
     assert_eq!(sum.boxes, u32::MAX);
 }
 
--- a/crates/ashgauge/tests/slow.rs
+++ b/crates/ashgauge/tests/slow.rs
@@ -5,7 +5,7 @@
 
 use std::time::Duration;
 
-use ashgauge::share::{self, FleetLoad, LoadReport, LoadSum};
+use ashgauge::load_report::{self, FleetLoad, LoadReport, LoadSum};
 
 const SECOND: Duration = Duration::from_secs(1);
 
@@ -40,7 +40,7 @@
 #[test]
 fn larger_factor_counts_in_a_sum() {
     let mut shares = FleetLoad::default();
-    let key = share::upstream_key("a1");
+    let key = load_report::upstream_key("a1");
     for (n, factor) in [30, 120].into_iter().enumerate() {
         let word = LoadReport {
             slow: vec![(key, factor)],
--- a/crates/ashgauge/tests/suspension.rs
+++ b/crates/ashgauge/tests/suspension.rs
@@ -2,7 +2,7 @@
 
 use std::time::Duration;
 
-use ashgauge::fresh::Freshness;
+use ashgauge::freshness::Freshness;
 use ashgauge::suspension::SuspensionDetector;
 use proptest::prelude::*;
 
--- a/crates/ashgauge/tests/suspicion.rs
+++ b/crates/ashgauge/tests/suspicion.rs
@@ -3,7 +3,7 @@
 use std::time::Duration;
 
 use ashgauge::quarantine::{Audience, InstanceKey, instance_key};
-use ashgauge::question::Datagram;
+use ashgauge::query::Datagram;
 use ashgauge::suspicion::{
     MAX_CHECKS, MAX_ENTRIES, MAX_SUSPECTS_SENT, MIN_REPEAT_INTERVAL, SuspectReports,
 };
--- a/crates/ashgauge/tests/worst_load.rs
+++ b/crates/ashgauge/tests/worst_load.rs
@@ -8,16 +8,16 @@
 use std::sync::Arc;
 use std::time::Duration;
 
-use ashgauge::choice;
+use ashgauge::context::SelectionContext;
 use ashgauge::cost;
-use ashgauge::entry::UpstreamState;
+use ashgauge::load_report::FleetLoad;
 use ashgauge::member::UpstreamId;
-use ashgauge::pipes::WanUsage;
-use ashgauge::roster::UpstreamRegistry;
+use ashgauge::registry::UpstreamRegistry;
 use ashgauge::routing::Accelerator;
-use ashgauge::scene::SelectionContext;
-use ashgauge::share::FleetLoad;
+use ashgauge::selection;
 use ashgauge::upstream::LayerRange;
+use ashgauge::upstream_state::UpstreamState;
+use ashgauge::wan::WanUsage;
 use engines::{BOXES, model, scene, twins};
 use rand::SeedableRng;
 use rand::rngs::SmallRng;
@@ -70,7 +70,7 @@
         };
         model.accelerators.insert(name.into(), card);
     }
-    let all = choice::all_layers(model.layers);
+    let all = selection::all_layers(model.layers);
     let place: Arc<str> = "a".into();
     let (pipes, shares) = (WanUsage::default(), heard_before());
     let mut taken = [0.0; 4];
@@ -88,7 +88,7 @@
                 local_boxes: 24.0,
                 ..scene(&roster, &pipes, &shares, &place)
             };
-            let chain = choice::select_chain(&scene, &model, all, &[], None, &mut rng).unwrap();
+            let chain = selection::select_chain(&scene, &model, all, &[], None, &mut rng).unwrap();
             let id = chain[0].upstream.clone();
             let (now, entry) = (scene.now, roster.get(&id).unwrap());
             let seconds = cost::prefill_seconds(&scene, &model, entry, all.len(), 900);
@@ -141,7 +141,7 @@
     let mut model = model();
     model.layers = 10;
     model.prefill_rate = 100_000.0;
-    let all = choice::all_layers(model.layers);
+    let all = selection::all_layers(model.layers);
     let mut roster = UpstreamRegistry::default();
     roster.put(engines::upstream("fast", "a", "large", Some(all), 1));
     for n in 0..4 {
@@ -154,7 +154,7 @@
     for _ in 0..(180.0 / neighbours) as usize {
         let scene = scene(&roster, &pipes, &shares, &place);
         let stages =
-            choice::select_chain(&scene, &model, all, &[], None, &mut rng).expect("a chain");
+            selection::select_chain(&scene, &model, all, &[], None, &mut rng).expect("a chain");
         roster.begin_request(&stages[0].upstream, 100 * 10);
     }
     let fast = roster.get("fast").expect("an engine");
@@ -186,11 +186,11 @@
     (0..40).for_each(|_| roster.begin_request("a2", 100));
     let (pipes, shares, place) = (WanUsage::default(), FleetLoad::default(), Arc::from("a"));
     let scene = scene(&roster, &pipes, &shares, &place);
-    let all = choice::all_layers(model.layers);
+    let all = selection::all_layers(model.layers);
     for seed in 0..20 {
         let mut rng = SmallRng::seed_from_u64(seed);
         let chain =
-            choice::select_chain(&scene, &model, all, &[], None, &mut rng).expect("a chain");
+            selection::select_chain(&scene, &model, all, &[], None, &mut rng).expect("a chain");
         assert_eq!(&*chain[1].upstream, "a2");
     }
 }
@@ -218,8 +218,8 @@
     let (pipes, shares, place) = (WanUsage::default(), FleetLoad::default(), Arc::from("a"));
     let scene = scene(&roster, &pipes, &shares, &place);
     let mut rng = SmallRng::seed_from_u64(seed);
-    let all = choice::all_layers(model.layers);
-    let chain = choice::select_chain(&scene, &model, all, &[], None, &mut rng);
+    let all = selection::all_layers(model.layers);
+    let chain = selection::select_chain(&scene, &model, all, &[], None, &mut rng);
     chain.expect("a chain")[0].upstream.clone()
 }
 
@@ -245,7 +245,7 @@
     let (pipes, shares, place) = (WanUsage::default(), FleetLoad::default(), Arc::from("a"));
     let filled = |roster: &UpstreamRegistry| {
         let scene = scene(roster, &pipes, &shares, &place);
-        choice::local_utilization(&scene, &model)
+        selection::local_utilization(&scene, &model)
     };
     assert_eq!(filled(&roster), 0.0);
     let near: f64 = {
--- a/crates/ashgauged/src/main.rs
+++ b/crates/ashgauged/src/main.rs
@@ -1,9 +1,9 @@
 //! `ashgauged`: the ashgauge daemon. One box of the fleet.
 
 mod actor;
+mod handle;
 mod io;
 mod metrics;
-mod ports;
 mod relay;
 mod settings;
 mod timeline;
@@ -21,7 +21,7 @@
 use tokio::sync::watch;
 
 use crate::actor::{Msg, NodeActor, NodeArgs};
-use crate::ports::NodeHandle;
+use crate::handle::NodeHandle;
 use crate::settings::Settings;
 use crate::timeline::Timeline;
 
@@ -86,7 +86,7 @@
     let operator_credential = settings.operator_credential.load("operator_credential")?;
     let peer_credential = settings.peer_credential.load("peer_credential")?;
     let timeline = Arc::new(Timeline::new(&settings)?);
-    let (mailbox, gate) = ports::peer_inbox();
+    let (mailbox, gate) = handle::peer_inbox();
     let taker = gate.clone();
     let take = move |envelope| taker.deliver(envelope);
     let served = peer::serve(&settings.peer, &peer_credential, take).await;
@@ -148,16 +148,16 @@
 
 /// Waits for the signal, then until the node is drained or the bound is over.
 async fn drain_on_stop(node: &ractor::ActorRef<Msg>, bound: Duration) {
-    ports::wait_for_signal(node).await;
+    handle::wait_for_signal(node).await;
     info!("box: draining");
     let _ = node.cast(Msg::Event(ashgauge::Event::Drain));
     let drained = async {
-        while !ports::is_drained(node).await {
+        while !handle::is_drained(node).await {
             tokio::time::sleep(Duration::from_millis(20)).await;
         }
     };
     if tokio::time::timeout(bound, drained).await.is_err() {
-        let cut = ports::inflight(node).await;
+        let cut = handle::inflight(node).await;
         warn!("box: stopped hard, {cut} requests cut");
     }
 }
--- a/crates/ashgauged/src/relay/body.rs
+++ b/crates/ashgauged/src/relay/body.rs
@@ -8,7 +8,7 @@
 use hyper::StatusCode;
 use hyper::body::{Body as HttpBody, Incoming};
 
-use super::desk::SharedState;
+use super::shared_state::SharedState;
 
 /// For a request's body to come; those of today's callers come at once.
 const BODY_TIMEOUT: Duration = Duration::from_secs(5);
--- a/crates/ashgauged/src/relay/turn.rs
+++ b/crates/ashgauged/src/relay/capacity_wait.rs
@@ -9,8 +9,8 @@
 use serde_json::json;
 use tokio::time::sleep;
 
-use super::desk::SharedState;
 use super::request::AdmittedRequest;
+use super::shared_state::SharedState;
 
 /// Longest wait for room. A request that would wait longer is refused at once
 /// and comes back when there may be room.
--- a/crates/ashgauged/src/relay/clock.rs
+++ b/crates/ashgauged/src/relay/clock.rs
@@ -12,8 +12,8 @@
 use spdlog::Level;
 use tokio::time::sleep;
 
-use super::desk::SharedState;
 use super::log;
+use super::shared_state::SharedState;
 
 /// Time between two looks at the clocks: a request whose time was up meanwhile gets its
 /// last answer that much later, at four wake-ups a second.
--- a/crates/ashgauged/src/relay/pump/mod.rs
+++ b/crates/ashgauged/src/relay/event_forwarder/mod.rs
@@ -1,12 +1,12 @@
 //! Copies a stream's events to its caller; [`mend`] repairs the stream.
 
-mod mend;
+mod repair;
 
 use std::rc::Rc;
 use std::time::Duration;
 
+use ashgauge::attempts::Attempts;
 use ashgauge::events;
-use ashgauge::handoff::Attempts;
 use ashgauge::member::UpstreamId;
 use ashgauge::quarantine::is_safe_run;
 use ashgauge::routing::StreamPolicy;
@@ -16,12 +16,12 @@
 use tokio::sync::{mpsc, watch};
 use tokio::time::sleep_until;
 
-use super::desk::SharedState;
 use super::forecast;
 use super::open::{MAX_SILENCE, Run};
-use super::pieces::StreamBody;
 use super::request::AdmittedRequest;
 use super::serve::AbortedBody;
+use super::shared_state::SharedState;
+use super::stream_body::StreamBody;
 
 /// Pieces that may wait for a slow caller.
 const MAX_QUEUED_CHUNKS: usize = 64;
--- a/crates/ashgauged/src/relay/pump/mend.rs
+++ b/crates/ashgauged/src/relay/event_forwarder/repair.rs
@@ -3,14 +3,14 @@
 
 use std::time::Duration;
 
+use ashgauge::attempts::{Decision, SendOutcome};
 use ashgauge::chain::{self, Stage};
-use ashgauge::entry::UpstreamState;
-use ashgauge::handoff::{Decision, SendOutcome};
 use ashgauge::member::UpstreamId;
 use ashgauge::progress::Progress;
 use ashgauge::routing::Model;
 use ashgauge::slack::Slack;
 use ashgauge::upstream::LayerRange;
+use ashgauge::upstream_state::UpstreamState;
 use platform::engine::{self, OrderReply};
 use serde_json::json;
 use tokio::time::sleep;
--- a/crates/ashgauged/src/relay/fetch.rs
+++ b/crates/ashgauged/src/relay/fetch.rs
@@ -1,6 +1,6 @@
 //! Connections over which other boxes fetch answers that are too large for a datagram.
 
-use ashgauge::question::{Answer, Query};
+use ashgauge::query::{Answer, Query};
 use ashgauge::reader::MAX_READER_BOXES;
 use http::Limits;
 use hyper::{Response, StatusCode};
--- a/crates/ashgauged/src/relay/follow/mod.rs
+++ b/crates/ashgauged/src/relay/follow/mod.rs
@@ -4,9 +4,9 @@
 //! ([`ask`]). Either way what is learned comes in here. The store may come back from a
 //! copy of an earlier state ([`returns`]).
 
-mod ask;
-mod prove;
-mod returns;
+mod poll;
+mod revision_check;
+mod store_restore;
 mod watch;
 
 use std::cell::{Cell, RefCell};
@@ -14,9 +14,9 @@
 use std::sync::Arc;
 use std::time::Duration;
 
-use ashgauge::asker::Poller;
 use ashgauge::member::UpstreamId;
 use ashgauge::mirror::{Change, ChangeKind, Revision};
+use ashgauge::poller::Poller;
 use ashgauge::revision;
 use ashgauge::upstream::Upstream;
 use platform::{StoreError, config, servers};
@@ -24,9 +24,9 @@
 use spdlog::Level;
 use tokio::sync::{Notify, mpsc};
 
-use super::desk::SharedState;
 use super::peers::{PeerMessage, Peers};
-use super::{census, log, quarantine};
+use super::shared_state::SharedState;
+use super::{log, membership, quarantine};
 
 /// How long after the store's return entries may be missing though their
 /// upstreams live; the users' figure.
@@ -60,7 +60,7 @@
     /// When a call to the store last failed, while it is away.
     failed_at: Cell<Option<Duration>>,
     /// What is not sure since the store came back from a copy.
-    restore: returns::RestoreState,
+    restore: store_restore::RestoreState,
     /// When the store last came back.
     returned_at: Cell<Option<Duration>>,
     /// Ends the watches, which may hang on dead connections, and begins them
@@ -88,7 +88,7 @@
             chosen_at: Cell::new(Duration::ZERO),
             refresh_at: Cell::new(Duration::ZERO),
             failed_at: Cell::new(None),
-            restore: returns::RestoreState::default(),
+            restore: store_restore::RestoreState::default(),
             returned_at: Cell::new(None),
             restart: Notify::new(),
             check_now: Notify::new(),
@@ -97,8 +97,8 @@
         tokio::task::spawn_local(follower.clone().confirm_loop());
         tokio::task::spawn_local(follower.clone().follow_config());
         tokio::task::spawn_local(follower.clone().follow_upstreams());
-        tokio::task::spawn_local(census::follow_members(follower.desk.clone()));
-        tokio::task::spawn_local(census::reannounce(follower.desk.clone()));
+        tokio::task::spawn_local(membership::follow_members(follower.desk.clone()));
+        tokio::task::spawn_local(membership::reannounce(follower.desk.clone()));
         tokio::task::spawn_local(quarantine::restore_held(follower.desk.clone()));
         tokio::task::spawn_local(follower.clone().follow_suspensions());
         tokio::task::spawn_local(follower.clone().follow_restores());
--- a/crates/ashgauged/src/relay/follow/ask.rs
+++ b/crates/ashgauged/src/relay/follow/poll.rs
@@ -3,11 +3,11 @@
 use std::rc::Rc;
 use std::time::Duration;
 
-use ashgauge::asker::{PollAction, PollFailure, PollTiming};
 use ashgauge::hub::{self, Role};
 use ashgauge::member::BoxId;
 use ashgauge::mirror::ChangeKind;
-use ashgauge::question::{Answer, AnswerBody, FetchToken, Query, proven_at};
+use ashgauge::poller::{PollAction, PollFailure, PollTiming};
+use ashgauge::query::{Answer, AnswerBody, FetchToken, Query, proven_at};
 use ashgauge::reader::{self, Backoffs, Fleet, Member, Readers};
 use ashgauge::revision;
 use platform::config::Config;
@@ -18,7 +18,7 @@
 use tokio::time::sleep;
 
 use super::super::peers::{PeerMessage, Peers};
-use super::super::{census, log, quarantine};
+use super::super::{log, membership, quarantine};
 use super::{StoreFollower, log_skipped};
 
 /// Time between two looks before the other boxes are known.
@@ -115,7 +115,7 @@
             return desk.readers.borrow().clone();
         }
         self.chosen_at.set(now);
-        let (me, fleet) = census::known_fleet(desk);
+        let (me, fleet) = membership::known_fleet(desk);
         *desk.permits.givers.borrow_mut() = Rc::new(givers(&me, &fleet, now));
         let readers = reader::choose(&me, &fleet, &self.asker.borrow().backoffs, now);
         *desk.readers.borrow_mut() = Rc::new(readers);
@@ -128,7 +128,7 @@
         if now >= self.refresh_at.get() {
             self.refresh_at
                 .set(now + self.random_delay(DIRECT_READ_INTERVAL));
-            tokio::task::spawn_local(census::refresh(self.desk.clone()));
+            tokio::task::spawn_local(membership::refresh(self.desk.clone()));
         }
     }
 
@@ -155,7 +155,7 @@
         if reads {
             tokio::task::spawn_local(quarantine::load_held(desk.clone()));
             // It answers only boxes that it knows.
-            tokio::task::spawn_local(census::refresh(desk.clone()));
+            tokio::task::spawn_local(membership::refresh(desk.clone()));
         }
         log::event(
             Level::Info,
--- a/crates/ashgauged/src/relay/follow/prove.rs
+++ b/crates/ashgauged/src/relay/follow/revision_check.rs
@@ -10,7 +10,7 @@
 use spdlog::Level;
 use tokio::time::{sleep, timeout};
 
-use super::super::{census, log, place, quarantine};
+use super::super::{log, membership, placer, quarantine};
 use super::StoreFollower;
 
 /// First pause after a call that failed; doubled up to [`PAUSE_MOST`].
@@ -139,11 +139,11 @@
         if self.is_recent() {
             return false;
         }
-        self.note_revisions(place::round_revisions(&self.desk).await);
+        self.note_revisions(placer::round_revisions(&self.desk).await);
         if self.desk.mirror.borrow().covers(at) {
             return true;
         }
-        self.note_revisions(census::announce_revisions(&self.desk).await);
+        self.note_revisions(membership::announce_revisions(&self.desk).await);
         if self.desk.mirror.borrow().covers(at) {
             return true;
         }
--- a/crates/ashgauged/src/relay/follow/watch.rs
+++ b/crates/ashgauged/src/relay/follow/watch.rs
@@ -7,7 +7,7 @@
 use platform::{StoreError, config, servers};
 use tokio::time::{sleep, timeout};
 
-use super::prove::MIN_RETRY_DELAY;
+use super::revision_check::MIN_RETRY_DELAY;
 use super::{StoreFollower, advance_revision, log_announced, log_skipped, may_log_each};
 
 /// How long watches wait for the store's return before they try by
--- a/crates/ashgauged/src/relay/forecast.rs
+++ b/crates/ashgauged/src/relay/forecast.rs
@@ -8,9 +8,9 @@
 use ashgauge::routing::ServiceId;
 use serde_json::json;
 
-use super::desk::SharedState;
 use super::open::MAX_SILENCE;
 use super::request::AdmittedRequest;
+use super::shared_state::SharedState;
 
 /// What is expected of a stream on its chain.
 #[derive(Clone, Copy)]
--- a/crates/ashgauged/src/relay/forward.rs
+++ b/crates/ashgauged/src/relay/forward.rs
@@ -4,9 +4,9 @@
 use std::sync::Arc;
 use std::time::Duration;
 
+use ashgauge::attempts::{Attempts, Decision, FailureKind, SendOutcome};
 use ashgauge::digest::{self, Digest};
-use ashgauge::fresh::startup_wait;
-use ashgauge::handoff::{Attempts, Decision, FailureKind, SendOutcome};
+use ashgauge::freshness::startup_wait;
 use ashgauge::member::UpstreamId;
 use ashgauge::routing::{Access, Route, Service, Team};
 use bytes::Bytes;
@@ -20,9 +20,7 @@
 use serde_json::json;
 use spdlog::Level;
 
-use super::desk::SharedState;
 use super::dial;
-use super::gate;
 use super::log;
 use super::loss::{self, BrokenRun};
 use super::notice;
@@ -37,6 +35,8 @@
 };
 use super::retry;
 use super::serve::Body;
+use super::shared_state::SharedState;
+use super::shedding;
 use super::stream;
 
 /// Longest answer of a plain service that is held until it is whole.
@@ -91,7 +91,7 @@
         admission: None,
         record,
     };
-    admitted.class = gate::class_of(&desk, &admitted);
+    admitted.class = shedding::class_of(&desk, &admitted);
     admitted.record.class = admitted.class;
     quarantine::await_checks(&desk, digest).await;
     if is_quarantined(&desk, &admitted) {
--- a/crates/ashgauged/src/relay/levels.rs
+++ b/crates/ashgauged/src/relay/levels.rs
@@ -11,8 +11,8 @@
 use serde_json::json;
 use spdlog::Level as Severity;
 
-use super::desk::SharedState;
 use super::log;
+use super::shared_state::SharedState;
 use super::state::ServiceAdmission;
 
 /// Value of the level's gauge where all classes are admitted.
--- a/crates/ashgauged/src/relay/tell.rs
+++ b/crates/ashgauged/src/relay/load_reporter.rs
@@ -8,17 +8,17 @@
 
 use ashgauge::demand::Traffic;
 use ashgauge::hub::{self, Role};
+use ashgauge::load_report::{self, LoadReport, LoadSum, Scope, UpstreamKey, Usage, UsageList};
 use ashgauge::permit::LimitRates;
 use ashgauge::quarantine::Audience;
-use ashgauge::question::Datagram;
-use ashgauge::share::{self, LoadReport, LoadSum, Scope, UpstreamKey, Usage, UsageList};
+use ashgauge::query::Datagram;
 use rand::Rng;
 use tokio::time::sleep;
 
-use super::desk::{Peer, SharedState};
 use super::pack;
 use super::peers::Peers;
-use super::{gate, permit, quarantine};
+use super::shared_state::{Peer, SharedState};
+use super::{permit, quarantine, shedding};
 
 /// Longest time without a word, so that the others know that this box is there.
 const MAX_REPORT_INTERVAL: Duration = Duration::from_millis(500);
@@ -101,7 +101,7 @@
                 continue;
             }
             let mut sum = sum.clone();
-            if !share::includes_suspects(time) {
+            if !load_report::includes_suspects(time) {
                 sum.suspects.clear();
                 sum.slow.clear();
             }
@@ -195,7 +195,7 @@
     fn new(desk: &SharedState, own: LoadSum) -> Self {
         let roster = desk.registry.borrow();
         let places = roster.iter().map(|e| &e.upstream);
-        let places = places.map(|u| (share::upstream_key(&u.id), u.data_centre.clone()));
+        let places = places.map(|u| (load_report::upstream_key(&u.id), u.data_centre.clone()));
         LoadTotals {
             total: desk.fleet_load.borrow().fleet_sum(own),
             data_centres: places.collect(),
@@ -252,7 +252,7 @@
     let uses = roster.iter().map(|e| (e, e.usage(now)));
     let uses = uses.filter(|(_, used)| *used != Usage::default());
     let mut uses: UsageList = uses
-        .map(|(e, used)| (share::upstream_key(&e.upstream.id), used))
+        .map(|(e, used)| (load_report::upstream_key(&e.upstream.id), used))
         .collect();
     uses.sort_unstable_by_key(|(key, _)| *key);
     let suspects = roster.iter().filter(|e| e.is_suspect(now));
@@ -260,9 +260,9 @@
         boxes: 1,
         usage: uses,
         suspects: suspects
-            .map(|e| share::upstream_key(&e.upstream.id))
+            .map(|e| load_report::upstream_key(&e.upstream.id))
             .collect(),
         flows: desk.admissions.own_traffic(now),
-        slow: roster.slow_upstreams(now, |service| gate::is_shedding_enabled(desk, service)),
+        slow: roster.slow_upstreams(now, |service| shedding::is_shedding_enabled(desk, service)),
     }
 }
--- a/crates/ashgauged/src/relay/loss.rs
+++ b/crates/ashgauged/src/relay/loss.rs
@@ -10,8 +10,8 @@
 use spdlog::Level;
 use tokio::time::sleep;
 
-use super::desk::SharedState;
 use super::request::AdmittedRequest;
+use super::shared_state::SharedState;
 use super::{log, probe, quarantine};
 
 /// Pauses before an upstream that was still there is looked at once more. A process that
--- a/crates/ashgauged/src/relay/census.rs
+++ b/crates/ashgauged/src/relay/membership.rs
@@ -18,8 +18,8 @@
 use spdlog::Level;
 use tokio::time::sleep;
 
-use super::desk::{Peer, SharedState};
 use super::log;
+use super::shared_state::{Peer, SharedState};
 
 /// Kind of the objects by which boxes count each other.
 const KIND: &str = "ashgauge-boxes";
--- a/crates/ashgauged/src/relay/mod.rs
+++ b/crates/ashgauged/src/relay/mod.rs
@@ -6,18 +6,19 @@
 //! decisions need no locks.
 
 mod body;
-mod census;
+mod capacity_wait;
 mod clock;
-mod desk;
 mod dial;
+mod event_forwarder;
 mod fetch;
 mod follow;
 mod forecast;
 mod forward;
-mod gate;
 mod levels;
+mod load_reporter;
 mod log;
 mod loss;
+mod membership;
 mod metrics;
 mod notice;
 mod open;
@@ -25,10 +26,8 @@
 mod peers;
 mod permit;
 mod pick;
-mod pieces;
-mod place;
+mod placer;
 mod probe;
-mod pump;
 mod quarantine;
 mod record;
 mod recovery;
@@ -37,12 +36,13 @@
 mod select;
 mod serve;
 mod settings;
+mod shared_state;
+mod shedding;
 mod state;
 mod status;
 mod stream;
+mod stream_body;
 mod suspicion;
-mod tell;
-mod turn;
 
 use std::path::Path;
 use std::rc::Rc;
@@ -56,12 +56,12 @@
 use tokio::task::LocalSet;
 use tokio::time::{Instant, sleep};
 
-use desk::SharedState;
 use follow::StoreFollower;
 use metrics::Metrics;
 use peers::Peers;
-use place::Placer;
+use placer::Placer;
 pub use settings::Settings;
+use shared_state::SharedState;
 
 /// How long callers may still be sent here after the box said that it is not
 /// ready: the balancer asks every second and believes the second no. Requests
@@ -114,14 +114,14 @@
     let desk = Rc::new(SharedState::new(settings, Metrics::new()?));
     let peers = Peers::start(&desk).await?;
     if let Some((peers, _)) = &peers {
-        tokio::task::spawn_local(tell::broadcast(desk.clone(), peers.clone()));
+        tokio::task::spawn_local(load_reporter::broadcast(desk.clone(), peers.clone()));
         tokio::task::spawn_local(quarantine::broadcast(desk.clone(), peers.clone()));
         tokio::task::spawn_local(suspicion::broadcast(desk.clone(), peers.clone()));
     }
     StoreFollower::start(desk.clone(), peers);
     Placer::start(desk.clone());
     tokio::task::spawn_local(clock::watch_suspension(desk.clone()));
-    tokio::task::spawn_local(gate::update_levels(desk.clone()));
+    tokio::task::spawn_local(shedding::update_levels(desk.clone()));
     tokio::task::spawn_local(serve::accept(desk.clone(), callers));
     tokio::task::spawn_local(serve::serve_readiness(desk.clone(), ready));
     if let Some(listener) = metrics {
--- a/crates/ashgauged/src/relay/notice.rs
+++ b/crates/ashgauged/src/relay/notice.rs
@@ -2,13 +2,13 @@
 
 use std::time::Duration;
 
-use ashgauge::share;
+use ashgauge::load_report;
 use hyper::http::response;
 use platform::engine;
 use serde_json::json;
 use spdlog::Level;
 
-use super::desk::SharedState;
+use super::shared_state::SharedState;
 use super::{log, permit};
 
 /// Takes in what the head of an upstream's answer says of it, to a request that went out
@@ -65,7 +65,7 @@
         if rate.is_none() {
             desk.registry
                 .borrow_mut()
-                .unblock(share::upstream_key(upstream));
+                .unblock(load_report::upstream_key(upstream));
         }
         drop(limits);
         permit::update_gauge(desk);
--- a/crates/ashgauged/src/relay/open.rs
+++ b/crates/ashgauged/src/relay/open.rs
@@ -4,8 +4,8 @@
 use std::rc::Rc;
 use std::time::Duration;
 
+use ashgauge::attempts::{Attempts, SendOutcome};
 use ashgauge::chain::Stage;
-use ashgauge::handoff::{Attempts, SendOutcome};
 use ashgauge::member::UpstreamId;
 use ashgauge::silence::next_wait;
 use ashgauge::slack::{self, Slack};
@@ -15,7 +15,6 @@
 use hyper::http::response;
 use platform::engine::{self, Target, Verdict};
 
-use super::desk::SharedState;
 use super::dial::{self, OpenResponse};
 use super::forecast::{self, Estimate};
 use super::loss::SuspectRun;
@@ -24,6 +23,7 @@
 use super::probe::{find_unreachable, query_engines};
 use super::recovery;
 use super::request::{AdmittedRequest, LoadGuard, apply_refusal, failure_outcome, is_authorized};
+use super::shared_state::SharedState;
 
 /// Silence after which a stream whose engines all answer goes on elsewhere;
 /// its caller leaves after two seconds.
--- a/crates/ashgauged/src/relay/peers.rs
+++ b/crates/ashgauged/src/relay/peers.rs
@@ -12,12 +12,12 @@
 use std::time::Duration;
 
 use ashgauge::hub::Role;
+use ashgauge::load_report::LoadReport;
 use ashgauge::member::BoxId;
 use ashgauge::mirror::Revision;
-use ashgauge::question::{Answer, AnswerBody, Datagram, FetchToken, Query};
+use ashgauge::query::{Answer, AnswerBody, Datagram, FetchToken, Query};
 use ashgauge::reader::MAX_READER_BOXES;
 use ashgauge::revision;
-use ashgauge::share::LoadReport;
 use bytes::Bytes;
 use eyre::{Result, WrapErr, eyre};
 use http::Full;
@@ -29,9 +29,9 @@
 use tokio::sync::mpsc;
 use tokio::time::sleep;
 
-use super::desk::{LastQuery, SharedState};
 use super::fetch::{self, ANSWER_PATH, FetchRequest};
-use super::{census, log, pack, permit, quarantine, suspicion};
+use super::shared_state::{LastQuery, SharedState};
+use super::{log, membership, pack, permit, quarantine, suspicion};
 
 /// Largest datagram that is read; a word on 860 engines takes 12 kB.
 const MAX_DATAGRAM_BYTES: usize = 60_000;
@@ -227,7 +227,7 @@
             if result == DatagramResult::Stranger && now >= counted + MIN_REFRESH_INTERVAL {
                 // It may be a box that has just come.
                 counted = now;
-                tokio::task::spawn_local(census::refresh(self.desk.clone()));
+                tokio::task::spawn_local(membership::refresh(self.desk.clone()));
             }
         }
     }
--- a/crates/ashgauged/src/relay/permit.rs
+++ b/crates/ashgauged/src/relay/permit.rs
@@ -4,20 +4,20 @@
 use std::net::SocketAddr;
 use std::time::Duration;
 
+use ashgauge::load_report::{self, UpstreamKey};
 use ashgauge::member::{BoxId, UpstreamId};
 use ashgauge::permit::{
     self, Issuer, IssuerRank, LimitReport, PermitReply, PermitRequest, Verdict,
 };
-use ashgauge::question::Datagram;
+use ashgauge::query::Datagram;
 use ashgauge::routing::{Service, ServiceId};
-use ashgauge::share::{self, UpstreamKey};
 use rand::Rng;
 use serde_json::json;
 use spdlog::Level;
 use tokio::sync::oneshot;
 use tokio::time::timeout;
 
-use super::desk::SharedState;
+use super::shared_state::SharedState;
 use super::{log, pack};
 
 /// For a box's answer. It takes a millisecond or two, and longer on a box that has used up
@@ -29,7 +29,7 @@
 
 /// Takes a permit if the upstream needs one; without one it is left alone for a while.
 pub async fn acquire(desk: &SharedState, id: &UpstreamId) -> bool {
-    let key = share::upstream_key(id);
+    let key = load_report::upstream_key(id);
     let told = desk.permits.limits.borrow().report_of(desk.now(), key);
     let Some(told) = told.filter(|t| t.rate.is_some()) else {
         return true;
@@ -209,7 +209,7 @@
 fn upstream_of(desk: &SharedState, key: UpstreamKey) -> Option<UpstreamId> {
     let roster = desk.registry.borrow();
     let mut all = roster.iter().map(|e| &e.upstream.id);
-    all.find(|id| share::upstream_key(id) == key).cloned()
+    all.find(|id| load_report::upstream_key(id) == key).cloned()
 }
 
 /// Sends one datagram; one that does not get out is taken for lost on its way.
--- a/crates/ashgauged/src/relay/pick.rs
+++ b/crates/ashgauged/src/relay/pick.rs
@@ -2,20 +2,20 @@
 
 use std::time::Duration;
 
+use ashgauge::attempts::Attempts;
 use ashgauge::chain::{self, Stage};
-use ashgauge::choice::{RESERVED_SHARE, Requirements, all_layers as whole_model};
-use ashgauge::handoff::Attempts;
 use ashgauge::member::UpstreamId;
+use ashgauge::request_size::RequestSize;
 use ashgauge::routing::Model;
-use ashgauge::shape::RequestSize;
+use ashgauge::selection::{RESERVED_SHARE, Requirements, all_layers as whole_model};
 use ashgauge::slack::Slack;
 use tokio::time::sleep;
 
-use super::desk::SharedState;
 use super::permit;
 use super::quarantine;
 use super::request::{AdmittedRequest, is_authorized, is_quarantined};
 use super::select::ChainCriteria;
+use super::shared_state::SharedState;
 
 /// Upstreams, or first engines of chains, that are looked at which turn out to take no more;
 /// where the boxes that give permits are silent, each costs as long as two answers may take.
--- a/crates/ashgauged/src/relay/place.rs
+++ b/crates/ashgauged/src/relay/placer.rs
@@ -8,12 +8,12 @@
 use std::rc::Rc;
 use std::time::Duration;
 
-use ashgauge::entry::UpstreamState;
 use ashgauge::pending::{OrderRounds, PendingAssignment, PendingAssignments};
 use ashgauge::placement::{self, Assignment, PlacedEngine};
 use ashgauge::revision::{self, Era};
 use ashgauge::routing::{Model, Service};
 use ashgauge::upstream::LayerRange;
+use ashgauge::upstream_state::UpstreamState;
 use platform::StoreError;
 use platform::engine::{self, OrderReply, ReleaseMode};
 use platform::store::Revision;
@@ -24,8 +24,8 @@
 use tokio::sync::Semaphore;
 use tokio::time::sleep;
 
-use super::desk::SharedState;
 use super::log;
+use super::shared_state::SharedState;
 
 /// Kind of the objects that say which engine is to hold what.
 const KIND: &str = "ashgauge-placements";
--- a/crates/ashgauged/src/relay/probe.rs
+++ b/crates/ashgauged/src/relay/probe.rs
@@ -10,9 +10,9 @@
 use std::time::Duration;
 
 use ashgauge::chain::Stage;
-use ashgauge::entry::UpstreamState;
 use ashgauge::member::UpstreamId;
 use ashgauge::routing::{Service, ServiceId};
+use ashgauge::upstream_state::UpstreamState;
 use platform::engine::{self, Report};
 use rand::Rng;
 use serde_json::json;
@@ -21,10 +21,10 @@
 use tokio::task::JoinSet;
 use tokio::time::timeout;
 
-use super::desk::SharedState;
 use super::request::AdmittedRequest;
+use super::shared_state::SharedState;
 use super::state::probes::{ProbeCache, cached_cell, is_cached};
-use super::{gate, log, notice, recovery};
+use super::{log, notice, recovery, shedding};
 
 /// For a connection to come up; a healthy one takes under 2 ms. A machine without
 /// power answers nothing, so each millisecond here is one more of pause for every
@@ -218,7 +218,7 @@
     let service = entry.upstream.service.clone();
     drop(roster);
     let routing = desk.routing();
-    let is_on = |s: &Arc<Service>| gate::sheds_streams(desk, s);
+    let is_on = |s: &Arc<Service>| shedding::sheds_streams(desk, s);
     let is_on = routing.services.get(&service).is_some_and(is_on);
     is_on && !may_probe(desk, &service, &desk.probes.reachable, id, MAX_PROBE_AGE)
 }
--- a/crates/ashgauged/src/relay/quarantine.rs
+++ b/crates/ashgauged/src/relay/quarantine.rs
@@ -7,7 +7,7 @@
 use ashgauge::digest::{self, Digest};
 use ashgauge::hub::Role;
 use ashgauge::quarantine::{Audience, InstanceLoss, Report};
-use ashgauge::question::Datagram;
+use ashgauge::query::Datagram;
 use platform::StoreError;
 use platform::store::{Object, Revision};
 use serde::{Deserialize, Serialize};
@@ -15,11 +15,11 @@
 use spdlog::Level;
 use tokio::time::sleep;
 
-use super::desk::SharedState;
 use super::follow::log_skipped;
 use super::log;
 use super::pack;
 use super::peers::Peers;
+use super::shared_state::SharedState;
 
 /// Kind of the objects that keep held requests, by digest.
 const KIND: &str = "ashgauge-quarantine";
--- a/crates/ashgauged/src/relay/record.rs
+++ b/crates/ashgauged/src/relay/record.rs
@@ -10,8 +10,8 @@
 use serde_json::json;
 use spdlog::Level;
 
-use super::desk::SharedState;
 use super::log;
+use super::shared_state::SharedState;
 
 /// The line and the figures that a request leaves behind.
 pub struct Record {
--- a/crates/ashgauged/src/relay/recovery.rs
+++ b/crates/ashgauged/src/relay/recovery.rs
@@ -3,7 +3,7 @@
 
 use std::time::Duration;
 
-use ashgauge::handoff::Attempts;
+use ashgauge::attempts::Attempts;
 use ashgauge::member::UpstreamId;
 use ashgauge::recovery::{self, HIGH_PRESSURE, LOW_PRESSURE, RecoveryAction};
 use ashgauge::routing::ServiceId;
@@ -12,10 +12,10 @@
 use spdlog::Level;
 use tokio::time::sleep;
 
-use super::desk::SharedState;
 use super::log;
 use super::pick;
 use super::request::AdmittedRequest;
+use super::shared_state::SharedState;
 
 /// Time between two looks of a stream that waits for its turn; a tenth of the time in
 /// which a first event is due.
--- a/crates/ashgauged/src/relay/request.rs
+++ b/crates/ashgauged/src/relay/request.rs
@@ -6,10 +6,10 @@
 use std::sync::Arc;
 use std::time::Duration;
 
+use ashgauge::attempts::{FailureKind, SendOutcome};
 use ashgauge::chain::Stage;
 use ashgauge::class::Class;
 use ashgauge::digest::Digest;
-use ashgauge::handoff::{FailureKind, SendOutcome};
 use ashgauge::member::UpstreamId;
 use ashgauge::routing::{Access, Route, Service, Team};
 use ashgauge::slack::{self, Slack};
@@ -24,13 +24,13 @@
 use serde_json::json;
 use spdlog::Level;
 
-use super::desk::SharedState;
-use super::gate::Admission;
 use super::log;
 use super::permit;
 use super::probe;
 use super::record::Record;
 use super::serve::Body;
+use super::shared_state::SharedState;
+use super::shedding::Admission;
 
 /// When to come back to a box that does not know its configuration.
 pub const RETRY_AFTER_UNSYNCED: Duration = Duration::from_millis(1000);
--- a/crates/ashgauged/src/relay/retry.rs
+++ b/crates/ashgauged/src/relay/retry.rs
@@ -1,11 +1,11 @@
 //! Whether a request is sent again, and the lines that say why a retry was taken or
 //! refused.
 
-use ashgauge::handoff::{Attempts, Decision, SendOutcome};
+use ashgauge::attempts::{Attempts, Decision, SendOutcome};
 use serde_json::json;
 
-use super::desk::SharedState;
 use super::request::AdmittedRequest;
+use super::shared_state::SharedState;
 
 /// Decides what follows after a send of a request that brought no good answer.
 pub fn next_step(
--- a/crates/ashgauged/src/relay/select.rs
+++ b/crates/ashgauged/src/relay/select.rs
@@ -4,22 +4,22 @@
 use std::time::Duration;
 
 use ashgauge::chain::Stage;
-use ashgauge::choice::{self, Requirements};
+use ashgauge::context::SelectionContext;
 use ashgauge::cost;
 use ashgauge::demand::{self, Demands};
 use ashgauge::forecast::{self, Forecast};
+use ashgauge::load_report::FleetLoad;
 use ashgauge::member::UpstreamId;
-use ashgauge::pipes::WanUsage;
 use ashgauge::pressure::Pressure;
-use ashgauge::roster::UpstreamRegistry;
+use ashgauge::registry::UpstreamRegistry;
+use ashgauge::request_size::RequestSize;
 use ashgauge::routing::{Model, Service};
-use ashgauge::scene::SelectionContext;
-use ashgauge::shape::RequestSize;
-use ashgauge::share::FleetLoad;
+use ashgauge::selection::{self, Requirements};
 use ashgauge::slack::Slack;
 use ashgauge::upstream::LayerRange;
+use ashgauge::wan::WanUsage;
 
-use super::desk::SharedState;
+use super::shared_state::SharedState;
 
 /// Share of the memory near up to which those who come back late choose as streams
 /// of a lost engine do: they come back together, as they were cut together, and by
@@ -48,7 +48,7 @@
         let roster = self.registry.borrow();
         let (pipes, shares) = (self.wan_usage.borrow(), self.fleet_load.borrow());
         let scene = self.selection_context(&roster, &pipes, &shares, service);
-        let id = choice::select_upstream(&scene, tried, &mut *self.rng())?;
+        let id = selection::select_upstream(&scene, tried, &mut *self.rng())?;
         let addr = roster.get(&id)?.upstream.addr.clone();
         Some((id, addr))
     }
@@ -68,7 +68,7 @@
         let scene = self.selection_context(&roster, &pipes, &shares, service);
         let together = match wish.slack {
             Slack::Streaming => true,
-            Slack::Late => choice::local_utilization(&scene, model) < MAX_SIMULTANEOUS_FILL,
+            Slack::Late => selection::local_utilization(&scene, model) < MAX_SIMULTANEOUS_FILL,
             Slack::OnTime => false,
         };
         let scene = SelectionContext {
@@ -76,7 +76,7 @@
             size: wish.size,
             ..scene
         };
-        choice::select_chain(&scene, model, span, avoid, wish.need, &mut *self.rng())
+        selection::select_chain(&scene, model, span, avoid, wish.need, &mut *self.rng())
     }
 
     /// How long until a request of a service can go somewhere, if upstreams that want
@@ -86,7 +86,7 @@
         let (pipes, shares) = (self.wan_usage.borrow(), self.fleet_load.borrow());
         let scene = self.selection_context(&roster, &pipes, &shares, &service.name);
         let model = service.model.as_ref().filter(|m| m.layers > 0);
-        choice::backoff_left(&scene, model, &mut *self.rng())
+        selection::backoff_left(&scene, model, &mut *self.rng())
     }
 
     /// Share of an engine's memory that requests hold, as far as is known.
@@ -96,7 +96,7 @@
         let service = routing.services.get(&entry.upstream.service)?;
         let (pipes, shares) = (self.wan_usage.borrow(), self.fleet_load.borrow());
         let scene = self.selection_context(&roster, &pipes, &shares, &service.name);
-        choice::memory_utilization(&scene, service.model.as_ref()?, entry)
+        selection::memory_utilization(&scene, service.model.as_ref()?, entry)
     }
 
     /// How many of a service's engines are filled up to the share at which they
@@ -110,7 +110,7 @@
         );
         let scene = self.selection_context(&roster, &pipes, &shares, &service.name);
         let model = service.model.as_ref();
-        model.map_or((0, 0), |m| choice::count_full(&scene, m, limit))
+        model.map_or((0, 0), |m| selection::count_full(&scene, m, limit))
     }
 
     /// How near the engines of a service are to what they can do.
--- a/crates/ashgauged/src/relay/serve.rs
+++ b/crates/ashgauged/src/relay/serve.rs
@@ -22,7 +22,7 @@
 use tokio::sync::Notify;
 use tokio::time::{Instant, sleep, sleep_until};
 
-use super::desk::SharedState;
+use super::shared_state::SharedState;
 use super::{forward, levels, log, status};
 
 /// Pause after a connection could not be accepted, which mostly means that
--- a/crates/ashgauged/src/relay/settings.rs
+++ b/crates/ashgauged/src/relay/settings.rs
@@ -4,8 +4,8 @@
 use std::path::Path;
 use std::time::Duration;
 
-use ashgauge::asker::PollTiming;
 use ashgauge::class::Ranks;
+use ashgauge::poller::PollTiming;
 use ashgauge::retry::Allowance;
 use eyre::{Result, WrapErr, bail, eyre};
 use serde::Deserialize;
--- a/crates/ashgauged/src/relay/desk.rs
+++ b/crates/ashgauged/src/relay/shared_state.rs
@@ -13,18 +13,18 @@
 
 use ashgauge::admission::AdmissionQueue;
 use ashgauge::forecast::Calibration;
-use ashgauge::fresh::Freshness;
+use ashgauge::freshness::Freshness;
 use ashgauge::hub::{self, Role};
+use ashgauge::load_report::{self, FleetLoad};
 use ashgauge::member::{BoxId, UpstreamId};
 use ashgauge::mirror::{Mirror, Revision};
-use ashgauge::pipes::WanUsage;
 use ashgauge::quarantine::Quarantine;
 use ashgauge::reader::Readers;
-use ashgauge::roster::UpstreamRegistry;
+use ashgauge::registry::UpstreamRegistry;
+use ashgauge::request_duration::RequestDuration;
 use ashgauge::routing::{RoutingConfig, ServiceId};
-use ashgauge::share::{self, FleetLoad};
-use ashgauge::stay::RequestDuration;
 use ashgauge::suspicion::SuspectReports;
+use ashgauge::wan::WanUsage;
 use http::Client;
 use platform::{StoreClient, StoreError};
 use rand::SeedableRng;
@@ -204,7 +204,7 @@
             durations: RefCell::default(),
             calibrations: RefCell::default(),
             fleet_load: RefCell::default(),
-            report_interval: Cell::new(share::report_intervals(0, 0).1),
+            report_interval: Cell::new(load_report::report_intervals(0, 0).1),
             quarantine: RefCell::default(),
             suspect_runs: RefCell::default(),
             loss_notify: Notify::new(),
--- a/crates/ashgauged/src/relay/gate.rs
+++ b/crates/ashgauged/src/relay/shedding.rs
@@ -14,9 +14,9 @@
 use rand::Rng;
 use tokio::time::sleep;
 
-use super::desk::SharedState;
 use super::levels;
 use super::request::AdmittedRequest;
+use super::shared_state::SharedState;
 use super::state::ServiceAdmission;
 
 /// Time between two reckonings of a level: words of other boxes come no faster.
--- a/crates/ashgauged/src/relay/status.rs
+++ b/crates/ashgauged/src/relay/status.rs
@@ -5,14 +5,14 @@
 
 use ashgauge::digest;
 use ashgauge::hub::Role;
+use ashgauge::load_report;
 use ashgauge::member::BoxId;
 use ashgauge::permit::issuer_order;
 use ashgauge::revision;
-use ashgauge::share;
 use serde::Serialize;
 
-use super::desk::SharedState;
 use super::levels::{self, LevelStatus};
+use super::shared_state::SharedState;
 
 /// What a box knows, and how old it is.
 #[derive(Serialize)]
@@ -135,7 +135,7 @@
     let (roster, permits) = (desk.registry.borrow(), &desk.permits);
     let (limits, grants) = (permits.limits.borrow(), permits.grants.borrow());
     let named = roster.iter().filter_map(|e| {
-        let (id, key) = (&e.upstream.id, share::upstream_key(&e.upstream.id));
+        let (id, key) = (&e.upstream.id, load_report::upstream_key(&e.upstream.id));
         Some(LimitStatus {
             upstream: id.to_string(),
             rate: limits.rate_of(key)?,
--- a/crates/ashgauged/src/relay/stream.rs
+++ b/crates/ashgauged/src/relay/stream.rs
@@ -3,19 +3,18 @@
 
 use std::rc::Rc;
 
-use ashgauge::handoff::{Attempts, Decision, FailureKind, SendOutcome};
+use ashgauge::attempts::{Attempts, Decision, FailureKind, SendOutcome};
 use ashgauge::routing::StreamPolicy;
 use http_body_util::BodyExt;
 use hyper::Response;
 use platform::engine;
 use serde_json::json;
 
-use super::desk::SharedState;
-use super::gate;
+use super::capacity_wait::CapacityWait;
+use super::event_forwarder;
 use super::loss::{self, BrokenRun};
 use super::open::{response_head, start_run};
 use super::pick::{PickError, pick_or_wait, pick_with_permit};
-use super::pump;
 use super::recovery;
 use super::request::{
     AdmittedRequest, finish, note_outcome, refuse_no_capacity, refuse_overload, refuse_quarantined,
@@ -23,7 +22,8 @@
 };
 use super::retry;
 use super::serve::Body;
-use super::turn::CapacityWait;
+use super::shared_state::SharedState;
+use super::shedding;
 
 /// Answers a request whose answer is a stream.
 pub async fn handle_stream(
@@ -32,7 +32,7 @@
     mut handoff: Attempts,
     rule: StreamPolicy,
 ) -> Response<Body> {
-    a.admission = match gate::admit(&desk, &mut a) {
+    a.admission = match shedding::admit(&desk, &mut a) {
         Ok(admission) => admission,
         Err(after) => return refuse_overload(a, after),
     };
@@ -85,7 +85,7 @@
         }
         let is_refused = !may_have_run && failed.outcome == SendOutcome::NotRun;
         if is_refused && !recovery::may_resend(&desk, &a, &handoff, &avoid) {
-            let after = gate::retry_after(&desk, &a);
+            let after = shedding::retry_after(&desk, &a);
             return refuse_overload(a, after);
         }
         let next = retry::next_step(&desk, &a, &mut handoff, failed.outcome);
@@ -110,6 +110,6 @@
     let parts = response_head(&run.exchange);
     *head.status_mut() = parts.status;
     *head.headers_mut() = engine::answer_headers(&parts);
-    let body = pump::start(desk, a, handoff, rule, run);
+    let body = event_forwarder::start(desk, a, handoff, rule, run);
     head.map(|()| body.boxed_unsync())
 }
--- a/crates/ashgauged/src/relay/suspicion.rs
+++ b/crates/ashgauged/src/relay/suspicion.rs
@@ -8,17 +8,17 @@
 use ashgauge::hub::Role;
 use ashgauge::member::{BoxId, UpstreamId};
 use ashgauge::quarantine::{Audience, InstanceKey, instance_key};
-use ashgauge::question::Datagram;
+use ashgauge::query::Datagram;
 use ashgauge::routing::ServiceId;
 use ashgauge::suspicion::MAX_SUSPECTS_SENT;
 use serde_json::json;
 use spdlog::Level;
 use tokio::time::sleep;
 
-use super::desk::{Peer, SharedState};
 use super::peers::Peers;
 use super::probe::{self, ProbeResult};
-use super::{gate, log, pack};
+use super::shared_state::{Peer, SharedState};
+use super::{log, pack, shedding};
 
 /// How long engines are gathered before the others are notified: those that are lost
 /// together are found within milliseconds of each other.
@@ -167,7 +167,7 @@
 fn sheds_streams(desk: &SharedState, service: &str) -> bool {
     let routing = desk.routing();
     let service = routing.services.get(service);
-    service.is_some_and(|s| gate::sheds_streams(desk, s))
+    service.is_some_and(|s| shedding::sheds_streams(desk, s))
 }
 
 fn count_result(desk: &SharedState, result: &str) {
--- a/crates/bench/src/decision.rs
+++ b/crates/bench/src/decision.rs
@@ -4,20 +4,20 @@
 use std::sync::Arc;
 use std::time::{Duration, Instant};
 
-use ashgauge::choice;
 use ashgauge::class::Class;
+use ashgauge::context::SelectionContext;
 use ashgauge::demand::{self, DemandMeter, DemandSource, Traffic};
 use ashgauge::estimate::{Estimator, Observation};
 use ashgauge::level::{self, AdmissionLevel};
-use ashgauge::pipes::WanUsage;
+use ashgauge::load_report::{self, FleetLoad, LoadReport, Scope, Usage, UsageList};
 use ashgauge::placement::{self, PlacedEngine};
 use ashgauge::pressure::{self, Pressure};
-use ashgauge::roster::UpstreamRegistry;
+use ashgauge::registry::UpstreamRegistry;
+use ashgauge::request_size::RequestSize;
 use ashgauge::routing::{Accelerator, Model};
-use ashgauge::scene::SelectionContext;
-use ashgauge::shape::RequestSize;
-use ashgauge::share::{self, FleetLoad, LoadReport, Scope, Usage, UsageList};
+use ashgauge::selection;
 use ashgauge::upstream::Upstream;
+use ashgauge::wan::WanUsage;
 use rand::SeedableRng;
 use rand::rngs::SmallRng;
 
@@ -93,10 +93,13 @@
         size: shape,
         ..scene(&roster, &pipes, &shares, &place)
     };
-    let (all, mut rng) = (choice::all_layers(model.layers), SmallRng::seed_from_u64(1));
+    let (all, mut rng) = (
+        selection::all_layers(model.layers),
+        SmallRng::seed_from_u64(1),
+    );
     let began = Instant::now();
     for _ in 0..CHOICES {
-        black_box(choice::select_chain(
+        black_box(selection::select_chain(
             &scene,
             model,
             all,
@@ -157,7 +160,7 @@
     };
     let mut uses: UsageList = roster
         .iter()
-        .map(|e| (share::upstream_key(&e.upstream.id), busy))
+        .map(|e| (load_report::upstream_key(&e.upstream.id), busy))
         .collect();
     uses.sort_unstable_by_key(|(key, _)| *key);
     LoadReport {
--- a/crates/http/src/lib.rs
+++ b/crates/http/src/lib.rs
@@ -6,11 +6,11 @@
 #![warn(missing_docs)]
 #![forbid(unsafe_code)]
 
-mod after;
 mod client;
+mod headers;
 mod server;
 
-pub use after::retry_after;
 pub use client::{Client, Failure};
+pub use headers::retry_after;
 pub use http_body_util::Full;
 pub use server::{Body, Limits, empty, full, json, read_body, serve};
