--- a/crates/ashgauge/src/context.rs
+++ b/crates/ashgauge/src/context.rs
@@ -81,15 +81,15 @@
 }
 
 impl EstimatedLoad {
-    pub fn estimate(scene: &SelectionContext, entry: &UpstreamState) -> Self {
-        let own = entry.usage(scene.now);
+    pub fn estimate(context: &SelectionContext, entry: &UpstreamState) -> Self {
+        let own = entry.usage(context.now);
         let mut known = own;
-        known.add(&scene.fleet_load.others(&entry.upstream.id));
-        let likes = similar_boxes(scene, entry);
-        let heard = scene.fleet_load.boxes() as f64 + 1.0;
+        known.add(&context.fleet_load.others(&entry.upstream.id));
+        let likes = similar_boxes(context, entry);
+        let heard = context.fleet_load.boxes() as f64 + 1.0;
         let unheard = (likes / heard).max(1.0);
         let told = f64::from(known.prefill_ms) * unheard;
-        let alike = match scene.simultaneous {
+        let alike = match context.simultaneous {
             true => f64::from(own.prefill_ms) * likes,
             false => 0.0,
         };
@@ -103,9 +103,9 @@
 }
 
 /// Boxes that are taken to use an engine as this one does.
-fn similar_boxes(scene: &SelectionContext, entry: &UpstreamState) -> f64 {
-    match entry.upstream.data_centre == *scene.data_centre {
-        true => scene.local_boxes,
-        false => scene.boxes,
+fn similar_boxes(context: &SelectionContext, entry: &UpstreamState) -> f64 {
+    match entry.upstream.data_centre == *context.data_centre {
+        true => context.local_boxes,
+        false => context.boxes,
     }
 }
--- a/crates/ashgauge/src/cost.rs
+++ b/crates/ashgauge/src/cost.rs
@@ -89,11 +89,11 @@
 }
 
 impl<'a> CostModel<'a> {
-    pub(crate) fn new(scene: &'a SelectionContext<'a>, model: &'a Model) -> Self {
-        let spare = local_copies(scene, model) >= SPARE_COPIES;
-        let shape = scene.size.unwrap_or_else(|| RequestSize::typical(model));
+    pub(crate) fn new(context: &'a SelectionContext<'a>, model: &'a Model) -> Self {
+        let spare = local_copies(context, model) >= SPARE_COPIES;
+        let shape = context.size.unwrap_or_else(|| RequestSize::typical(model));
         CostModel {
-            context: scene,
+            context: context,
             model,
             size: shape,
             has_spare: spare,
@@ -109,10 +109,10 @@
         leads: bool,
         rng: &mut impl Rng,
     ) -> (f64, f64) {
-        let scene = self.context;
-        let jitter = scene.jitter(rng);
-        let total = EstimatedLoad::estimate(scene, entry);
-        let slowness = entry.slowness(scene.now);
+        let context = self.context;
+        let jitter = context.jitter(rng);
+        let total = EstimatedLoad::estimate(context, entry);
+        let slowness = entry.slowness(context.now);
         let full = self.utilization(entry, held, leads, &total);
         let fixed = self.fixed_cost(entry, leads, full, &total);
         let power = if self.has_spare {
@@ -128,7 +128,7 @@
             false => 1.0,
         };
         let load = total.requests * there * slowness;
-        if scene.simultaneous {
+        if context.simultaneous {
             let (wait, layer) = self.resume_cost(entry, held, load, rng);
             return (fixed + wait, layer * filling);
         }
@@ -187,9 +187,13 @@
     /// that are there. Without it a few engines lead most of the requests, and the loss
     /// of one cuts as many.
     fn prefill_factor(&self, entry: &UpstreamState, held: LayerRange, requests: f64) -> f64 {
-        let (scene, model) = (self.context, self.model);
-        let each = prefill_seconds(scene, model, entry, held.len(), model.typical_prompt);
-        let rate = requests / scene.request_duration.as_secs_f64().max(f64::MIN_POSITIVE);
+        let (context, model) = (self.context, self.model);
+        let each = prefill_seconds(context, model, entry, held.len(), model.typical_prompt);
+        let rate = requests
+            / context
+                .request_duration
+                .as_secs_f64()
+                .max(f64::MIN_POSITIVE);
         let part = (rate * each).min(MAX_PREFILL_SHARE);
         1.0 / (1.0 - part).powi(2)
     }
@@ -210,11 +214,11 @@
         load: f64,
         rng: &mut impl Rng,
     ) -> (f64, f64) {
-        let (scene, model) = (self.context, self.model);
+        let (context, model) = (self.context, self.model);
         let usual = RequestSize::typical(model).resume_prompt;
-        let read = prefill_seconds(scene, model, entry, held.len(), usual);
-        let others = scene.local_boxes * rng.random_range(0.0..1.0) * read;
-        let slowness = entry.slowness(scene.now);
+        let read = prefill_seconds(context, model, entry, held.len(), usual);
+        let others = context.local_boxes * rng.random_range(0.0..1.0) * read;
+        let slowness = entry.slowness(context.now);
         let event = f64::from(model.event_tokens) * PASSES_PER_TOKEN;
         let reread = f64::from(self.size.resume_prompt);
         let layer = work_seconds(model, entry, load, event, reread);
@@ -225,12 +229,12 @@
     /// activations of what is read in the pipe, and the delay of each token. A pipe
     /// that is used up may not be used.
     pub(crate) fn crossing_seconds(&self, from: &Arc<str>, to: &Arc<str>) -> f64 {
-        let (scene, model) = (self.context, self.model);
+        let (context, model) = (self.context, self.model);
         let delays = f64::from(self.size.output) * CROSSING_DELAY_SECONDS;
         if model.wan_mb_s <= 0.0 {
             return CROSSING_PENALTY_SECONDS + delays;
         }
-        let used = scene.wan_usage.rate(scene.now, from, to) * scene.boxes / model.wan_mb_s;
+        let used = context.wan_usage.rate(context.now, from, to) * context.boxes / model.wan_mb_s;
         if used >= MAX_WAN_SHARE {
             return f64::INFINITY;
         }
@@ -247,8 +251,8 @@
 }
 
 /// Copies of the model that the engines of the box's data centre hold.
-fn local_copies(scene: &SelectionContext, model: &Model) -> f64 {
-    let held = scene.local_upstreams().filter_map(|e| e.upstream.layers);
+fn local_copies(context: &SelectionContext, model: &Model) -> f64 {
+    let held = context.local_upstreams().filter_map(|e| e.upstream.layers);
     let layers: Layer = held.map(|l| l.len()).sum();
     model_share(model, layers)
 }
@@ -268,14 +272,14 @@
 
 /// Seconds that an engine needs to read `tokens` through some of its layers.
 pub fn prefill_seconds(
-    scene: &SelectionContext,
+    context: &SelectionContext,
     model: &Model,
     entry: &UpstreamState,
     layers: Layer,
     tokens: u32,
 ) -> f64 {
     let (_, read) = accelerator_factors(model, entry);
-    let factor = read * entry.slowness(scene.now);
+    let factor = read * entry.slowness(context.now);
     let whole = f64::from(tokens) / model.prefill_rate.max(1.0) * factor;
     whole * f64::from(layers) / f64::from(model.layers.max(1))
 }
@@ -302,10 +306,10 @@
 }
 
 /// Seconds that a chain in another data centre counts for.
-pub(crate) fn remote_entry_seconds(scene: &SelectionContext) -> f64 {
+pub(crate) fn remote_entry_seconds(context: &SelectionContext) -> f64 {
     let (least, most) = REMOTE_ENTRY_RANGE;
-    match scene.simultaneous {
+    match context.simultaneous {
         true => SIMULTANEOUS_ENTRY_SECONDS,
-        false => (scene.remote_interval.as_secs_f64() * ENTRY_INTERVAL_FACTOR).clamp(least, most),
+        false => (context.remote_interval.as_secs_f64() * ENTRY_INTERVAL_FACTOR).clamp(least, most),
     }
 }
--- a/crates/ashgauge/src/forecast.rs
+++ b/crates/ashgauge/src/forecast.rs
@@ -74,7 +74,7 @@
 /// one, as its caller did not say how long it is. Engines that are not known any more add
 /// nothing.
 pub fn forecast(
-    scene: &SelectionContext,
+    context: &SelectionContext,
     model: &Model,
     stages: &[Stage],
     prompt: u32,
@@ -85,13 +85,13 @@
     };
     let (mut first, mut pause) = (0.0, 0.0);
     for stage in stages {
-        let Some(entry) = scene.registry.get(&stage.upstream) else {
+        let Some(entry) = context.registry.get(&stage.upstream) else {
             continue;
         };
         let layers = stage.end.saturating_sub(stage.first);
-        let total = EstimatedLoad::estimate(scene, entry);
-        let read = cost::prefill_seconds(scene, model, entry, layers, tokens);
-        let event = event_seconds(scene, model, entry, layers, total.requests);
+        let total = EstimatedLoad::estimate(context, entry);
+        let read = cost::prefill_seconds(context, model, entry, layers, tokens);
+        let event = event_seconds(context, model, entry, layers, total.requests);
         first += clamp_seconds(total.prefill_seconds) + clamp_seconds(read) + event;
         pause += event;
     }
@@ -121,7 +121,7 @@
 
 /// Seconds that an event takes on an engine that works on so many requests.
 fn event_seconds(
-    scene: &SelectionContext,
+    context: &SelectionContext,
     model: &Model,
     entry: &UpstreamState,
     layers: Layer,
@@ -134,7 +134,7 @@
     let load = clamp_or_zero(requests, MAX_REQUESTS);
     let steps = f64::from(model.event_tokens) * cost::PASSES_PER_TOKEN;
     let layer = cost::work_seconds(model, entry, load, steps, 0.0);
-    clamp_seconds(layer * f64::from(layers) * entry.slowness(scene.now))
+    clamp_seconds(layer * f64::from(layers) * entry.slowness(context.now))
 }
 
 /// A number from 0 to `most`; what is no number counts as 0.
--- a/crates/ashgauge/src/pressure.rs
+++ b/crates/ashgauge/src/pressure.rs
@@ -27,17 +27,17 @@
 impl Pressure {
     /// What a box knows of the engines: the shares of those that take requests, and the
     /// requests on all of them, as those on engines that take no more still run.
-    pub fn from_context(scene: &SelectionContext, model: &Model) -> Self {
+    pub fn from_context(context: &SelectionContext, model: &Model) -> Self {
         let layers = model.layers as usize;
         let (mut used, mut room) = (vec![0.0; layers], vec![0.0; layers]);
         let (mut requests, mut leads, mut slots) = (0.0, 0.0, 0.0);
-        for entry in scene.registry.of_service(scene.service) {
+        for entry in context.registry.of_service(context.service) {
             let Some(held) = entry.upstream.layers else {
                 continue;
             };
-            let total = EstimatedLoad::estimate(scene, entry);
+            let total = EstimatedLoad::estimate(context, entry);
             requests += total.head_requests;
-            if !entry.takes_requests(scene.now) {
+            if !entry.takes_requests(context.now) {
                 continue;
             }
             if held.first == 0 {
@@ -55,7 +55,7 @@
                 room[layer] += memory / each;
             }
         }
-        let once = overcount_factor(scene);
+        let once = overcount_factor(context);
         let shares = used
             .iter()
             .zip(&room)
@@ -97,9 +97,9 @@
 
 /// Factor on what was heard, where more boxes were heard than there are: after a start of
 /// all of them some tell for themselves and are in a hub's sum as well, for some seconds.
-fn overcount_factor(scene: &SelectionContext) -> f64 {
-    let heard = scene.fleet_load.boxes() as f64 + 1.0;
-    (scene.boxes / heard).min(1.0)
+fn overcount_factor(context: &SelectionContext) -> f64 {
+    let heard = context.fleet_load.boxes() as f64 + 1.0;
+    (context.boxes / heard).min(1.0)
 }
 
 /// A share of what there is; all of it where there is nothing.
--- a/crates/ashgauge/src/selection.rs
+++ b/crates/ashgauge/src/selection.rs
@@ -29,19 +29,24 @@
 /// Chooses an upstream of a plain service, and not one that was `tried` if
 /// there is another.
 pub fn select_upstream(
-    scene: &SelectionContext,
+    context: &SelectionContext,
     tried: &[UpstreamId],
     rng: &mut impl Rng,
 ) -> Option<UpstreamId> {
-    let open = |e: &&UpstreamState| available_in(scene, e).is_none();
-    let all = || scene.registry.of_service(scene.service);
+    let open = |e: &&UpstreamState| available_in(context, e).is_none();
+    let all = || context.registry.of_service(context.service);
     let entries = || all().filter(open);
-    let usable = |e: &&UpstreamState| e.is_usable(scene.now);
+    let usable = |e: &&UpstreamState| e.is_usable(context.now);
     let new = |e: &&UpstreamState| !tried.contains(&e.upstream.id);
     let stays = |e: &&UpstreamState| !e.is_leaving();
     let listed = |e: &&UpstreamState| !e.is_missing();
     let mut cheapest = |entries: &mut dyn Iterator<Item = &UpstreamState>| {
-        let costs = entries.map(|e| (upstream_cost(scene, e) * scene.jitter(rng), &e.upstream.id));
+        let costs = entries.map(|e| {
+            (
+                upstream_cost(context, e) * context.jitter(rng),
+                &e.upstream.id,
+            )
+        });
         costs
             .min_by(|a, b| a.0.total_cmp(&b.0))
             .map(|(_, id)| id.clone())
@@ -65,21 +70,21 @@
 /// What engines in other data centres reserve for the callers there is used only if there
 /// is no chain without it: that is better for the request than a refusal.
 pub fn select_chain(
-    scene: &SelectionContext,
+    context: &SelectionContext,
     model: &Model,
     span: LayerRange,
     avoid: &[UpstreamId],
     need: Option<Requirements>,
     rng: &mut impl Rng,
 ) -> Option<Vec<Stage>> {
-    let found = select_fitting_chain(scene, model, span, avoid, need, rng);
+    let found = select_fitting_chain(context, model, span, avoid, need, rng);
     match need.filter(|n| found.is_none() && n.reserved_share > 0.0) {
         Some(need) => {
             let need = Requirements {
                 reserved_share: 0.0,
                 ..need
             };
-            select_fitting_chain(scene, model, span, avoid, Some(need), rng)
+            select_fitting_chain(context, model, span, avoid, Some(need), rng)
         }
         None => found,
     }
@@ -87,25 +92,25 @@
 
 /// Chooses a chain of engines on which `need` fits.
 fn select_fitting_chain(
-    scene: &SelectionContext,
+    context: &SelectionContext,
     model: &Model,
     span: LayerRange,
     avoid: &[UpstreamId],
     need: Option<Requirements>,
     rng: &mut impl Rng,
 ) -> Option<Vec<Stage>> {
-    let mut places: Vec<&Arc<str>> = vec![scene.data_centre];
+    let mut places: Vec<&Arc<str>> = vec![context.data_centre];
     let mut edges = Vec::new();
-    let scale = CostModel::new(scene, model);
-    for (entry, held) in holders(scene, span) {
+    let scale = CostModel::new(context, model);
+    for (entry, held) in holders(context, span) {
         if avoid.contains(&entry.upstream.id) {
             continue;
         }
-        if need.is_some_and(|n| !n.are_met_by(scene, model, entry)) {
+        if need.is_some_and(|n| !n.are_met_by(context, model, entry)) {
             continue;
         }
         let leads = span.first == 0 && held.first == 0;
-        if leads && entry.blocked_for(scene.now).is_some() {
+        if leads && entry.blocked_for(context.now).is_some() {
             continue;
         }
         let (fixed, layer) = scale.stage_cost(entry, held, leads, rng);
@@ -122,17 +127,17 @@
         _ if from == Some(to) => 0.0,
         Some(from) => scale.crossing_seconds(places[from], places[to]),
         None if to == 0 => 0.0,
-        None => cost::remote_entry_seconds(scene),
+        None => cost::remote_entry_seconds(context),
     })
 }
 
 /// Engines that take requests and hold some of these layers, with what they hold.
 fn holders<'a>(
-    scene: &'a SelectionContext,
+    context: &'a SelectionContext,
     span: LayerRange,
 ) -> impl Iterator<Item = (&'a UpstreamState, LayerRange)> {
-    let entries = scene.registry.of_service(scene.service);
-    let open = entries.filter(|e| e.takes_requests(scene.now));
+    let entries = context.registry.of_service(context.service);
+    let open = entries.filter(|e| e.takes_requests(context.now));
     let holders = open.filter_map(|e| Some((e, e.upstream.layers?)));
     holders.filter(move |(_, held)| held.overlaps(&span))
 }
@@ -148,29 +153,31 @@
 
 /// How long until something may be sent to an upstream: one that wants rest turns away
 /// whatever comes meanwhile, one that takes no more is to get nothing.
-fn available_in(scene: &SelectionContext, entry: &UpstreamState) -> Option<Duration> {
-    entry.backoff(scene.now).max(entry.blocked_for(scene.now))
+fn available_in(context: &SelectionContext, entry: &UpstreamState) -> Option<Duration> {
+    entry
+        .backoff(context.now)
+        .max(entry.blocked_for(context.now))
 }
 
 /// How long until there is an upstream, or a chain over the whole `model`, as those
 /// that it lacks want nothing until then; `None` if that is not what stands in the way.
 pub fn backoff_left(
-    scene: &SelectionContext,
+    context: &SelectionContext,
     model: Option<&Model>,
     rng: &mut impl Rng,
 ) -> Option<Duration> {
-    let all = scene.registry.of_service(scene.service);
-    let mut waits: Vec<_> = all.filter_map(|e| available_in(scene, e)).collect();
+    let all = context.registry.of_service(context.service);
+    let mut waits: Vec<_> = all.filter_map(|e| available_in(context, e)).collect();
     if waits.is_empty() {
         return None;
     }
     waits.sort_unstable();
     let mut is_early = |left: &Duration| {
-        let now = scene.now + *left;
-        let scene = SelectionContext { now, ..*scene };
+        let now = context.now + *left;
+        let context = SelectionContext { now, ..*context };
         let found = match model {
-            Some(m) => select_chain(&scene, m, all_layers(m.layers), &[], None, rng).is_some(),
-            None => select_upstream(&scene, &[], rng).is_some(),
+            Some(m) => select_chain(&context, m, all_layers(m.layers), &[], None, rng).is_some(),
+            None => select_upstream(&context, &[], rng).is_some(),
         };
         !found
     };
@@ -184,20 +191,20 @@
 /// Share of an engine's memory for requests that all boxes' requests hold, as
 /// far as this box knows; `None` if it holds no layers.
 pub fn memory_utilization(
-    scene: &SelectionContext,
+    context: &SelectionContext,
     model: &Model,
     entry: &UpstreamState,
 ) -> Option<f64> {
     let held = entry.upstream.layers?;
-    let tokens = EstimatedLoad::estimate(scene, entry).token_layers;
+    let tokens = EstimatedLoad::estimate(context, entry).token_layers;
     Some(tokens / cost::memory_capacity(model, entry, held).max(1.0))
 }
 
 /// How many of the engines are filled up to `limit`, a share of their memory for
 /// requests, and how many hold layers.
-pub fn count_full(scene: &SelectionContext, model: &Model, limit: f64) -> (usize, usize) {
-    let entries = scene.registry.of_service(scene.service);
-    let filled = entries.filter_map(|e| memory_utilization(scene, model, e));
+pub fn count_full(context: &SelectionContext, model: &Model, limit: f64) -> (usize, usize) {
+    let entries = context.registry.of_service(context.service);
+    let filled = entries.filter_map(|e| memory_utilization(context, model, e));
     filled.fold((0, 0), |(full, all), filled| {
         (full + usize::from(filled >= limit), all + 1)
     })
@@ -205,13 +212,13 @@
 
 /// Share of their memory for requests that the engines of the box's data centre
 /// have given away, as far as this box knows; 1 if they have none.
-pub fn local_utilization(scene: &SelectionContext, model: &Model) -> f64 {
+pub fn local_utilization(context: &SelectionContext, model: &Model) -> f64 {
     let (mut used, mut room) = (0.0, 0.0);
-    for entry in scene.local_upstreams() {
+    for entry in context.local_upstreams() {
         let Some(held) = entry.upstream.layers else {
             continue;
         };
-        used += EstimatedLoad::estimate(scene, entry).token_layers;
+        used += EstimatedLoad::estimate(context, entry).token_layers;
         room += cost::memory_capacity(model, entry, held);
     }
     match room > 0.0 {
@@ -239,7 +246,7 @@
     /// Past its slots an engine turns requests away.
     pub fn are_met_by(
         &self,
-        scene: &SelectionContext,
+        context: &SelectionContext,
         model: &Model,
         entry: &UpstreamState,
     ) -> bool {
@@ -247,8 +254,8 @@
             return false;
         };
         let more = f64::from(self.tokens) * f64::from(held.len());
-        let total = EstimatedLoad::estimate(scene, entry);
-        let usable = match entry.upstream.data_centre == *scene.data_centre {
+        let total = EstimatedLoad::estimate(context, entry);
+        let usable = match entry.upstream.data_centre == *context.data_centre {
             true => 1.0,
             false => 1.0 - self.reserved_share,
         };
@@ -257,11 +264,11 @@
         let has_slot = held.first > 0 || total.head_requests + 1.0 <= slots;
         let has_memory =
             total.token_layers + more <= limit * cost::memory_capacity(model, entry, held);
-        has_slot && has_memory && !entry.is_full(scene.now)
+        has_slot && has_memory && !entry.is_full(context.now)
     }
 }
 
-fn upstream_cost(scene: &SelectionContext, entry: &UpstreamState) -> f64 {
+fn upstream_cost(context: &SelectionContext, entry: &UpstreamState) -> f64 {
     let seconds = match entry.latency_seconds {
         0.0 => DEFAULT_LATENCY_SECONDS,
         known => known,
@@ -270,13 +277,13 @@
     let told = entry.reported_load.map_or(0.0, |(running, waiting)| {
         f64::from(running) + 2.0 * f64::from(waiting)
     });
-    let ahead = told.max(EstimatedLoad::estimate(scene, entry).requests) / slots;
-    let away = match entry.upstream.data_centre == *scene.data_centre {
+    let ahead = told.max(EstimatedLoad::estimate(context, entry).requests) / slots;
+    let away = match entry.upstream.data_centre == *context.data_centre {
         true => 1.0,
         false => REMOTE_COST_FACTOR,
     };
-    let failing = 1.0 / (1.0 - entry.failure_rate(scene.now).min(0.95));
-    let now = scene.now;
+    let failing = 1.0 / (1.0 - entry.failure_rate(context.now).min(0.95));
+    let now = context.now;
     let avoided = entry.is_full(now) || entry.is_peer_suspect(now) || entry.is_unreachable(now);
     let ahead = if avoided {
         ahead + FULL_QUEUE_PENALTY
--- a/crates/ashgauge/tests/choice_closed.rs
+++ b/crates/ashgauge/tests/choice_closed.rs
@@ -9,7 +9,7 @@
 use ashgauge::registry::UpstreamRegistry;
 use ashgauge::selection::{self};
 use ashgauge::wan::WanUsage;
-use engines::{model, placed, scene};
+use engines::{context, model, placed};
 use rand::SeedableRng;
 use rand::rngs::SmallRng;
 
@@ -18,30 +18,31 @@
 #[test]
 fn no_chain_has_an_engine_at_rest() {
     let (pipes, shares, place) = (WanUsage::default(), FleetLoad::default(), Arc::from("a"));
-    let now = scene(&placed(), &pipes, &shares, &place).now;
+    let now = context(&placed(), &pipes, &shares, &place).now;
     let span = selection::all_layers(80);
     for seed in 0..20 {
-        let mut roster = placed();
+        let mut registry = placed();
         let mut rng = SmallRng::seed_from_u64(seed);
         // Chain by chain, all engines of it rest, the last ones the longest.
         let mut rest = Duration::from_secs(10);
         let mut chosen = Vec::new();
         loop {
-            let scene = scene(&roster, &pipes, &shares, &place);
-            let Some(stages) = selection::select_chain(&scene, &model(), span, &[], None, &mut rng)
+            let context = context(&registry, &pipes, &shares, &place);
+            let Some(stages) =
+                selection::select_chain(&context, &model(), span, &[], None, &mut rng)
             else {
                 break;
             };
             let again = stages.iter().find(|s| chosen.contains(&s.upstream));
             assert!(again.is_none(), "{again:?} rests");
             for stage in stages {
-                roster.note_backoff(now, &stage.upstream, rest);
+                registry.note_backoff(now, &stage.upstream, rest);
                 chosen.push(stage.upstream);
             }
             rest += Duration::from_secs(1);
         }
-        let scene = scene(&roster, &pipes, &shares, &place);
-        let left = selection::backoff_left(&scene, Some(&model()), &mut rng);
+        let context = context(&registry, &pipes, &shares, &place);
+        let left = selection::backoff_left(&context, Some(&model()), &mut rng);
         assert_eq!(left, Some(Duration::from_secs(10)));
     }
 }
@@ -51,31 +52,31 @@
 #[test]
 fn closed_engine_leads_no_chain() {
     let (pipes, shares, place) = (WanUsage::default(), FleetLoad::default(), Arc::from("a"));
-    let mut roster = placed();
-    let now = scene(&roster, &pipes, &shares, &place).now;
+    let mut registry = placed();
+    let now = context(&registry, &pipes, &shares, &place).now;
     let (span, second) = (selection::all_layers(80), Duration::from_secs(1));
     let mut rng = SmallRng::seed_from_u64(1);
     let leads = |e: &ashgauge::upstream_state::UpstreamState| {
         e.upstream.layers.is_some_and(|l| l.first == 0)
     };
-    let all: Vec<_> = roster.iter().cloned().collect();
+    let all: Vec<_> = registry.iter().cloned().collect();
     let behind = all
         .iter()
         .filter(|e| e.upstream.layers.is_some() && !leads(e));
-    behind.for_each(|e| roster.block(now, &e.upstream.id, second * 9));
+    behind.for_each(|e| registry.block(now, &e.upstream.id, second * 9));
     let mut led = 0;
     loop {
-        let scene = scene(&roster, &pipes, &shares, &place);
-        let Some(stages) = selection::select_chain(&scene, &model(), span, &[], None, &mut rng)
+        let context = context(&registry, &pipes, &shares, &place);
+        let Some(stages) = selection::select_chain(&context, &model(), span, &[], None, &mut rng)
         else {
             break;
         };
         led += 1;
-        roster.block(now, &stages[0].upstream, second * (10 - led));
+        registry.block(now, &stages[0].upstream, second * (10 - led));
     }
     assert!(led >= 2, "{led}");
-    let scene = scene(&roster, &pipes, &shares, &place);
-    let left = selection::backoff_left(&scene, Some(&model()), &mut rng);
+    let context = context(&registry, &pipes, &shares, &place);
+    let left = selection::backoff_left(&context, Some(&model()), &mut rng);
     assert_eq!(left, Some(second * (10 - led)));
 }
 
@@ -84,23 +85,23 @@
 fn rest_is_not_told_while_there_is_a_way() {
     let (pipes, shares, place) = (WanUsage::default(), FleetLoad::default(), Arc::from("a"));
     let mut rng = SmallRng::seed_from_u64(1);
-    let mut roster = UpstreamRegistry::default();
+    let mut registry = UpstreamRegistry::default();
     let second = Duration::from_secs(1);
-    let left = |roster: &UpstreamRegistry, rng: &mut SmallRng| {
-        let scene = scene(roster, &pipes, &shares, &place);
-        selection::backoff_left(&scene, None, rng)
+    let left = |registry: &UpstreamRegistry, rng: &mut SmallRng| {
+        let context = context(registry, &pipes, &shares, &place);
+        selection::backoff_left(&context, None, rng)
     };
-    assert_eq!(left(&roster, &mut rng), None);
-    let now = scene(&roster, &pipes, &shares, &place).now;
+    assert_eq!(left(&registry, &mut rng), None);
+    let now = context(&registry, &pipes, &shares, &place).now;
     for id in ["e1", "e2"] {
-        roster.put(engines::upstream(id, "a", "small", None, 1));
+        registry.put(engines::upstream(id, "a", "small", None, 1));
     }
-    roster.note_backoff(now, "e1", second * 3);
-    assert_eq!(left(&roster, &mut rng), None);
-    roster.note_backoff(now, "e2", second * 2);
-    assert_eq!(left(&roster, &mut rng), Some(second * 2));
+    registry.note_backoff(now, "e1", second * 3);
+    assert_eq!(left(&registry, &mut rng), None);
+    registry.note_backoff(now, "e2", second * 2);
+    assert_eq!(left(&registry, &mut rng), Some(second * 2));
     assert_eq!(
-        selection::select_upstream(&scene(&roster, &pipes, &shares, &place), &[], &mut rng),
+        selection::select_upstream(&context(&registry, &pipes, &shares, &place), &[], &mut rng),
         None
     );
 }
--- a/crates/ashgauge/tests/cost.rs
+++ b/crates/ashgauge/tests/cost.rs
@@ -12,7 +12,7 @@
 use ashgauge::routing::Model;
 use ashgauge::selection;
 use ashgauge::wan::WanUsage;
-use engines::{fleet, model, scene, twins};
+use engines::{context, fleet, model, twins};
 use rand::SeedableRng;
 use rand::rngs::SmallRng;
 
@@ -39,23 +39,23 @@
 /// one such figure in a configuration ended every box at its next request.
 #[test]
 fn absurd_step_times_end_no_choice() {
-    let mut roster = twins();
+    let mut registry = twins();
     for id in ["a1", "a2", "b1", "b2"] {
-        (0..100).for_each(|_| roster.begin_request(id, 900 * 40));
+        (0..100).for_each(|_| registry.begin_request(id, 900 * 40));
     }
     let (pipes, shares, place) = (WanUsage::default(), FleetLoad::default(), Arc::from("a"));
     let mut rng = SmallRng::seed_from_u64(1);
     for model in absurd_models() {
         for together in [false, true] {
-            let scene = SelectionContext {
+            let context = SelectionContext {
                 simultaneous: together,
-                ..scene(&roster, &pipes, &shares, &place)
+                ..context(&registry, &pipes, &shares, &place)
             };
             let span = selection::all_layers(model.layers);
-            let stages = selection::select_chain(&scene, &model, span, &[], None, &mut rng);
+            let stages = selection::select_chain(&context, &model, span, &[], None, &mut rng);
             let (step, request) = (model.step_time, model.step_per_request);
             let stages = stages.unwrap_or_else(|| panic!("no chain: {step:?}, {request:?}"));
-            forecast(&scene, &model, &stages, 0);
+            forecast(&context, &model, &stages, 0);
         }
     }
 }
--- a/crates/ashgauge/tests/engines/mod.rs
+++ b/crates/ashgauge/tests/engines/mod.rs
@@ -88,10 +88,10 @@
 }
 
 /// A roster of seats that hold layers, as engines of the service `model`.
-pub fn roster(seats: &[PlacedEngine]) -> UpstreamRegistry {
-    let mut roster = UpstreamRegistry::default();
+pub fn registry(seats: &[PlacedEngine]) -> UpstreamRegistry {
+    let mut registry = UpstreamRegistry::default();
     for (n, seat) in seats.iter().enumerate() {
-        roster.put(upstream(
+        registry.put(upstream(
             &seat.id,
             &seat.data_centre,
             &seat.accelerator,
@@ -99,7 +99,7 @@
             n,
         ));
     }
-    roster
+    registry
 }
 
 /// One engine.
@@ -122,14 +122,14 @@
 pub const BOXES: f64 = 8.0;
 
 /// What a box of data centre `place` chooses from, at second 100.
-pub fn scene<'a>(
-    roster: &'a UpstreamRegistry,
+pub fn context<'a>(
+    registry: &'a UpstreamRegistry,
     pipes: &'a WanUsage,
     shares: &'a FleetLoad,
     place: &'a Arc<str>,
 ) -> SelectionContext<'a> {
     SelectionContext {
-        registry: roster,
+        registry: registry,
         wan_usage: pipes,
         fleet_load: shares,
         service: "model",
@@ -146,16 +146,16 @@
 
 /// Two engines for each half of the layers, all in one data centre.
 pub fn twins() -> UpstreamRegistry {
-    let mut roster = UpstreamRegistry::default();
+    let mut registry = UpstreamRegistry::default();
     for (n, (id, first)) in [("a1", 0), ("a2", 0), ("b1", 40), ("b2", 40)]
         .into_iter()
         .enumerate()
     {
         let end = first + 40;
         let span = Some(LayerRange { first, end });
-        roster.put(upstream(id, "a", "large", span, n));
+        registry.put(upstream(id, "a", "large", span, n));
     }
-    roster
+    registry
 }
 
 /// The engines of [`fleet`] as placement gives them layers.
@@ -163,5 +163,5 @@
     let mut seats = fleet();
     let assignments = plan(&model(), &seats);
     apply(&mut seats, &assignments);
-    roster(&seats)
+    registry(&seats)
 }
--- a/crates/ashgauge/tests/forecast.rs
+++ b/crates/ashgauge/tests/forecast.rs
@@ -14,7 +14,7 @@
 use ashgauge::routing::{Accelerator, Model};
 use ashgauge::upstream::LayerRange;
 use ashgauge::wan::WanUsage;
-use engines::{model, scene, twins, upstream};
+use engines::{context, model, twins, upstream};
 use proptest::prelude::*;
 
 /// Time of the scene.
@@ -38,15 +38,15 @@
 }
 
 /// Forecasts as a single box that hears no others.
-fn alone(roster: &UpstreamRegistry, model: &Model, stages: &[Stage], prompt: u32) -> Forecast {
+fn alone(registry: &UpstreamRegistry, model: &Model, stages: &[Stage], prompt: u32) -> Forecast {
     let (pipes, shares, place) = (WanUsage::default(), FleetLoad::default(), Arc::from("a"));
-    let scene = scene(roster, &pipes, &shares, &place);
-    let scene = SelectionContext {
+    let context = context(registry, &pipes, &shares, &place);
+    let context = SelectionContext {
         boxes: 1.0,
         local_boxes: 1.0,
-        ..scene
+        ..context
     };
-    forecast(&scene, model, stages, prompt)
+    forecast(&context, model, stages, prompt)
 }
 
 fn is_near(time: Duration, seconds: f64) -> bool {
@@ -66,12 +66,12 @@
 /// Streams behind long prompts were checked as if their engines were lost.
 #[test]
 fn prompts_that_are_queued_come_before() {
-    let (mut roster, model) = (twins(), model());
-    let idle = alone(&roster, &model, &chain(), PROMPT);
-    roster.note_prefill(NOW, "a1", 0.4);
-    roster.note_prefill(NOW, "b1", 0.3);
-    roster.note_prefill(NOW, "a2", 9.0);
-    let busy = alone(&roster, &model, &chain(), PROMPT);
+    let (mut registry, model) = (twins(), model());
+    let idle = alone(&registry, &model, &chain(), PROMPT);
+    registry.note_prefill(NOW, "a1", 0.4);
+    registry.note_prefill(NOW, "b1", 0.3);
+    registry.note_prefill(NOW, "a2", 9.0);
+    let busy = alone(&registry, &model, &chain(), PROMPT);
     let more = (busy.first_event - idle.first_event).as_secs_f64();
     assert!((more - 0.7).abs() < 2e-3, "{more}");
     assert_eq!(busy.event_gap, idle.event_gap);
@@ -81,7 +81,7 @@
 /// of all boxes take part.
 #[test]
 fn requests_of_all_boxes_make_passes_longer() {
-    let (roster, model) = (twins(), model());
+    let (registry, model) = (twins(), model());
     let (pipes, mut shares, place) = (WanUsage::default(), FleetLoad::default(), Arc::from("a"));
     let uses = ["a1", "b1"].map(|id| {
         let used = Usage {
@@ -92,13 +92,13 @@
         (upstream_key(id), used)
     });
     assert!(shares.apply(NOW, common::word("box-2", uses.into())));
-    let scene = scene(&roster, &pipes, &shares, &place);
-    let scene = SelectionContext {
+    let context = context(&registry, &pipes, &shares, &place);
+    let context = SelectionContext {
         boxes: 2.0,
         local_boxes: 2.0,
-        ..scene
+        ..context
     };
-    let full = forecast(&scene, &model, &chain(), PROMPT);
+    let full = forecast(&context, &model, &chain(), PROMPT);
     let pass = (0.000_85 + 1000.0 * 3.82e-6) * 1.4 * 2.0;
     assert!(is_near(full.event_gap, 1.5 * pass), "{full:?}");
     let read = 772.0 / 196_000.0;
@@ -111,11 +111,11 @@
 /// The types of accelerators differ more in reading than in writing, or less.
 #[test]
 fn kinds_of_engines_read_and_write_at_their_own_rates() {
-    let mut roster = twins();
+    let mut registry = twins();
     let held = LayerRange { first: 0, end: 40 };
-    roster.put(upstream("slow", "a", "small", Some(held), 7));
+    registry.put(upstream("slow", "a", "small", Some(held), 7));
     let stages = [stage("slow", 0, 40), stage("b1", 40, 80)];
-    let slow = alone(&roster, &model(), &stages, PROMPT);
+    let slow = alone(&registry, &model(), &stages, PROMPT);
     let pass = 0.000_85 * 2.0 * (16.0 + 1.4) / 2.0;
     let read = 772.0 / 196_000.0 * (8.2 + 1.0) / 2.0;
     assert!(is_near(slow.event_gap, 1.5 * pass), "{slow:?}");
@@ -125,11 +125,11 @@
 /// An engine that says that it is slow was checked again and again.
 #[test]
 fn engine_that_says_it_is_slow_takes_longer() {
-    let (mut roster, model) = (twins(), model());
-    let idle = alone(&roster, &model, &chain(), PROMPT);
-    roster.note_slow(NOW, "a1", 5.0);
-    roster.note_slow(NOW, "b1", 5.0);
-    let slow = alone(&roster, &model, &chain(), PROMPT);
+    let (mut registry, model) = (twins(), model());
+    let idle = alone(&registry, &model, &chain(), PROMPT);
+    registry.note_slow(NOW, "a1", 5.0);
+    registry.note_slow(NOW, "b1", 5.0);
+    let slow = alone(&registry, &model, &chain(), PROMPT);
     assert!(is_near(
         slow.first_event,
         idle.first_event.as_secs_f64() * 5.0
@@ -140,11 +140,11 @@
 /// A caller that does not say how long its prompt is sends no empty one.
 #[test]
 fn unknown_prompt_counts_as_the_usual() {
-    let (roster, model) = (twins(), model());
-    let unknown = alone(&roster, &model, &chain(), 0);
+    let (registry, model) = (twins(), model());
+    let unknown = alone(&registry, &model, &chain(), 0);
     assert_eq!(
         unknown,
-        alone(&roster, &model, &chain(), model.typical_prompt)
+        alone(&registry, &model, &chain(), model.typical_prompt)
     );
 }
 
@@ -160,8 +160,8 @@
 /// An engine may have left while a permit for it was asked for.
 #[test]
 fn engines_that_are_gone_add_nothing() {
-    let (roster, model) = (twins(), model());
-    let gone = alone(&roster, &model, &[stage("gone", 0, 80)], PROMPT);
+    let (registry, model) = (twins(), model());
+    let gone = alone(&registry, &model, &[stage("gone", 0, 80)], PROMPT);
     assert_eq!(gone, Forecast::default());
     assert_eq!(gone.ratio(Duration::from_secs(1)), None);
 }
@@ -316,17 +316,17 @@
         (reading, slowness) in (figure(), figure()),
         used in (count(), count()),
     ) {
-        let mut roster = twins();
-        roster.note_prefill(NOW, "a1", reading);
-        roster.note_slow(NOW, "a2", slowness);
+        let mut registry = twins();
+        registry.note_prefill(NOW, "a1", reading);
+        registry.note_slow(NOW, "a2", slowness);
         let (pipes, mut shares, place) = (WanUsage::default(), FleetLoad::default(), Arc::from("a"));
         let (requests, reading) = used;
         let uses = vec![(upstream_key("a1"), Usage { requests, prefill_ms: reading, ..Usage::default() })];
         shares.apply(NOW, common::word("box-2", uses));
-        let scene = scene(&roster, &pipes, &shares, &place);
-        let scene = SelectionContext { boxes, local_boxes: neighbours, ..scene };
+        let context = context(&registry, &pipes, &shares, &place);
+        let context = SelectionContext { boxes, local_boxes: neighbours, ..context };
         let stages: Vec<_> = spans.iter().map(|(id, from, to)| stage(id, *from, *to)).collect();
-        let bounded = forecast(&scene, &model, &stages, prompt);
+        let bounded = forecast(&context, &model, &stages, prompt);
         prop_assert!(bounded.first_event <= MAX_FORECAST);
         prop_assert!(bounded.event_gap <= bounded.first_event);
         if let Some(ratio) = bounded.ratio(Duration::from_secs(1)) {
--- a/crates/ashgauge/tests/knowledge.rs
+++ b/crates/ashgauge/tests/knowledge.rs
@@ -82,38 +82,38 @@
 
 #[test]
 fn upstream_missing_after_an_outage_may_come_back() {
-    let mut roster = UpstreamRegistry::default();
+    let mut registry = UpstreamRegistry::default();
     let engines = [
         upstream("e1", "a", "small", None, 1),
         upstream("e2", "a", "small", None, 2),
     ];
-    engines.iter().for_each(|e| roster.put(e.clone()));
+    engines.iter().for_each(|e| registry.put(e.clone()));
     let now = SECOND * 10;
-    roster.replace(now, vec![engines[0].clone()], false);
+    registry.replace(now, vec![engines[0].clone()], false);
     let usable =
-        |roster: &UpstreamRegistry, id: &str, now| roster.get(id).map(|e| e.is_usable(now));
-    assert_eq!(usable(&roster, "e2", now), Some(false));
-    roster.expire(now + SECOND);
-    roster.put(engines[1].clone());
-    assert_eq!(usable(&roster, "e2", now + SECOND), Some(true));
-    roster.replace(now, vec![engines[0].clone()], false);
-    roster.expire(now + SECOND * 2);
-    assert_eq!(usable(&roster, "e2", now), None);
+        |registry: &UpstreamRegistry, id: &str, now| registry.get(id).map(|e| e.is_usable(now));
+    assert_eq!(usable(&registry, "e2", now), Some(false));
+    registry.expire(now + SECOND);
+    registry.put(engines[1].clone());
+    assert_eq!(usable(&registry, "e2", now + SECOND), Some(true));
+    registry.replace(now, vec![engines[0].clone()], false);
+    registry.expire(now + SECOND * 2);
+    assert_eq!(usable(&registry, "e2", now), None);
 }
 
 #[test]
 fn suspect_is_left_out_for_a_while() {
-    let mut roster = UpstreamRegistry::default();
-    roster.put(upstream("e1", "a", "small", None, 1));
-    assert!(roster.mark_suspect(SECOND, "e1"));
-    assert!(!roster.mark_suspect(SECOND, "e1"));
+    let mut registry = UpstreamRegistry::default();
+    registry.put(upstream("e1", "a", "small", None, 1));
+    assert!(registry.mark_suspect(SECOND, "e1"));
+    assert!(!registry.mark_suspect(SECOND, "e1"));
     let usable =
-        |roster: &UpstreamRegistry, now| roster.get("e1").is_some_and(|e| e.is_usable(now));
-    assert!(!usable(&roster, SECOND * 2));
-    assert!(usable(&roster, SECOND * 6));
-    roster.mark_suspect(SECOND * 6, "e1");
-    roster.record_latency(SECOND, "e1", SECOND);
-    assert!(usable(&roster, SECOND * 6));
+        |registry: &UpstreamRegistry, now| registry.get("e1").is_some_and(|e| e.is_usable(now));
+    assert!(!usable(&registry, SECOND * 2));
+    assert!(usable(&registry, SECOND * 6));
+    registry.mark_suspect(SECOND * 6, "e1");
+    registry.record_latency(SECOND, "e1", SECOND);
+    assert!(usable(&registry, SECOND * 6));
 }
 
 fn born(id: &str, born: u64) -> Upstream {
@@ -127,18 +127,18 @@
 /// and taken to be slow and full, for what its last start had done.
 #[test]
 fn new_start_under_an_id_begins_anew() {
-    let mut roster = UpstreamRegistry::default();
-    roster.put(born("e1", 1));
-    roster.begin_request("e1", 700);
-    roster.mark_suspect(SECOND, "e1");
-    roster.note_full(SECOND, "e1");
-    roster.note_slow(SECOND, "e1", 4.0);
-    roster.record_failure(SECOND, "e1");
-    roster.put(born("e1", 1));
-    let entry = roster.get("e1").expect("an entry");
+    let mut registry = UpstreamRegistry::default();
+    registry.put(born("e1", 1));
+    registry.begin_request("e1", 700);
+    registry.mark_suspect(SECOND, "e1");
+    registry.note_full(SECOND, "e1");
+    registry.note_slow(SECOND, "e1", 4.0);
+    registry.record_failure(SECOND, "e1");
+    registry.put(born("e1", 1));
+    let entry = registry.get("e1").expect("an entry");
     assert!(!entry.is_usable(SECOND), "it is the same start");
-    roster.put(born("e1", 2));
-    let entry = roster.get("e1").expect("an entry");
+    registry.put(born("e1", 2));
+    let entry = registry.get("e1").expect("an entry");
     assert!(entry.is_usable(SECOND) && !entry.is_full(SECOND));
     assert_eq!(
         (entry.slowness(SECOND), entry.failure_rate(SECOND)),
@@ -146,9 +146,9 @@
     );
     // Requests that ran on the start before it end as they were counted.
     assert_eq!(entry.inflight, 1);
-    roster.end_request("e1", 700);
+    registry.end_request("e1", 700);
     assert_eq!(
-        roster.get("e1").map(|e| (e.inflight, e.token_layers)),
+        registry.get("e1").map(|e| (e.inflight, e.token_layers)),
         Some((0, 0))
     );
 }
@@ -157,40 +157,40 @@
 /// forgets entries in an outage. None of it ends a rest, which the upstream counts on.
 #[test]
 fn rest_holds_whatever_becomes_of_the_entry() {
-    let mut roster = UpstreamRegistry::default();
+    let mut registry = UpstreamRegistry::default();
     let upstreams = [born("e1", 1), born("e2", 1)];
-    let rest = |roster: &UpstreamRegistry, now| roster.get("e1").and_then(|e| e.backoff(now));
-    roster.replace(SECOND, upstreams.to_vec(), true);
-    roster.note_backoff(SECOND, "e1", SECOND * 30);
-    roster.note_backoff(SECOND, "e1", SECOND);
-    assert_eq!(rest(&roster, SECOND * 11), Some(SECOND * 20));
-    roster.put(Upstream {
+    let rest = |registry: &UpstreamRegistry, now| registry.get("e1").and_then(|e| e.backoff(now));
+    registry.replace(SECOND, upstreams.to_vec(), true);
+    registry.note_backoff(SECOND, "e1", SECOND * 30);
+    registry.note_backoff(SECOND, "e1", SECOND);
+    assert_eq!(rest(&registry, SECOND * 11), Some(SECOND * 20));
+    registry.put(Upstream {
         slots: 7,
         ..born("e1", 1)
     });
-    assert_eq!(rest(&roster, SECOND * 11), Some(SECOND * 20));
-    roster.replace(SECOND, vec![born("e2", 1)], false);
-    roster.expire(SECOND * 5);
-    assert!(roster.get("e1").is_none());
-    roster.replace(SECOND * 6, upstreams.to_vec(), true);
-    assert_eq!(rest(&roster, SECOND * 11), Some(SECOND * 20));
-    roster.remove(SECOND * 7, "e1");
-    roster.put(born("e1", 1));
-    assert_eq!(rest(&roster, SECOND * 11), Some(SECOND * 20));
+    assert_eq!(rest(&registry, SECOND * 11), Some(SECOND * 20));
+    registry.replace(SECOND, vec![born("e2", 1)], false);
+    registry.expire(SECOND * 5);
+    assert!(registry.get("e1").is_none());
+    registry.replace(SECOND * 6, upstreams.to_vec(), true);
+    assert_eq!(rest(&registry, SECOND * 11), Some(SECOND * 20));
+    registry.remove(SECOND * 7, "e1");
+    registry.put(born("e1", 1));
+    assert_eq!(rest(&registry, SECOND * 11), Some(SECOND * 20));
     // Entries come later than answers, so the answer may be of the new start.
-    roster.put(born("e1", 2));
-    assert_eq!(rest(&roster, SECOND * 11), Some(SECOND * 20));
-    assert_eq!(rest(&roster, SECOND * 31), None);
-    assert!(roster.get("e2").is_some_and(|e| e.takes_requests(SECOND)));
+    registry.put(born("e1", 2));
+    assert_eq!(rest(&registry, SECOND * 11), Some(SECOND * 20));
+    assert_eq!(rest(&registry, SECOND * 31), None);
+    assert!(registry.get("e2").is_some_and(|e| e.takes_requests(SECOND)));
 }
 
 /// Its entry may lapse while a request is on its way, and come back.
 #[test]
 fn rest_holds_though_the_entry_was_gone_as_it_was_asked_for() {
-    let mut roster = UpstreamRegistry::default();
-    roster.note_backoff(SECOND, "e1", SECOND * 30);
-    roster.put(born("e1", 1));
-    let entry = roster.get("e1").expect("an entry");
+    let mut registry = UpstreamRegistry::default();
+    registry.note_backoff(SECOND, "e1", SECOND * 30);
+    registry.put(born("e1", 1));
+    let entry = registry.get("e1").expect("an entry");
     assert_eq!(entry.backoff(SECOND * 11), Some(SECOND * 20));
     assert!(entry.is_usable(SECOND) && !entry.takes_requests(SECOND));
 }
@@ -199,22 +199,22 @@
 /// store is away; an entry that calls it ready is older. A new start stays.
 #[test]
 fn leaving_holds_until_a_new_start() {
-    let mut roster = UpstreamRegistry::default();
-    roster.put(born("e1", 1));
-    assert!(roster.note_leaving(SECOND, "e1"));
-    assert!(!roster.note_leaving(SECOND, "e1"));
-    let leaving = |roster: &UpstreamRegistry| roster.get("e1").map(|e| e.is_leaving());
-    roster.put(born("e1", 1));
-    assert_eq!(leaving(&roster), Some(true));
-    roster.remove(SECOND, "e1");
-    roster.put(born("e1", 1));
-    assert_eq!(leaving(&roster), Some(true));
-    roster.remove(SECOND, "e1");
-    roster.put(born("e1", 2));
-    assert_eq!(leaving(&roster), Some(false));
-    roster.note_leaving(SECOND, "e1");
-    roster.put(born("e1", 3));
-    assert_eq!(leaving(&roster), Some(false));
+    let mut registry = UpstreamRegistry::default();
+    registry.put(born("e1", 1));
+    assert!(registry.note_leaving(SECOND, "e1"));
+    assert!(!registry.note_leaving(SECOND, "e1"));
+    let leaving = |registry: &UpstreamRegistry| registry.get("e1").map(|e| e.is_leaving());
+    registry.put(born("e1", 1));
+    assert_eq!(leaving(&registry), Some(true));
+    registry.remove(SECOND, "e1");
+    registry.put(born("e1", 1));
+    assert_eq!(leaving(&registry), Some(true));
+    registry.remove(SECOND, "e1");
+    registry.put(born("e1", 2));
+    assert_eq!(leaving(&registry), Some(false));
+    registry.note_leaving(SECOND, "e1");
+    registry.put(born("e1", 3));
+    assert_eq!(leaving(&registry), Some(false));
 }
 
 proptest! {
@@ -237,11 +237,11 @@
 /// A rest of any length is no end of the box.
 #[test]
 fn longest_rest_is_counted() {
-    let mut roster = UpstreamRegistry::default();
-    roster.put(born("e1", 1));
-    roster.note_backoff(SECOND, "e1", Duration::MAX);
+    let mut registry = UpstreamRegistry::default();
+    registry.put(born("e1", 1));
+    registry.note_backoff(SECOND, "e1", Duration::MAX);
     assert!(
-        roster
+        registry
             .get("e1")
             .is_some_and(|e| !e.takes_requests(SECOND * 9))
     );
@@ -251,23 +251,23 @@
 /// is well again.
 #[test]
 fn failures_fade_while_an_upstream_is_avoided() {
-    let mut roster = UpstreamRegistry::default();
-    roster.put(upstream("e1", "a", "small", None, 1));
+    let mut registry = UpstreamRegistry::default();
+    registry.put(upstream("e1", "a", "small", None, 1));
     for _ in 0..10 {
-        roster.record_failure(SECOND, "e1");
+        registry.record_failure(SECOND, "e1");
     }
-    let failures = |now| roster.get("e1").map_or(0.0, |e| e.failure_rate(now));
+    let failures = |now| registry.get("e1").map_or(0.0, |e| e.failure_rate(now));
     assert!(failures(SECOND) > 0.9);
     assert!(failures(SECOND * 40) < 0.05);
 }
 
 #[test]
 fn reading_under_way_is_over_in_its_time() {
-    let mut roster = UpstreamRegistry::default();
-    roster.put(upstream("e1", "a", "small", None, 1));
-    roster.note_prefill(SECOND, "e1", 1.0);
-    roster.note_prefill(SECOND, "e1", 0.5);
-    let backlog = |now| roster.get("e1").map_or(9.0, |e| e.prefill_backlog(now));
+    let mut registry = UpstreamRegistry::default();
+    registry.put(upstream("e1", "a", "small", None, 1));
+    registry.note_prefill(SECOND, "e1", 1.0);
+    registry.note_prefill(SECOND, "e1", 0.5);
+    let backlog = |now| registry.get("e1").map_or(9.0, |e| e.prefill_backlog(now));
     assert!((backlog(SECOND * 2) - 0.5).abs() < 1e-9);
     assert_eq!(backlog(SECOND * 3), 0.0);
 }
@@ -370,34 +370,35 @@
 /// though most of them had just served other streams.
 #[test]
 fn upstream_that_was_just_heard_needs_no_probe() {
-    let mut roster = UpstreamRegistry::default();
-    roster.put(upstream("e1", "a", "small", None, 1));
-    let heard = |roster: &UpstreamRegistry, now| roster.get("e1").is_some_and(|e| e.is_active(now));
-    assert!(!heard(&roster, SECOND));
-    roster.note_activity(SECOND, "e1");
-    assert!(heard(&roster, SECOND + Duration::from_millis(50)));
-    assert!(!heard(&roster, SECOND + Duration::from_millis(70)));
+    let mut registry = UpstreamRegistry::default();
+    registry.put(upstream("e1", "a", "small", None, 1));
+    let heard =
+        |registry: &UpstreamRegistry, now| registry.get("e1").is_some_and(|e| e.is_active(now));
+    assert!(!heard(&registry, SECOND));
+    registry.note_activity(SECOND, "e1");
+    assert!(heard(&registry, SECOND + Duration::from_millis(50)));
+    assert!(!heard(&registry, SECOND + Duration::from_millis(70)));
 }
 
 /// An engine whose connection breaks and that takes no other one got the next tries as
 /// well, where other streams had heard it a moment ago; those streams may go on.
 #[test]
 fn upstream_that_takes_no_connection_gets_nothing_new_and_keeps_what_it_has() {
-    let mut roster = UpstreamRegistry::default();
-    roster.put(upstream("e1", "a", "large", None, 1));
-    roster.note_activity(SECOND, "e1");
-    roster.note_unreachable(SECOND, "e1");
-    let entry = roster.get("e1").expect("an entry");
+    let mut registry = UpstreamRegistry::default();
+    registry.put(upstream("e1", "a", "large", None, 1));
+    registry.note_activity(SECOND, "e1");
+    registry.note_unreachable(SECOND, "e1");
+    let entry = registry.get("e1").expect("an entry");
     assert!(!entry.takes_requests(SECOND));
     assert!(entry.is_usable(SECOND) && !entry.is_suspect(SECOND));
     assert!(entry.takes_requests(SECOND * 2));
     // A new start is another engine.
-    roster.note_unreachable(SECOND * 3, "e1");
+    registry.note_unreachable(SECOND * 3, "e1");
     let mut born = upstream("e1", "a", "large", None, 1);
     born.started_ms = Some(7);
-    roster.put(born);
+    registry.put(born);
     assert!(
-        roster
+        registry
             .get("e1")
             .is_some_and(|e| e.takes_requests(SECOND * 3))
     );
--- a/crates/ashgauge/tests/reserve.rs
+++ b/crates/ashgauge/tests/reserve.rs
@@ -18,7 +18,7 @@
 use ashgauge::selection::{self, RESERVED_SHARE, Requirements};
 use ashgauge::wan::WanUsage;
 use common::Fixed;
-use engines::{BOXES, apply, fleet, model, roster, scene};
+use engines::{BOXES, apply, context, fleet, model, registry};
 use rand::rngs::SmallRng;
 use rand::{Rng, SeedableRng};
 use xxhash_rust::xxh3::xxh3_64;
@@ -32,20 +32,20 @@
     let mut seats = fleet();
     let assignments = plan(&model, &seats);
     apply(&mut seats, &assignments);
-    let mut roster = roster(&seats);
+    let mut registry = registry(&seats);
     for seat in &seats {
         let Some(held) = seat.layers else {
             continue;
         };
-        let entry = roster.get(&seat.id).expect("an engine");
+        let entry = registry.get(&seat.id).expect("an engine");
         let boxes = match *seat.data_centre == *place {
             true => BOXES / 3.0,
             false => BOXES,
         };
         let room = cost::memory_capacity(&model, entry, held) / boxes;
-        roster.begin_request(&seat.id, (room * rng.random_range(0.5..1.1)) as u64);
+        registry.begin_request(&seat.id, (room * rng.random_range(0.5..1.1)) as u64);
     }
-    roster
+    registry
 }
 
 /// Guards against another choice where the overload components are disabled: without a
@@ -61,9 +61,9 @@
     for seed in 0..400 {
         let mut rng = SmallRng::seed_from_u64(seed);
         let place = Arc::from(["a", "b", "c"][seed as usize % 3]);
-        let roster = filled(&place, &mut rng);
+        let registry = filled(&place, &mut rng);
         let (pipes, shares) = (WanUsage::default(), FleetLoad::default());
-        let scene = scene(&roster, &pipes, &shares, &place);
+        let context = context(&registry, &pipes, &shares, &place);
         let draw = rng.random();
         let choose = |reserved| {
             let need = Some(Requirements {
@@ -72,7 +72,7 @@
             });
             let mut draws = Fixed(draw);
             selection::select_chain(
-                &scene,
+                &context,
                 &model(),
                 selection::all_layers(80),
                 &[],
@@ -111,12 +111,12 @@
         prefill_factor: 15.0,
     };
     model.accelerators.insert("slow".into(), slow);
-    let mut roster = UpstreamRegistry::default();
+    let mut registry = UpstreamRegistry::default();
     for (n, (place, card)) in THREE.into_iter().enumerate() {
         let all = Some(selection::all_layers(model.layers));
-        roster.put(engines::upstream(place, place, card, all, n));
+        registry.put(engines::upstream(place, place, card, all, n));
     }
-    (model, roster)
+    (model, registry)
 }
 
 /// What a box tells of its use of the engines at a time.
@@ -135,10 +135,10 @@
 
 /// The engine that a box of data centre `place` chooses in each of 20 draws.
 fn chosen(place: &str, filled: &Filled, reserved: f64) -> Option<String> {
-    let (model, roster) = three();
+    let (model, registry) = three();
     let mut shares = FleetLoad::default();
     let uses = THREE.iter().enumerate().map(|(n, (id, _))| {
-        let entry = roster.get(id).expect("an engine");
+        let entry = registry.get(id).expect("an engine");
         let room = cost::memory_capacity(&model, entry, selection::all_layers(model.layers));
         let used = Usage {
             requests: 1,
@@ -151,10 +151,10 @@
     let now = Duration::from_secs(100);
     assert!(shares.apply(now, word("box-2", now, uses.collect())));
     let (pipes, place) = (WanUsage::default(), Arc::from(place));
-    let scene = SelectionContext {
+    let context = SelectionContext {
         boxes: 2.0,
         local_boxes: 1.0,
-        ..scene(&roster, &pipes, &shares, &place)
+        ..context(&registry, &pipes, &shares, &place)
     };
     let need = Some(Requirements {
         tokens: 10,
@@ -164,7 +164,7 @@
     let draw = |seed| -> Option<Vec<Stage>> {
         let mut rng = SmallRng::seed_from_u64(seed);
         selection::select_chain(
-            &scene,
+            &context,
             &model,
             selection::all_layers(10),
             &[],
@@ -269,12 +269,12 @@
 impl World {
     fn new(reserved: f64, seed: u64) -> Self {
         let (model, single) = three();
-        let mut roster = UpstreamRegistry::default();
+        let mut registry = UpstreamRegistry::default();
         for entry in single.iter() {
             for n in 0..EACH {
                 let mut upstream = entry.upstream.clone();
                 upstream.id = format!("{}{n}", upstream.id).into();
-                roster.put(upstream);
+                registry.put(upstream);
             }
         }
         let places = THREE.map(|(place, _)| Arc::from(place));
@@ -282,7 +282,7 @@
             model,
             reserved,
             boxes: places
-                .map(|place| (place, roster.clone(), FleetLoad::default()))
+                .map(|place| (place, registry.clone(), FleetLoad::default()))
                 .into(),
             words: VecDeque::new(),
             ends: VecDeque::new(),
@@ -324,8 +324,8 @@
 
     /// Lets all boxes tell what they have.
     fn tell(&mut self) {
-        for (n, (place, roster, _)) in self.boxes.iter().enumerate() {
-            let uses = roster
+        for (n, (place, registry, _)) in self.boxes.iter().enumerate() {
+            let uses = registry
                 .iter()
                 .map(|e| (load_report::upstream_key(&e.upstream.id), e.usage(self.now)));
             let word = word(place, self.now, uses.collect());
@@ -336,14 +336,14 @@
     /// Lets a request arrive at a box.
     fn arrive(&mut self, at: usize, served: &mut Served) {
         let tokens = self.tokens();
-        let (place, roster, shares) = &mut self.boxes[at];
+        let (place, registry, shares) = &mut self.boxes[at];
         let pipes = WanUsage::default();
-        let scene = SelectionContext {
+        let context = SelectionContext {
             boxes: 3.0,
             local_boxes: 1.0,
             remote_interval: AGE,
             now: self.now,
-            ..scene(roster, &pipes, shares, place)
+            ..context(registry, &pipes, shares, place)
         };
         let need = Some(Requirements {
             tokens: self.model.typical_prompt + self.model.typical_output / 2,
@@ -351,21 +351,21 @@
             reserved_share: self.reserved,
         });
         let (model, all) = (&self.model, selection::all_layers(self.model.layers));
-        let Some(chain) = selection::select_chain(&scene, model, all, &[], need, &mut self.rng)
+        let Some(chain) = selection::select_chain(&context, model, all, &[], need, &mut self.rng)
         else {
             served.refused += 1;
             return;
         };
         let id = chain[0].upstream.clone();
-        match roster
+        match registry
             .get(&id)
             .is_some_and(|e| e.upstream.data_centre == *place)
         {
             true => served.near += 1,
             false => served.away += 1,
         }
-        roster.begin_request(&id, tokens);
-        roster.begin_head(&id);
+        registry.begin_request(&id, tokens);
+        registry.begin_head(&id);
         self.ends.push_back((self.now + STAY, at, id));
     }
 
--- a/crates/ashgauge/tests/shape.rs
+++ b/crates/ashgauge/tests/shape.rs
@@ -19,7 +19,7 @@
 use ashgauge::upstream::LayerRange;
 use ashgauge::wan::WanUsage;
 use common::Fixed;
-use engines::{BOXES, apply, fleet, model, roster, scene};
+use engines::{BOXES, apply, context, fleet, model, registry};
 use rand::rngs::SmallRng;
 use rand::{Rng, SeedableRng};
 use xxhash_rust::xxh3::xxh3_64;
@@ -33,19 +33,19 @@
     let mut seats = fleet();
     let assignments = plan(&model(), &seats);
     apply(&mut seats, &assignments);
-    let mut roster = roster(&seats);
+    let mut registry = registry(&seats);
     for seat in &seats {
         for _ in 0..rng.random_range(1..8) {
-            roster.begin_request(&seat.id, rng.random_range(1..20_000));
+            registry.begin_request(&seat.id, rng.random_range(1..20_000));
         }
-        roster.note_prefill(now, &seat.id, rng.random_range(0.0..0.05));
+        registry.note_prefill(now, &seat.id, rng.random_range(0.0..0.05));
         match rng.random_range(0..10) {
-            0 => roster.remove(now, &seat.id),
-            1 => roster.begin_head(&seat.id),
+            0 => registry.remove(now, &seat.id),
+            1 => registry.begin_head(&seat.id),
             _ => {}
         }
     }
-    roster
+    registry
 }
 
 /// Pipes between three data centres, of which some are used.
@@ -65,16 +65,16 @@
 /// begins or a stream that goes on.
 fn choose(seed: u64, together: bool, shape: Option<RequestSize>) -> Option<Vec<Stage>> {
     let mut rng = SmallRng::seed_from_u64(seed);
-    let (roster, pipes, shares) = (loaded(&mut rng), used_pipes(&mut rng), FleetLoad::default());
+    let (registry, pipes, shares) = (loaded(&mut rng), used_pipes(&mut rng), FleetLoad::default());
     let place = ["a", "b", "c"][seed as usize % 3].into();
-    let scene = SelectionContext {
+    let context = SelectionContext {
         simultaneous: together,
         size: shape,
-        ..scene(&roster, &pipes, &shares, &place)
+        ..context(&registry, &pipes, &shares, &place)
     };
     let mut draws = Fixed(rng.random());
     selection::select_chain(
-        &scene,
+        &context,
         &model(),
         selection::all_layers(80),
         &[],
@@ -128,7 +128,7 @@
     let mut model = model();
     model.layers = 10;
     model.prefill_rate = 40_000.0;
-    let mut roster = UpstreamRegistry::default();
+    let mut registry = UpstreamRegistry::default();
     let kinds = [("reader", 2.4, 1.0), ("writer", 1.0, 4.0)];
     for (n, (name, step_factor, read_factor)) in kinds.into_iter().enumerate() {
         let card = Accelerator {
@@ -138,33 +138,33 @@
         };
         model.accelerators.insert(name.into(), card);
         let all = Some(selection::all_layers(model.layers));
-        roster.put(engines::upstream(name, "a", name, all, n));
+        registry.put(engines::upstream(name, "a", name, all, n));
     }
-    (model, roster)
+    (model, registry)
 }
 
 /// The first engine that is chosen.
-fn first(scene: &SelectionContext, model: &Model, seed: u64) -> UpstreamId {
+fn first(context: &SelectionContext, model: &Model, seed: u64) -> UpstreamId {
     let mut rng = SmallRng::seed_from_u64(seed);
     let all = selection::all_layers(model.layers);
-    let chain = selection::select_chain(scene, model, all, &[], None, &mut rng);
+    let chain = selection::select_chain(context, model, all, &[], None, &mut rng);
     chain.expect("a chain")[0].upstream.clone()
 }
 
 /// Asserts that long prompts go to the reader and long answers to the writer, where
 /// requests stay for 8 s.
-fn assert_apart(model: &Model, roster: &UpstreamRegistry) {
+fn assert_apart(model: &Model, registry: &UpstreamRegistry) {
     let (pipes, shares, place) = (WanUsage::default(), FleetLoad::default(), Arc::from("a"));
     let prompt = RequestSize::clamped(model.typical_prompt * 8, model.typical_output, model);
     let answer = RequestSize::clamped(model.typical_prompt, model.typical_output * 8, model);
     for (shape, wanted) in [(prompt, "reader"), (answer, "writer")] {
-        let scene = SelectionContext {
+        let context = SelectionContext {
             size: Some(shape),
             request_duration: Duration::from_secs(8),
-            ..scene(roster, &pipes, &shares, &place)
+            ..context(registry, &pipes, &shares, &place)
         };
         for seed in 0..20 {
-            assert_eq!(&*first(&scene, model, seed), wanted);
+            assert_eq!(&*first(&context, model, seed), wanted);
         }
     }
 }
@@ -173,44 +173,44 @@
 /// engine that reads slowly, a long answer took its time on one that writes slowly.
 #[test]
 fn long_prompts_go_to_readers_and_long_answers_to_writers() {
-    let (model, roster) = reader_and_writer();
-    assert_apart(&model, &roster);
+    let (model, registry) = reader_and_writer();
+    assert_apart(&model, &registry);
 }
 
 /// The same on engines that are half full, with a dozen requests and prompts to read.
 #[test]
 fn shapes_count_under_load() {
-    let (model, mut roster) = reader_and_writer();
+    let (model, mut registry) = reader_and_writer();
     let all = selection::all_layers(model.layers);
     for id in ["reader", "writer"] {
-        let room = cost::memory_capacity(&model, roster.get(id).expect("an engine"), all);
+        let room = cost::memory_capacity(&model, registry.get(id).expect("an engine"), all);
         let requests = (12.0 * 3.0 / BOXES) as u32;
         let each = room / 2.0 / (BOXES / 3.0) / f64::from(requests);
-        (0..requests).for_each(|_| roster.begin_request(id, each as u64));
-        roster.note_prefill(Duration::from_secs(100), id, 0.05);
+        (0..requests).for_each(|_| registry.begin_request(id, each as u64));
+        registry.note_prefill(Duration::from_secs(100), id, 0.05);
     }
-    assert_apart(&model, &roster);
+    assert_apart(&model, &registry);
 }
 
 /// Guards against a stream of a lost engine with much to read anew that goes on over an
 /// engine that reads slowly, as one with little to read does, and pauses for as long.
 #[test]
 fn stream_with_much_to_read_anew_goes_on_over_a_reader() {
-    let (model, mut roster) = reader_and_writer();
-    roster.note_prefill(Duration::from_secs(100), "reader", 0.12);
+    let (model, mut registry) = reader_and_writer();
+    registry.note_prefill(Duration::from_secs(100), "reader", 0.12);
     let (pipes, shares, place) = (WanUsage::default(), FleetLoad::default(), Arc::from("a"));
     let begun = RequestSize::clamped(model.typical_prompt * 8, model.typical_output * 8, &model);
     let rest = begun.after_tokens(model.typical_output * 7, &model);
     for (shape, wanted) in [(Some(rest), "reader"), (None, "writer")] {
-        let scene = SelectionContext {
+        let context = SelectionContext {
             simultaneous: true,
             size: shape,
             // No other box leads streams here at the same moment.
             local_boxes: 0.0,
-            ..scene(&roster, &pipes, &shares, &place)
+            ..context(&registry, &pipes, &shares, &place)
         };
         for seed in 0..20 {
-            assert_eq!(&*first(&scene, &model, seed), wanted);
+            assert_eq!(&*first(&context, &model, seed), wanted);
         }
     }
 }
@@ -259,22 +259,22 @@
         LayerRange { first: 0, end: 5 },
         LayerRange { first: 5, end: 10 },
     );
-    let mut roster = UpstreamRegistry::default();
+    let mut registry = UpstreamRegistry::default();
     for (n, (id, place, span)) in [("a1", "a", head), ("a2", "a", tail), ("b2", "b", tail)]
         .into_iter()
         .enumerate()
     {
-        roster.put(engines::upstream(id, place, "large", Some(span), n));
+        registry.put(engines::upstream(id, place, "large", Some(span), n));
     }
-    roster.note_full(Duration::from_secs(100), "a2");
+    registry.note_full(Duration::from_secs(100), "a2");
     let (pipes, shares, place) = (WanUsage::default(), FleetLoad::default(), Arc::from("a"));
-    let scene = SelectionContext {
+    let context = SelectionContext {
         size: Some(RequestSize::clamped(prompt, model.typical_output, &model)),
-        ..scene(&roster, &pipes, &shares, &place)
+        ..context(&registry, &pipes, &shares, &place)
     };
     let mut rng = SmallRng::seed_from_u64(seed);
     let chain = selection::select_chain(
-        &scene,
+        &context,
         &model,
         selection::all_layers(10),
         &[],
@@ -294,15 +294,15 @@
 }
 
 /// Asserts that there is a chain for a request of this shape.
-fn assert_found(model: &Model, roster: &UpstreamRegistry, shape: RequestSize) {
+fn assert_found(model: &Model, registry: &UpstreamRegistry, shape: RequestSize) {
     let (pipes, shares, place) = (WanUsage::default(), FleetLoad::default(), Arc::from("a"));
     for together in [false, true] {
-        let scene = SelectionContext {
+        let context = SelectionContext {
             simultaneous: together,
             size: Some(shape),
-            ..scene(roster, &pipes, &shares, &place)
+            ..context(registry, &pipes, &shares, &place)
         };
-        first(&scene, model, 1);
+        first(&context, model, 1);
     }
 }
 
@@ -310,9 +310,9 @@
 /// usual ones: they give a bounded shape, and a chain.
 #[test]
 fn bad_figures_give_a_bounded_guess() {
-    let (mut model, mut roster) = reader_and_writer();
+    let (mut model, mut registry) = reader_and_writer();
     let all = Some(selection::all_layers(model.layers));
-    roster.put(engines::upstream("unknown", "a", "no such card", all, 3));
+    registry.put(engines::upstream("unknown", "a", "no such card", all, 3));
     let usual = RequestSize::typical(&model);
     assert_eq!(RequestSize::clamped(0, 0, &model), usual);
     let bounds = |usual: u32| usual / 8..=usual * 8;
@@ -324,7 +324,7 @@
         let rest = shape.after_tokens(answer, &model);
         assert!(rest.prompt <= shape.prompt + usual.output * 8, "{rest:?}");
         assert!(bounds(usual.output).contains(&rest.output), "{rest:?}");
-        assert_found(&model, &roster, rest);
+        assert_found(&model, &registry, rest);
     }
     (
         model.typical_prompt,
@@ -333,7 +333,7 @@
     ) = (0, 0, 0.0);
     let shape = RequestSize::clamped(u32::MAX, u32::MAX, &model).after_tokens(u32::MAX, &model);
     assert_eq!((shape.prompt, shape.output), (0, 0));
-    assert_found(&model, &roster, shape);
+    assert_found(&model, &registry, shape);
     (model.typical_prompt, model.typical_output) = (u32::MAX, u32::MAX);
     let shape = RequestSize::clamped(1, 1, &model).after_tokens(u32::MAX, &model);
     assert_eq!(shape.prompt, u32::MAX);
--- a/crates/ashgauge/tests/shape_spread.rs
+++ b/crates/ashgauge/tests/shape_spread.rs
@@ -16,7 +16,7 @@
 use ashgauge::selection;
 use ashgauge::upstream_state::UpstreamState;
 use ashgauge::wan::WanUsage;
-use engines::{model, scene};
+use engines::{context, model};
 use rand::rngs::SmallRng;
 use rand::{Rng, SeedableRng};
 
@@ -64,16 +64,16 @@
         model.layers = 10;
         // Memory is not what spreads them.
         model.token_mb = 0.02;
-        let mut roster = UpstreamRegistry::default();
+        let mut registry = UpstreamRegistry::default();
         for (n, card) in cards.iter().enumerate() {
             let all = Some(selection::all_layers(model.layers));
-            roster.put(engines::upstream(&n.to_string(), "a", card, all, n));
+            registry.put(engines::upstream(&n.to_string(), "a", card, all, n));
         }
         World {
             shape: RequestSize::clamped(model.typical_prompt * 8, model.typical_output, &model),
             model,
             boxes: (0..HERD)
-                .map(|_| (roster.clone(), FleetLoad::default()))
+                .map(|_| (registry.clone(), FleetLoad::default()))
                 .collect(),
             words: VecDeque::new(),
             ends: VecDeque::new(),
@@ -93,24 +93,24 @@
     /// Lets a box choose for a request that arrives there.
     fn arrive(&mut self, at: usize) {
         let tokens = self.tokens();
-        let (roster, shares) = &mut self.boxes[at];
+        let (registry, shares) = &mut self.boxes[at];
         let (pipes, place) = (WanUsage::default(), Arc::from("a"));
-        let scene = SelectionContext {
+        let context = SelectionContext {
             remote_interval: AGE,
             boxes: HERD as f64,
             local_boxes: HERD as f64,
             size: Some(self.shape),
             now: self.now,
-            ..scene(roster, &pipes, shares, &place)
+            ..context(registry, &pipes, shares, &place)
         };
         let (model, all) = (&self.model, selection::all_layers(self.model.layers));
-        let chain = selection::select_chain(&scene, model, all, &[], None, &mut self.rng);
+        let chain = selection::select_chain(&context, model, all, &[], None, &mut self.rng);
         let id = chain.expect("a chain")[0].upstream.clone();
-        let engine = roster.get(&id).expect("an engine");
-        let read = cost::prefill_seconds(&scene, model, engine, all.len(), self.shape.prompt);
-        roster.note_prefill(self.now, &id, read);
-        roster.begin_request(&id, tokens);
-        roster.begin_head(&id);
+        let engine = registry.get(&id).expect("an engine");
+        let read = cost::prefill_seconds(&context, model, engine, all.len(), self.shape.prompt);
+        registry.note_prefill(self.now, &id, read);
+        registry.begin_request(&id, tokens);
+        registry.begin_head(&id);
         let n: usize = id.parse().expect("a number");
         self.queues[n] += read;
         self.given[n] += read;
@@ -136,7 +136,7 @@
 
     /// Lets all boxes tell what they have.
     fn tell(&mut self) {
-        for (n, (roster, _)) in self.boxes.iter().enumerate() {
+        for (n, (registry, _)) in self.boxes.iter().enumerate() {
             let used =
                 |e: &UpstreamState| (load_report::upstream_key(&e.upstream.id), e.usage(self.now));
             let word = LoadReport {
@@ -145,7 +145,7 @@
                 sequence: self.now.as_millis() as u64,
                 scope: Scope::Own,
                 boxes: 1,
-                usage: roster.iter().map(used).collect(),
+                usage: registry.iter().map(used).collect(),
                 suspects: Vec::new(),
                 limits: Vec::new(),
                 flows: Default::default(),
@@ -182,12 +182,12 @@
 
     /// Long prompts a second that keep the engines reading for this part of their time.
     fn rate(&self, part: f64) -> f64 {
-        let roster = &self.boxes[0].0;
+        let registry = &self.boxes[0].0;
         let factor = |e: &UpstreamState| {
             let card = e.upstream.accelerator.as_deref().expect("a card");
             1.0 / self.model.accelerators[card].prefill_factor
         };
-        let rate: f64 = roster.iter().map(factor).sum();
+        let rate: f64 = registry.iter().map(factor).sum();
         part * rate * self.model.prefill_rate / f64::from(self.shape.prompt)
     }
 
--- a/crates/ashgauge/tests/worst_load.rs
+++ b/crates/ashgauge/tests/worst_load.rs
@@ -18,7 +18,7 @@
 use ashgauge::upstream::LayerRange;
 use ashgauge::upstream_state::UpstreamState;
 use ashgauge::wan::WanUsage;
-use engines::{BOXES, model, scene, twins};
+use engines::{BOXES, context, model, twins};
 use rand::SeedableRng;
 use rand::rngs::SmallRng;
 
@@ -76,23 +76,24 @@
     let mut taken = [0.0; 4];
     for seed in seeds {
         let mut rng = SmallRng::seed_from_u64(seed);
-        let mut roster = UpstreamRegistry::default();
+        let mut registry = UpstreamRegistry::default();
         for (n, (place, card)) in engines.iter().enumerate() {
-            roster.put(engines::upstream(&n.to_string(), place, card, Some(all), n));
+            registry.put(engines::upstream(&n.to_string(), place, card, Some(all), n));
         }
         for _ in 0..streams {
-            let scene = SelectionContext {
+            let context = SelectionContext {
                 simultaneous: together,
                 remote_interval: Duration::from_secs(1),
                 boxes: 73.0,
                 local_boxes: 24.0,
-                ..scene(&roster, &pipes, &shares, &place)
+                ..context(&registry, &pipes, &shares, &place)
             };
-            let chain = selection::select_chain(&scene, &model, all, &[], None, &mut rng).unwrap();
+            let chain =
+                selection::select_chain(&context, &model, all, &[], None, &mut rng).unwrap();
             let id = chain[0].upstream.clone();
-            let (now, entry) = (scene.now, roster.get(&id).unwrap());
-            let seconds = cost::prefill_seconds(&scene, &model, entry, all.len(), 900);
-            roster.note_prefill(now, &id, seconds);
+            let (now, entry) = (context.now, registry.get(&id).unwrap());
+            let seconds = cost::prefill_seconds(&context, &model, entry, all.len(), 900);
+            registry.note_prefill(now, &id, seconds);
             taken[id.parse::<usize>().unwrap()] += 1.0;
         }
     }
@@ -142,22 +143,22 @@
     model.layers = 10;
     model.prefill_rate = 100_000.0;
     let all = selection::all_layers(model.layers);
-    let mut roster = UpstreamRegistry::default();
-    roster.put(engines::upstream("fast", "a", "large", Some(all), 1));
+    let mut registry = UpstreamRegistry::default();
+    registry.put(engines::upstream("fast", "a", "large", Some(all), 1));
     for n in 0..4 {
         let id = format!("other-{n}");
-        roster.put(engines::upstream(&id, "a", "medium", Some(all), 2 + n));
+        registry.put(engines::upstream(&id, "a", "medium", Some(all), 2 + n));
     }
     let (pipes, shares, place) = (WanUsage::default(), FleetLoad::default(), Arc::from("a"));
     let mut rng = SmallRng::seed_from_u64(1);
     let neighbours = BOXES / 3.0;
     for _ in 0..(180.0 / neighbours) as usize {
-        let scene = scene(&roster, &pipes, &shares, &place);
+        let context = context(&registry, &pipes, &shares, &place);
         let stages =
-            selection::select_chain(&scene, &model, all, &[], None, &mut rng).expect("a chain");
-        roster.begin_request(&stages[0].upstream, 100 * 10);
+            selection::select_chain(&context, &model, all, &[], None, &mut rng).expect("a chain");
+        registry.begin_request(&stages[0].upstream, 100 * 10);
     }
-    let fast = roster.get("fast").expect("an engine");
+    let fast = registry.get("fast").expect("an engine");
     let rate = f64::from(fast.inflight) * neighbours / 2.0;
     let part = rate * f64::from(model.typical_prompt) / model.prefill_rate;
     assert!(part <= 0.5, "it reads {part} of its time");
@@ -178,19 +179,19 @@
         LayerRange { first: 0, end: 5 },
         LayerRange { first: 5, end: 10 },
     );
-    let mut roster = UpstreamRegistry::default();
+    let mut registry = UpstreamRegistry::default();
     let engines = [("a1", "a", first), ("a2", "a", rest), ("b2", "b", rest)];
     for (n, (id, place, span)) in engines.into_iter().enumerate() {
-        roster.put(engines::upstream(id, place, "large", Some(span), n));
+        registry.put(engines::upstream(id, place, "large", Some(span), n));
     }
-    (0..40).for_each(|_| roster.begin_request("a2", 100));
+    (0..40).for_each(|_| registry.begin_request("a2", 100));
     let (pipes, shares, place) = (WanUsage::default(), FleetLoad::default(), Arc::from("a"));
-    let scene = scene(&roster, &pipes, &shares, &place);
+    let context = context(&registry, &pipes, &shares, &place);
     let all = selection::all_layers(model.layers);
     for seed in 0..20 {
         let mut rng = SmallRng::seed_from_u64(seed);
         let chain =
-            selection::select_chain(&scene, &model, all, &[], None, &mut rng).expect("a chain");
+            selection::select_chain(&context, &model, all, &[], None, &mut rng).expect("a chain");
         assert_eq!(&*chain[1].upstream, "a2");
     }
 }
@@ -204,22 +205,22 @@
         LayerRange { first: 0, end: 5 },
         LayerRange { first: 5, end: 10 },
     );
-    let mut roster = UpstreamRegistry::default();
-    roster.put(engines::upstream("fast", "a", "large", Some(first), 1));
-    roster.put(engines::upstream("slow", "a", "small", Some(first), 2));
+    let mut registry = UpstreamRegistry::default();
+    registry.put(engines::upstream("fast", "a", "large", Some(first), 1));
+    registry.put(engines::upstream("slow", "a", "small", Some(first), 2));
     for n in 0..copies {
         let id = format!("rest-{n}");
-        roster.put(engines::upstream(&id, "a", "large", Some(rest), 3 + n));
+        registry.put(engines::upstream(&id, "a", "large", Some(rest), 3 + n));
     }
     let neighbours = BOXES / 3.0;
-    let fast = roster.get("fast").expect("an engine");
+    let fast = registry.get("fast").expect("an engine");
     let used = cost::memory_capacity(&model, fast, first) * 0.8 / neighbours;
-    roster.begin_request("fast", used as u64);
+    registry.begin_request("fast", used as u64);
     let (pipes, shares, place) = (WanUsage::default(), FleetLoad::default(), Arc::from("a"));
-    let scene = scene(&roster, &pipes, &shares, &place);
+    let context = context(&registry, &pipes, &shares, &place);
     let mut rng = SmallRng::seed_from_u64(seed);
     let all = selection::all_layers(model.layers);
-    let chain = selection::select_chain(&scene, &model, all, &[], None, &mut rng);
+    let chain = selection::select_chain(&context, &model, all, &[], None, &mut rng);
     chain.expect("a chain")[0].upstream.clone()
 }
 
@@ -238,25 +239,25 @@
 #[test]
 fn room_near_is_counted_over_the_data_centre_alone() {
     let model = model();
-    let mut roster = twins();
+    let mut registry = twins();
     let held = Some(LayerRange { first: 0, end: 40 });
-    roster.put(engines::upstream("far", "b", "large", held, 4));
-    roster.begin_request("far", 1_000_000);
+    registry.put(engines::upstream("far", "b", "large", held, 4));
+    registry.begin_request("far", 1_000_000);
     let (pipes, shares, place) = (WanUsage::default(), FleetLoad::default(), Arc::from("a"));
-    let filled = |roster: &UpstreamRegistry| {
-        let scene = scene(roster, &pipes, &shares, &place);
-        selection::local_utilization(&scene, &model)
+    let filled = |registry: &UpstreamRegistry| {
+        let context = context(registry, &pipes, &shares, &place);
+        selection::local_utilization(&context, &model)
     };
-    assert_eq!(filled(&roster), 0.0);
+    assert_eq!(filled(&registry), 0.0);
     let near: f64 = {
-        let here = roster.iter().filter(|e| *e.upstream.data_centre == *"a");
+        let here = registry.iter().filter(|e| *e.upstream.data_centre == *"a");
         let room = |e: &UpstreamState| {
             cost::memory_capacity(&model, e, e.upstream.layers.expect("layers"))
         };
         here.map(room).sum()
     };
-    roster.begin_request("a1", (near / 2.0 / (BOXES / 3.0)) as u64);
-    let half = filled(&roster);
+    registry.begin_request("a1", (near / 2.0 / (BOXES / 3.0)) as u64);
+    let half = filled(&registry);
     assert!((half - 0.5).abs() < 0.01, "{half}");
     assert_eq!(filled(&UpstreamRegistry::default()), 1.0);
 }
--- a/crates/ashgauged/src/relay/body.rs
+++ b/crates/ashgauged/src/relay/body.rs
@@ -19,20 +19,20 @@
 
 /// Reads a request's body, or tells the status and end of the refusal.
 pub async fn read(
-    desk: &SharedState,
+    shared: &SharedState,
     body: Incoming,
     held: Duration,
 ) -> Result<Bytes, (StatusCode, &'static str)> {
-    let most = desk.routing().client_limits.body_bytes;
+    let most = shared.routing().client_limits.body_bytes;
     let told = body.size_hint().upper().map_or(most, |n| n as usize);
     if told > most {
         return Err((StatusCode::PAYLOAD_TOO_LARGE, "body too long"));
     }
-    let Some(_room) = BodyReservation::reserve(&desk.body_bytes, told) else {
+    let Some(_room) = BodyReservation::reserve(&shared.body_bytes, told) else {
         return Err((StatusCode::SERVICE_UNAVAILABLE, "no room for the body"));
     };
     let reading = Limited::new(body, most).collect();
-    match desk.clock.within(held.min(BODY_TIMEOUT), reading).await {
+    match shared.clock.within(held.min(BODY_TIMEOUT), reading).await {
         Some(Ok(body)) => Ok(body.to_bytes()),
         Some(Err(e)) if e.is::<LengthLimitError>() => {
             Err((StatusCode::PAYLOAD_TOO_LARGE, "body too long"))
--- a/crates/ashgauged/src/relay/capacity_wait.rs
+++ b/crates/ashgauged/src/relay/capacity_wait.rs
@@ -30,7 +30,7 @@
 
 /// A request that is to be let in; leaves the line when it is dropped.
 pub struct CapacityWait {
-    desk: Rc<SharedState>,
+    shared: Rc<SharedState>,
     service: ServiceId,
     ticket: Option<Ticket>,
     /// Whether it is made for the first time.
@@ -40,15 +40,15 @@
 
 impl CapacityWait {
     /// A request that does not wait yet.
-    pub fn new(desk: &Rc<SharedState>, a: &AdmittedRequest) -> Self {
+    pub fn new(shared: &Rc<SharedState>, a: &AdmittedRequest) -> Self {
         let first = !a.may_be_retry();
         let most = if first { MAX_WAIT } else { MAX_RETRY_WAIT };
         CapacityWait {
-            desk: desk.clone(),
+            shared: shared.clone(),
             service: a.service.name.clone(),
             ticket: None,
             is_first: first,
-            deadline: desk.now() + most,
+            deadline: shared.now() + most,
         }
     }
 
@@ -56,9 +56,9 @@
     pub fn wait_for_capacity(&mut self, a: &AdmittedRequest) {
         if self.ticket.is_none() {
             let fields = json!({
-                "full": self.desk.count_full(&a.service),
-                "limit": self.desk.with_queue(&self.service, |l| l.fill_limit()),
-                "boxes_heard": self.desk.fleet_load.borrow().boxes(),
+                "full": self.shared.count_full(&a.service),
+                "limit": self.shared.with_queue(&self.service, |l| l.fill_limit()),
+                "boxes_heard": self.shared.fleet_load.borrow().boxes(),
             });
             a.record.log_step("waits for room", fields);
         }
@@ -68,8 +68,8 @@
     fn enqueue(&mut self, a: &AdmittedRequest) {
         if self.ticket.is_none() {
             let team = a.team.as_ref().map_or("", |t| t.name.as_str());
-            let rank = a.rank(&self.desk);
-            let ticket = self.desk.with_queue(&self.service, |l| {
+            let rank = a.rank(&self.shared);
+            let ticket = self.shared.with_queue(&self.service, |l| {
                 l.enqueue(rank, self.is_first, &Arc::from(team))
             });
             self.ticket = Some(ticket);
@@ -79,16 +79,16 @@
     /// Waits until the request may look for a chain; returns false if it would
     /// take too long.
     pub async fn wait(&mut self, a: &AdmittedRequest) -> bool {
-        let rank = a.rank(&self.desk);
+        let rank = a.rank(&self.shared);
         let line_ahead = |l: &mut AdmissionQueue| l.ahead_of_new(rank);
-        if self.ticket.is_none() && self.desk.with_queue(&self.service, line_ahead) > 0 {
+        if self.ticket.is_none() && self.shared.with_queue(&self.service, line_ahead) > 0 {
             self.enqueue(a);
         }
         let Some(ticket) = &self.ticket else {
             return true;
         };
         loop {
-            let ahead = self.desk.with_queue(&self.service, |l| l.ahead(ticket));
+            let ahead = self.shared.with_queue(&self.service, |l| l.ahead(ticket));
             if self.exceeds_deadline(ahead) {
                 return false;
             }
@@ -101,29 +101,29 @@
 
     /// Whether the request may wait for so long.
     pub fn fits_deadline(&self, wait: Duration) -> bool {
-        self.desk.now() + wait <= self.deadline
+        self.shared.now() + wait <= self.deadline
     }
 
     /// Whether a request with so many ahead is better refused now.
     fn exceeds_deadline(&self, ahead: usize) -> bool {
         let wait = self
-            .desk
+            .shared
             .with_queue(&self.service, |l| l.expected_wait(ahead));
-        let now = self.desk.now();
+        let now = self.shared.now();
         now >= self.deadline || now + wait.mul_f64(MIN_WAIT_SHARE) > self.deadline
     }
 
     /// Notes that the request was let in.
     pub fn note_admitted(&mut self) {
-        let now = self.desk.now();
-        self.desk
+        let now = self.shared.now();
+        self.shared
             .with_queue(&self.service, |l| l.note_admitted(now));
         self.dequeue();
     }
 
     fn dequeue(&mut self) {
         if let Some(ticket) = self.ticket.take() {
-            self.desk.with_queue(&self.service, |l| l.remove(&ticket));
+            self.shared.with_queue(&self.service, |l| l.remove(&ticket));
         }
     }
 }
--- a/crates/ashgauged/src/relay/clock.rs
+++ b/crates/ashgauged/src/relay/clock.rs
@@ -21,17 +21,17 @@
 
 /// Looks for suspensions as long as the process runs, and lets everything that waits
 /// look at its time anew after one.
-pub async fn watch_suspension(desk: Rc<SharedState>) {
+pub async fn watch_suspension(shared: Rc<SharedState>) {
     let began = Instant::now();
-    let mut suspension = SuspensionDetector::new(began.elapsed(), desk.now());
+    let mut suspension = SuspensionDetector::new(began.elapsed(), shared.now());
     loop {
         sleep(POLL_INTERVAL).await;
-        let Some(time) = suspension.check(began.elapsed(), desk.now()) else {
+        let Some(time) = suspension.check(began.elapsed(), shared.now()) else {
             continue;
         };
         let fields = json!({"ms": time.as_millis() as u64});
         log::event(Level::Warn, "box", "was suspended", fields);
-        desk.clock.notify_resumed();
-        desk.notify_streams();
+        shared.clock.notify_resumed();
+        shared.notify_streams();
     }
 }
--- a/crates/ashgauged/src/relay/event_forwarder/mod.rs
+++ b/crates/ashgauged/src/relay/event_forwarder/mod.rs
@@ -34,14 +34,14 @@
 
 /// Starts passing a stream's events on; the body ends the task when dropped.
 pub fn start(
-    desk: Rc<SharedState>,
+    shared: Rc<SharedState>,
     a: AdmittedRequest,
     handoff: Attempts,
     rule: StreamPolicy,
     run: Run,
 ) -> StreamBody {
     let (sender, pieces) = mpsc::channel(MAX_QUEUED_CHUNKS);
-    let now = desk.now();
+    let now = shared.now();
     let pump = EventForwarder {
         last_id: a.client_request.last_event,
         has_forwarded: false,
@@ -53,13 +53,13 @@
         recheck_at: None,
         repairs: 0,
         broke_at: None,
-        upstream_changes: desk.upstream_changes.subscribe(),
+        upstream_changes: shared.upstream_changes.subscribe(),
         sender,
         run,
         rule,
         handoff,
         request: a,
-        desk,
+        shared,
     };
     let task = tokio::task::spawn_local(pump.run());
     StreamBody {
@@ -70,7 +70,7 @@
 
 /// Copies one stream.
 struct EventForwarder {
-    desk: Rc<SharedState>,
+    shared: Rc<SharedState>,
     request: AdmittedRequest,
     handoff: Attempts,
     rule: StreamPolicy,
@@ -134,9 +134,9 @@
                 ForwardState::Continue => {}
                 ForwardState::Done => {
                     let took = self.request.record.elapsed();
-                    self.desk.note_duration(&self.request.service.name, took);
+                    self.shared.note_duration(&self.request.service.name, took);
                     if self.run.event_count > 0 {
-                        self.desk
+                        self.shared
                             .quarantine
                             .borrow_mut()
                             .clear_losses(self.request.digest);
@@ -157,7 +157,7 @@
     async fn next_input(&mut self) -> StreamInput {
         let silent = self.silence_deadline();
         let until = self.handoff.deadline();
-        let now = self.desk.now();
+        let now = self.shared.now();
         let leave = self.recheck_at.unwrap_or(until);
         let wait = silent.min(until).min(leave).saturating_sub(now);
         let alarm = tokio::time::Instant::now() + wait;
@@ -174,7 +174,7 @@
             },
             () = self.sender.closed() => StreamInput::CallerLeft,
             Ok(()) = self.upstream_changes.changed() => StreamInput::UpstreamChange,
-            () = sleep_until(alarm) => match self.desk.now() {
+            () = sleep_until(alarm) => match self.shared.now() {
                 now if now >= until => StreamInput::Deadline,
                 now if now < silent && now >= leave => StreamInput::UpstreamChange,
                 _ => StreamInput::Silence,
@@ -184,7 +184,7 @@
 
     /// When the stream counts as silent.
     fn silence_deadline(&self) -> Duration {
-        let settings = self.desk.settings();
+        let settings = self.shared.settings();
         let ms = Duration::from_millis;
         let (first, least) = (settings.timing.first_ms, settings.timing.silence_ms);
         match &self.run.estimate {
@@ -198,11 +198,11 @@
 
     /// Passes whole events on.
     async fn forward(&mut self, bytes: Bytes) -> ForwardState {
-        let now = self.desk.now();
+        let now = self.shared.now();
         self.silence.record_event(now);
         self.note_liveness(now);
         if let Some(broke) = self.broke_at.take() {
-            self.desk
+            self.shared
                 .metrics
                 .repair_gap
                 .observe((now - broke).as_secs_f64());
@@ -231,7 +231,7 @@
         }
         let left = self.handoff.time_left(now);
         let sending = self.sender.send(Ok(piece));
-        match self.desk.clock.within(left, sending).await {
+        match self.shared.clock.within(left, sending).await {
             Some(Ok(())) => ForwardState::Continue,
             Some(Err(_)) => ForwardState::Abort("caller left"),
             None => ForwardState::Abort("late"),
@@ -245,9 +245,9 @@
             return;
         }
         self.liveness_at = now;
-        let mut roster = self.desk.registry.borrow_mut();
+        let mut registry = self.shared.registry.borrow_mut();
         for stage in &self.run.stages {
-            roster.note_activity(now, &stage.upstream);
+            registry.note_activity(now, &stage.upstream);
         }
     }
 
@@ -271,7 +271,7 @@
             && was_sent_once
             && !was_repaired
         {
-            forecast::calibrate(&self.desk, &self.request.service.name, estimate, now);
+            forecast::calibrate(&self.shared, &self.request.service.name, estimate, now);
         }
     }
 
@@ -282,7 +282,7 @@
         if !run.proven_safe && is_safe_run(*first, now) {
             run.proven_safe = true;
             run.suspect_run = None;
-            self.desk
+            self.shared
                 .quarantine
                 .borrow_mut()
                 .clear_losses(self.request.digest);
--- a/crates/ashgauged/src/relay/event_forwarder/repair.rs
+++ b/crates/ashgauged/src/relay/event_forwarder/repair.rs
@@ -43,11 +43,11 @@
             json!({"cause": cause, "last": self.last_id}),
         );
         // What was heard longer ago than a moment before it broke says nothing.
-        let since = self.desk.now();
-        let dead = find_unreachable(&self.desk, &self.request, &self.run.stages, since).await;
+        let since = self.shared.now();
+        let dead = find_unreachable(&self.shared, &self.request, &self.run.stages, since).await;
         dead.iter()
-            .for_each(|id| self.desk.mark_suspect(id, "no connection"));
-        if loss::check_loss(&self.desk, &self.request, self.broken_run()).await {
+            .for_each(|id| self.shared.mark_suspect(id, "no connection"));
+        if loss::check_loss(&self.shared, &self.request, self.broken_run()).await {
             self.handoff.record_lost();
         }
         self.resume("broken", false).await
@@ -57,7 +57,7 @@
     /// without a length, one that was cut off ends in the same way.
     pub(super) async fn handle_end(&mut self) -> ForwardState {
         if self.run.event_count > 0
-            || !loss::check_loss(&self.desk, &self.request, self.broken_run()).await
+            || !loss::check_loss(&self.shared, &self.request, self.broken_run()).await
         {
             return ForwardState::Done;
         }
@@ -69,19 +69,19 @@
     pub(super) async fn handle_silence(&mut self) -> ForwardState {
         self.silence.record_check();
         let due = self.silence.last_event() + Duration::from_secs_f64(self.silence.event_gap());
-        let dead = find_unreachable(&self.desk, &self.request, &self.run.stages, due).await;
+        let dead = find_unreachable(&self.shared, &self.request, &self.run.stages, due).await;
         if !dead.is_empty() {
             dead.iter()
-                .for_each(|id| self.desk.mark_suspect(id, "no connection"));
+                .for_each(|id| self.shared.mark_suspect(id, "no connection"));
             return self.repair(dead).await;
         }
         if self.is_overdue() && self.may_move() {
             return self.resume("silent", true).await;
         }
-        match query_engines(&self.desk, &self.request, &self.run.stages).await {
+        match query_engines(&self.shared, &self.request, &self.run.stages).await {
             // A report lags; it may name an engine that was led around already.
             Some(id) if self.run.stages.iter().any(|s| s.upstream == id) => {
-                self.desk.mark_suspect(&id, "reported as stalled");
+                self.shared.mark_suspect(&id, "reported as stalled");
                 self.repair(vec![id]).await
             }
             _ => ForwardState::Continue,
@@ -91,7 +91,7 @@
     /// Repairs the chain if another stream found one of its engines lost, or
     /// leads it away from engines that will soon be.
     pub(super) async fn handle_upstream_change(&mut self) -> ForwardState {
-        let now = self.desk.now();
+        let now = self.shared.now();
         let lost = self.engines_where(|e, _| e.is_suspect(now));
         if !lost.is_empty() {
             return self.repair(lost).await;
@@ -109,7 +109,7 @@
 
     /// Whether nothing has come for so long that the stream goes on elsewhere.
     fn is_overdue(&self) -> bool {
-        self.desk.now() >= self.overdue_at()
+        self.shared.now() >= self.overdue_at()
     }
 
     fn overdue_at(&self) -> Duration {
@@ -119,7 +119,7 @@
     /// Whether a stream whose engines all answer is led elsewhere now. It may go on by
     /// itself, so it waits for its turn as long as it takes.
     fn may_move(&mut self) -> bool {
-        let may = recovery::take_budget(&self.desk, &self.request);
+        let may = recovery::take_budget(&self.shared, &self.request);
         self.schedule_recheck(may);
         may
     }
@@ -127,7 +127,7 @@
     /// The same for a stream that cannot go on by itself, which waits until it is late
     /// at most.
     fn may_repair(&mut self) -> bool {
-        let may = recovery::take_or_overdue(&self.desk, &self.request, self.overdue_at());
+        let may = recovery::take_or_overdue(&self.shared, &self.request, self.overdue_at());
         self.schedule_recheck(may);
         may
     }
@@ -137,7 +137,7 @@
         if self.request.class.is_none() {
             return;
         }
-        let now = self.desk.now();
+        let now = self.shared.now();
         self.recheck_at = match may {
             true => self.recheck_at.map(|at| at.max(now + LEAVE_RETRY_INTERVAL)),
             false => Some(now + recovery::POLL_INTERVAL),
@@ -178,15 +178,15 @@
         if ends.is_empty() || self.repairs >= MAX_REPAIRS {
             return;
         }
-        let before = self.desk.count_crossings(&self.run.stages);
+        let before = self.shared.count_crossings(&self.run.stages);
         let detour = self.detour(&ends);
-        let detour = detour.filter(|(stages, _)| self.desk.count_crossings(stages) <= before);
+        let detour = detour.filter(|(stages, _)| self.shared.count_crossings(stages) <= before);
         let Some((stages, text)) = detour else {
-            self.recheck_at = Some(self.desk.now() + LEAVE_RETRY_INTERVAL);
+            self.recheck_at = Some(self.shared.now() + LEAVE_RETRY_INTERVAL);
             return;
         };
-        if !recovery::take_budget(&self.desk, &self.request) {
-            self.recheck_at = Some(self.desk.now() + LEAVE_RETRY_INTERVAL);
+        if !recovery::take_budget(&self.shared, &self.request) {
+            self.recheck_at = Some(self.shared.now() + LEAVE_RETRY_INTERVAL);
             return;
         }
         self.left_engines.extend(ends.iter().cloned());
@@ -195,9 +195,9 @@
 
     /// Engines of the chain, but for those that are gone, for which `is_so`.
     fn engines_where(&self, is_so: impl Fn(&UpstreamState, &Stage) -> bool) -> Vec<UpstreamId> {
-        let roster = self.desk.registry.borrow();
+        let registry = self.shared.registry.borrow();
         let stages = self.run.stages.iter();
-        let found = stages.filter(|s| roster.get(&s.upstream).is_some_and(|e| is_so(e, s)));
+        let found = stages.filter(|s| registry.get(&s.upstream).is_some_and(|e| is_so(e, s)));
         found.map(|s| s.upstream.clone()).collect()
     }
 
@@ -210,7 +210,7 @@
         };
         let model = self.request.service.model.as_ref();
         let event_tokens = model.map_or(1, |m| m.event_tokens);
-        progress.ends_within(event_tokens, self.desk.settings().drain_bound())
+        progress.ends_within(event_tokens, self.shared.settings().drain_bound())
     }
 
     /// Leads the stream around lost engines, or lets it go on elsewhere.
@@ -225,7 +225,7 @@
         let first = &self.run.stages[0].upstream;
         if lost.contains(first) {
             self.handoff.record_lost();
-            loss::check_loss(&self.desk, &self.request, self.broken_run()).await;
+            loss::check_loss(&self.shared, &self.request, self.broken_run()).await;
             return self.resume("first engine lost", true).await;
         }
         if self.repairs >= MAX_REPAIRS {
@@ -234,8 +234,8 @@
         let Some((stages, text)) = self.detour(&lost) else {
             return self.resume("no detour", true).await;
         };
-        let before = self.desk.count_crossings(&self.run.stages);
-        let crosses = self.desk.count_crossings(&stages) > before;
+        let before = self.shared.count_crossings(&self.run.stages);
+        let crosses = self.shared.count_crossings(&stages) > before;
         if crosses && self.try_resume("the detour crosses").await {
             return ForwardState::Continue;
         }
@@ -250,12 +250,16 @@
     /// whether it does.
     async fn repath(&mut self, lost: &[UpstreamId], stages: Vec<Stage>, text: &str) -> bool {
         let silent = self.silent_ms();
-        let (client, id) = (&self.desk.client, &self.request.client_request.id);
+        let (client, id) = (&self.shared.client, &self.request.client_request.id);
         let reply =
             engine::order_repath(client, &self.run.first_addr, id, text, REPATH_TIMEOUT).await;
         let done = matches!(reply, OrderReply::Begun | OrderReply::Holds);
         let label = if done { "led around" } else { "not led around" };
-        self.desk.metrics.repairs.with_label_values(&[label]).inc();
+        self.shared
+            .metrics
+            .repairs
+            .with_label_values(&[label])
+            .inc();
         let fields = json!({
             "lost": lost.iter().map(|l| &**l).collect::<Vec<_>>(),
             "chain": text,
@@ -265,22 +269,23 @@
         });
         self.request.record.log_step("repath", fields);
         if let OrderReply::Unfit(Some(addr)) = &reply
-            && let Some(id) = upstream_at(&self.desk, addr)
+            && let Some(id) = upstream_at(&self.shared, addr)
         {
-            let now = self.desk.now();
-            self.desk.registry.borrow_mut().note_full(now, &id);
+            let now = self.shared.now();
+            self.shared.registry.borrow_mut().note_full(now, &id);
         }
         if !done {
             return false;
         }
         if let Some(model) = &self.request.service.model {
             let tokens = self.request.max_tokens();
-            self.desk.note_transfers(model, &stages, tokens);
+            self.shared.note_transfers(model, &stages, tokens);
             let new = stages.iter().filter(|s| !self.run.stages.contains(s));
             let service = &self.request.service.name;
-            self.desk.note_prefill(model, service, new, tokens);
+            self.shared.note_prefill(model, service, new, tokens);
         }
-        self.run.load_guard = LoadGuard::for_chain(&self.desk, &stages, self.request.mean_tokens());
+        self.run.load_guard =
+            LoadGuard::for_chain(&self.shared, &stages, self.request.mean_tokens());
         self.run.stages = stages;
         self.restart_silence();
         true
@@ -304,7 +309,7 @@
         if !chain::covers(0, model.layers, &stages) {
             return None;
         }
-        let (text, _) = self.desk.encode_chain(&stages)?;
+        let (text, _) = self.shared.encode_chain(&stages)?;
         Some((stages, text))
     }
 
@@ -320,7 +325,7 @@
             slack: Slack::Streaming,
             size: pick::request_size(&self.request, model, Some(last)),
         };
-        self.desk
+        self.shared
             .choose_chain(&self.request.service.name, model, span, avoid, wish)
     }
 
@@ -361,38 +366,52 @@
         let mut avoid = vec![self.run.stages[0].upstream.clone()];
         let mut outcome = SendOutcome::Lost;
         loop {
-            let next = retry::next_step(&self.desk, &self.request, &mut self.handoff, outcome);
+            let next = retry::next_step(&self.shared, &self.request, &mut self.handoff, outcome);
             if next != Decision::Resend {
                 return false;
             }
-            let (desk, a) = (&self.desk, &mut self.request);
-            let began = desk.now();
-            let Ok(chosen) = pick_or_wait(desk, a, &self.handoff, &avoid, self.last_id).await
+            let (shared, a) = (&self.shared, &mut self.request);
+            let began = shared.now();
+            let Ok(chosen) = pick_or_wait(shared, a, &self.handoff, &avoid, self.last_id).await
             else {
                 return false;
             };
-            match start_run(desk, a, &mut self.handoff, &mut avoid, self.last_id, chosen).await {
+            match start_run(
+                shared,
+                a,
+                &mut self.handoff,
+                &mut avoid,
+                self.last_id,
+                chosen,
+            )
+            .await
+            {
                 Ok(run) => {
                     self.adopt_run(why, run);
                     return true;
                 }
                 Err(failed) => {
-                    note_outcome(&self.desk, &self.request, &failed.upstream, failed.outcome);
+                    note_outcome(
+                        &self.shared,
+                        &self.request,
+                        &failed.upstream,
+                        failed.outcome,
+                    );
                     outcome = failed.outcome;
                     if outcome == SendOutcome::Lost {
                         let loss = BrokenRun::before_answer(&failed.upstream, began);
-                        if loss::check_loss(&self.desk, &self.request, loss).await {
+                        if loss::check_loss(&self.shared, &self.request, loss).await {
                             self.handoff.record_lost();
                         }
                     }
-                    recovery::wait_for_budget(&self.desk, &self.request).await;
+                    recovery::wait_for_budget(&self.shared, &self.request).await;
                 }
             }
         }
     }
 
     fn adopt_run(&mut self, why: &str, run: Run) {
-        let resumed = self.desk.metrics.repairs.with_label_values(&["resumed"]);
+        let resumed = self.shared.metrics.repairs.with_label_values(&["resumed"]);
         resumed.inc();
         let fields = json!({
             "why": why,
@@ -408,12 +427,12 @@
 
     /// Milliseconds since something came, or since the last repair.
     fn silent_ms(&self) -> u64 {
-        (self.desk.now() - self.silence.last_event()).as_millis() as u64
+        (self.shared.now() - self.silence.last_event()).as_millis() as u64
     }
 
     /// Counts the silence of the stream from now on.
     fn restart_silence(&mut self) {
         self.broke_at.get_or_insert(self.silence.last_event());
-        self.silence.reset(self.desk.now());
+        self.silence.reset(self.shared.now());
     }
 }
--- a/crates/ashgauged/src/relay/follow/mod.rs
+++ b/crates/ashgauged/src/relay/follow/mod.rs
@@ -37,7 +37,7 @@
 
 /// What the following tasks tell each other.
 pub struct StoreFollower {
-    desk: Rc<SharedState>,
+    shared: Rc<SharedState>,
     /// The way to the other boxes, if there is one.
     peers: Option<Rc<Peers>>,
     /// Whom this box asks.
@@ -74,10 +74,10 @@
 
 impl StoreFollower {
     /// Starts following; the tasks run as long as the process.
-    pub fn start(desk: Rc<SharedState>, peers: Option<(Rc<Peers>, mpsc::Receiver<PeerMessage>)>) {
+    pub fn start(shared: Rc<SharedState>, peers: Option<(Rc<Peers>, mpsc::Receiver<PeerMessage>)>) {
         let (peers, heard) = peers.unzip();
         let follower = Rc::new(StoreFollower {
-            desk,
+            shared,
             peers,
             asker: RefCell::default(),
             config_revision: Cell::new(None),
@@ -97,16 +97,16 @@
         tokio::task::spawn_local(follower.clone().confirm_loop());
         tokio::task::spawn_local(follower.clone().follow_config());
         tokio::task::spawn_local(follower.clone().follow_upstreams());
-        tokio::task::spawn_local(membership::follow_members(follower.desk.clone()));
-        tokio::task::spawn_local(membership::reannounce(follower.desk.clone()));
-        tokio::task::spawn_local(quarantine::restore_held(follower.desk.clone()));
+        tokio::task::spawn_local(membership::follow_members(follower.shared.clone()));
+        tokio::task::spawn_local(membership::reannounce(follower.shared.clone()));
+        tokio::task::spawn_local(quarantine::restore_held(follower.shared.clone()));
         tokio::task::spawn_local(follower.clone().follow_suspensions());
         tokio::task::spawn_local(follower.clone().follow_restores());
-        match heard.filter(|_| follower.desk.settings().shares_reading()) {
+        match heard.filter(|_| follower.shared.settings().shares_reading()) {
             Some(heard) => drop(tokio::task::spawn_local(follower.poll_readers(heard))),
             None => {
-                follower.desk.reads_store.send_replace(true);
-                tokio::task::spawn_local(quarantine::load_held(follower.desk.clone()));
+                follower.shared.reads_store.send_replace(true);
+                tokio::task::spawn_local(quarantine::load_held(follower.shared.clone()));
             }
         }
     }
@@ -114,7 +114,7 @@
     /// Begins watches and proofs anew after the machine was suspended: what they wait
     /// for may have died meanwhile.
     async fn follow_suspensions(self: Rc<Self>) {
-        let mut woken = self.desk.clock.resumptions();
+        let mut woken = self.shared.clock.resumptions();
         // The clock lives as long as the desk.
         while woken.changed().await.is_ok() {
             self.restart.notify_waiters();
@@ -124,22 +124,22 @@
 
     /// Waits until this box reads the store itself.
     async fn wait_until_reader(&self) {
-        let mut reads = self.desk.reads_store.subscribe();
+        let mut reads = self.shared.reads_store.subscribe();
         // The sender lives as long as the desk.
         let _ = reads.wait_for(|reads| *reads).await;
     }
 
     async fn read_config(&self) -> Result<(), StoreError> {
-        let asked = self.desk.now();
-        let read = config::read(&self.desk.store, log_skipped).await;
-        self.desk.count_store_call("list", &read);
+        let asked = self.shared.now();
+        let read = config::read(&self.shared.store, log_skipped).await;
+        self.shared.count_store_call("list", &read);
         let (config, at) = read?;
         match config {
             Some((config, revision)) => {
                 self.apply_config(config, revision)?;
-                self.desk.freshness.borrow_mut().confirm(asked);
+                self.shared.freshness.borrow_mut().confirm(asked);
             }
-            None => self.desk.config_missing_at.set(Some(asked)),
+            None => self.shared.config_missing_at.set(Some(asked)),
         }
         advance_revision(&self.config_revision, at);
         self.update_covered();
@@ -149,29 +149,29 @@
     /// Puts a configuration in force unless a newer one is.
     fn apply_config(&self, config: config::Config, revision: Revision) -> Result<(), StoreError> {
         let bytes = config.to_bytes()?;
-        self.desk.mirror.borrow_mut().set_config(revision, bytes);
+        self.shared.mirror.borrow_mut().set_config(revision, bytes);
         self.activate_config(config)
     }
 
     /// Puts a configuration in force; one that is older than that in force goes to no other
     /// box either.
     fn activate_config(&self, config: config::Config) -> Result<(), StoreError> {
-        let desk = &self.desk;
-        let old = desk.routing.borrow().version;
+        let shared = &self.shared;
+        let old = shared.routing.borrow().version;
         let is_newer = config.version() > old;
         if is_newer {
             *self.active_config.borrow_mut() = Some(config.to_bytes()?);
         }
         if let Some(bytes) = &*self.active_config.borrow() {
-            desk.mirror.borrow_mut().restore_config(bytes.clone());
+            shared.mirror.borrow_mut().restore_config(bytes.clone());
         }
         if !is_newer {
             return Ok(());
         }
         let routing = config::decode(config);
         let version = routing.version;
-        desk.metrics.config_version.set(version as i64);
-        *desk.routing.borrow_mut() = Arc::new(routing);
+        shared.metrics.config_version.set(version as i64);
+        *shared.routing.borrow_mut() = Arc::new(routing);
         let fields = json!({"version": version, "before": old});
         log::event(Level::Info, "config", "in force", fields);
         Ok(())
@@ -180,26 +180,26 @@
     /// Reads all entries; returns whether they held something that no watch had
     /// brought.
     async fn read_upstreams(&self) -> Result<bool, StoreError> {
-        let read = servers::list(&self.desk.store, log_skipped).await;
-        self.desk.count_store_call("list", &read);
+        let read = servers::list(&self.shared.store, log_skipped).await;
+        self.shared.count_store_call("list", &read);
         let (list, at) = read?;
         let count = list.len();
         // A watch may have overtaken the list.
         let list: Vec<Upstream> = {
-            let mut mirror = self.desk.mirror.borrow_mut();
+            let mut mirror = self.shared.mirror.borrow_mut();
             mirror.replace_all(at, list);
             mirror.upstreams().cloned().collect()
         };
         let missed = self.log_changed(&list, at);
         let gives_up = list.iter().any(|u| self.reduces_layers(u));
-        let (now, sure) = (self.desk.now(), !self.has_uncertain_removals());
-        self.desk.registry.borrow_mut().replace(now, list, sure);
+        let (now, sure) = (self.shared.now(), !self.has_uncertain_removals());
+        self.shared.registry.borrow_mut().replace(now, list, sure);
         let fields = json!({"upstreams": count, "at": revision::count(at), "sure": sure});
         log::event(Level::Info, "roster", "listed", fields);
         if gives_up {
-            self.desk.notify_streams();
+            self.shared.notify_streams();
         }
-        self.desk.upstreams_listed.set(true);
+        self.shared.upstreams_listed.set(true);
         advance_revision(&self.upstreams_revision, at);
         self.update_covered();
         Ok(missed)
@@ -208,8 +208,8 @@
     /// Writes a line for each upstream of a list that no watch had brought;
     /// returns whether there was one.
     fn log_changed(&self, list: &[Upstream], at: Revision) -> bool {
-        let roster = self.desk.registry.borrow();
-        let is_known = |u: &Upstream| roster.get(&u.id).is_some_and(|e| e.upstream == *u);
+        let registry = self.shared.registry.borrow();
+        let is_known = |u: &Upstream| registry.get(&u.id).is_some_and(|e| e.upstream == *u);
         let changed: Vec<_> = list.iter().filter(|u| !is_known(u)).collect();
         if may_log_each(changed.len()) {
             changed.iter().for_each(|u| log_announced(u, at));
@@ -222,12 +222,12 @@
         if let (Some(config), Some(servers)) =
             (self.config_revision.get(), self.upstreams_revision.get())
         {
-            self.desk
+            self.shared
                 .mirror
                 .borrow_mut()
                 .mark_read_to(config.min(servers));
         }
-        self.desk.update_synced();
+        self.shared.update_synced();
     }
 
     /// Acts on changes that are news.
@@ -249,9 +249,9 @@
 
     fn put(&self, upstream: Upstream) {
         let gives_up = self.reduces_layers(&upstream);
-        self.desk.registry.borrow_mut().put(upstream);
+        self.shared.registry.borrow_mut().put(upstream);
         if gives_up {
-            self.desk.notify_streams();
+            self.shared.notify_streams();
         }
     }
 
@@ -259,18 +259,18 @@
         let fields =
             json!({"upstream": &**id, "revision": revision::count(revision), "sure": sure});
         log::event(Level::Info, "roster", "gone", fields);
-        let now = self.desk.now();
-        let mut roster = self.desk.registry.borrow_mut();
+        let now = self.shared.now();
+        let mut registry = self.shared.registry.borrow_mut();
         match sure {
-            true => roster.remove(now, id),
-            false => roster.mark_missing(now, id),
+            true => registry.remove(now, id),
+            false => registry.mark_missing(now, id),
         }
     }
 
     /// Whether an upstream begins to leave, or gives up layers that it held.
     fn reduces_layers(&self, upstream: &Upstream) -> bool {
-        let roster = self.desk.registry.borrow();
-        let before = roster.get(&upstream.id).map(|e| &e.upstream);
+        let registry = self.shared.registry.borrow();
+        let before = registry.get(&upstream.id).map(|e| &e.upstream);
         before.is_some_and(|b| {
             let leaves = upstream.leaving && !b.leaving;
             leaves || (b.layers.is_some() && b.layers != upstream.layers)
@@ -287,7 +287,7 @@
     /// Whether entries may be missing only because the store was away, or passed over as
     /// they had been removed before it came back.
     fn has_uncertain_removals(&self) -> bool {
-        let now = self.desk.now();
+        let now = self.shared.now();
         let is_away = self.failed_at.get().is_some();
         let has_returned = self
             .returned_at
@@ -298,7 +298,7 @@
 
     /// Keeps what other boxes are told of it up to date.
     fn update_certainty(&self) {
-        self.desk
+        self.shared
             .removals_certain
             .set(!self.has_uncertain_removals());
     }
@@ -309,9 +309,9 @@
             log::event(Level::Info, "store", "history gone", json!({"watch": what}));
             return;
         }
-        self.desk.store_down.set(true);
-        self.desk.removals_certain.set(false);
-        let first = self.failed_at.replace(Some(self.desk.now())).is_none();
+        self.shared.store_down.set(true);
+        self.shared.removals_certain.set(false);
+        let first = self.failed_at.replace(Some(self.shared.now())).is_none();
         if first {
             let fields = json!({"call": what, "fault": fault.to_string()});
             log::event(Level::Warn, "store", "lost", fields);
@@ -322,9 +322,9 @@
         let Some(last) = self.failed_at.take() else {
             return;
         };
-        let now = self.desk.now();
+        let now = self.shared.now();
         self.returned_at.set(Some(now));
-        self.desk.store_down.set(false);
+        self.shared.store_down.set(false);
         let fields = json!({"last_failure_ms": (now - last).as_millis() as u64});
         log::event(Level::Info, "store", "regained", fields);
         self.restart.notify_waiters();
--- a/crates/ashgauged/src/relay/follow/poll.rs
+++ b/crates/ashgauged/src/relay/follow/poll.rs
@@ -53,10 +53,10 @@
             return;
         };
         let mut alone_at = Duration::ZERO;
-        let mut woken = self.desk.clock.resumptions();
+        let mut woken = self.shared.clock.resumptions();
         loop {
             let until = self.poll_next(&peers, &mut alone_at).await;
-            let rest = until.saturating_sub(self.desk.now());
+            let rest = until.saturating_sub(self.shared.now());
             tokio::select! {
                 heard = heard.recv() => match heard {
                     Some(heard) => self.handle_message(&peers, heard).await,
@@ -71,15 +71,15 @@
 
     /// Asks whoever is to be asked now; returns when to look again.
     async fn poll_next(&self, peers: &Peers, alone_at: &mut Duration) -> Duration {
-        let now = self.desk.now();
-        if self.desk.discovered_at.get().is_none() {
+        let now = self.shared.now();
+        if self.shared.discovered_at.get().is_none() {
             return now + DISCOVERY_INTERVAL;
         }
         let readers = self.readers(now);
         self.set_role(&readers);
-        self.desk.registry.borrow_mut().expire(now);
+        self.shared.registry.borrow_mut().expire(now);
         let pace = self.pace();
-        let age = self.desk.freshness.borrow().age(now);
+        let age = self.shared.freshness.borrow().age(now);
         let is_fresh = age.is_some_and(|age| age <= pace.max_age);
         if readers.includes_self && is_fresh && self.has_synced() {
             return now + pace.interval;
@@ -87,7 +87,7 @@
         let step = {
             let sources = || readers.sources.clone();
             let mut asker = self.asker.borrow_mut();
-            asker.next_action(now, &pace, sources, &mut *self.desk.rng())
+            asker.next_action(now, &pace, sources, &mut *self.shared.rng())
         };
         match step {
             PollAction::Query { to, id } => {
@@ -110,16 +110,16 @@
 
     /// Who reads for the others, as far as this box knows.
     fn readers(&self, now: Duration) -> Rc<Readers> {
-        let desk = &self.desk;
+        let shared = &self.shared;
         if now < self.chosen_at.get() + READERS_TTL {
-            return desk.readers.borrow().clone();
+            return shared.readers.borrow().clone();
         }
         self.chosen_at.set(now);
-        let (me, fleet) = membership::known_fleet(desk);
-        *desk.permits.givers.borrow_mut() = Rc::new(givers(&me, &fleet, now));
+        let (me, fleet) = membership::known_fleet(shared);
+        *shared.permits.givers.borrow_mut() = Rc::new(givers(&me, &fleet, now));
         let readers = reader::choose(&me, &fleet, &self.asker.borrow().backoffs, now);
-        *desk.readers.borrow_mut() = Rc::new(readers);
-        desk.readers.borrow().clone()
+        *shared.readers.borrow_mut() = Rc::new(readers);
+        shared.readers.borrow().clone()
     }
 
     /// Looks for other boxes, as those that were asked are silent: others may read by
@@ -128,34 +128,34 @@
         if now >= self.refresh_at.get() {
             self.refresh_at
                 .set(now + self.random_delay(DIRECT_READ_INTERVAL));
-            tokio::task::spawn_local(membership::refresh(self.desk.clone()));
+            tokio::task::spawn_local(membership::refresh(self.shared.clone()));
         }
     }
 
     fn is_reader(&self) -> bool {
-        *self.desk.reads_store.borrow()
+        *self.shared.reads_store.borrow()
     }
 
     /// Begins or stops to read the store.
     fn set_role(&self, readers: &Readers) {
-        let (desk, reads) = (&self.desk, readers.includes_self);
+        let (shared, reads) = (&self.shared, readers.includes_self);
         self.is_shared.set(readers.has_followers);
         if reads == self.is_reader() {
             return;
         }
-        let known = desk.is_synced().then(|| desk.mirror.borrow().covered());
+        let known = shared.is_synced().then(|| shared.mirror.borrow().covered());
         self.config_revision.set(known);
         self.upstreams_revision.set(known);
         if !reads {
             // What calls failed says nothing about those of the next time.
             self.failed_at.set(None);
-            desk.store_down.set(false);
+            shared.store_down.set(false);
         }
-        desk.reads_store.send_replace(reads);
+        shared.reads_store.send_replace(reads);
         if reads {
-            tokio::task::spawn_local(quarantine::load_held(desk.clone()));
+            tokio::task::spawn_local(quarantine::load_held(shared.clone()));
             // It answers only boxes that it knows.
-            tokio::task::spawn_local(membership::refresh(desk.clone()));
+            tokio::task::spawn_local(membership::refresh(shared.clone()));
         }
         log::event(
             Level::Info,
@@ -166,8 +166,8 @@
     }
 
     fn pace(&self) -> PollTiming {
-        let pace = self.desk.settings().poll_pace();
-        match self.desk.is_synced() {
+        let pace = self.shared.settings().poll_pace();
+        match self.shared.is_synced() {
             true => pace,
             false => PollTiming {
                 interval: UNSYNCED_INTERVAL,
@@ -177,10 +177,10 @@
     }
 
     fn build_query(&self, id: u64, ticket: Option<FetchToken>) -> Query {
-        let informed = self.desk.is_synced();
-        let covered = self.desk.mirror.borrow().covered();
+        let informed = self.shared.is_synced();
+        let covered = self.shared.mirror.borrow().covered();
         Query {
-            from: self.desk.settings().id.as_str().into(),
+            from: self.shared.settings().id.as_str().into(),
             id,
             after: match informed && self.has_synced() && !self.restore.needs_copy.get() {
                 true => covered,
@@ -192,9 +192,9 @@
 
     /// Whether this box, which no other one could inform, is to read the store.
     fn may_read_directly(&self, lack: PollFailure) -> bool {
-        let desk = &self.desk;
-        if let Some(age) = desk.freshness.borrow().age(desk.now()) {
-            let settings = desk.settings();
+        let shared = &self.shared;
+        if let Some(age) = shared.freshness.borrow().age(shared.now()) {
+            let settings = shared.settings();
             let bound = settings.max_key_age().min(settings.apply_bound());
             return age >= bound.mul_f64(DIRECT_READ_SHARE);
         }
@@ -203,18 +203,18 @@
             PollFailure::StaleAnswer => ANSWERED_READ_DELAY,
             PollFailure::EmptyStore => return false,
         };
-        let asking = desk
+        let asking = shared
             .discovered_at
             .get()
-            .map(|at| desk.now().saturating_sub(at));
+            .map(|at| shared.now().saturating_sub(at));
         asking.is_some_and(|time| time >= self.random_delay(patience..patience * 2))
     }
 
     /// Reads the store; returns when to do so again if no box can inform this
     /// one until then.
     async fn read_directly(&self) -> Duration {
-        let desk = &self.desk;
-        let age = desk.freshness.borrow().age(desk.now());
+        let shared = &self.shared;
+        let age = shared.freshness.borrow().age(shared.now());
         log::event(
             Level::Info,
             "store",
@@ -223,11 +223,11 @@
         );
         match self.read_all().await {
             // What is known grows old as before, and is read again then.
-            Ok(()) if desk.is_synced() => return desk.now(),
+            Ok(()) if shared.is_synced() => return shared.now(),
             Ok(()) => {}
             Err(fault) => self.note_store_failure("read alone", &fault),
         }
-        desk.now() + self.random_delay(DIRECT_READ_INTERVAL)
+        shared.now() + self.random_delay(DIRECT_READ_INTERVAL)
     }
 
     async fn read_all(&self) -> Result<(), platform::StoreError> {
@@ -236,14 +236,14 @@
     }
 
     fn random_delay(&self, range: std::ops::Range<Duration>) -> Duration {
-        self.desk.rng().random_range(range)
+        self.shared.rng().random_range(range)
     }
 
     async fn handle_message(&self, peers: &Rc<Peers>, heard: PeerMessage) {
         match heard {
             PeerMessage::News(from) => self.handle_news(from),
             PeerMessage::FetchFailed(from) => {
-                let now = self.desk.now();
+                let now = self.shared.now();
                 self.asker.borrow_mut().on_fetch_failed(now, &from);
             }
             PeerMessage::Answer(answer, fetched) => {
@@ -255,7 +255,7 @@
     /// Asks a box that knows something new at once. In a large fleet each box goes by
     /// its own hub, which soon knows the same: all together would ask the first.
     fn handle_news(&self, from: BoxId) {
-        let is_own = match self.desk.role() {
+        let is_own = match self.shared.role() {
             Role::Leaf(hub) => hub == from,
             _ => true,
         };
@@ -269,7 +269,7 @@
     async fn handle_answer(&self, peers: &Rc<Peers>, answer: Answer, fetched: Option<Duration>) {
         let closed = self.asker.borrow_mut().close_query(answer.id, &answer.from);
         let Some(asked) = fetched.or(closed) else {
-            self.desk
+            self.shared
                 .metrics
                 .datagrams
                 .with_label_values(&["unasked"])
@@ -277,7 +277,7 @@
             return;
         };
         let pace = self.pace();
-        let now = self.desk.now();
+        let now = self.shared.now();
         let is_fetched = fetched.is_some();
         let is_large = matches!(answer.body, AnswerBody::TooLarge { .. });
         if is_large && is_fetched {
@@ -286,8 +286,8 @@
         self.asker
             .borrow_mut()
             .on_answer(now, &pace, &answer.from, &answer.body);
-        if answer.boxes > self.desk.counted_boxes() {
-            self.desk.set_fleet_size(answer.boxes);
+        if answer.boxes > self.shared.counted_boxes() {
+            self.shared.set_fleet_size(answer.boxes);
         }
         match answer.body {
             // A packed answer was unpacked when it was fetched.
@@ -316,7 +316,7 @@
         age: Duration,
         update: ashgauge::mirror::Update,
     ) {
-        let desk = &self.desk;
+        let shared = &self.shared;
         let mut configs = update.changes.iter().filter_map(|c| match &c.kind {
             ChangeKind::Config(bytes) => Some(Config::from_bytes(bytes)),
             _ => None,
@@ -330,17 +330,17 @@
         };
         let (sure, whole) = (update.removals_certain, update.is_full);
         let era = revision::era(update.up_to);
-        let covered = desk.mirror.borrow().covered();
+        let covered = shared.mirror.borrow().covered();
         // A whole copy that is older than what is known here is not taken.
         let replaced = whole && update.up_to >= covered;
         if era < revision::era(covered) {
             // It knows the store as it was before it came back.
             return;
         }
-        desk.store.raise_era(era);
+        shared.store.raise_era(era);
         self.restore.peer_synced.set(true);
-        let before = desk.is_synced();
-        let news = desk.mirror.borrow_mut().apply(update);
+        let before = shared.is_synced();
+        let news = shared.mirror.borrow_mut().apply(update);
         let is_news = !news.is_empty();
         if let Some(config) = config
             && let Err(fault) = self.activate_config(config)
@@ -352,17 +352,18 @@
         }
         self.apply_changes(news, sure);
         // Its own copy may lack what the other box believes by now.
-        desk.removals_certain
+        shared
+            .removals_certain
             .set(sure && !self.restore.settling.get());
-        desk.upstreams_listed.set(true);
+        shared.upstreams_listed.set(true);
         if let Some(at) = proven_at(asked, age) {
-            desk.freshness.borrow_mut().confirm(at);
+            shared.freshness.borrow_mut().confirm(at);
         }
         if !self.is_reader() && age <= self.pace().max_age {
             self.failed_at.set(None);
-            desk.store_down.set(false);
+            shared.store_down.set(false);
         }
-        desk.update_synced();
+        shared.update_synced();
         if !before {
             let fields = json!({"from": &**from, "whole": whole, "age_ms": age.as_millis() as u64});
             log::event(Level::Info, "store", "learned", fields);
--- a/crates/ashgauged/src/relay/follow/revision_check.rs
+++ b/crates/ashgauged/src/relay/follow/revision_check.rs
@@ -33,19 +33,19 @@
         let mut pause = MIN_RETRY_DELAY;
         loop {
             self.wait_until_reader().await;
-            let began = self.desk.now();
-            let informed = self.desk.is_synced();
+            let began = self.shared.now();
+            let informed = self.shared.is_synced();
             let confirmed = self.confirm_once().await;
-            self.desk.registry.borrow_mut().expire(self.desk.now());
+            self.shared.registry.borrow_mut().expire(self.shared.now());
             self.update_certainty();
-            if !informed && self.desk.is_synced() {
+            if !informed && self.shared.is_synced() {
                 self.notify_pollers().await;
             }
             match confirmed {
                 Ok(()) => {
                     pause = MIN_RETRY_DELAY;
                     // A watch that failed asks earlier.
-                    let rest = (began + self.proof_interval()).saturating_sub(self.desk.now());
+                    let rest = (began + self.proof_interval()).saturating_sub(self.shared.now());
                     let _ = timeout(rest, self.check_now.notified()).await;
                 }
                 Err(fault) => {
@@ -58,8 +58,8 @@
     }
 
     fn max_retry_delay(&self) -> Duration {
-        let age = self.desk.freshness.borrow().age(self.desk.now());
-        let stale = self.desk.settings().poll_pace().max_age;
+        let age = self.shared.freshness.borrow().age(self.shared.now());
+        let stale = self.shared.settings().poll_pace().max_age;
         match age.is_some_and(|age| age <= stale) {
             true => INFORMED_RETRY_DELAY,
             false => MAX_RETRY_DELAY,
@@ -67,7 +67,7 @@
     }
 
     fn proof_interval(&self) -> Duration {
-        let settings = self.desk.settings();
+        let settings = self.shared.settings();
         match self.is_shared.get() {
             true => settings.reader_interval(),
             false => settings.confirm_interval(),
@@ -77,8 +77,8 @@
     /// Proves that all changes are known; if some are missing, reads everything
     /// anew.
     pub(super) async fn confirm_once(&self) -> Result<(), StoreError> {
-        let desk = &self.desk;
-        let known = desk.is_synced();
+        let shared = &self.shared;
+        let known = shared.is_synced();
         if self.failed_at.get().is_none() {
             if !known && !self.first_read.replace(true) {
                 // The watches' first reading is under way.
@@ -89,7 +89,7 @@
             }
         }
         self.read_config().await?;
-        if desk.routing().version == 0 && self.failed_at.get().is_none() {
+        if shared.routing().version == 0 && self.failed_at.get().is_none() {
             // Nothing can be served yet, and the watch brings the upstreams.
             return Ok(());
         }
@@ -106,12 +106,12 @@
     /// Asks for the store's revision; returns whether all changes up to it are
     /// known.
     async fn prove(&self) -> Result<bool, StoreError> {
-        let asked = self.desk.now();
-        let at = config::revision(&self.desk.store).await;
-        self.desk.count_store_call("proof", &at);
+        let asked = self.shared.now();
+        let at = config::revision(&self.shared.store).await;
+        self.shared.count_store_call("proof", &at);
         let covered = self.covers(at?).await;
         if covered {
-            self.desk.freshness.borrow_mut().confirm(asked);
+            self.shared.freshness.borrow_mut().confirm(asked);
         }
         Ok(covered)
     }
@@ -122,13 +122,13 @@
     async fn covers(&self, at: Revision) -> bool {
         // The watch may be gathering what is missing. What was known before
         // ages meanwhile, so there is time for one such wait.
-        let until = self.desk.now() + self.upstreams_batch_delay() + BATCH_MARGIN;
+        let until = self.shared.now() + self.upstreams_batch_delay() + BATCH_MARGIN;
         loop {
             let changed = self.changed.notified();
-            if self.desk.mirror.borrow().covers(at) {
+            if self.shared.mirror.borrow().covers(at) {
                 return true;
             }
-            let rest = until.saturating_sub(self.desk.now());
+            let rest = until.saturating_sub(self.shared.now());
             if timeout(rest, changed).await.is_err() {
                 return self.covers_own_objects(at).await;
             }
@@ -139,22 +139,22 @@
         if self.is_recent() {
             return false;
         }
-        self.note_revisions(placer::round_revisions(&self.desk).await);
-        if self.desk.mirror.borrow().covers(at) {
+        self.note_revisions(placer::round_revisions(&self.shared).await);
+        if self.shared.mirror.borrow().covers(at) {
             return true;
         }
-        self.note_revisions(membership::announce_revisions(&self.desk).await);
-        if self.desk.mirror.borrow().covers(at) {
+        self.note_revisions(membership::announce_revisions(&self.shared).await);
+        if self.shared.mirror.borrow().covers(at) {
             return true;
         }
-        self.note_revisions(quarantine::hold_revisions(&self.desk).await);
-        self.desk.mirror.borrow().covers(at)
+        self.note_revisions(quarantine::hold_revisions(&self.shared).await);
+        self.shared.mirror.borrow().covers(at)
     }
 
     fn note_revisions(&self, read: Result<Vec<Revision>, StoreError>) {
         match read {
             Ok(revisions) => {
-                let mut mirror = self.desk.mirror.borrow_mut();
+                let mut mirror = self.shared.mirror.borrow_mut();
                 revisions.into_iter().for_each(|r| mirror.mark_read(r));
             }
             // Everything is read anew then.
--- a/crates/ashgauged/src/relay/follow/store_restore.rs
+++ b/crates/ashgauged/src/relay/follow/store_restore.rs
@@ -43,20 +43,20 @@
     /// Acts on returns of the store from a copy: what it lost may be missing for a moment,
     /// and its old watches bring nothing.
     pub(super) async fn follow_restores(self: Rc<Self>) {
-        let mut eras = self.desk.store.subscribe_era();
+        let mut eras = self.shared.store.subscribe_era();
         let mut before = *eras.borrow_and_update();
         // The store's client lives as long as the desk.
         while eras.changed().await.is_ok() {
             let era = *eras.borrow_and_update();
-            self.desk.metrics.store_era.set(era as i64);
+            self.shared.metrics.store_era.set(era as i64);
             let fields = json!({"era": era, "before": before});
             log::event(Level::Warn, "store", "era", fields);
             before = era;
-            self.restore.era_at.set(self.desk.now());
-            if !self.desk.is_synced() {
+            self.restore.era_at.set(self.shared.now());
+            if !self.shared.is_synced() {
                 continue;
             }
-            self.returned_at.set(Some(self.desk.now()));
+            self.returned_at.set(Some(self.shared.now()));
             self.restore.settling.set(true);
             self.update_certainty();
             self.restart.notify_waiters();
@@ -68,10 +68,10 @@
     /// Believes what the store holds once everybody has had the time to write again.
     async fn settle(self: Rc<Self>, era: Era) {
         sleep(SETTLE_TIME).await;
-        if *self.desk.store.subscribe_era().borrow() != era {
+        if *self.shared.store.subscribe_era().borrow() != era {
             return;
         }
-        let passed_over = self.desk.mirror.borrow_mut().accept_restored();
+        let passed_over = self.shared.mirror.borrow_mut().accept_restored();
         if passed_over {
             self.reread_entries().await;
         }
@@ -83,7 +83,7 @@
 
     /// Reads the entries again, or has the whole copy handed on once more.
     async fn reread_entries(&self) {
-        if !*self.desk.reads_store.borrow() {
+        if !*self.shared.reads_store.borrow() {
             self.restore.needs_copy.set(true);
             return;
         }
@@ -96,7 +96,7 @@
     /// time before.
     pub(super) fn is_recent(&self) -> bool {
         let at = self.restore.era_at.get();
-        !at.is_zero() && self.desk.now() < at + MAX_STALE_AGE
+        !at.is_zero() && self.shared.now() < at + MAX_STALE_AGE
     }
 
     /// Has the whole copy handed on once more, as one that was handed on while the store's
@@ -113,7 +113,7 @@
     /// Whether the other boxes know nothing that the store has lost, as far as this one
     /// could ask them.
     pub(super) fn has_synced(&self) -> bool {
-        let has_returned = *self.desk.store.subscribe_era().borrow() > 0;
-        self.restore.peer_synced.get() || !has_returned || self.desk.uptime() >= PEER_SYNC_TIME
+        let has_returned = *self.shared.store.subscribe_era().borrow() > 0;
+        self.restore.peer_synced.get() || !has_returned || self.shared.uptime() >= PEER_SYNC_TIME
     }
 }
--- a/crates/ashgauged/src/relay/follow/watch.rs
+++ b/crates/ashgauged/src/relay/follow/watch.rs
@@ -38,7 +38,7 @@
                 self.notify_pollers().await;
                 continue;
             };
-            let watch = config::watch(&self.desk.store, from, self.watch_time(), log_skipped);
+            let watch = config::watch(&self.shared.store, from, self.watch_time(), log_skipped);
             match self.unless_restarted(watch).await {
                 Some(Ok((configs, at))) => {
                     let changed = !configs.is_empty();
@@ -59,7 +59,7 @@
     }
 
     fn apply_configs(&self, configs: Vec<(config::Config, u64)>) {
-        let first = self.desk.routing().version == 0;
+        let first = self.shared.routing().version == 0;
         let changed = !configs.is_empty();
         for (config, revision) in configs {
             if let Err(fault) = self.apply_config(config, revision) {
@@ -69,7 +69,7 @@
         self.changed.notify_waiters();
         if changed && first {
             // A watch proves nothing.
-            self.desk.update_synced();
+            self.shared.update_synced();
             self.check_now.notify_one();
         }
     }
@@ -84,7 +84,7 @@
                 self.notify_pollers().await;
                 continue;
             };
-            let watch = servers::watch(&self.desk.store, from, self.watch_time(), log_skipped);
+            let watch = servers::watch(&self.shared.store, from, self.watch_time(), log_skipped);
             match self.unless_restarted(watch).await {
                 Some(Ok((updates, at))) => {
                     let changed = !updates.is_empty();
@@ -112,7 +112,7 @@
             match update {
                 UpstreamChange::Put(upstream, revision) => {
                     let is_news = self
-                        .desk
+                        .shared
                         .mirror
                         .borrow_mut()
                         .put(revision, upstream.clone());
@@ -124,7 +124,7 @@
                     }
                 }
                 UpstreamChange::Gone(id, revision) => {
-                    if self.desk.mirror.borrow_mut().remove(revision, &id) {
+                    if self.shared.mirror.borrow_mut().remove(revision, &id) {
                         self.remove(&id, revision, sure);
                     }
                 }
@@ -141,7 +141,7 @@
     }
 
     fn watch_time(&self) -> Duration {
-        Duration::from_millis(self.desk.settings().timing.watch_ms)
+        Duration::from_millis(self.shared.settings().timing.watch_ms)
     }
 
     /// Runs a watch; `None` if the store came back meanwhile, or this box does
@@ -150,22 +150,22 @@
         &self,
         watch: impl Future<Output = Result<T, StoreError>>,
     ) -> Option<Result<T, StoreError>> {
-        let mut reads = self.desk.reads_store.subscribe();
+        let mut reads = self.shared.reads_store.subscribe();
         let answer = tokio::select! {
             answer = watch => answer,
             () = self.restart.notified() => return None,
             _ = reads.wait_for(|reads| !reads) => return None,
         };
-        self.desk.count_store_call("watch", &answer);
+        self.shared.count_store_call("watch", &answer);
         Some(answer)
     }
 
     pub(super) fn upstreams_batch_delay(&self) -> Duration {
-        let roster = self.desk.registry.borrow();
-        let placed = roster.iter().any(|e| e.upstream.layers.is_some());
-        match placed || self.desk.is_ready() {
+        let registry = self.shared.registry.borrow();
+        let placed = registry.iter().any(|e| e.upstream.layers.is_some());
+        match placed || self.shared.is_ready() {
             true => self
-                .desk
+                .shared
                 .settings()
                 .drain_bound()
                 .mul_f64(self.batch_share()),
@@ -174,7 +174,7 @@
     }
 
     fn config_batch_delay(&self) -> Duration {
-        self.desk
+        self.shared
             .settings()
             .apply_bound()
             .mul_f64(self.batch_share())
--- a/crates/ashgauged/src/relay/forecast.rs
+++ b/crates/ashgauged/src/relay/forecast.rs
@@ -33,12 +33,12 @@
 
 /// Forecasts a request on a chain that it is not counted on yet, if its service lets
 /// streams in by their class.
-pub fn estimate(desk: &SharedState, a: &AdmittedRequest, stages: &[Stage]) -> Option<Estimate> {
+pub fn estimate(shared: &SharedState, a: &AdmittedRequest, stages: &[Stage]) -> Option<Estimate> {
     a.class?;
     let (service, prompt) = (&a.service.name, a.client_request.prompt_tokens);
     let model = a.service.model.as_ref()?;
-    let forecast = desk.forecast(service, model, stages, prompt);
-    let calibrations = desk.calibrations.borrow();
+    let forecast = shared.forecast(service, model, stages, prompt);
+    let calibrations = shared.calibrations.borrow();
     let calibration = calibrations.get(service).copied().unwrap_or_default();
     let first = calibration.apply(forecast.first_event);
     if prompt == 0 || forecast.is_capped() {
@@ -48,19 +48,19 @@
     Some(Estimate {
         forecast,
         first,
-        made_at: desk.now(),
+        made_at: shared.now(),
     })
 }
 
 /// Learns from the first event of a stream of which nothing but the load of its chain
 /// decided when it came.
-pub fn calibrate(desk: &SharedState, service: &ServiceId, estimate: &Estimate, now: Duration) {
+pub fn calibrate(shared: &SharedState, service: &ServiceId, estimate: &Estimate, now: Duration) {
     let actual = now.saturating_sub(estimate.made_at);
     let Some(ratio) = estimate.forecast.ratio(actual) else {
         return;
     };
-    desk.metrics.forecast_ratio.observe(ratio);
-    let mut calibrations = desk.calibrations.borrow_mut();
+    shared.metrics.forecast_ratio.observe(ratio);
+    let mut calibrations = shared.calibrations.borrow_mut();
     let calibration = calibrations.entry(service.clone()).or_default();
     calibration.record(ratio);
 }
--- a/crates/ashgauged/src/relay/forward.rs
+++ b/crates/ashgauged/src/relay/forward.rs
@@ -50,8 +50,8 @@
 const SILENCE_FACTOR: f64 = 4.0;
 
 /// Answers one request.
-pub async fn handle(desk: Rc<SharedState>, request: Request<Incoming>) -> Response<Body> {
-    let arrived = desk.now();
+pub async fn handle(shared: Rc<SharedState>, request: Request<Incoming>) -> Response<Body> {
+    let arrived = shared.now();
     let (head, body) = request.into_parts();
     let ask = match ingress::parse_request(&head) {
         Ok(ask) => ask,
@@ -60,15 +60,15 @@
             return own_response(StatusCode::BAD_REQUEST, None, None);
         }
     };
-    desk.wait_synced(startup_wait(desk.uptime())).await;
-    let (route, service, team) = match resolve(&desk, &ask) {
+    shared.wait_synced(startup_wait(shared.uptime())).await;
+    let (route, service, team) = match resolve(&shared, &ask) {
         Ok(admitted) => admitted,
-        Err(refusal) => return refuse(&desk, &ask, refusal, arrived),
+        Err(refusal) => return refuse(&shared, &ask, refusal, arrived),
     };
-    let mut record = Record::new(&desk, &ask, &route.name, arrived);
+    let mut record = Record::new(&shared, &ask, &route.name, arrived);
     let held = ask.timeout.unwrap_or(route.timeout).min(route.timeout);
     let until = arrived + held;
-    let body = match super::body::read(&desk, body, held).await {
+    let body = match super::body::read(&shared, body, held).await {
         Ok(body) => body,
         Err((status, why)) => {
             record.end(why);
@@ -91,16 +91,18 @@
         admission: None,
         record,
     };
-    admitted.class = shedding::class_of(&desk, &admitted);
+    admitted.class = shedding::class_of(&shared, &admitted);
     admitted.record.class = admitted.class;
-    quarantine::await_checks(&desk, digest).await;
-    if is_quarantined(&desk, &admitted) {
-        return refuse_quarantined(&desk, admitted, false);
+    quarantine::await_checks(&shared, digest).await;
+    if is_quarantined(&shared, &admitted) {
+        return refuse_quarantined(&shared, admitted, false);
     }
-    desk.retry_budgets.earn(desk.now(), &admitted.service.name);
+    shared
+        .retry_budgets
+        .earn(shared.now(), &admitted.service.name);
     match admitted.route.stream {
-        Some(rule) => stream::handle_stream(desk, admitted, handoff, rule).await,
-        None => send_plain(&desk, admitted, &mut handoff).await,
+        Some(rule) => stream::handle_stream(shared, admitted, handoff, rule).await,
+        None => send_plain(&shared, admitted, &mut handoff).await,
     }
 }
 
@@ -134,12 +136,12 @@
 
 type Destination = (Arc<Route>, Arc<Service>, Option<Arc<Team>>);
 
-fn resolve(desk: &SharedState, ask: &ClientRequest) -> Result<Destination, Refusal> {
-    let routing = desk.routing();
-    if desk.is_stopped.get() {
+fn resolve(shared: &SharedState, ask: &ClientRequest) -> Result<Destination, Refusal> {
+    let routing = shared.routing();
+    if shared.is_stopped.get() {
         return Err(Refusal::Stopping);
     }
-    let sure = desk.freshness.borrow().is_fresh(desk.now());
+    let sure = shared.freshness.borrow().is_fresh(shared.now());
     if routing.version == 0 {
         return Err(Refusal::Unsynced);
     }
@@ -153,19 +155,19 @@
         Access::Anonymous => None,
         Access::Denied => return Err(or_unsure(Refusal::NoKey)),
     };
-    let service = route.choose_service(&mut *desk.rng());
+    let service = route.choose_service(&mut *shared.rng());
     let service = service.and_then(|s| routing.services.get(s));
     let service = service.ok_or(Refusal::NoService)?;
     Ok((route.clone(), service.clone(), team))
 }
 
 fn refuse(
-    desk: &Rc<SharedState>,
+    shared: &Rc<SharedState>,
     ask: &ClientRequest,
     refusal: Refusal,
     arrived: Duration,
 ) -> Response<Body> {
-    let mut record = Record::new(desk, ask, "", arrived);
+    let mut record = Record::new(shared, ask, "", arrived);
     let (what, status, after) = match refusal {
         Refusal::Stopping => (
             "stopping",
@@ -175,7 +177,7 @@
         Refusal::Unsynced => (
             "unsure",
             StatusCode::SERVICE_UNAVAILABLE,
-            Some(unsynced_retry_after(desk)),
+            Some(unsynced_retry_after(shared)),
         ),
         Refusal::NoRoute => ("no route", StatusCode::NOT_FOUND, None),
         Refusal::NoKey => ("no key", StatusCode::UNAUTHORIZED, None),
@@ -190,61 +192,61 @@
 }
 
 async fn send_plain(
-    desk: &Rc<SharedState>,
+    shared: &Rc<SharedState>,
     mut a: AdmittedRequest,
     handoff: &mut Attempts,
 ) -> Response<Body> {
     loop {
-        if !is_authorized(desk, &a) {
-            return finish(desk, a, FailureKind::NotRun);
+        if !is_authorized(shared, &a) {
+            return finish(shared, a, FailureKind::NotRun);
         }
-        quarantine::await_checks(desk, a.digest).await;
-        if is_quarantined(desk, &a) {
-            return refuse_quarantined(desk, a, handoff.may_have_run());
+        quarantine::await_checks(shared, a.digest).await;
+        if is_quarantined(shared, &a) {
+            return refuse_quarantined(shared, a, handoff.may_have_run());
         }
-        let Some((id, addr)) = choose_upstream(desk, &a, handoff).await else {
-            let end = handoff.failure(desk.now());
-            return finish(desk, a, end);
+        let Some((id, addr)) = choose_upstream(shared, &a, handoff).await else {
+            let end = handoff.failure(shared.now());
+            return finish(shared, a, end);
         };
         handoff.record_send(id.clone());
         a.record.sends.push(id.clone());
-        let began = desk.now();
-        let (outcome, answer) = match send_once(desk, &a, handoff, &id, &addr).await {
+        let began = shared.now();
+        let (outcome, answer) = match send_once(shared, &a, handoff, &id, &addr).await {
             Ok(answer) if !answer.status().is_server_error() => {
-                desk.quarantine.borrow_mut().clear_losses(a.digest);
+                shared.quarantine.borrow_mut().clear_losses(a.digest);
                 a.record.end("answered");
                 return upstream_response(answer);
             }
             Ok(answer) => (SendOutcome::Failed, Some(answer)),
             Err(outcome) => (outcome, None),
         };
-        note_outcome(desk, &a, &id, outcome);
+        note_outcome(shared, &a, &id, outcome);
         if outcome == SendOutcome::Lost
-            && loss::check_loss(desk, &a, BrokenRun::before_answer(&id, began)).await
+            && loss::check_loss(shared, &a, BrokenRun::before_answer(&id, began)).await
         {
             handoff.record_lost();
         }
-        match (retry::next_step(desk, &a, handoff, outcome), answer) {
+        match (retry::next_step(shared, &a, handoff, outcome), answer) {
             (Decision::Resend, _) => {}
             (Decision::Forward, Some(answer)) => {
                 a.record.end("failed upstream");
                 return upstream_response(answer);
             }
-            (Decision::Fail(end), _) => return finish(desk, a, end),
-            (Decision::Forward, None) => return finish(desk, a, FailureKind::Unknown),
+            (Decision::Fail(end), _) => return finish(shared, a, end),
+            (Decision::Forward, None) => return finish(shared, a, FailureKind::Unknown),
         }
     }
 }
 
 /// Chooses an upstream that takes one more request.
 async fn choose_upstream(
-    desk: &SharedState,
+    shared: &SharedState,
     a: &AdmittedRequest,
     handoff: &Attempts,
 ) -> Option<(UpstreamId, String)> {
     for _ in 0..MAX_PICKS {
-        let (id, addr) = desk.choose_upstream(&a.service.name, handoff.tried())?;
-        if permit::acquire(desk, &id).await {
+        let (id, addr) = shared.choose_upstream(&a.service.name, handoff.tried())?;
+        if permit::acquire(shared, &id).await {
             return Some((id, addr));
         }
     }
@@ -252,47 +254,48 @@
 }
 
 async fn send_once(
-    desk: &Rc<SharedState>,
+    shared: &Rc<SharedState>,
     a: &AdmittedRequest,
     handoff: &Attempts,
     id: &UpstreamId,
     addr: &str,
 ) -> Result<FullResponse, SendOutcome> {
-    let began = desk.now();
-    let _hold = LoadGuard::for_upstream(desk, id);
-    let connect = Duration::from_millis(desk.settings().timing.connect_ms);
+    let began = shared.now();
+    let _hold = LoadGuard::for_upstream(shared, id);
+    let connect = Duration::from_millis(shared.settings().timing.connect_ms);
     let line = dial::connect(addr, connect.min(handoff.time_left(began))).await;
     let line = line.map_err(|_| SendOutcome::NotSent)?;
-    if !is_authorized(desk, a) {
+    if !is_authorized(shared, a) {
         return Err(SendOutcome::NotSent);
     }
-    let left = handoff.time_left(desk.now());
+    let left = handoff.time_left(shared.now());
     let target = Target {
         id,
         chain: None,
         team: a.team.as_ref().map(|t| t.name.as_str()),
-        rank: a.rank(desk),
+        rank: a.rank(shared),
         time_left: left,
         last_event: None,
     };
-    notice::count_send(desk, id, &a.client_request.id);
+    notice::count_send(shared, id, &a.client_request.id);
     let request = engine::build_request(&a.head, a.body.clone(), &target);
     let limit =
         match a.route.is_retryable() && handoff.tried().len() < a.route.max_attempts as usize {
-            true => silence_timeout(desk, a, id).min(left),
+            true => silence_timeout(shared, a, id).min(left),
             false => left,
         };
-    let collecting = collect_answer(desk, id, line, request, &a.client_request.id);
-    let answer = desk.clock.within(limit, collecting).await;
+    let collecting = collect_answer(shared, id, line, request, &a.client_request.id);
+    let answer = shared.clock.within(limit, collecting).await;
     let (answer, load) = answer.ok_or(SendOutcome::Lost)??;
-    let mut roster = desk.registry.borrow_mut();
+    let mut registry = shared.registry.borrow_mut();
     if let Some((running, waiting)) = load {
-        roster.note_load(id, running, waiting);
+        registry.note_load(id, running, waiting);
     }
     if !answer.status().is_server_error() {
-        let now = desk.now();
-        roster.record_latency(now, id, now - began);
-        desk.metrics
+        let now = shared.now();
+        registry.record_latency(now, id, now - began);
+        shared
+            .metrics
             .first_seconds
             .observe(a.record.elapsed().as_secs_f64());
     }
@@ -300,9 +303,9 @@
 }
 
 /// How long a repeatable request waits on a silent upstream.
-fn silence_timeout(desk: &SharedState, a: &AdmittedRequest, id: &str) -> Duration {
-    let roster = desk.registry.borrow();
-    let learned = roster.get(id).map_or(0.0, |e| e.latency_seconds);
+fn silence_timeout(shared: &SharedState, a: &AdmittedRequest, id: &str) -> Duration {
+    let registry = shared.registry.borrow();
+    let learned = registry.get(id).map_or(0.0, |e| e.latency_seconds);
     let usual = Duration::from_secs_f64(learned * SILENCE_FACTOR);
     a.route.target_latency.mul_f64(SILENCE_AIM_SHARE).max(usual)
 }
@@ -311,20 +314,20 @@
 
 /// Sends on a fresh connection and reads the whole answer.
 async fn collect_answer(
-    desk: &Rc<SharedState>,
+    shared: &Rc<SharedState>,
     upstream: &UpstreamId,
     line: dial::Connection,
     request: Request<Full<Bytes>>,
     id: &str,
 ) -> Result<CollectedAnswer, SendOutcome> {
-    let sent = desk.now();
+    let sent = shared.now();
     let exchange = line.send(request).await.map_err(|e| failure_outcome(&e))?;
     let (parts, body) = exchange.response.into_parts();
-    notice::apply(desk, upstream, sent, &parts);
+    notice::apply(shared, upstream, sent, &parts);
     let load = engine::parse_load(&parts.headers);
     match engine::classify(&parts, id) {
         verdict @ (Verdict::Full(_) | Verdict::Stale(_)) => {
-            apply_refusal(desk, upstream, verdict);
+            apply_refusal(shared, upstream, verdict);
             return Err(SendOutcome::NotRun);
         }
         Verdict::Foreign => return Err(SendOutcome::Lost),
--- a/crates/ashgauged/src/relay/levels.rs
+++ b/crates/ashgauged/src/relay/levels.rs
@@ -77,9 +77,9 @@
 }
 
 /// Levels of the services for which shedding is switched on.
-pub fn status(desk: &SharedState) -> Vec<LevelStatus> {
-    let (now, uptime) = (desk.now(), desk.uptime());
-    desk.admissions.with_levels(|service, state, basis| {
+pub fn status(shared: &SharedState) -> Vec<LevelStatus> {
+    let (now, uptime) = (shared.now(), shared.uptime());
+    shared.admissions.with_levels(|service, state, basis| {
         let since = now.saturating_sub(state.gate.since()).min(uptime);
         LevelStatus {
             service: service.to_string(),
@@ -118,9 +118,9 @@
 }
 
 /// Sets the gauges to the service under the highest pressure.
-pub fn set_gauges(desk: &SharedState) {
-    let metrics = &desk.metrics;
-    let levels = desk.admissions.with_levels(|_, state, basis| {
+pub fn set_gauges(shared: &SharedState) {
+    let metrics = &shared.metrics;
+    let levels = shared.admissions.with_levels(|_, state, basis| {
         let before = state
             .class()
             .map(|class| basis.classes_before(class) as i64);
--- a/crates/ashgauged/src/relay/load_reporter.rs
+++ b/crates/ashgauged/src/relay/load_reporter.rs
@@ -24,15 +24,15 @@
 const MAX_REPORT_INTERVAL: Duration = Duration::from_millis(500);
 
 /// Tells other boxes, as long as the process runs.
-pub async fn broadcast(desk: Rc<SharedState>, peers: Rc<Peers>) {
-    let boot = desk.rng().random();
+pub async fn broadcast(shared: Rc<SharedState>, peers: Rc<Peers>) {
+    let boot = shared.rng().random();
     let mut teller = LoadReporter {
         boot,
         sequence: 0,
         local: LastReport::default(),
         remote: LastReport::default(),
         leaf_times: HashMap::new(),
-        desk,
+        shared,
         peers,
     };
     loop {
@@ -42,7 +42,7 @@
 
 /// What a box tells, and when it did last.
 struct LoadReporter {
-    desk: Rc<SharedState>,
+    shared: Rc<SharedState>,
     peers: Rc<Peers>,
     boot: u64,
     sequence: u64,
@@ -56,22 +56,23 @@
 
 impl LoadReporter {
     async fn report_once(&mut self) {
-        let desk = self.desk.clone();
-        let (role, listeners) = (desk.role(), desk.report_targets());
+        let shared = self.shared.clone();
+        let (role, listeners) = (shared.role(), shared.report_targets());
         let here = listeners.iter().filter(|(_, p)| p.is_local).count();
         let (near_time, far_time) = role.intervals(here, listeners.len());
         sleep(near_time.min(far_time)).await;
-        let now = desk.now();
+        let now = shared.now();
         let lag = role.remote_interval(listeners.len());
-        desk.report_interval.set(lag);
-        desk.fleet_load.borrow_mut().expire(now, lag);
-        permit::expire(&desk);
-        let own = own_load(&desk);
+        shared.report_interval.set(lag);
+        shared.fleet_load.borrow_mut().expire(now, lag);
+        permit::expire(&shared);
+        let own = own_load(&shared);
         let told = match role {
             Role::Hub => {
-                let hubs = desk.readers.borrow().clone();
+                let hubs = shared.readers.borrow().clone();
                 let is_hub = |id: &str| hubs.ids.iter().any(|hub| **hub == *id);
-                desk.fleet_load
+                shared
+                    .fleet_load
                     .borrow()
                     .subtree_sum(own.clone(), is_hub)
                     .truncated()
@@ -93,7 +94,7 @@
         (near_time, far_time): (Duration, Duration),
         sum: LoadSum,
     ) {
-        let limits = self.desk.permits.limits.borrow().rates();
+        let limits = self.shared.permits.limits.borrow().rates();
         let to_near = self.local.is_due(now, near_time, &sum.usage, &limits);
         let to_far = self.remote.is_due(now, far_time, &sum.usage, &limits);
         for (near, due, time) in [(true, to_near, near_time), (false, to_far, far_time)] {
@@ -127,15 +128,15 @@
         if due.is_empty() {
             return;
         }
-        let leaves = self.desk.leaves();
-        let parts = LoadTotals::new(&self.desk, own);
+        let leaves = self.shared.leaves();
+        let parts = LoadTotals::new(&self.shared, own);
         for scope in due {
             self.leaf_times.insert(scope, now);
             let mut by_place: HashMap<Arc<str>, LoadSum> = HashMap::new();
             for (id, leaf) in &leaves {
                 let part = by_place.entry(leaf.data_centre.clone());
                 let part = part.or_insert_with(|| parts.for_scope(scope, &leaf.data_centre));
-                let part = self.desk.fleet_load.borrow().without(part, id);
+                let part = self.shared.fleet_load.borrow().without(part, id);
                 self.send(scope, part.truncated(), &[leaf]).await;
             }
             if scope == Scope::Remote(0) {
@@ -147,9 +148,9 @@
 
     async fn send(&mut self, scope: Scope, sum: LoadSum, to: &[&Peer]) {
         self.sequence += 1;
-        let now = self.desk.now();
+        let now = self.shared.now();
         let word = LoadReport {
-            from: Arc::from(self.desk.settings().id.as_str()),
+            from: Arc::from(self.shared.settings().id.as_str()),
             boot: self.boot,
             sequence: self.sequence,
             scope,
@@ -163,7 +164,7 @@
             },
             limits: match scope {
                 Scope::Remote(_) => Vec::new(),
-                Scope::Own | Scope::Local => self.desk.permits.limits.borrow().reports(now),
+                Scope::Own | Scope::Local => self.shared.permits.limits.borrow().reports(now),
             },
         };
         let Some(bytes) = pack::encode(&Datagram::Load(word)) else {
@@ -176,7 +177,7 @@
 
     /// Tells losses again, as a datagram may have been lost.
     async fn send_losses(&self, audience: Audience, to: &[&Peer]) {
-        let Some(report) = quarantine::encode_report(&self.desk, self.sequence, audience) else {
+        let Some(report) = quarantine::encode_report(&self.shared, self.sequence, audience) else {
             return;
         };
         for peer in to {
@@ -192,12 +193,12 @@
 }
 
 impl LoadTotals {
-    fn new(desk: &SharedState, own: LoadSum) -> Self {
-        let roster = desk.registry.borrow();
-        let places = roster.iter().map(|e| &e.upstream);
+    fn new(shared: &SharedState, own: LoadSum) -> Self {
+        let registry = shared.registry.borrow();
+        let places = registry.iter().map(|e| &e.upstream);
         let places = places.map(|u| (load_report::upstream_key(&u.id), u.data_centre.clone()));
         LoadTotals {
-            total: desk.fleet_load.borrow().fleet_sum(own),
+            total: shared.fleet_load.borrow().fleet_sum(own),
             data_centres: places.collect(),
         }
     }
@@ -247,22 +248,24 @@
 }
 
 /// What this box has on the upstreams that it uses.
-fn own_load(desk: &SharedState) -> LoadSum {
-    let (roster, now) = (desk.registry.borrow(), desk.now());
-    let uses = roster.iter().map(|e| (e, e.usage(now)));
+fn own_load(shared: &SharedState) -> LoadSum {
+    let (registry, now) = (shared.registry.borrow(), shared.now());
+    let uses = registry.iter().map(|e| (e, e.usage(now)));
     let uses = uses.filter(|(_, used)| *used != Usage::default());
     let mut uses: UsageList = uses
         .map(|(e, used)| (load_report::upstream_key(&e.upstream.id), used))
         .collect();
     uses.sort_unstable_by_key(|(key, _)| *key);
-    let suspects = roster.iter().filter(|e| e.is_suspect(now));
+    let suspects = registry.iter().filter(|e| e.is_suspect(now));
     LoadSum {
         boxes: 1,
         usage: uses,
         suspects: suspects
             .map(|e| load_report::upstream_key(&e.upstream.id))
             .collect(),
-        flows: desk.admissions.own_traffic(now),
-        slow: roster.slow_upstreams(now, |service| shedding::is_shedding_enabled(desk, service)),
+        flows: shared.admissions.own_traffic(now),
+        slow: registry.slow_upstreams(now, |service| {
+            shedding::is_shedding_enabled(shared, service)
+        }),
     }
 }
--- a/crates/ashgauged/src/relay/loss.rs
+++ b/crates/ashgauged/src/relay/loss.rs
@@ -53,19 +53,19 @@
 /// Such runs go to upstreams of their own where that can be: those that were cut off
 /// together would else be lost together again, and look alike.
 pub struct SuspectRun {
-    desk: Rc<SharedState>,
+    shared: Rc<SharedState>,
     upstream: UpstreamId,
 }
 
 impl SuspectRun {
     /// Notes that a request goes to an upstream, if others were lost under it.
-    pub fn begin(desk: &Rc<SharedState>, digest: Digest, upstream: &UpstreamId) -> Option<Self> {
-        if !desk.quarantine.borrow().is_suspect(digest) {
+    pub fn begin(shared: &Rc<SharedState>, digest: Digest, upstream: &UpstreamId) -> Option<Self> {
+        if !shared.quarantine.borrow().is_suspect(digest) {
             return None;
         }
-        desk.suspect_runs.borrow_mut().push(upstream.clone());
+        shared.suspect_runs.borrow_mut().push(upstream.clone());
         Some(SuspectRun {
-            desk: desk.clone(),
+            shared: shared.clone(),
             upstream: upstream.clone(),
         })
     }
@@ -73,7 +73,7 @@
 
 impl Drop for SuspectRun {
     fn drop(&mut self) {
-        let mut trials = self.desk.suspect_runs.borrow_mut();
+        let mut trials = self.shared.suspect_runs.borrow_mut();
         if let Some(at) = trials.iter().position(|id| *id == self.upstream) {
             trials.swap_remove(at);
         }
@@ -94,22 +94,22 @@
 
 /// A check of an upstream that is laid to a request, until it is dropped.
 struct LossCheck {
-    desk: Rc<SharedState>,
+    shared: Rc<SharedState>,
     loss: InstanceLoss,
 }
 
 impl LossCheck {
-    fn begin(desk: &Rc<SharedState>, lost: InstanceLoss) -> Self {
-        desk.quarantine.borrow_mut().begin_check(lost);
-        let desk = desk.clone();
-        LossCheck { desk, loss: lost }
+    fn begin(shared: &Rc<SharedState>, lost: InstanceLoss) -> Self {
+        shared.quarantine.borrow_mut().begin_check(lost);
+        let shared = shared.clone();
+        LossCheck { shared, loss: lost }
     }
 }
 
 impl Drop for LossCheck {
     fn drop(&mut self) {
-        self.desk.quarantine.borrow_mut().end_check(self.loss);
-        self.desk.check_notify.notify_waiters();
+        self.shared.quarantine.borrow_mut().end_check(self.loss);
+        self.shared.check_notify.notify_waiters();
     }
 }
 
@@ -118,10 +118,10 @@
 /// twice by ending their engines would break though others could go on with them.
 ///
 /// One that is still there is looked at some more times, while the request goes on.
-pub async fn check_loss(desk: &Rc<SharedState>, a: &AdmittedRequest, loss: BrokenRun) -> bool {
+pub async fn check_loss(shared: &Rc<SharedState>, a: &AdmittedRequest, loss: BrokenRun) -> bool {
     let digest = a.digest;
     // Its entry may be gone after the look.
-    let start = blamed_instance(desk, &loss);
+    let start = blamed_instance(shared, &loss);
     let suspicion = SuspectedLoss {
         id: a.client_request.id.clone(),
         digest,
@@ -129,7 +129,7 @@
         start,
         _check: start.map(|start| {
             LossCheck::begin(
-                desk,
+                shared,
                 InstanceLoss {
                     digest,
                     instance: start,
@@ -137,16 +137,16 @@
             )
         }),
     };
-    if probe::is_lost(desk, &suspicion.loss.upstream).await {
-        suspicion.confirm(desk);
+    if probe::is_lost(shared, &suspicion.loss.upstream).await {
+        suspicion.confirm(shared);
         return true;
     }
-    let desk = desk.clone();
+    let shared = shared.clone();
     tokio::task::spawn_local(async move {
         for pause in RECHECK_DELAYS {
             sleep(pause).await;
-            if probe::is_lost(&desk, &suspicion.loss.upstream).await {
-                return suspicion.confirm(&desk);
+            if probe::is_lost(&shared, &suspicion.loss.upstream).await {
+                return suspicion.confirm(&shared);
             }
         }
     });
@@ -155,9 +155,9 @@
 
 /// The start of an upstream whose loss is laid to the request: unless the request had
 /// run well before, or the upstream was to end anyway.
-fn blamed_instance(desk: &SharedState, loss: &BrokenRun) -> Option<InstanceKey> {
-    let roster = desk.registry.borrow();
-    let entry = roster.get(&loss.upstream)?;
+fn blamed_instance(shared: &SharedState, loss: &BrokenRun) -> Option<InstanceKey> {
+    let registry = shared.registry.borrow();
+    let entry = registry.get(&loss.upstream)?;
     let upstream = &entry.upstream;
     let counts = !loss.proven_safe && !entry.is_leaving();
     counts.then(|| instance_key(&upstream.id, upstream.started_ms))
@@ -166,9 +166,10 @@
 impl SuspectedLoss {
     /// Notes that the upstream is lost. New tries go elsewhere at once, also if other
     /// streams heard it a moment ago.
-    fn confirm(self, desk: &Rc<SharedState>) {
-        let now = desk.now();
-        desk.registry
+    fn confirm(self, shared: &Rc<SharedState>) {
+        let now = shared.now();
+        shared
+            .registry
             .borrow_mut()
             .note_unreachable(now, &self.loss.upstream);
         // Leaving lost engines out does not stop a request that ends them: it goes on
@@ -176,20 +177,20 @@
         if let Some(start) = self.start {
             let digest = self.digest;
             quarantine::record_loss(
-                desk,
+                shared,
                 InstanceLoss {
                     digest,
                     instance: start,
                 },
             );
         }
-        let run = desk.now().saturating_sub(self.loss.began);
+        let run = shared.now().saturating_sub(self.loss.began);
         let events = if self.loss.event_count == 0 {
             "none"
         } else {
             "some"
         };
-        desk.metrics.lost_runs.with_label_values(&[events]).inc();
+        shared.metrics.lost_runs.with_label_values(&[events]).inc();
         let fields = json!({
             "id": self.id,
             "upstream": &*self.loss.upstream,
--- a/crates/ashgauged/src/relay/membership.rs
+++ b/crates/ashgauged/src/relay/membership.rs
@@ -78,137 +78,141 @@
 /// long as the process runs.
 ///
 /// Boxes that are gone for good stay counted, so the parts only shrink.
-pub async fn follow_members(desk: Rc<SharedState>) {
-    let own = StoredBox::of(&desk);
-    let began = desk.now();
-    let fresh = desk.settings().fresh_fleet;
-    let found = if fresh { None } else { first_list(&desk).await };
+pub async fn follow_members(shared: Rc<SharedState>) {
+    let own = StoredBox::of(&shared);
+    let began = shared.now();
+    let fresh = shared.settings().fresh_fleet;
+    let found = if fresh {
+        None
+    } else {
+        first_list(&shared).await
+    };
     if !fresh {
-        desk.discovered_at.set(Some(began));
+        shared.discovered_at.set(Some(began));
     }
     if found.is_some() {
-        desk.was_listed.set(true);
-        desk.trust_count();
+        shared.was_listed.set(true);
+        shared.trust_count();
     }
     if found.as_ref() != Some(&own) {
-        while let Err(fault) = announce(&desk, &own).await {
+        while let Err(fault) = announce(&shared, &own).await {
             log_fault("announce", &fault);
-            random_pause(&desk).await;
+            random_pause(&shared).await;
         }
     }
     for time in DISCOVERY_TIMES {
         if fresh && time < FRESH_DISCOVERY_TIME {
             continue;
         }
-        sleep((began + time).saturating_sub(desk.now())).await;
-        if desk.discovered_at.get().is_none() || needs_all(&desk) {
-            refresh(desk.clone()).await;
+        sleep((began + time).saturating_sub(shared.now())).await;
+        if shared.discovered_at.get().is_none() || needs_all(&shared) {
+            refresh(shared.clone()).await;
         }
-        if desk.discovered_at.get().is_none() {
-            finish_discovery(&desk).await;
+        if shared.discovered_at.get().is_none() {
+            finish_discovery(&shared).await;
         }
     }
-    desk.trust_count();
+    shared.trust_count();
     for turn in 1u32.. {
         sleep(LIST_INTERVAL).await;
-        if needs_all(&desk) || turn.is_multiple_of(LISTS_SKIPPED) {
-            refresh(desk.clone()).await;
+        if needs_all(&shared) || turn.is_multiple_of(LISTS_SKIPPED) {
+            refresh(shared.clone()).await;
         }
     }
 }
 
 /// Announces this box again each time the store came back from a copy, which may be from
 /// before it was announced.
-pub async fn reannounce(desk: Rc<SharedState>) {
-    let mut eras = desk.store.subscribe_era();
+pub async fn reannounce(shared: Rc<SharedState>) {
+    let mut eras = shared.store.subscribe_era();
     // The store's client lives as long as the desk.
     while eras.changed().await.is_ok() {
-        let spread = desk.rng().random_range(Duration::ZERO..MAX_RENEW_DELAY);
+        let spread = shared.rng().random_range(Duration::ZERO..MAX_RENEW_DELAY);
         sleep(spread).await;
-        let own = StoredBox::of(&desk);
-        while let Err(fault) = announce(&desk, &own).await {
+        let own = StoredBox::of(&shared);
+        while let Err(fault) = announce(&shared, &own).await {
             log_fault("announce", &fault);
-            random_pause(&desk).await;
+            random_pause(&shared).await;
         }
     }
 }
 
 /// This box, and what it knows of the fleet.
-pub fn known_fleet(desk: &SharedState) -> (reader::Member, Fleet) {
-    let settings = desk.settings();
+pub fn known_fleet(shared: &SharedState) -> (reader::Member, Fleet) {
+    let settings = shared.settings();
     let own = reader::Member {
         id: settings.id.as_str().into(),
         data_centre: settings.data_centre.as_str().into(),
         link_mbps: settings.link_mbps(),
     };
-    let peers = desk.peers.borrow();
+    let peers = shared.peers.borrow();
     let others = peers.iter().filter(|(_, peer)| peer.is_candidate);
     let others = others.map(|(id, peer)| reader::Member {
         id: id.clone(),
         data_centre: peer.data_centre.clone(),
         link_mbps: peer.link_mbps,
     });
-    let listed = desk.is_candidate.get().then(|| own.clone());
+    let listed = shared.is_candidate.get().then(|| own.clone());
     let fleet = Fleet {
         candidates: others.chain(listed).collect(),
-        box_count: (peers.len() + 1).max(desk.counted_boxes() as usize),
+        box_count: (peers.len() + 1).max(shared.counted_boxes() as usize),
         reader_count: settings.readers,
     };
     (own, fleet)
 }
 
 /// Whether this box is to know all others: it reads for them, or they are few.
-fn needs_all(desk: &SharedState) -> bool {
-    *desk.reads_store.borrow() || !desk.peers_partial.get()
+fn needs_all(shared: &SharedState) -> bool {
+    *shared.reads_store.borrow() || !shared.peers_partial.get()
 }
 
 /// Lets this box ask others from now on, or read for them.
-async fn finish_discovery(desk: &SharedState) {
-    let (own, fleet) = known_fleet(desk);
-    let readers = reader::choose(&own, &fleet, &Backoffs::default(), desk.now());
+async fn finish_discovery(shared: &SharedState) {
+    let (own, fleet) = known_fleet(shared);
+    let readers = reader::choose(&own, &fleet, &Backoffs::default(), shared.now());
     if !readers.includes_self {
         sleep(NON_READER_DELAY).await;
     }
-    desk.discovered_at.set(Some(desk.now()));
+    shared.discovered_at.set(Some(shared.now()));
 }
 
 /// Looks for boxes until the store answers; returns how this box was last
 /// announced, if it was.
-async fn first_list(desk: &SharedState) -> Option<StoredBox> {
+async fn first_list(shared: &SharedState) -> Option<StoredBox> {
     loop {
-        match list_boxes(desk).await {
+        match list_boxes(shared).await {
             Ok(seen) => return seen.own,
             Err(fault) => log_fault("look", &fault),
         }
-        random_pause(desk).await;
+        random_pause(shared).await;
     }
 }
 
-async fn random_pause(desk: &SharedState) {
-    let time = desk
+async fn random_pause(shared: &SharedState) {
+    let time = shared
         .rng()
         .random_range(MAX_RETRY_DELAY / 4..MAX_RETRY_DELAY);
     sleep(time).await;
 }
 
 /// Writes this box's object, or corrects one that names another address.
-async fn announce(desk: &SharedState, member: &StoredBox) -> Result<(), StoreError> {
+async fn announce(shared: &SharedState, member: &StoredBox) -> Result<(), StoreError> {
     let name = reader::listing_key(member.link_mbps, &member.id);
-    let created = desk.store.create(KIND, &name, member).await;
-    desk.count_store_call("write", &created);
+    let created = shared.store.create(KIND, &name, member).await;
+    shared.count_store_call("write", &created);
     match created {
         Err(StoreError::Conflict) => {}
         other => return other,
     }
-    let known = desk.store.get::<StoredBox>(KIND, &name).await;
-    desk.count_store_call("get", &known);
+    let known = shared.store.get::<StoredBox>(KIND, &name).await;
+    shared.count_store_call("get", &known);
     let known = known?;
     if known.value == *member {
         return Ok(());
     }
-    let replaced = desk.store.replace(KIND, &name, known.revision, member);
+    let replaced = shared.store.replace(KIND, &name, known.revision, member);
     let replaced = replaced.await;
-    desk.count_store_call("write", &replaced);
+    shared.count_store_call("write", &replaced);
     replaced
 }
 
@@ -218,13 +222,13 @@
 /// # Errors
 ///
 /// As every call of the store.
-pub async fn announce_revisions(desk: &SharedState) -> Result<Vec<Revision>, StoreError> {
-    Ok(list_boxes(desk).await?.revisions)
+pub async fn announce_revisions(shared: &SharedState) -> Result<Vec<Revision>, StoreError> {
+    Ok(list_boxes(shared).await?.revisions)
 }
 
 /// Looks which boxes there are.
-pub async fn refresh(desk: Rc<SharedState>) {
-    if let Err(fault) = list_boxes(&desk).await {
+pub async fn refresh(shared: Rc<SharedState>) {
+    if let Err(fault) = list_boxes(&shared).await {
         log_fault("look", &fault);
     }
 }
@@ -239,9 +243,9 @@
 
 /// Reads which boxes there are: the first page of their list, and the rest of it if
 /// this box is to know all.
-async fn list_boxes(desk: &SharedState) -> Result<Listing, StoreError> {
-    let head = desk.store.first_stale_page::<StoredBox>(KIND).await;
-    desk.count_store_call("stale", &head);
+async fn list_boxes(shared: &SharedState) -> Result<Listing, StoreError> {
+    let head = shared.store.first_stale_page::<StoredBox>(KIND).await;
+    shared.count_store_call("stale", &head);
     let head = head?;
     let mut seen = Listing {
         own: None,
@@ -249,39 +253,39 @@
     };
     let is_whole = head.next_after.is_none();
     if !is_whole {
-        let mut peers = desk.peers.borrow_mut();
+        let mut peers = shared.peers.borrow_mut();
         peers.values_mut().for_each(|p| p.is_candidate = false);
     }
-    add_peers(desk, head.objects, true, &mut seen);
-    desk.is_candidate.set(is_whole || seen.own.is_some());
-    desk.peers_partial.set(!is_whole);
-    let reads_all = is_whole || *desk.reads_store.borrow();
+    add_peers(shared, head.objects, true, &mut seen);
+    shared.is_candidate.set(is_whole || seen.own.is_some());
+    shared.peers_partial.set(!is_whole);
+    let reads_all = is_whole || *shared.reads_store.borrow();
     if !is_whole && reads_all {
-        let rest = desk
+        let rest = shared
             .store
             .remaining_stale::<StoredBox>(KIND, head.next_after)
             .await;
-        desk.count_store_call("stale", &rest);
-        add_peers(desk, rest?, false, &mut seen);
+        shared.count_store_call("stale", &rest);
+        add_peers(shared, rest?, false, &mut seen);
     }
     // An older state of the store may lack others as well if it lacks this box. The same
     // count again is believed more than the first one at a start.
     let count = seen.revisions.len() as u32;
-    if reads_all && seen.own.is_some() && count >= desk.counted_boxes() {
-        desk.set_fleet_size(count);
+    if reads_all && seen.own.is_some() && count >= shared.counted_boxes() {
+        shared.set_fleet_size(count);
     }
     Ok(seen)
 }
 
 /// Takes in boxes that are listed.
 fn add_peers(
-    desk: &SharedState,
+    shared: &SharedState,
     objects: Vec<Object<StoredBox>>,
     is_candidate: bool,
     seen: &mut Listing,
 ) {
-    let settings = desk.settings();
-    let mut peers = desk.peers.borrow_mut();
+    let settings = shared.settings();
+    let mut peers = shared.peers.borrow_mut();
     for object in objects {
         let member = object.value;
         seen.revisions.push(object.revision);
@@ -312,12 +316,12 @@
 
 impl StoredBox {
     /// What this box announces.
-    fn of(desk: &SharedState) -> Self {
+    fn of(shared: &SharedState) -> Self {
         StoredBox {
-            id: desk.settings().id.clone(),
-            peer: desk.peer_addr.get(),
-            data_centre: desk.settings().data_centre.clone(),
-            link_mbps: desk.settings().link_mbps(),
+            id: shared.settings().id.clone(),
+            peer: shared.peer_addr.get(),
+            data_centre: shared.settings().data_centre.clone(),
+            link_mbps: shared.settings().link_mbps(),
         }
     }
 }
--- a/crates/ashgauged/src/relay/mod.rs
+++ b/crates/ashgauged/src/relay/mod.rs
@@ -111,29 +111,29 @@
         "metrics": metrics.as_ref().and_then(|m| m.local_addr().ok()).map(|a| a.to_string()),
     });
     log::event(Level::Info, "box", "started", fields);
-    let desk = Rc::new(SharedState::new(settings, Metrics::new()?));
-    let peers = Peers::start(&desk).await?;
+    let shared = Rc::new(SharedState::new(settings, Metrics::new()?));
+    let peers = Peers::start(&shared).await?;
     if let Some((peers, _)) = &peers {
-        tokio::task::spawn_local(load_reporter::broadcast(desk.clone(), peers.clone()));
-        tokio::task::spawn_local(quarantine::broadcast(desk.clone(), peers.clone()));
-        tokio::task::spawn_local(suspicion::broadcast(desk.clone(), peers.clone()));
+        tokio::task::spawn_local(load_reporter::broadcast(shared.clone(), peers.clone()));
+        tokio::task::spawn_local(quarantine::broadcast(shared.clone(), peers.clone()));
+        tokio::task::spawn_local(suspicion::broadcast(shared.clone(), peers.clone()));
     }
-    StoreFollower::start(desk.clone(), peers);
-    Placer::start(desk.clone());
-    tokio::task::spawn_local(clock::watch_suspension(desk.clone()));
-    tokio::task::spawn_local(shedding::update_levels(desk.clone()));
-    tokio::task::spawn_local(serve::accept(desk.clone(), callers));
-    tokio::task::spawn_local(serve::serve_readiness(desk.clone(), ready));
+    StoreFollower::start(shared.clone(), peers);
+    Placer::start(shared.clone());
+    tokio::task::spawn_local(clock::watch_suspension(shared.clone()));
+    tokio::task::spawn_local(shedding::update_levels(shared.clone()));
+    tokio::task::spawn_local(serve::accept(shared.clone(), callers));
+    tokio::task::spawn_local(serve::serve_readiness(shared.clone(), ready));
     if let Some(listener) = metrics {
-        tokio::task::spawn_local(serve::serve_metrics(desk.clone(), listener));
+        tokio::task::spawn_local(serve::serve_metrics(shared.clone(), listener));
     }
-    wait_for_stop(&desk, path).await?;
-    stop(&desk).await;
+    wait_for_stop(&shared, path).await?;
+    stop(&shared).await;
     Ok(())
 }
 
 /// Waits for the signal to stop; a hang-up reads the settings again.
-async fn wait_for_stop(desk: &SharedState, path: &Path) -> Result<()> {
+async fn wait_for_stop(shared: &SharedState, path: &Path) -> Result<()> {
     let mut term = signal(SignalKind::terminate())?;
     let mut int = signal(SignalKind::interrupt())?;
     let mut hup = signal(SignalKind::hangup())?;
@@ -142,11 +142,11 @@
         tokio::select! {
             _ = term.recv() => return Ok(()),
             _ = int.recv() => return Ok(()),
-            _ = hup.recv() => reload(desk, path),
+            _ = hup.recv() => reload(shared, path),
             () = sleep(SETTINGS_POLL_INTERVAL) => {
                 let now = modified_at(path);
                 if now.is_some() && std::mem::replace(&mut changed, now) != now {
-                    reload(desk, path);
+                    reload(shared, path);
                 }
             }
         }
@@ -154,12 +154,12 @@
 }
 
 /// Puts changed settings in force, as far as that goes without a new start.
-fn reload(desk: &SharedState, path: &Path) {
+fn reload(shared: &SharedState, path: &Path) {
     match Settings::load(path) {
         Ok(new) => {
-            let changed = new != *desk.settings();
+            let changed = new != *shared.settings();
             if changed {
-                desk.reload(new);
+                shared.reload(new);
             }
             log::event(Level::Info, "box", "reloaded", json!({"changed": changed}));
         }
@@ -176,27 +176,27 @@
 }
 
 /// Ends the requests under way, within the time that is left.
-async fn stop(desk: &SharedState) {
+async fn stop(shared: &SharedState) {
     let began = Instant::now();
-    desk.is_stopping.set(true);
-    let most = desk.settings().stop_timeout();
+    shared.is_stopping.set(true);
+    let most = shared.settings().stop_timeout();
     let most = most.saturating_sub(KILL_MARGIN);
     log::event(
         Level::Info,
         "box",
         "stopping",
-        json!({"inflight": desk.inflight.get()}),
+        json!({"inflight": shared.inflight.get()}),
     );
     sleep(BALANCER_GRACE.min(most)).await;
-    desk.is_stopped.set(true);
+    shared.is_stopped.set(true);
     let mut busy = Instant::now();
     while busy.elapsed() < IDLE_GRACE && began.elapsed() < most {
         sleep(STOP_POLL_INTERVAL).await;
-        if desk.inflight.get() > 0 {
+        if shared.inflight.get() > 0 {
             busy = Instant::now();
         }
     }
-    let fields = json!({"cut": desk.inflight.get(), "ms": began.elapsed().as_millis() as u64});
+    let fields = json!({"cut": shared.inflight.get(), "ms": began.elapsed().as_millis() as u64});
     log::event(Level::Info, "box", "stopped", fields);
     log::flush();
 }
--- a/crates/ashgauged/src/relay/open.rs
+++ b/crates/ashgauged/src/relay/open.rs
@@ -76,7 +76,7 @@
 /// Sends the request over a chosen chain and waits for the head of the answer,
 /// which goes on after event `last`.
 pub async fn start_run(
-    desk: &Rc<SharedState>,
+    shared: &Rc<SharedState>,
     a: &mut AdmittedRequest,
     handoff: &mut Attempts,
     avoid: &mut Vec<UpstreamId>,
@@ -88,11 +88,11 @@
         encoded: text,
         first_addr: first,
     } = chosen;
-    let estimate = forecast::estimate(desk, a, &stages);
+    let estimate = forecast::estimate(shared, a, &stages);
     if let Some(estimate) = &estimate {
         a.record.note_forecast(estimate.first);
     }
-    note_expected_load(desk, a, &stages);
+    note_expected_load(shared, a, &stages);
     let lead = stages[0].upstream.clone();
     let failed = |outcome| FailedSend {
         outcome,
@@ -101,31 +101,31 @@
     };
     handoff.record_send(lead.clone());
     a.record.sends.push(text.as_deref().unwrap_or(&lead).into());
-    let hold = LoadGuard::for_chain(desk, &stages, a.mean_tokens());
-    let trial = SuspectRun::begin(desk, a.digest, &lead);
-    let connect = Duration::from_millis(desk.settings().timing.connect_ms);
-    let line = dial::connect(&first, connect.min(handoff.time_left(desk.now()))).await;
+    let hold = LoadGuard::for_chain(shared, &stages, a.mean_tokens());
+    let trial = SuspectRun::begin(shared, a.digest, &lead);
+    let connect = Duration::from_millis(shared.settings().timing.connect_ms);
+    let line = dial::connect(&first, connect.min(handoff.time_left(shared.now()))).await;
     let line = line.map_err(|e| failed(failure_outcome(&e)))?;
-    if !is_authorized(desk, a) {
+    if !is_authorized(shared, a) {
         return Err(failed(SendOutcome::NotSent));
     }
     let target = Target {
         id: &lead,
         chain: text.as_deref(),
         team: a.team.as_ref().map(|t| t.name.as_str()),
-        rank: slack::engine_priority(a.rank(desk), slack_of(a, last)),
-        time_left: handoff.time_left(desk.now()),
+        rank: slack::engine_priority(a.rank(shared), slack_of(a, last)),
+        time_left: handoff.time_left(shared.now()),
         last_event: last,
     };
-    notice::count_send(desk, &lead, &a.client_request.id);
+    notice::count_send(shared, &lead, &a.client_request.id);
     let request = engine::build_request(&a.head, a.body.clone(), &target);
-    let sent = desk.now();
+    let sent = shared.now();
     let sending = line.send(request);
-    let wait = head_timeout(desk, estimate.as_ref());
-    let exchange = await_head(desk, a, &stages, sending, handoff, avoid, wait).await;
+    let wait = head_timeout(shared, estimate.as_ref());
+    let exchange = await_head(shared, a, &stages, sending, handoff, avoid, wait).await;
     let exchange = exchange.map_err(failed)?;
     let parts = response_head(&exchange);
-    notice::apply(desk, &lead, sent, &parts);
+    notice::apply(shared, &lead, sent, &parts);
     match engine::classify(&parts, &a.client_request.id) {
         Verdict::Answer if parts.status.is_success() => {}
         Verdict::Answer => {
@@ -142,7 +142,7 @@
             });
         }
         verdict @ (Verdict::Full(_) | Verdict::Stale(_)) => {
-            avoid.push(apply_refusal(desk, &lead, verdict));
+            avoid.push(apply_refusal(shared, &lead, verdict));
             return Err(failed(SendOutcome::NotRun));
         }
         Verdict::Foreign => return Err(failed(SendOutcome::Lost)),
@@ -151,7 +151,7 @@
         stages,
         first_addr: first,
         exchange,
-        head_at: desk.now(),
+        head_at: shared.now(),
         event_count: 0,
         first_event: None,
         proven_safe: false,
@@ -170,10 +170,10 @@
 }
 
 /// Notes what a request will put on its chain.
-fn note_expected_load(desk: &SharedState, a: &AdmittedRequest, stages: &[Stage]) {
+fn note_expected_load(shared: &SharedState, a: &AdmittedRequest, stages: &[Stage]) {
     if let Some(model) = a.service.model.as_ref().filter(|m| m.layers > 0) {
-        desk.note_transfers(model, stages, a.max_tokens());
-        desk.note_prefill(
+        shared.note_transfers(model, stages, a.max_tokens());
+        shared.note_prefill(
             model,
             &a.service.name,
             stages.iter(),
@@ -183,15 +183,15 @@
 }
 
 /// How long to wait for the head of an answer before the engines are checked.
-fn head_timeout(desk: &SharedState, estimate: Option<&Estimate>) -> Duration {
-    let least = Duration::from_millis(desk.settings().timing.first_ms);
+fn head_timeout(shared: &SharedState, estimate: Option<&Estimate>) -> Duration {
+    let least = Duration::from_millis(shared.settings().timing.first_ms);
     estimate.map_or(least, |e| e.silence_limit(least))
 }
 
 /// Waits for the head of an answer; checks the chain's engines when it is
 /// late, first after `wait`.
 async fn await_head(
-    desk: &Rc<SharedState>,
+    shared: &Rc<SharedState>,
     a: &AdmittedRequest,
     stages: &[Stage],
     sending: impl Future<Output = Result<OpenResponse, ::http::Failure>>,
@@ -201,40 +201,40 @@
 ) -> Result<OpenResponse, SendOutcome> {
     tokio::pin!(sending);
     let lead = &stages[0].upstream;
-    let began = desk.now();
+    let began = shared.now();
     loop {
-        let left = handoff.time_left(desk.now());
-        let head = desk.clock.within(wait.min(left), sending.as_mut()).await;
+        let left = handoff.time_left(shared.now());
+        let head = shared.clock.within(wait.min(left), sending.as_mut()).await;
         if let Some(sent) = head {
-            let now = desk.now();
-            let mut roster = desk.registry.borrow_mut();
+            let now = shared.now();
+            let mut registry = shared.registry.borrow_mut();
             return match sent {
                 Ok(exchange) => {
-                    roster.record_latency(now, lead, now - began);
+                    registry.record_latency(now, lead, now - began);
                     Ok(exchange)
                 }
                 Err(failure) => {
-                    roster.record_failure(now, lead);
+                    registry.record_failure(now, lead);
                     avoid.push(lead.clone());
                     Err(failure_outcome(&failure))
                 }
             };
         }
-        let waited = desk.now() - began;
-        let mut dead = find_unreachable(desk, a, stages, Duration::ZERO).await;
+        let waited = shared.now() - began;
+        let mut dead = find_unreachable(shared, a, stages, Duration::ZERO).await;
         if dead.is_empty() {
-            dead.extend(query_engines(desk, a, stages).await);
+            dead.extend(query_engines(shared, a, stages).await);
         }
-        if handoff.time_left(desk.now()).is_zero() {
+        if handoff.time_left(shared.now()).is_zero() {
             return Err(SendOutcome::Lost);
         }
         let is_late = waited >= MAX_SILENCE;
-        if !dead.is_empty() || (is_late && recovery::has_budget(desk, a)) {
+        if !dead.is_empty() || (is_late && recovery::has_budget(shared, a)) {
             dead.iter()
-                .for_each(|id| desk.mark_suspect(id, "holds up its chain"));
+                .for_each(|id| shared.mark_suspect(id, "holds up its chain"));
             if dead.is_empty() {
-                let now = desk.now();
-                desk.registry.borrow_mut().record_failure(now, lead);
+                let now = shared.now();
+                shared.registry.borrow_mut().record_failure(now, lead);
                 avoid.push(lead.clone());
             }
             avoid.extend(dead);
@@ -242,7 +242,7 @@
         }
         wait = match is_late {
             true => recovery::POLL_INTERVAL,
-            false => next_wait(wait, desk.now() - began, MAX_SILENCE),
+            false => next_wait(wait, shared.now() - began, MAX_SILENCE),
         };
     }
 }
@@ -259,7 +259,7 @@
     Some(failure)
 }
 
-pub fn upstream_at(desk: &SharedState, addr: &str) -> Option<UpstreamId> {
-    let roster = desk.registry.borrow();
-    roster.by_addr(addr).map(|e| e.upstream.id.clone())
+pub fn upstream_at(shared: &SharedState, addr: &str) -> Option<UpstreamId> {
+    let registry = shared.registry.borrow();
+    registry.by_addr(addr).map(|e| e.upstream.id.clone())
 }
