--- a/crates/ashgauged/src/relay/peers.rs
+++ b/crates/ashgauged/src/relay/peers.rs
@@ -82,7 +82,7 @@
 
 /// This box's way to the others.
 pub struct Peers {
-    desk: Rc<SharedState>,
+    shared: Rc<SharedState>,
     socket: Rc<UdpSocket>,
     messages: mpsc::Sender<PeerMessage>,
     /// Until when each ticket is good.
@@ -113,19 +113,19 @@
     ///
     /// Fails if the address cannot be bound.
     pub async fn start(
-        desk: &Rc<SharedState>,
+        shared: &Rc<SharedState>,
     ) -> Result<Option<(Rc<Self>, mpsc::Receiver<PeerMessage>)>> {
-        let Some(addr) = desk.settings().peer.clone() else {
+        let Some(addr) = shared.settings().peer.clone() else {
             return Ok(None);
         };
         let (socket, listener) = bind(&addr).await?;
         let socket = Rc::new(socket);
         // Boxes start to hear each other once.
-        let _ = desk.permits.socket.set(socket.clone());
-        desk.peer_addr.set(Some(socket.local_addr()?));
+        let _ = shared.permits.socket.set(socket.clone());
+        shared.peer_addr.set(Some(socket.local_addr()?));
         let (heard, messages) = mpsc::channel(MAX_QUEUED_MESSAGES);
         let peers = Rc::new(Peers {
-            desk: desk.clone(),
+            shared: shared.clone(),
             socket,
             messages: heard,
             tickets: RefCell::default(),
@@ -147,7 +147,7 @@
 
     /// Asks a box.
     pub async fn ask(&self, to: &BoxId, question: Query) {
-        let addr = self.desk.peers.borrow().get(to).map(|p| p.addr);
+        let addr = self.shared.peers.borrow().get(to).map(|p| p.addr);
         let bytes = pack::encode(&Datagram::Query(question));
         if let (Some(addr), Some(bytes)) = (addr, bytes) {
             self.send(addr, &bytes).await;
@@ -156,7 +156,7 @@
 
     /// Fetches an answer that is too large for a datagram.
     pub async fn fetch(self: Rc<Self>, to: BoxId, question: Query, most: Duration) {
-        let asked = self.desk.now();
+        let asked = self.shared.now();
         let heard = match self.fetch_once(&to, &question, most).await {
             Ok(answer) => PeerMessage::Answer(answer, Some(asked)),
             Err(e) => {
@@ -170,14 +170,14 @@
     }
 
     async fn fetch_once(&self, to: &BoxId, question: &Query, most: Duration) -> Result<Answer> {
-        let addr = self.desk.peers.borrow().get(to).map(|p| p.addr);
+        let addr = self.shared.peers.borrow().get(to).map(|p| p.addr);
         let addr = addr.ok_or_else(|| eyre!("the box is not listed any more"))?;
         let addr = addr.to_string();
         let body = Full::new(Bytes::from(postcard::to_allocvec(question)?));
         let request = Request::builder().method(Method::POST).uri(ANSWER_PATH);
         let request = request.header(hyper::header::HOST, &addr);
         let request = request.body(body)?;
-        let reply = self.desk.client.send(&addr, request, most);
+        let reply = self.shared.client.send(&addr, request, most);
         let reply = reply.await?;
         if reply.status() != StatusCode::OK {
             return Err(eyre!("the box answered {}", reply.status()));
@@ -195,15 +195,15 @@
 
     /// Tells the boxes that asked lately that there is something new.
     pub async fn notify_pollers(&self) {
-        let now = self.desk.now();
-        let own: BoxId = self.desk.settings().id.as_str().into();
+        let now = self.shared.now();
+        let own: BoxId = self.shared.settings().id.as_str().into();
         let Some(bytes) = pack::encode(&Datagram::Changed(own)) else {
             return;
         };
         let to: Vec<SocketAddr> = {
-            let mut askers = self.desk.pollers.borrow_mut();
+            let mut askers = self.shared.pollers.borrow_mut();
             askers.retain(|_, asked| now < asked.asked_at + POLLER_TTL);
-            let peers = self.desk.peers.borrow();
+            let peers = self.shared.peers.borrow();
             let addrs = askers.keys().filter_map(|id| peers.get(id));
             addrs.map(|p| p.addr).collect()
         };
@@ -222,12 +222,16 @@
             };
             let result = self.handle_datagram(&buffer[..len], from).await;
             let label = [result.label()];
-            self.desk.metrics.datagrams.with_label_values(&label).inc();
-            let now = self.desk.now();
+            self.shared
+                .metrics
+                .datagrams
+                .with_label_values(&label)
+                .inc();
+            let now = self.shared.now();
             if result == DatagramResult::Stranger && now >= counted + MIN_REFRESH_INTERVAL {
                 // It may be a box that has just come.
                 counted = now;
-                tokio::task::spawn_local(membership::refresh(self.desk.clone()));
+                tokio::task::spawn_local(membership::refresh(self.shared.clone()));
             }
         }
     }
@@ -238,7 +242,7 @@
             return DatagramResult::Unreadable;
         };
         let listed = self
-            .desk
+            .shared
             .peers
             .borrow()
             .get(datagram.from())
@@ -255,40 +259,40 @@
             Datagram::Answer(answer) => self.forward(PeerMessage::Answer(answer, None)),
             Datagram::Changed(from) => self.forward(PeerMessage::News(from)),
             Datagram::Losses(from, report) => {
-                quarantine::merge_report(&self.desk, &from, &report);
+                quarantine::merge_report(&self.shared, &from, &report);
                 DatagramResult::Accepted
             }
             Datagram::Suspects(from, starts) => {
-                suspicion::handle_reports(&self.desk, &from, &starts);
+                suspicion::handle_reports(&self.shared, &from, &starts);
                 DatagramResult::Accepted
             }
             Datagram::AskPermit(ask) => {
-                permit::handle_ask(&self.desk, ask, addr);
+                permit::handle_ask(&self.shared, ask, addr);
                 DatagramResult::Question
             }
             Datagram::Permit(reply) => {
-                permit::handle_reply(&self.desk, reply);
+                permit::handle_reply(&self.shared, reply);
                 DatagramResult::Accepted
             }
         }
     }
 
     fn handle_load(&self, mut word: LoadReport) -> DatagramResult {
-        let now = self.desk.now();
+        let now = self.shared.now();
         let (suspects, slow) = (word.suspects.clone(), word.slow.clone());
-        permit::merge_limits(&self.desk, &word.from, &word.limits);
-        if self.desk.role() != Role::Hub {
+        permit::merge_limits(&self.shared, &word.from, &word.limits);
+        if self.shared.role() != Role::Hub {
             word.suspects.clear();
             word.slow.clear();
         }
-        if !self.desk.fleet_load.borrow_mut().apply(now, word) {
+        if !self.shared.fleet_load.borrow_mut().apply(now, word) {
             return DatagramResult::Late;
         }
-        let mut roster = self.desk.registry.borrow_mut();
+        let mut registry = self.shared.registry.borrow_mut();
         if !suspects.is_empty() {
-            roster.note_peer_suspects(now, &suspects);
+            registry.note_peer_suspects(now, &suspects);
         }
-        roster.note_peer_slow(now, &slow);
+        registry.note_peer_slow(now, &slow);
         DatagramResult::Accepted
     }
 
@@ -300,14 +304,14 @@
     }
 
     async fn handle_query(&self, question: Query, addr: SocketAddr) {
-        let now = self.desk.now();
+        let now = self.shared.now();
         let asked = LastQuery {
             asked_at: now,
             revision: question.after,
         };
         let from = question.from.clone();
         self.log_later_revision(&question);
-        self.desk.pollers.borrow_mut().insert(from, asked);
+        self.shared.pollers.borrow_mut().insert(from, asked);
         if let Some(bytes) = self.encode_answer(&question) {
             self.send(addr, &bytes).await;
         }
@@ -315,7 +319,7 @@
 
     /// Writes a line if a box knows more than this one, once a second at most.
     fn log_later_revision(&self, question: &Query) {
-        let (now, covered) = (self.desk.now(), self.desk.mirror.borrow().covered());
+        let (now, covered) = (self.shared.now(), self.shared.mirror.borrow().covered());
         if question.after <= covered || now < self.later_logged_at.get() + LATER_LOG_INTERVAL {
             return;
         }
@@ -344,7 +348,10 @@
     /// What a box that knows everything up to `after` lacks, if it was packed and
     /// nothing has changed.
     fn cached_update(&self, after: Revision) -> Option<Bytes> {
-        let (mirror, sure) = (self.desk.mirror.borrow(), self.desk.removals_certain.get());
+        let (mirror, sure) = (
+            self.shared.mirror.borrow(),
+            self.shared.removals_certain.get(),
+        );
         let now = (after, mirror.covered(), mirror.generation(), sure);
         let packed = self.packed_updates.borrow();
         let mut packed = packed.iter();
@@ -357,7 +364,10 @@
         if let Some(bytes) = self.cached_update(after) {
             return Some(bytes);
         }
-        let (mirror, sure) = (self.desk.mirror.borrow(), self.desk.removals_certain.get());
+        let (mirror, sure) = (
+            self.shared.mirror.borrow(),
+            self.shared.removals_certain.get(),
+        );
         let bytes = match pack::pack(&mirror.update(after, sure)) {
             Ok(bytes) => Bytes::from(bytes),
             Err(e) => {
@@ -382,9 +392,9 @@
 
     /// What this box knows now, packed for a box that fetches it.
     fn packed_answer(&self, question: &Query) -> Option<Answer> {
-        let desk = &self.desk;
-        let age = desk.freshness.borrow().age(desk.now());
-        let body = match age.filter(|_| desk.is_synced()) {
+        let shared = &self.shared;
+        let age = shared.freshness.borrow().age(shared.now());
+        let body = match age.filter(|_| shared.is_synced()) {
             Some(age) => AnswerBody::Compressed {
                 age,
                 bytes: self.pack_update(question.after)?.to_vec(),
@@ -397,15 +407,15 @@
     /// What this box knows now. The age counts to this moment, which is after
     /// the question was asked.
     fn build_answer(&self, question: &Query) -> Answer {
-        let desk = &self.desk;
-        let age = desk.freshness.borrow().age(desk.now());
-        let body = match age.filter(|_| desk.is_synced()) {
+        let shared = &self.shared;
+        let age = shared.freshness.borrow().age(shared.now());
+        let body = match age.filter(|_| shared.is_synced()) {
             Some(age) => AnswerBody::Update {
                 age,
-                update: desk
+                update: shared
                     .mirror
                     .borrow()
-                    .update(question.after, desk.removals_certain.get()),
+                    .update(question.after, shared.removals_certain.get()),
             },
             None => self.empty_body(),
         };
@@ -413,8 +423,8 @@
     }
 
     fn empty_body(&self) -> AnswerBody {
-        let now = self.desk.now();
-        let asked = self.desk.config_missing_at.get();
+        let now = self.shared.now();
+        let asked = self.shared.config_missing_at.get();
         AnswerBody::Empty {
             asked_ago: asked.map(|at| now.saturating_sub(at)),
         }
@@ -422,16 +432,16 @@
 
     fn answer_with(&self, question: &Query, body: AnswerBody) -> Answer {
         Answer {
-            from: self.desk.settings().id.as_str().into(),
+            from: self.shared.settings().id.as_str().into(),
             id: question.id,
-            boxes: self.desk.counted_boxes(),
+            boxes: self.shared.counted_boxes(),
             body,
         }
     }
 
     fn issue_token(&self, question: &Query, bytes: u64) -> Answer {
-        let ticket = self.desk.rng().random();
-        let now = self.desk.now();
+        let ticket = self.shared.rng().random();
+        let now = self.shared.now();
         let mut tickets = self.tickets.borrow_mut();
         tickets.retain(|_, until| now < *until);
         if tickets.len() >= MAX_FETCH_TOKENS {
@@ -452,7 +462,7 @@
         while let Some(FetchRequest { question, reply }) = asked.recv().await {
             let ticket = question.fetch_token;
             let until = ticket.and_then(|t| self.tickets.borrow_mut().remove(&t));
-            let is_good = until.is_some_and(|until| self.desk.now() < until);
+            let is_good = until.is_some_and(|until| self.shared.now() < until);
             // Whoever asked may be gone.
             let answer = is_good.then(|| self.packed_answer(&question));
             let _ = reply.send(answer.flatten());
--- a/crates/ashgauged/src/relay/permit.rs
+++ b/crates/ashgauged/src/relay/permit.rs
@@ -28,35 +28,35 @@
 const MAX_ASKED_BOXES: u32 = 2;
 
 /// Takes a permit if the upstream needs one; without one it is left alone for a while.
-pub async fn acquire(desk: &SharedState, id: &UpstreamId) -> bool {
+pub async fn acquire(shared: &SharedState, id: &UpstreamId) -> bool {
     let key = load_report::upstream_key(id);
-    let told = desk.permits.limits.borrow().report_of(desk.now(), key);
+    let told = shared.permits.limits.borrow().report_of(shared.now(), key);
     let Some(told) = told.filter(|t| t.rate.is_some()) else {
         return true;
     };
-    let verdict = request_permit(desk, told).await;
+    let verdict = request_permit(shared, told).await;
     let result = match verdict {
         Some(Verdict::Granted) => "given",
         Some(Verdict::Unlimited) => "free",
         Some(Verdict::Wait(_)) => "refused",
         None => "no answer",
     };
-    desk.metrics.permits.with_label_values(&[result]).inc();
+    shared.metrics.permits.with_label_values(&[result]).inc();
     let Some(time) = permit::closed_for(verdict) else {
         return true;
     };
-    desk.registry.borrow_mut().block(desk.now(), id, time);
+    shared.registry.borrow_mut().block(shared.now(), id, time);
     false
 }
 
 /// Asks the box that gives permits for an upstream, which may be this one, and the next
 /// one if it does not answer; nothing if that doesn't either.
-async fn request_permit(desk: &SharedState, told: LimitReport) -> Option<Verdict> {
+async fn request_permit(shared: &SharedState, told: LimitReport) -> Option<Verdict> {
     let mut silent = None;
     for _ in 0..MAX_ASKED_BOXES {
-        match next_issuer(desk, told.key, silent.as_ref()) {
-            Issuer::Local(place) => return Some(decide(desk, told.key, place)),
-            Issuer::Remote(id) => match ask_box(desk, &id, told).await {
+        match next_issuer(shared, told.key, silent.as_ref()) {
+            Issuer::Local(place) => return Some(decide(shared, told.key, place)),
+            Issuer::Remote(id) => match ask_box(shared, &id, told).await {
                 Some(verdict) => return Some(verdict),
                 None => silent = Some(id),
             },
@@ -65,14 +65,17 @@
     None
 }
 
-fn next_issuer(desk: &SharedState, key: UpstreamKey, silent: Option<&BoxId>) -> Issuer {
-    let (passed, shares) = (desk.permits.silent_boxes.borrow(), desk.fleet_load.borrow());
-    let (own, order) = (desk.settings().id.clone(), issuers_of(desk, key));
+fn next_issuer(shared: &SharedState, key: UpstreamKey, silent: Option<&BoxId>) -> Issuer {
+    let (passed, shares) = (
+        shared.permits.silent_boxes.borrow(),
+        shared.fleet_load.borrow(),
+    );
+    let (own, order) = (shared.settings().id.clone(), issuers_of(shared, key));
     let hears = |id: &BoxId| shares.hears_from(id);
     permit::choose_issuer(
-        desk.now(),
+        shared.now(),
         &own,
-        desk.fleet_size(),
+        shared.fleet_size(),
         &order,
         &passed,
         silent,
@@ -81,24 +84,24 @@
 }
 
 /// Boxes that give permits for an upstream, the first first.
-fn issuers_of(desk: &SharedState, key: UpstreamKey) -> Vec<BoxId> {
-    permit::issuer_order(key, &desk.permits.givers.borrow())
+fn issuers_of(shared: &SharedState, key: UpstreamKey) -> Vec<BoxId> {
+    permit::issuer_order(key, &shared.permits.givers.borrow())
 }
 
-async fn ask_box(desk: &SharedState, to: &BoxId, told: LimitReport) -> Option<Verdict> {
-    let id = desk.rng().random();
-    let addr = desk.peers.borrow().get(to).map(|p| p.addr)?;
+async fn ask_box(shared: &SharedState, to: &BoxId, told: LimitReport) -> Option<Verdict> {
+    let id = shared.rng().random();
+    let addr = shared.peers.borrow().get(to).map(|p| p.addr)?;
     let (sender, answer) = oneshot::channel();
     let ask = PermitRequest {
-        from: desk.settings().id.as_str().into(),
+        from: shared.settings().id.as_str().into(),
         id,
         limit: told,
     };
-    desk.permits.await_answer(id, sender);
-    send(desk, addr, &Datagram::AskPermit(ask));
+    shared.permits.await_answer(id, sender);
+    send(shared, addr, &Datagram::AskPermit(ask));
     let verdict = timeout(REPLY_TIMEOUT, answer).await;
-    desk.permits.pending.borrow_mut().remove(&id);
-    let mut passed = desk.permits.silent_boxes.borrow_mut();
+    shared.permits.pending.borrow_mut().remove(&id);
+    let mut passed = shared.permits.silent_boxes.borrow_mut();
     match verdict {
         Ok(Ok(verdict)) => {
             passed.clear(to);
@@ -106,118 +109,118 @@
         }
         // The sender is dropped by the answer only.
         Ok(Err(_)) | Err(_) => {
-            passed.record_miss(desk.now(), to);
+            passed.record_miss(shared.now(), to);
             None
         }
     }
 }
 
 /// Answers another box that asks for a permit.
-pub fn handle_ask(desk: &SharedState, ask: PermitRequest, addr: SocketAddr) {
-    merge_limits(desk, &ask.from, &[ask.limit]);
+pub fn handle_ask(shared: &SharedState, ask: PermitRequest, addr: SocketAddr) {
+    merge_limits(shared, &ask.from, &[ask.limit]);
     let key = ask.limit.key;
     let reply = PermitReply {
-        from: desk.settings().id.as_str().into(),
+        from: shared.settings().id.as_str().into(),
         id: ask.id,
-        verdict: decide(desk, key, issuer_rank(desk, key)),
-        limit: desk.permits.limits.borrow().report_of(desk.now(), key),
+        verdict: decide(shared, key, issuer_rank(shared, key)),
+        limit: shared.permits.limits.borrow().report_of(shared.now(), key),
     };
-    send(desk, addr, &Datagram::Permit(reply));
+    send(shared, addr, &Datagram::Permit(reply));
 }
 
 /// Takes another box's answer.
-pub fn handle_reply(desk: &SharedState, reply: PermitReply) {
+pub fn handle_reply(shared: &SharedState, reply: PermitReply) {
     if let Some(told) = reply.limit {
-        merge_limits(desk, &reply.from, &[told]);
+        merge_limits(shared, &reply.from, &[told]);
     }
-    if let Some(waiting) = desk.permits.pending.borrow_mut().remove(&reply.id) {
+    if let Some(waiting) = shared.permits.pending.borrow_mut().remove(&reply.id) {
         // Whoever asked may have gone on without it.
         let _ = waiting.send(reply.verdict);
     }
 }
 
 /// Takes what another box told of limits.
-pub fn merge_limits(desk: &SharedState, from: &BoxId, told: &[LimitReport]) {
-    let news = desk.permits.limits.borrow_mut().merge(desk.now(), told);
+pub fn merge_limits(shared: &SharedState, from: &BoxId, told: &[LimitReport]) {
+    let news = shared.permits.limits.borrow_mut().merge(shared.now(), told);
     for key in &news {
-        let rate = desk.permits.limits.borrow().rate_of(*key);
-        let id = upstream_of(desk, *key);
+        let rate = shared.permits.limits.borrow().rate_of(*key);
+        let id = upstream_of(shared, *key);
         let fields = json!({"upstream": id.as_deref(), "rate": rate, "from": &**from});
         log::event(Level::Info, "roster", "limit told", fields);
         if rate.is_none() {
-            desk.registry.borrow_mut().unblock(*key);
+            shared.registry.borrow_mut().unblock(*key);
         }
     }
     if !news.is_empty() {
-        update_gauge(desk);
+        update_gauge(shared);
     }
 }
 
 /// Keeps the figure of upstreams in need.
-pub fn update_gauge(desk: &SharedState) {
-    let count = desk.permits.limits.borrow().len();
-    desk.metrics.limited_upstreams.set(count as i64);
+pub fn update_gauge(shared: &SharedState) {
+    let count = shared.permits.limits.borrow().len();
+    shared.metrics.limited_upstreams.set(count as i64);
 }
 
 /// Forgets what is too old to matter.
-pub fn expire(desk: &SharedState) {
-    let now = desk.now();
-    desk.permits.limits.borrow_mut().expire(now);
-    desk.permits.grants.borrow_mut().expire(now);
+pub fn expire(shared: &SharedState) {
+    let now = shared.now();
+    shared.permits.limits.borrow_mut().expire(now);
+    shared.permits.grants.borrow_mut().expire(now);
 }
 
 /// When a caller is to come back whom a service's upstreams in need cannot serve, if they
 /// are what stands in the way.
-pub fn retry_after(desk: &SharedState, service: &Service) -> Option<Duration> {
-    let wait = limit_wait(desk, service)?;
-    let rate = closed_rate(desk, &service.name)?;
-    let now = desk.now();
-    let mut schedule = desk.permits.schedule.borrow_mut();
-    let each = rate / f64::from(desk.fleet_size().max(1));
+pub fn retry_after(shared: &SharedState, service: &Service) -> Option<Duration> {
+    let wait = limit_wait(shared, service)?;
+    let rate = closed_rate(shared, &service.name)?;
+    let now = shared.now();
+    let mut schedule = shared.permits.schedule.borrow_mut();
+    let each = rate / f64::from(shared.fleet_size().max(1));
     Some(schedule.retry_after(now, &service.name, wait, each))
 }
 
 /// How long until a service's upstreams take one more request, if that is what stands in
 /// the way.
-pub fn limit_wait(desk: &SharedState, service: &Service) -> Option<Duration> {
-    closed_rate(desk, &service.name)?;
-    desk.backoff_left(service)
+pub fn limit_wait(shared: &SharedState, service: &Service) -> Option<Duration> {
+    closed_rate(shared, &service.name)?;
+    shared.backoff_left(service)
 }
 
 /// Requests a second that the upstreams of a service take that are left alone for now.
-fn closed_rate(desk: &SharedState, service: &ServiceId) -> Option<f64> {
-    let (roster, limits) = (desk.registry.borrow(), desk.permits.limits.borrow());
-    let closed = roster.of_service(service);
-    let closed = closed.filter(|e| e.blocked_for(desk.now()).is_some());
+fn closed_rate(shared: &SharedState, service: &ServiceId) -> Option<f64> {
+    let (registry, limits) = (shared.registry.borrow(), shared.permits.limits.borrow());
+    let closed = registry.of_service(service);
+    let closed = closed.filter(|e| e.blocked_for(shared.now()).is_some());
     let rates = closed.filter_map(|e| limits.rate(&e.upstream.id));
     Some(rates.sum()).filter(|rate| *rate > 0.0)
 }
 
-fn decide(desk: &SharedState, key: UpstreamKey, place: IssuerRank) -> Verdict {
-    let permits = &desk.permits;
+fn decide(shared: &SharedState, key: UpstreamKey, place: IssuerRank) -> Verdict {
+    let permits = &shared.permits;
     let mut grants = permits.grants.borrow_mut();
-    grants.decide(desk.now(), &permits.limits.borrow(), key, place)
+    grants.decide(shared.now(), &permits.limits.borrow(), key, place)
 }
 
 /// What this box is among those that may give permits for an upstream.
-fn issuer_rank(desk: &SharedState, key: UpstreamKey) -> IssuerRank {
-    let shares = desk.fleet_load.borrow();
+fn issuer_rank(shared: &SharedState, key: UpstreamKey) -> IssuerRank {
+    let shares = shared.fleet_load.borrow();
     let hears = |id: &BoxId| shares.hears_from(id);
-    permit::issuer_rank(&desk.settings().id, &issuers_of(desk, key), hears)
+    permit::issuer_rank(&shared.settings().id, &issuers_of(shared, key), hears)
 }
 
-fn upstream_of(desk: &SharedState, key: UpstreamKey) -> Option<UpstreamId> {
-    let roster = desk.registry.borrow();
-    let mut all = roster.iter().map(|e| &e.upstream.id);
+fn upstream_of(shared: &SharedState, key: UpstreamKey) -> Option<UpstreamId> {
+    let registry = shared.registry.borrow();
+    let mut all = registry.iter().map(|e| &e.upstream.id);
     all.find(|id| load_report::upstream_key(id) == key).cloned()
 }
 
 /// Sends one datagram; one that does not get out is taken for lost on its way.
-fn send(desk: &SharedState, to: SocketAddr, datagram: &Datagram) {
+fn send(shared: &SharedState, to: SocketAddr, datagram: &Datagram) {
     let Some(bytes) = pack::encode(datagram) else {
         return;
     };
-    if let Some(socket) = desk.permits.socket.get() {
+    if let Some(socket) = shared.permits.socket.get() {
         let _ = socket.try_send_to(&bytes, to);
     }
 }
--- a/crates/ashgauged/src/relay/pick.rs
+++ b/crates/ashgauged/src/relay/pick.rs
@@ -51,30 +51,30 @@
 /// An answer that goes on elsewhere is not held up for want of room: its caller
 /// has a part of it already, up to event `last`.
 fn try_pick(
-    desk: &SharedState,
+    shared: &SharedState,
     a: &AdmittedRequest,
     handoff: &Attempts,
     avoid: &[UpstreamId],
     goes_on: bool,
     last: Option<u64>,
 ) -> Result<ChosenChain, PickError> {
-    if !is_authorized(desk, a) {
+    if !is_authorized(shared, a) {
         return Err(PickError::Denied);
     }
-    if is_quarantined(desk, a) {
+    if is_quarantined(shared, a) {
         return Err(PickError::Quarantined);
     }
-    let need = requirements(desk, a).filter(|_| !goes_on);
-    if let Some(chosen) = choose_isolated(desk, a, handoff, avoid, need, last) {
+    let need = requirements(shared, a).filter(|_| !goes_on);
+    if let Some(chosen) = choose_isolated(shared, a, handoff, avoid, need, last) {
         return Ok(chosen);
     }
-    if let Some(chosen) = choose(desk, a, handoff, avoid, need, last) {
+    if let Some(chosen) = choose(shared, a, handoff, avoid, need, last) {
         return Ok(chosen);
     }
-    if need.is_some() && choose(desk, a, handoff, avoid, None, last).is_some() {
+    if need.is_some() && choose(shared, a, handoff, avoid, None, last).is_some() {
         return Err(PickError::NoCapacity);
     }
-    match permit::limit_wait(desk, &a.service) {
+    match permit::limit_wait(shared, &a.service) {
         Some(left) => Err(PickError::AtLimit(left)),
         None => Err(PickError::NoChain),
     }
@@ -82,7 +82,7 @@
 
 /// Chooses a chain as [`pick`] does, whose first engine takes one more request.
 pub async fn pick_with_permit(
-    desk: &SharedState,
+    shared: &SharedState,
     a: &AdmittedRequest,
     handoff: &Attempts,
     avoid: &[UpstreamId],
@@ -90,9 +90,9 @@
     last: Option<u64>,
 ) -> Result<ChosenChain, PickError> {
     for _ in 0..MAX_PICKS {
-        quarantine::await_checks(desk, a.digest).await;
-        let chosen = try_pick(desk, a, handoff, avoid, goes_on, last)?;
-        if permit::acquire(desk, &chosen.stages[0].upstream).await {
+        quarantine::await_checks(shared, a.digest).await;
+        let chosen = try_pick(shared, a, handoff, avoid, goes_on, last)?;
+        if permit::acquire(shared, &chosen.stages[0].upstream).await {
             return Ok(chosen);
         }
     }
@@ -102,16 +102,18 @@
 /// The same for a request that may have run: it cannot be refused, so it waits for engines
 /// that take no more for the moment.
 pub async fn pick_or_wait(
-    desk: &SharedState,
+    shared: &SharedState,
     a: &AdmittedRequest,
     handoff: &Attempts,
     avoid: &[UpstreamId],
     last: Option<u64>,
 ) -> Result<ChosenChain, PickError> {
-    let until = desk.now() + MAX_PERMIT_WAIT.min(handoff.time_left(desk.now()));
+    let until = shared.now() + MAX_PERMIT_WAIT.min(handoff.time_left(shared.now()));
     loop {
-        match pick_with_permit(desk, a, handoff, avoid, true, last).await {
-            Err(PickError::AtLimit(_)) if desk.now() < until => sleep(PERMIT_RETRY_INTERVAL).await,
+        match pick_with_permit(shared, a, handoff, avoid, true, last).await {
+            Err(PickError::AtLimit(_)) if shared.now() < until => {
+                sleep(PERMIT_RETRY_INTERVAL).await
+            }
             picked => return picked,
         }
     }
@@ -130,24 +132,24 @@
 /// Chooses for a request under which upstreams were lost, without those that run
 /// others of its kind.
 fn choose_isolated(
-    desk: &SharedState,
+    shared: &SharedState,
     a: &AdmittedRequest,
     handoff: &Attempts,
     avoid: &[UpstreamId],
     need: Option<Requirements>,
     last: Option<u64>,
 ) -> Option<ChosenChain> {
-    if !desk.quarantine.borrow().is_suspect(a.digest) {
+    if !shared.quarantine.borrow().is_suspect(a.digest) {
         return None;
     }
     let mut avoid = avoid.to_vec();
-    avoid.extend(desk.suspect_runs.borrow().iter().cloned());
-    choose(desk, a, handoff, &avoid, need, last)
+    avoid.extend(shared.suspect_runs.borrow().iter().cloned());
+    choose(shared, a, handoff, &avoid, need, last)
 }
 
 /// Chooses a chain, or one engine if each holds the whole model.
 fn choose(
-    desk: &SharedState,
+    shared: &SharedState,
     a: &AdmittedRequest,
     handoff: &Attempts,
     avoid: &[UpstreamId],
@@ -164,11 +166,11 @@
                 slack,
                 size: shape,
             };
-            let stages = desk.choose_chain(&a.service.name, model, span, avoid, wish)?;
+            let stages = shared.choose_chain(&a.service.name, model, span, avoid, wish)?;
             if !chain::covers(0, model.layers, &stages) {
                 return None;
             }
-            let (text, first) = desk.encode_chain(&stages)?;
+            let (text, first) = shared.encode_chain(&stages)?;
             Some(ChosenChain {
                 stages,
                 encoded: Some(text),
@@ -176,7 +178,7 @@
             })
         }
         None => {
-            let (id, addr) = desk.choose_upstream(&a.service.name, handoff.tried())?;
+            let (id, addr) = shared.choose_upstream(&a.service.name, handoff.tried())?;
             let stage = Stage {
                 upstream: id,
                 first: 0,
@@ -193,17 +195,17 @@
 
 /// Whether there is a chain with room for a request without the engines to `avoid`.
 pub fn has_room(
-    desk: &SharedState,
+    shared: &SharedState,
     a: &AdmittedRequest,
     handoff: &Attempts,
     avoid: &[UpstreamId],
 ) -> bool {
     choose(
-        desk,
+        shared,
         a,
         handoff,
         avoid,
-        requirements(desk, a),
+        requirements(shared, a),
         a.client_request.last_event,
     )
     .is_some()
@@ -224,9 +226,9 @@
 }
 
 /// The room that a request needs, if it goes over a chain.
-fn requirements(desk: &SharedState, a: &AdmittedRequest) -> Option<Requirements> {
+fn requirements(shared: &SharedState, a: &AdmittedRequest) -> Option<Requirements> {
     a.service.model.as_ref().filter(|m| m.layers > 0)?;
-    let learned = desk.with_queue(&a.service.name, |l| l.fill_limit());
+    let learned = shared.with_queue(&a.service.name, |l| l.fill_limit());
     let (limit, reserved) = match a.class {
         Some(_) => (learned.min(MAX_SHED_FILL), RESERVED_SHARE),
         None => (learned, 0.0),
--- a/crates/ashgauged/src/relay/placer.rs
+++ b/crates/ashgauged/src/relay/placer.rs
@@ -104,9 +104,9 @@
 /// # Errors
 ///
 /// As every call of the store.
-pub async fn round_revisions(desk: &SharedState) -> Result<Vec<Revision>, StoreError> {
-    let stored = desk.store.list_stale::<StoredRound>(KIND).await;
-    desk.count_store_call("stale", &stored);
+pub async fn round_revisions(shared: &SharedState) -> Result<Vec<Revision>, StoreError> {
+    let stored = shared.store.list_stale::<StoredRound>(KIND).await;
+    shared.count_store_call("stale", &stored);
     let revisions = stored?.into_iter().flat_map(|object| {
         let mut revisions = object.value.revisions;
         revisions.push(object.revision);
@@ -117,7 +117,7 @@
 
 /// Follows the engines and places those that hold nothing.
 pub struct Placer {
-    desk: Rc<SharedState>,
+    shared: Rc<SharedState>,
     /// Places of orders that wait for an answer.
     order_slots: Rc<Semaphore>,
     /// Ranges ordered by some box that do not show yet.
@@ -135,9 +135,9 @@
 
 impl Placer {
     /// Starts the duty; its task runs as long as the process.
-    pub fn start(desk: Rc<SharedState>) {
+    pub fn start(shared: Rc<SharedState>) {
         let placer = Placer {
-            desk,
+            shared,
             order_slots: Rc::new(Semaphore::new(MAX_OPEN_ORDERS)),
             pending: PendingAssignments::default(),
             rounds: OrderRounds::default(),
@@ -153,12 +153,12 @@
         loop {
             sleep(POLL_INTERVAL).await;
             // A box that does not read hears late of what others ordered.
-            let reads = *self.desk.reads_store.borrow();
-            let idle = !reads || self.desk.is_stopping.get() || self.desk.store_down.get();
-            if idle || !self.has_settled() || self.desk.now() < self.idle_until {
+            let reads = *self.shared.reads_store.borrow();
+            let idle = !reads || self.shared.is_stopping.get() || self.shared.store_down.get();
+            if idle || !self.has_settled() || self.shared.now() < self.idle_until {
                 continue;
             }
-            let routing = self.desk.routing();
+            let routing = self.shared.routing();
             for service in routing.services.values() {
                 let Some(model) = service.model.as_ref().filter(|m| m.layers > 0) else {
                     continue;
@@ -172,15 +172,15 @@
     }
 
     fn has_settled(&mut self) -> bool {
-        let now = self.desk.now();
-        let roster = self.desk.registry.borrow();
-        if roster.generation() != self.registry_generation {
-            self.registry_generation = roster.generation();
+        let now = self.shared.now();
+        let registry = self.shared.registry.borrow();
+        if registry.generation() != self.registry_generation {
+            self.registry_generation = registry.generation();
             self.changed_at = now;
             self.idle_until = now;
             self.unsettled_since.get_or_insert(now);
         }
-        let placed = roster.iter().any(|e| e.upstream.layers.is_some());
+        let placed = registry.iter().any(|e| e.upstream.layers.is_some());
         let (time, most) = match placed {
             true => (RESETTLE_TIME, MAX_RESETTLE_WAIT),
             false => (SETTLE_TIME, MAX_SETTLE_WAIT),
@@ -202,23 +202,26 @@
         model: &Model,
     ) -> Result<(), StoreError> {
         if self.plan_ranges(service, model).is_empty() {
-            self.idle_until = self.desk.now() + IDLE_PAUSE;
+            self.idle_until = self.shared.now() + IDLE_PAUSE;
             return Ok(());
         }
-        let stagger = self.desk.rng().random_range(Duration::ZERO..MAX_STAGGER);
+        let stagger = self.shared.rng().random_range(Duration::ZERO..MAX_STAGGER);
         sleep(stagger).await;
         let read = self
-            .desk
+            .shared
             .store
             .get::<StoredRound>(KIND, &service.name)
             .await;
-        self.desk.count_store_call("get", &read);
+        self.shared.count_store_call("get", &read);
         let (stored, revision) = match read {
             Ok(object) => (object.value, Some(object.revision)),
             Err(StoreError::NotFound) => (StoredRound::default(), None),
             Err(fault) => return Err(fault),
         };
-        let era = revision.map_or_else(|| *self.desk.store.subscribe_era().borrow(), revision::era);
+        let era = revision.map_or_else(
+            || *self.shared.store.subscribe_era().borrow(),
+            revision::era,
+        );
         if self.is_unacknowledged(service, era, &stored) {
             self.issue_orders(service, model, era, stored);
             return Ok(());
@@ -229,19 +232,19 @@
             return Ok(());
         }
         let next = StoredRound {
-            owner: self.desk.settings().id.clone(),
+            owner: self.shared.settings().id.clone(),
             round: stored.round + 1,
             abort: !self.has_chain(service, model),
             ranges,
             unannounced: self.unannounced(service),
             revisions: recent_revisions(stored.revisions, revision),
         };
-        let store = &self.desk.store;
+        let store = &self.shared.store;
         let written = match revision {
             Some(revision) => store.replace(KIND, &service.name, revision, &next).await,
             None => store.create(KIND, &service.name, &next).await,
         };
-        self.desk.count_store_call("write", &written);
+        self.shared.count_store_call("write", &written);
         match written {
             Ok(()) => self.issue_orders(service, model, era, next),
             // Another box was first; its ranges are taken in at the next look.
@@ -255,7 +258,7 @@
     /// lost, or the process ended before the orders. Giving them again is safe,
     /// as each names the count of orders before it.
     fn is_unacknowledged(&self, service: &Service, era: Era, stored: &StoredRound) -> bool {
-        let is_own = stored.owner == self.desk.settings().id;
+        let is_own = stored.owner == self.shared.settings().id;
         is_own && self.rounds.may_be_unsent(&service.name, era, stored.round)
     }
 
@@ -266,37 +269,37 @@
         }
         self.rounds.record(service.name.clone(), era, stored.round);
         self.note_orders(model, &stored.ranges);
-        self.pending.merge(self.desk.now(), &stored.unannounced);
+        self.pending.merge(self.shared.now(), &stored.unannounced);
     }
 
     /// Ranges of a service's engines that were ordered and do not show yet.
     fn unannounced(&self, service: &Service) -> Vec<PendingAssignment> {
-        let roster = self.desk.registry.borrow();
+        let registry = self.shared.registry.borrow();
         let of_service = |id: &str| {
-            let entry = roster.get(id);
+            let entry = registry.get(id);
             entry.is_some_and(|e| e.upstream.service == service.name)
         };
-        let mut told = self.pending.snapshot(self.desk.now());
+        let mut told = self.pending.snapshot(self.shared.now());
         told.retain(|unshown| of_service(&unshown.assignment.id));
         told
     }
 
     fn note_orders(&mut self, model: &Model, ranges: &[Assignment]) {
         let time = load_time(model, ranges) + ANNOUNCE_LAG;
-        self.pending.add(self.desk.now(), ranges, time);
+        self.pending.add(self.shared.now(), ranges, time);
     }
 
     /// Ranges for the engines that hold nothing and were ordered nothing, or
     /// for one that is needed elsewhere.
     fn plan_ranges(&mut self, service: &Service, model: &Model) -> Vec<Assignment> {
-        let now = self.desk.now();
-        let roster = self.desk.registry.borrow();
+        let now = self.shared.now();
+        let registry = self.shared.registry.borrow();
         self.pending.expire(now);
         self.pending.retain(|id, span| {
-            let entry = roster.get(id);
+            let entry = registry.get(id);
             entry.is_some_and(|e| e.upstream.layers != Some(span))
         });
-        let entries = roster
+        let entries = registry
             .of_service(&service.name)
             .filter(|e| e.is_usable(now));
         let seats: Vec<PlacedEngine> = entries.filter_map(|e| self.to_seat(e)).collect();
@@ -309,15 +312,15 @@
     /// what passes may wait until the deadlines of requests whose boxes lost
     /// power. A box that reaches less than half of the engines may be cut off itself.
     fn has_chain(&self, service: &Service, model: &Model) -> bool {
-        let now = self.desk.now();
-        let roster = self.desk.registry.borrow();
+        let now = self.shared.now();
+        let registry = self.shared.registry.borrow();
         let usable = || {
-            roster
+            registry
                 .of_service(&service.name)
                 .filter(|e| e.is_usable(now))
         };
         let spans = usable().filter_map(|e| e.upstream.layers);
-        let is_cut_off = usable().count() * 2 < roster.of_service(&service.name).count();
+        let is_cut_off = usable().count() * 2 < registry.of_service(&service.name).count();
         is_cut_off || placement::covers_model(model.layers, spans)
     }
 
@@ -351,8 +354,8 @@
             ReleaseMode::Wait
         };
         for range in stored.ranges {
-            let (desk, orders) = (self.desk.clone(), self.order_slots.clone());
-            tokio::task::spawn_local(order_and_verify(desk, orders, range, giving, time));
+            let (shared, orders) = (self.shared.clone(), self.order_slots.clone());
+            tokio::task::spawn_local(order_and_verify(shared, orders, range, giving, time));
         }
     }
 }
@@ -369,8 +372,8 @@
 fn load_time(model: &Model, ranges: &[Assignment]) -> Duration {
     let layers: u32 = ranges.iter().map(|r| r.layers.len()).sum();
     let longest = ranges.iter().map(|r| r.layers.len()).max().unwrap_or(0);
-    let shared = f64::from(layers) / f64::from(model.parallel_loads);
-    let worst = shared.max(f64::from(longest));
+    let slot_share = f64::from(layers) / f64::from(model.parallel_loads);
+    let worst = slot_share.max(f64::from(longest));
     model
         .load_time
         .mul_f64(worst / f64::from(model.layers.max(1)))
@@ -379,18 +382,18 @@
 /// Orders one engine to hold a range, and writes a line if it does not show
 /// the range in time.
 async fn order_and_verify(
-    desk: Rc<SharedState>,
+    shared: Rc<SharedState>,
     orders: Rc<Semaphore>,
     range: Assignment,
     giving: ReleaseMode,
     time: Duration,
 ) {
-    send_order(desk.clone(), &orders, range.clone(), giving).await;
+    send_order(shared.clone(), &orders, range.clone(), giving).await;
     sleep(time).await;
-    let Some((addr, _)) = pending_order(&desk, &range) else {
+    let Some((addr, _)) = pending_order(&shared, &range) else {
         return;
     };
-    let report = engine::fetch_report(&desk.client, &addr, ORDER_TIMEOUT).await;
+    let report = engine::fetch_report(&shared.client, &addr, ORDER_TIMEOUT).await;
     let fields = json!({
         "upstream": &*range.id,
         "layers": range.layers,
@@ -403,7 +406,7 @@
 
 /// Orders one engine to hold a range, until it says that it does.
 async fn send_order(
-    desk: Rc<SharedState>,
+    shared: Rc<SharedState>,
     orders: &Semaphore,
     range: Assignment,
     giving: ReleaseMode,
@@ -412,7 +415,7 @@
     for attempt in 1..=MAX_ORDER_TRIES {
         // It is never closed.
         let place = orders.acquire().await;
-        let Some((addr, held)) = pending_order(&desk, &range) else {
+        let Some((addr, held)) = pending_order(&shared, &range) else {
             return;
         };
         // It has carried out another box's order meanwhile, which is newer.
@@ -425,7 +428,7 @@
         // and after an order in vain, the count must be asked for.
         let orders = match empty && attempt == 1 {
             true => Some(0),
-            false => match count_orders(&desk, &range, &addr).await {
+            false => match count_orders(&shared, &range, &addr).await {
                 // It carries out an order, which is this one or a later one.
                 OrderCount::Busy => return,
                 OrderCount::Taken(orders) => Some(orders),
@@ -433,7 +436,7 @@
             },
         };
         if let Some(orders) = orders {
-            let client = &desk.client;
+            let client = &shared.client;
             let reply = engine::order_place(
                 client,
                 &addr,
@@ -443,7 +446,7 @@
                 ORDER_TIMEOUT,
             );
             let reply = reply.await;
-            log_reply(&desk, &range, attempt, &reply);
+            log_reply(&shared, &range, attempt, &reply);
             if matches!(reply, OrderReply::Begun | OrderReply::Holds) {
                 return;
             }
@@ -460,8 +463,8 @@
     Unknown,
 }
 
-async fn count_orders(desk: &SharedState, range: &Assignment, addr: &str) -> OrderCount {
-    match engine::fetch_report(&desk.client, addr, ORDER_TIMEOUT).await {
+async fn count_orders(shared: &SharedState, range: &Assignment, addr: &str) -> OrderCount {
+    match engine::fetch_report(&shared.client, addr, ORDER_TIMEOUT).await {
         Ok(report) if report.busy => OrderCount::Busy,
         Ok(report) => OrderCount::Taken(report.orders),
         Err(e) => {
@@ -472,10 +475,10 @@
     }
 }
 
-fn log_reply(desk: &SharedState, range: &Assignment, attempt: u32, reply: &OrderReply) {
+fn log_reply(shared: &SharedState, range: &Assignment, attempt: u32, reply: &OrderReply) {
     let done = matches!(reply, OrderReply::Begun | OrderReply::Holds);
     let label = if done { "taken" } else { "not taken" };
-    desk.metrics.orders.with_label_values(&[label]).inc();
+    shared.metrics.orders.with_label_values(&[label]).inc();
     let fields = json!({
         "upstream": &*range.id,
         "layers": range.layers,
@@ -486,9 +489,9 @@
 }
 
 /// Address of an engine that does not show the range yet, and what it holds.
-fn pending_order(desk: &SharedState, range: &Assignment) -> Option<(String, Option<LayerRange>)> {
-    let roster = desk.registry.borrow();
-    let entry = roster.get(&range.id)?;
+fn pending_order(shared: &SharedState, range: &Assignment) -> Option<(String, Option<LayerRange>)> {
+    let registry = shared.registry.borrow();
+    let entry = registry.get(&range.id)?;
     let upstream = &entry.upstream;
     let shown = upstream.layers == Some(range.layers) || entry.is_leaving();
     (!shown).then(|| (upstream.addr.clone(), upstream.layers))
--- a/crates/ashgauged/src/relay/probe.rs
+++ b/crates/ashgauged/src/relay/probe.rs
@@ -54,16 +54,16 @@
 /// Under pressure those need none that were heard after `since`, when what a request waits
 /// for was due.
 pub async fn find_unreachable(
-    desk: &Rc<SharedState>,
+    shared: &Rc<SharedState>,
     a: &AdmittedRequest,
     stages: &[Stage],
     since: Duration,
 ) -> Vec<UpstreamId> {
     let mut probes = JoinSet::new();
-    for id in engines_to_probe(desk, a, stages, since) {
-        let desk = desk.clone();
+    for id in engines_to_probe(shared, a, stages, since) {
+        let shared = shared.clone();
         probes.spawn_local(async move {
-            let alive = is_alive(&desk, &id).await;
+            let alive = is_alive(&shared, &id).await;
             (id, alive)
         });
     }
@@ -79,7 +79,7 @@
 
 /// The engines of a chain that are connected to, for want of a sign of them.
 fn engines_to_probe(
-    desk: &SharedState,
+    shared: &SharedState,
     a: &AdmittedRequest,
     stages: &[Stage],
     since: Duration,
@@ -88,76 +88,78 @@
     if a.class.is_none() {
         return ids;
     }
-    let now = desk.now();
-    let since = match recovery::is_under_pressure(desk, a) {
+    let now = shared.now();
+    let since = match recovery::is_under_pressure(shared, a) {
         true => since.max(now.saturating_sub(MAX_PROBE_AGE)),
         false => now,
     };
-    let roster = desk.registry.borrow();
-    let heard = |id: &UpstreamId| roster.get(id).and_then(UpstreamState::last_activity);
-    ids.retain(|id| !roster.get(id).is_some_and(|e| e.is_active(now)) && heard(id) <= Some(since));
+    let registry = shared.registry.borrow();
+    let heard = |id: &UpstreamId| registry.get(id).and_then(UpstreamState::last_activity);
+    ids.retain(|id| {
+        !registry.get(id).is_some_and(|e| e.is_active(now)) && heard(id) <= Some(since)
+    });
     // A lost one is among those that were heard longest ago; chains that lost the same
     // one are not to check their other engines in the same order.
-    ids.sort_by_cached_key(|id| (heard(id), desk.rng().random::<u32>()));
-    drop(roster);
-    let alive = &desk.probes.reachable;
-    ids.retain(|id| may_probe(desk, &a.service.name, alive, id, MAX_PROBE_AGE));
+    ids.sort_by_cached_key(|id| (heard(id), shared.rng().random::<u32>()));
+    drop(registry);
+    let alive = &shared.probes.reachable;
+    ids.retain(|id| may_probe(shared, &a.service.name, alive, id, MAX_PROBE_AGE));
     ids
 }
 
 /// Whether there is an answer of an engine to share, or it may be asked for one; the
 /// question then stands for all that ask meanwhile.
 fn may_probe<T>(
-    desk: &SharedState,
+    shared: &SharedState,
     service: &ServiceId,
     cached: &ProbeCache<T>,
     id: &str,
-    shared: Duration,
+    max_age: Duration,
 ) -> bool {
-    let now = desk.now();
-    let Some(addr) = address(desk, id) else {
+    let now = shared.now();
+    let Some(addr) = address(shared, id) else {
         // That it is gone is known without a connection.
         return true;
     };
-    if is_cached(cached, now, &addr, shared) {
+    if is_cached(cached, now, &addr, max_age) {
         return true;
     }
-    let may = recovery::take_check(desk, service);
+    let may = recovery::take_check(shared, service);
     if may {
-        cached_cell(cached, now, &addr, shared);
+        cached_cell(cached, now, &addr, max_age);
     }
     may
 }
 
 /// Whether an engine is asked how it is. Under pressure only the first of a chain is: it
 /// names the one that holds the chain up.
-fn may_query(desk: &SharedState, a: &AdmittedRequest, n: usize, id: &str) -> bool {
+fn may_query(shared: &SharedState, a: &AdmittedRequest, n: usize, id: &str) -> bool {
     if a.class.is_none() {
         return true;
     }
-    if n > 0 && recovery::is_under_pressure(desk, a) {
+    if n > 0 && recovery::is_under_pressure(shared, a) {
         return false;
     }
-    let reports = &desk.probes.reports;
-    may_probe(desk, &a.service.name, reports, id, MAX_REPORT_AGE)
+    let reports = &shared.probes.reports;
+    may_probe(shared, &a.service.name, reports, id, MAX_REPORT_AGE)
 }
 
 /// Asks the engines of a chain how they are, and notes which are slow.
 /// Returns the engine that the first one names as the cause of the silence of
 /// the request.
 pub async fn query_engines(
-    desk: &Rc<SharedState>,
+    shared: &Rc<SharedState>,
     a: &AdmittedRequest,
     stages: &[Stage],
 ) -> Option<UpstreamId> {
     let id = a.client_request.id.as_str();
     let mut asked = JoinSet::new();
     for (n, stage) in stages.iter().enumerate() {
-        if !may_query(desk, a, n, &stage.upstream) {
+        if !may_query(shared, a, n, &stage.upstream) {
             continue;
         }
-        let (desk, upstream) = (desk.clone(), stage.upstream.clone());
-        asked.spawn_local(async move { (n, fetch_report(&desk, &upstream).await) });
+        let (shared, upstream) = (shared.clone(), stage.upstream.clone());
+        asked.spawn_local(async move { (n, fetch_report(&shared, &upstream).await) });
     }
     let mut culprit = None;
     while let Some(answer) = asked.join_next().await {
@@ -165,11 +167,11 @@
         let Ok((n, Some(report))) = answer else {
             continue;
         };
-        apply_report(desk, &stages[n].upstream, &report);
+        apply_report(shared, &stages[n].upstream, &report);
         let mut stalled = report.stalled.iter().filter(|s| n == 0 && s.id == id);
         if let Some(stalled) = stalled.next() {
-            let roster = desk.registry.borrow();
-            culprit = roster
+            let registry = shared.registry.borrow();
+            culprit = registry
                 .by_addr(&stalled.address)
                 .map(|e| e.upstream.id.clone());
         }
@@ -177,50 +179,60 @@
     culprit
 }
 
-fn apply_report(desk: &SharedState, id: &str, report: &Report) {
+fn apply_report(shared: &SharedState, id: &str, report: &Report) {
     if report.leaving {
-        notice::note_leaving(desk, id);
+        notice::note_leaving(shared, id);
     }
     let factor = report.time_factor.unwrap_or(1.0);
-    let news = desk.registry.borrow_mut().note_slow(desk.now(), id, factor);
+    let news = shared
+        .registry
+        .borrow_mut()
+        .note_slow(shared.now(), id, factor);
     if news && factor >= MIN_SLOW_FACTOR {
         let fields = json!({"upstream": id, "factor": factor});
         log::event(Level::Info, "roster", "slow", fields);
     }
 }
 
-async fn fetch_report(desk: &SharedState, id: &str) -> Option<Rc<Report>> {
-    let addr = address(desk, id)?;
-    let cell = cached_cell(&desk.probes.reports, desk.now(), &addr, MAX_REPORT_AGE);
+async fn fetch_report(shared: &SharedState, id: &str) -> Option<Rc<Report>> {
+    let addr = address(shared, id)?;
+    let cell = cached_cell(&shared.probes.reports, shared.now(), &addr, MAX_REPORT_AGE);
     let ask = async {
-        let report = engine::fetch_report(&desk.client, &addr, REPORT_TIMEOUT).await;
+        let report = engine::fetch_report(&shared.client, &addr, REPORT_TIMEOUT).await;
         report.ok().map(Rc::new)
     };
     cell.get_or_init(|| ask).await.clone()
 }
 
 /// Suspects an upstream if it takes no connection.
-pub async fn check_upstream(desk: Rc<SharedState>, id: UpstreamId) {
-    if lacks_check_budget(&desk, &id) {
+pub async fn check_upstream(shared: Rc<SharedState>, id: UpstreamId) {
+    if lacks_check_budget(&shared, &id) {
         return;
     }
-    if !is_alive(&desk, &id).await {
-        desk.mark_suspect(&id, "named by another, no connection");
+    if !is_alive(&shared, &id).await {
+        shared.mark_suspect(&id, "named by another, no connection");
     }
 }
 
 /// Whether an upstream is not checked, as there are no checks left for its service.
-fn lacks_check_budget(desk: &SharedState, id: &str) -> bool {
-    let roster = desk.registry.borrow();
-    let Some(entry) = roster.get(id).filter(|e| !e.is_active(desk.now())) else {
+fn lacks_check_budget(shared: &SharedState, id: &str) -> bool {
+    let registry = shared.registry.borrow();
+    let Some(entry) = registry.get(id).filter(|e| !e.is_active(shared.now())) else {
         return false;
     };
     let service = entry.upstream.service.clone();
-    drop(roster);
-    let routing = desk.routing();
-    let is_on = |s: &Arc<Service>| shedding::sheds_streams(desk, s);
+    drop(registry);
+    let routing = shared.routing();
+    let is_on = |s: &Arc<Service>| shedding::sheds_streams(shared, s);
     let is_on = routing.services.get(&service).is_some_and(is_on);
-    is_on && !may_probe(desk, &service, &desk.probes.reachable, id, MAX_PROBE_AGE)
+    is_on
+        && !may_probe(
+            shared,
+            &service,
+            &shared.probes.reachable,
+            id,
+            MAX_PROBE_AGE,
+        )
 }
 
 /// What a check of an engine that another box reports found.
@@ -235,27 +247,33 @@
 
 /// Whether the account of a service allows the check of an engine that another box
 /// reports. The connection then stands for all that ask meanwhile.
-pub fn may_check_reported(desk: &SharedState, service: &ServiceId, id: &str) -> bool {
-    may_probe(desk, service, &desk.probes.reachable, id, MAX_RECHECK_AGE)
+pub fn may_check_reported(shared: &SharedState, service: &ServiceId, id: &str) -> bool {
+    may_probe(
+        shared,
+        service,
+        &shared.probes.reachable,
+        id,
+        MAX_RECHECK_AGE,
+    )
 }
 
 /// Connects to an engine that another box reports, which [`may_check`] allowed.
 ///
 /// What streams heard and what was found a moment ago is from before the other box's
 /// connection failed, or may be: streams hear an engine up to 60 ms after such an event.
-pub async fn check_reported(desk: &SharedState, id: &str) -> ProbeResult {
-    match accepts_connections(desk, id, MAX_RECHECK_AGE).await {
+pub async fn check_reported(shared: &SharedState, id: &str) -> ProbeResult {
+    match accepts_connections(shared, id, MAX_RECHECK_AGE).await {
         true => ProbeResult::Alive,
-        false if address(desk, id).is_none() => ProbeResult::Delisted,
+        false if address(shared, id).is_none() => ProbeResult::Delisted,
         false => ProbeResult::Lost,
     }
 }
 
 /// Whether a connection of this box to an address has just failed.
-pub fn failed_recently(desk: &SharedState, addr: &str) -> bool {
-    let alive = desk.probes.reachable.borrow();
+pub fn failed_recently(shared: &SharedState, addr: &str) -> bool {
+    let alive = shared.probes.reachable.borrow();
     let recent = alive.get(addr);
-    let recent = recent.filter(|(at, _)| desk.now() < *at + MAX_PROBE_AGE);
+    let recent = recent.filter(|(at, _)| shared.now() < *at + MAX_PROBE_AGE);
     recent.is_some_and(|(_, cell)| cell.get() == Some(&false))
 }
 
@@ -263,25 +281,25 @@
 ///
 /// That streams heard it a moment ago says nothing here. It takes nothing out of the
 /// account: without it a stream loses an attempt for an engine that is lost.
-pub async fn is_lost(desk: &SharedState, id: &str) -> bool {
-    !accepts_connections(desk, id, MAX_RECHECK_AGE).await
+pub async fn is_lost(shared: &SharedState, id: &str) -> bool {
+    !accepts_connections(shared, id, MAX_RECHECK_AGE).await
 }
 
 /// Whether an upstream takes a connection; one that is gone does not.
-async fn is_alive(desk: &SharedState, id: &str) -> bool {
-    let heard = |e: &UpstreamState| e.is_active(desk.now());
-    if desk.registry.borrow().get(id).is_some_and(heard) {
+async fn is_alive(shared: &SharedState, id: &str) -> bool {
+    let heard = |e: &UpstreamState| e.is_active(shared.now());
+    if shared.registry.borrow().get(id).is_some_and(heard) {
         return true;
     }
-    accepts_connections(desk, id, MAX_PROBE_AGE).await
+    accepts_connections(shared, id, MAX_PROBE_AGE).await
 }
 
 /// Connects to an upstream, or goes by what was found less than `shared` ago.
-async fn accepts_connections(desk: &SharedState, id: &str, shared: Duration) -> bool {
-    let Some(addr) = address(desk, id) else {
+async fn accepts_connections(shared: &SharedState, id: &str, max_age: Duration) -> bool {
+    let Some(addr) = address(shared, id) else {
         return false;
     };
-    let cell = cached_cell(&desk.probes.reachable, desk.now(), &addr, shared);
+    let cell = cached_cell(&shared.probes.reachable, shared.now(), &addr, max_age);
     let probe = async {
         matches!(
             timeout(PROBE_TIMEOUT, TcpStream::connect(&addr)).await,
@@ -291,7 +309,7 @@
     *cell.get_or_init(|| probe).await
 }
 
-fn address(desk: &SharedState, id: &str) -> Option<String> {
-    let roster = desk.registry.borrow();
-    roster.get(id).map(|e| e.upstream.addr.clone())
+fn address(shared: &SharedState, id: &str) -> Option<String> {
+    let registry = shared.registry.borrow();
+    registry.get(id).map(|e| e.upstream.addr.clone())
 }
--- a/crates/ashgauged/src/relay/quarantine.rs
+++ b/crates/ashgauged/src/relay/quarantine.rs
@@ -43,20 +43,23 @@
 }
 
 /// Notes that an upstream was lost under a request.
-pub fn record_loss(desk: &Rc<SharedState>, lost: InstanceLoss) {
-    let holds = desk.quarantine.borrow_mut().record_loss(desk.now(), lost);
+pub fn record_loss(shared: &Rc<SharedState>, lost: InstanceLoss) {
+    let holds = shared
+        .quarantine
+        .borrow_mut()
+        .record_loss(shared.now(), lost);
     if holds {
-        log_held(desk, lost.digest, "lost here");
-        tokio::task::spawn_local(persist(desk.clone(), lost.digest));
+        log_held(shared, lost.digest, "lost here");
+        tokio::task::spawn_local(persist(shared.clone(), lost.digest));
     }
-    desk.loss_notify.notify_one();
+    shared.loss_notify.notify_one();
 }
 
 /// Waits while a request may be held back by what is being looked into.
-pub async fn await_checks(desk: &SharedState, digest: Digest) {
+pub async fn await_checks(shared: &SharedState, digest: Digest) {
     loop {
-        let checked = desk.check_notify.notified();
-        if !desk.quarantine.borrow().may_be_quarantined(digest) {
+        let checked = shared.check_notify.notified();
+        if !shared.quarantine.borrow().may_be_quarantined(digest) {
             return;
         }
         checked.await;
@@ -64,38 +67,38 @@
 }
 
 /// Takes what another box told; a hub hands it on to those that do not hear it.
-pub fn merge_report(desk: &SharedState, from: &str, report: &Report) {
-    let now = desk.now();
-    let news = desk.quarantine.borrow_mut().merge(now, report);
+pub fn merge_report(shared: &SharedState, from: &str, report: &Report) {
+    let now = shared.now();
+    let news = shared.quarantine.borrow_mut().merge(now, report);
     for digest in news {
-        log_held(desk, digest, "told");
+        log_held(shared, digest, "told");
     }
-    if desk.role() != Role::Hub {
+    if shared.role() != Role::Hub {
         return;
     }
-    let is_hub = desk.readers.borrow().ids.iter().any(|id| **id == *from);
+    let is_hub = shared.readers.borrow().ids.iter().any(|id| **id == *from);
     let to = if is_hub {
         Audience::Downstream
     } else {
         Audience::All
     };
-    if desk.quarantine.borrow_mut().forward(now, report, to) {
-        desk.loss_notify.notify_one();
+    if shared.quarantine.borrow_mut().forward(now, report, to) {
+        shared.loss_notify.notify_one();
     }
 }
 
 /// Tells other boxes of losses as they are found, as long as the process runs;
 /// words that are told now and then make good what is lost of it.
-pub async fn broadcast(desk: Rc<SharedState>, peers: Rc<Peers>) {
+pub async fn broadcast(shared: Rc<SharedState>, peers: Rc<Peers>) {
     loop {
-        desk.loss_notify.notified().await;
+        shared.loss_notify.notified().await;
         sleep(BATCH_DELAY).await;
         let told = [
-            (Audience::All, desk.report_targets()),
-            (Audience::Downstream, desk.leaves()),
+            (Audience::All, shared.report_targets()),
+            (Audience::Downstream, shared.leaves()),
         ];
         for (audience, boxes) in told {
-            let Some(bytes) = encode_report(&desk, 0, audience) else {
+            let Some(bytes) = encode_report(&shared, 0, audience) else {
                 continue;
             };
             for (_, peer) in boxes {
@@ -106,23 +109,23 @@
 }
 
 /// The datagram that tells an audience what this box knows, if it knows anything.
-pub fn encode_report(desk: &SharedState, turn: u64, to: Audience) -> Option<Vec<u8>> {
-    let report = desk.quarantine.borrow().report(desk.now(), turn, to);
+pub fn encode_report(shared: &SharedState, turn: u64, to: Audience) -> Option<Vec<u8>> {
+    let report = shared.quarantine.borrow().report(shared.now(), turn, to);
     if report.is_empty() {
         return None;
     }
-    let from = desk.settings().id.as_str().into();
+    let from = shared.settings().id.as_str().into();
     pack::encode(&Datagram::Losses(from, report))
 }
 
 /// Reads the held requests from the store, until that succeeds.
-pub async fn load_held(desk: Rc<SharedState>) {
+pub async fn load_held(shared: Rc<SharedState>) {
     let mut pause = MIN_RETRY_DELAY;
     loop {
-        let listed = desk.store.list::<StoredHold>(KIND, log_skipped).await;
-        desk.count_store_call("list", &listed);
+        let listed = shared.store.list::<StoredHold>(KIND, log_skipped).await;
+        shared.count_store_call("list", &listed);
         match listed {
-            Ok(listing) => return apply_stored(&desk, listing.objects),
+            Ok(listing) => return apply_stored(&shared, listing.objects),
             Err(fault) => log_fault("read", &fault),
         }
         sleep(pause).await;
@@ -136,16 +139,16 @@
 /// # Errors
 ///
 /// As every call of the store.
-pub async fn hold_revisions(desk: &SharedState) -> Result<Vec<Revision>, StoreError> {
-    let stored = desk.store.list_stale::<StoredHold>(KIND).await;
-    desk.count_store_call("stale", &stored);
+pub async fn hold_revisions(shared: &SharedState) -> Result<Vec<Revision>, StoreError> {
+    let stored = shared.store.list_stale::<StoredHold>(KIND).await;
+    shared.count_store_call("stale", &stored);
     let stored = stored?;
     let revisions = stored.iter().map(|object| object.revision).collect();
-    apply_stored(desk, stored);
+    apply_stored(shared, stored);
     Ok(revisions)
 }
 
-fn apply_stored(desk: &SharedState, stored: Vec<Object<StoredHold>>) {
+fn apply_stored(shared: &SharedState, stored: Vec<Object<StoredHold>>) {
     let now_s = unix_time().as_secs();
     for object in stored {
         let Ok(digest) = u64::from_str_radix(&object.name, 16) else {
@@ -158,41 +161,41 @@
             continue;
         };
         let left = Duration::from_secs(object.value.until_s.saturating_sub(now_s));
-        let is_new = desk
+        let is_new = shared
             .quarantine
             .borrow_mut()
-            .quarantine(desk.now(), digest, left);
+            .quarantine(shared.now(), digest, left);
         if is_new {
-            log_held(desk, digest, "stored");
+            log_held(shared, digest, "stored");
         }
     }
 }
 
 /// Keeps what is held back again each time the store came back from a copy, which may not
 /// hold it. One of the boxes that read the store is enough; the others find it there.
-pub async fn restore_held(desk: Rc<SharedState>) {
-    let mut eras = desk.store.subscribe_era();
+pub async fn restore_held(shared: Rc<SharedState>) {
+    let mut eras = shared.store.subscribe_era();
     // The store's client lives as long as the desk.
     while eras.changed().await.is_ok() {
-        if !*desk.reads_store.borrow() {
+        if !*shared.reads_store.borrow() {
             continue;
         }
-        let held = desk.quarantine.borrow().quarantined(desk.now());
+        let held = shared.quarantine.borrow().quarantined(shared.now());
         for (digest, _) in held {
-            persist(desk.clone(), digest).await;
+            persist(shared.clone(), digest).await;
         }
     }
 }
 
 /// Puts a held request into the store, for boxes that start later; tries until that
 /// is done or it is held back no longer.
-async fn persist(desk: Rc<SharedState>, digest: Digest) {
+async fn persist(shared: Rc<SharedState>, digest: Digest) {
     let mut pause = MIN_RETRY_DELAY;
     loop {
-        let Some(left) = desk.quarantine.borrow().time_left(desk.now(), digest) else {
+        let Some(left) = shared.quarantine.borrow().time_left(shared.now(), digest) else {
             return;
         };
-        match persist_once(&desk, digest, left).await {
+        match persist_once(&shared, digest, left).await {
             Ok(()) => return,
             Err(fault) => log_fault("keep", &fault),
         }
@@ -202,7 +205,7 @@
 }
 
 async fn persist_once(
-    desk: &SharedState,
+    shared: &SharedState,
     digest: Digest,
     left: Duration,
 ) -> Result<(), StoreError> {
@@ -210,22 +213,22 @@
     let stored = StoredHold {
         until_s: (unix_time() + left).as_secs(),
     };
-    let created = desk.store.create(KIND, &name, &stored).await;
-    desk.count_store_call("write", &created);
+    let created = shared.store.create(KIND, &name, &stored).await;
+    shared.count_store_call("write", &created);
     match created {
         Err(StoreError::Conflict) => {}
         other => return other,
     }
     // Another box kept it, or it was held back before.
-    let known = desk.store.get::<StoredHold>(KIND, &name).await;
-    desk.count_store_call("get", &known);
+    let known = shared.store.get::<StoredHold>(KIND, &name).await;
+    shared.count_store_call("get", &known);
     let known = known?;
     if known.value.until_s >= unix_time().as_secs() {
         return Ok(());
     }
-    let replaced = desk.store.replace(KIND, &name, known.revision, &stored);
+    let replaced = shared.store.replace(KIND, &name, known.revision, &stored);
     let replaced = replaced.await;
-    desk.count_store_call("write", &replaced);
+    shared.count_store_call("write", &replaced);
     replaced
 }
 
@@ -237,9 +240,9 @@
     now.unwrap_or_default()
 }
 
-fn log_held(desk: &SharedState, digest: Digest, why: &str) {
-    let held = desk.quarantine.borrow().quarantined(desk.now()).len();
-    desk.metrics.held_requests.set(held as i64);
+fn log_held(shared: &SharedState, digest: Digest, why: &str) {
+    let held = shared.quarantine.borrow().quarantined(shared.now()).len();
+    shared.metrics.held_requests.set(held as i64);
     let fields = json!({"digest": digest::format_digest(digest), "why": why, "held": held});
     log::event(Level::Warn, "quarantine", "held back", fields);
 }
--- a/crates/ashgauged/src/relay/record.rs
+++ b/crates/ashgauged/src/relay/record.rs
@@ -15,7 +15,7 @@
 
 /// The line and the figures that a request leaves behind.
 pub struct Record {
-    desk: Rc<SharedState>,
+    shared: Rc<SharedState>,
     id: String,
     route: String,
     /// Tells repeats of a request from others, once its body was read.
@@ -39,13 +39,13 @@
 impl Record {
     /// Begins the record of a request that arrived at `arrived`.
     pub fn new(
-        desk: &Rc<SharedState>,
+        shared: &Rc<SharedState>,
         ask: &ClientRequest,
         route: &str,
         arrived: Duration,
     ) -> Self {
         Record {
-            desk: desk.clone(),
+            shared: shared.clone(),
             id: ask.id.clone(),
             route: route.into(),
             digest: None,
@@ -62,7 +62,7 @@
 
     /// Time since the request arrived.
     pub fn elapsed(&self) -> Duration {
-        self.desk.now().saturating_sub(self.arrived)
+        self.shared.now().saturating_sub(self.arrived)
     }
 
     /// Notes what is forecast for a send, if no event came before.
@@ -85,9 +85,16 @@
             return;
         }
         let took = self.elapsed();
-        self.desk.metrics.requests.with_label_values(&[what]).inc();
-        self.desk.metrics.total_seconds.observe(took.as_secs_f64());
-        let age = self.desk.freshness.borrow().age(self.desk.now());
+        self.shared
+            .metrics
+            .requests
+            .with_label_values(&[what])
+            .inc();
+        self.shared
+            .metrics
+            .total_seconds
+            .observe(took.as_secs_f64());
+        let age = self.shared.freshness.borrow().age(self.shared.now());
         let sends: Vec<&str> = self.sends.iter().map(|s| &**s).collect();
         let mut fields = json!({
             "id": self.id,
@@ -95,7 +102,7 @@
             "route": self.route,
             "end": what,
             "sends": sends,
-            "config": self.desk.routing.borrow().version,
+            "config": self.shared.routing.borrow().version,
             "config_age_ms": age.map(|a| a.as_millis() as u64),
             "first_ms": self.first_event.map(|f| f.as_millis() as u64),
             "pause_ms": self.longest_pause.as_millis() as u64,
--- a/crates/ashgauged/src/relay/recovery.rs
+++ b/crates/ashgauged/src/relay/recovery.rs
@@ -38,39 +38,39 @@
 
 /// Takes one use out of the account for a stream that is led elsewhere; returns false if
 /// none is left.
-pub fn take_budget(desk: &SharedState, a: &AdmittedRequest) -> bool {
-    a.class.is_none() || take_for(desk, &a.service.name, purpose_of(a))
+pub fn take_budget(shared: &SharedState, a: &AdmittedRequest) -> bool {
+    a.class.is_none() || take_for(shared, &a.service.name, purpose_of(a))
 }
 
 /// Whether [`take`] would find a use.
-pub fn has_budget(desk: &SharedState, a: &AdmittedRequest) -> bool {
-    let (now, what) = (desk.now(), purpose_of(a));
+pub fn has_budget(shared: &SharedState, a: &AdmittedRequest) -> bool {
+    let (now, what) = (shared.now(), purpose_of(a));
     let service = &a.service.name;
     a.class.is_none()
-        || desk
+        || shared
             .admissions
             .with(service, |s| s.recovery_budget.has_credit(now, what))
 }
 
 /// Takes a turn of a stream that cannot go on where it is; returns whether it goes now.
 /// Without a turn it goes at a moment before `until`.
-pub fn take_or_overdue(desk: &SharedState, a: &AdmittedRequest, until: Duration) -> bool {
-    if take_budget(desk, a) {
+pub fn take_or_overdue(shared: &SharedState, a: &AdmittedRequest, until: Duration) -> bool {
+    if take_budget(shared, a) {
         return true;
     }
-    let left = until.saturating_sub(desk.now());
-    let draw = desk.rng().random_range(0.0..1.0);
+    let left = until.saturating_sub(shared.now());
+    let draw = shared.rng().random_range(0.0..1.0);
     let goes = recovery::stops_waiting(left, POLL_INTERVAL, draw);
     if goes {
-        count_use(desk, purpose_of(a), "overdue");
+        count_use(shared, purpose_of(a), "overdue");
     }
     goes
 }
 
 /// Waits for the turn of a request that is sent again, but not for long.
-pub async fn wait_for_budget(desk: &SharedState, a: &AdmittedRequest) {
-    let until = desk.now() + MAX_RESEND_WAIT;
-    while !take_or_overdue(desk, a, until) {
+pub async fn wait_for_budget(shared: &SharedState, a: &AdmittedRequest) {
+    let until = shared.now() + MAX_RESEND_WAIT;
+    while !take_or_overdue(shared, a, until) {
         sleep(POLL_INTERVAL).await;
     }
 }
@@ -78,7 +78,7 @@
 /// Whether a request that an engine refused, and that has not run, is sent again. Under
 /// pressure it needs a second chain with room and a turn; else its caller comes back.
 pub fn may_resend(
-    desk: &SharedState,
+    shared: &SharedState,
     a: &AdmittedRequest,
     handoff: &Attempts,
     avoid: &[UpstreamId],
@@ -86,55 +86,56 @@
     if a.class.is_none() {
         return true;
     }
-    let is_tight = pressure(desk, a) >= HIGH_PRESSURE;
-    if is_tight && !pick::has_room(desk, a, handoff, avoid) {
-        count_use(desk, purpose_of(a), "no room");
+    let is_tight = pressure(shared, a) >= HIGH_PRESSURE;
+    if is_tight && !pick::has_room(shared, a, handoff, avoid) {
+        count_use(shared, purpose_of(a), "no room");
         return false;
     }
-    take_budget(desk, a) || !is_tight
+    take_budget(shared, a) || !is_tight
 }
 
 /// Takes one check of an engine of a service; returns false if none is left.
-pub fn take_check(desk: &SharedState, service: &ServiceId) -> bool {
-    take_for(desk, service, RecoveryAction::Check)
+pub fn take_check(shared: &SharedState, service: &ServiceId) -> bool {
+    take_for(shared, service, RecoveryAction::Check)
 }
 
 /// Whether the engines have so much to do that checks which may be in vain are left out.
-pub fn is_under_pressure(desk: &SharedState, a: &AdmittedRequest) -> bool {
-    a.class.is_some() && pressure(desk, a) > LOW_PRESSURE
+pub fn is_under_pressure(shared: &SharedState, a: &AdmittedRequest) -> bool {
+    a.class.is_some() && pressure(shared, a) > LOW_PRESSURE
 }
 
 /// The pressure on the engines of a request's service, as it was last reckoned.
-fn pressure(desk: &SharedState, a: &AdmittedRequest) -> f64 {
-    let now = desk.now();
-    desk.admissions
+fn pressure(shared: &SharedState, a: &AdmittedRequest) -> f64 {
+    let now = shared.now();
+    shared
+        .admissions
         .with(&a.service.name, |s| s.recovery_budget.pressure(now))
 }
 
-fn take_for(desk: &SharedState, service: &ServiceId, what: RecoveryAction) -> bool {
-    let now = desk.now();
-    let taken = desk
+fn take_for(shared: &SharedState, service: &ServiceId, what: RecoveryAction) -> bool {
+    let now = shared.now();
+    let taken = shared
         .admissions
         .with(service, |s| s.recovery_budget.withdraw(now, what));
-    count_use(desk, what, if taken { "taken" } else { "refused" });
+    count_use(shared, what, if taken { "taken" } else { "refused" });
     if !taken && what == RecoveryAction::Repair {
-        log_refused_repair(desk, service);
+        log_refused_repair(shared, service);
     }
     taken
 }
 
-fn count_use(desk: &SharedState, what: RecoveryAction, result: &str) {
+fn count_use(shared: &SharedState, what: RecoveryAction, result: &str) {
     let labels = [what.name(), result];
-    desk.metrics.recovery.with_label_values(&labels).inc();
+    shared.metrics.recovery.with_label_values(&labels).inc();
 }
 
 /// Writes a line about a repair that has to wait, unless there was one a moment ago.
-fn log_refused_repair(desk: &SharedState, service: &ServiceId) {
-    let now = desk.now();
-    if !desk.admissions.may_log(now, LOG_INTERVAL) {
+fn log_refused_repair(shared: &SharedState, service: &ServiceId) {
+    let now = shared.now();
+    if !shared.admissions.may_log(now, LOG_INTERVAL) {
         return;
     }
-    let pressure = desk
+    let pressure = shared
         .admissions
         .with(service, |s| s.recovery_budget.pressure(now));
     let fields = json!({"service": &**service, "pressure": pressure});
--- a/crates/ashgauged/src/relay/request.rs
+++ b/crates/ashgauged/src/relay/request.rs
@@ -83,8 +83,8 @@
 impl AdmittedRequest {
     /// The request's rank: the team's, else the route's; where requests are let in by
     /// their class, the order of that.
-    pub fn rank(&self, desk: &SharedState) -> u32 {
-        let routing = desk.routing();
+    pub fn rank(&self, shared: &SharedState) -> u32 {
+        let routing = shared.routing();
         let ranks = routing.priorities(&self.service.name);
         if let (Some(class), Some(ranks)) = (self.class, ranks) {
             return ranks.priority(class);
@@ -129,42 +129,42 @@
 }
 
 /// Notes a send that brought no good answer.
-pub fn note_outcome(desk: &SharedState, a: &AdmittedRequest, id: &str, outcome: SendOutcome) {
+pub fn note_outcome(shared: &SharedState, a: &AdmittedRequest, id: &str, outcome: SendOutcome) {
     let label = match outcome {
         SendOutcome::NotSent => "not sent",
         SendOutcome::NotRun => "not run",
         SendOutcome::Failed => "failed",
         SendOutcome::Lost => "lost",
     };
-    desk.metrics.sends.with_label_values(&[label]).inc();
+    shared.metrics.sends.with_label_values(&[label]).inc();
     a.record
         .log_step("not answered", json!({"upstream": id, "outcome": label}));
     match outcome {
-        SendOutcome::NotSent => desk.mark_suspect(id, "no connection"),
+        SendOutcome::NotSent => shared.mark_suspect(id, "no connection"),
         SendOutcome::NotRun => {}
         // Which engine of a chain was lost is looked into where it is seen.
         SendOutcome::Lost if a.route.stream.is_some() => {}
         SendOutcome::Failed | SendOutcome::Lost => {
-            let now = desk.now();
-            desk.registry.borrow_mut().record_failure(now, id);
+            let now = shared.now();
+            shared.registry.borrow_mut().record_failure(now, id);
         }
     }
 }
 
 /// Whether the request's key still counts, checked in the moment of sending.
-pub fn is_authorized(desk: &SharedState, a: &AdmittedRequest) -> bool {
+pub fn is_authorized(shared: &SharedState, a: &AdmittedRequest) -> bool {
     if a.team.is_none() {
         return true;
     }
-    let routing = desk.routing.borrow();
+    let routing = shared.routing.borrow();
     let access = routing.authorize(&a.route, a.client_request.key.as_deref());
-    desk.freshness.borrow().is_fresh(desk.now()) && matches!(access, Access::Team(_))
+    shared.freshness.borrow().is_fresh(shared.now()) && matches!(access, Access::Team(_))
 }
 
 /// Whether the request is held back, as it ends the upstreams that run it.
-pub fn is_quarantined(desk: &SharedState, a: &AdmittedRequest) -> bool {
-    let quarantine = desk.quarantine.borrow();
-    quarantine.time_left(desk.now(), a.digest).is_some()
+pub fn is_quarantined(shared: &SharedState, a: &AdmittedRequest) -> bool {
+    let quarantine = shared.quarantine.borrow();
+    quarantine.time_left(shared.now(), a.digest).is_some()
 }
 
 /// Learns from a refusal of an upstream, or of an engine that it names;
@@ -173,34 +173,34 @@
 /// An engine of a chain that is dead is named in the same way as one that has
 /// no room, so one that another engine names is checked.
 pub fn apply_refusal(
-    desk: &Rc<SharedState>,
+    shared: &Rc<SharedState>,
     upstream: &UpstreamId,
     verdict: Verdict,
 ) -> UpstreamId {
     let (Verdict::Full(at) | Verdict::Stale(at)) = &verdict else {
         return upstream.clone();
     };
-    let mut roster = desk.registry.borrow_mut();
-    let named = at.as_ref().and_then(|addr| roster.by_addr(addr));
+    let mut registry = shared.registry.borrow_mut();
+    let named = at.as_ref().and_then(|addr| registry.by_addr(addr));
     let id = named.map_or(upstream, |e| &e.upstream.id).clone();
     match &verdict {
-        Verdict::Stale(_) => roster.note_stale(desk.now(), &id),
-        _ => roster.note_full(desk.now(), &id),
+        Verdict::Stale(_) => registry.note_stale(shared.now(), &id),
+        _ => registry.note_full(shared.now(), &id),
     }
-    drop(roster);
-    let fullness = desk.fullness(&id);
+    drop(registry);
+    let fullness = shared.fullness(&id);
     if let (Verdict::Full(_), Some(fullness)) = (&verdict, fullness) {
-        desk.note_full_refusal(&id, fullness);
+        shared.note_full_refusal(&id, fullness);
     }
     let fields = json!({
         "upstream": &*id,
         "verdict": format!("{verdict:?}"),
         "fullness": fullness,
-        "boxes_heard": desk.fleet_load.borrow().boxes(),
+        "boxes_heard": shared.fleet_load.borrow().boxes(),
     });
     log::event(Level::Info, "request", "refused", fields);
     if id != *upstream {
-        tokio::task::spawn_local(probe::check_upstream(desk.clone(), id.clone()));
+        tokio::task::spawn_local(probe::check_upstream(shared.clone(), id.clone()));
     }
     id
 }
@@ -214,20 +214,20 @@
 }
 
 /// Ends a request with the box's own answer.
-pub fn finish(desk: &SharedState, mut a: AdmittedRequest, end: FailureKind) -> Response<Body> {
-    let sure = is_authorized(desk, &a);
+pub fn finish(shared: &SharedState, mut a: AdmittedRequest, end: FailureKind) -> Response<Body> {
+    let sure = is_authorized(shared, &a);
     let (what, status, after) = match end {
         FailureKind::NotRun if sure => {
             // Whoever comes back earlier is refused once more.
-            let after = permit::retry_after(desk, &a.service);
-            let after = after.or_else(|| desk.backoff_left(&a.service));
+            let after = permit::retry_after(shared, &a.service);
+            let after = after.or_else(|| shared.backoff_left(&a.service));
             let after = after.unwrap_or(RETRY_AFTER_FULL);
             ("not run", StatusCode::SERVICE_UNAVAILABLE, Some(after))
         }
         FailureKind::NotRun => (
             "unsure",
             StatusCode::SERVICE_UNAVAILABLE,
-            Some(unsynced_retry_after(desk)),
+            Some(unsynced_retry_after(shared)),
         ),
         FailureKind::Unknown => ("unknown", StatusCode::BAD_GATEWAY, None),
         FailureKind::DeadlineExceeded => ("late", StatusCode::GATEWAY_TIMEOUT, None),
@@ -238,9 +238,9 @@
 
 /// Ends a request for which the engines have no room, and says when they may
 /// have some.
-pub fn refuse_no_capacity(desk: &SharedState, mut a: AdmittedRequest) -> Response<Body> {
-    let after = permit::retry_after(desk, &a.service);
-    let after = after.unwrap_or_else(|| desk.rng().random_range(RETRY_AFTER_NO_CAPACITY));
+pub fn refuse_no_capacity(shared: &SharedState, mut a: AdmittedRequest) -> Response<Body> {
+    let after = permit::retry_after(shared, &a.service);
+    let after = after.unwrap_or_else(|| shared.rng().random_range(RETRY_AFTER_NO_CAPACITY));
     a.record.end("no room");
     own_response(
         StatusCode::SERVICE_UNAVAILABLE,
@@ -262,7 +262,7 @@
 /// Ends a request that is held back. Its caller is told that it has not run, and
 /// when it is tried again, unless it may have run.
 pub fn refuse_quarantined(
-    desk: &SharedState,
+    shared: &SharedState,
     mut a: AdmittedRequest,
     may_have_run: bool,
 ) -> Response<Body> {
@@ -270,7 +270,7 @@
     if may_have_run {
         return own_response(StatusCode::BAD_GATEWAY, Some(&a.client_request), None);
     }
-    let left = desk.quarantine.borrow().time_left(desk.now(), a.digest);
+    let left = shared.quarantine.borrow().time_left(shared.now(), a.digest);
     let after = left.unwrap_or(RETRY_AFTER_FULL);
     own_response(
         StatusCode::SERVICE_UNAVAILABLE,
@@ -295,8 +295,8 @@
 }
 
 /// When to come back to a box that does not know enough.
-pub fn unsynced_retry_after(desk: &SharedState) -> Duration {
-    match desk.uptime() < START_PERIOD {
+pub fn unsynced_retry_after(shared: &SharedState) -> Duration {
+    match shared.uptime() < START_PERIOD {
         true => RETRY_AFTER_START,
         false => RETRY_AFTER_UNSYNCED,
     }
@@ -305,7 +305,7 @@
 /// Counts a request on its upstreams, the first of which it was sent to, until
 /// it is dropped.
 pub struct LoadGuard {
-    desk: Rc<SharedState>,
+    shared: Rc<SharedState>,
     /// Upstreams, with the memory that the request holds on each, in tokens
     /// times layers.
     upstreams: Vec<(UpstreamId, u64)>,
@@ -313,28 +313,28 @@
 
 impl LoadGuard {
     /// Counts a request of so many tokens on the engines of a chain.
-    pub fn for_chain(desk: &Rc<SharedState>, stages: &[Stage], tokens: u32) -> Self {
+    pub fn for_chain(shared: &Rc<SharedState>, stages: &[Stage], tokens: u32) -> Self {
         let memory = |s: &Stage| u64::from(tokens) * u64::from(s.end - s.first);
         let parts = stages.iter().map(|s| (s.upstream.clone(), memory(s)));
-        LoadGuard::new(desk, parts.collect())
+        LoadGuard::new(shared, parts.collect())
     }
 
     /// Counts a request on a plain service's upstream.
-    pub fn for_upstream(desk: &Rc<SharedState>, id: &UpstreamId) -> Self {
-        LoadGuard::new(desk, vec![(id.clone(), 0)])
+    pub fn for_upstream(shared: &Rc<SharedState>, id: &UpstreamId) -> Self {
+        LoadGuard::new(shared, vec![(id.clone(), 0)])
     }
 
-    fn new(desk: &Rc<SharedState>, parts: Vec<(UpstreamId, u64)>) -> Self {
-        let mut roster = desk.registry.borrow_mut();
+    fn new(shared: &Rc<SharedState>, parts: Vec<(UpstreamId, u64)>) -> Self {
+        let mut registry = shared.registry.borrow_mut();
         parts
             .iter()
-            .for_each(|(id, memory)| roster.begin_request(id, *memory));
+            .for_each(|(id, memory)| registry.begin_request(id, *memory));
         if let Some((first, _)) = parts.first() {
-            roster.begin_head(first);
+            registry.begin_head(first);
         }
-        drop(roster);
+        drop(registry);
         LoadGuard {
-            desk: desk.clone(),
+            shared: shared.clone(),
             upstreams: parts,
         }
     }
@@ -342,12 +342,12 @@
 
 impl Drop for LoadGuard {
     fn drop(&mut self) {
-        let mut roster = self.desk.registry.borrow_mut();
+        let mut registry = self.shared.registry.borrow_mut();
         self.upstreams
             .iter()
-            .for_each(|(id, memory)| roster.end_request(id, *memory));
+            .for_each(|(id, memory)| registry.end_request(id, *memory));
         if let Some((first, _)) = self.upstreams.first() {
-            roster.end_head(first);
+            registry.end_head(first);
         }
     }
 }
--- a/crates/ashgauged/src/relay/retry.rs
+++ b/crates/ashgauged/src/relay/retry.rs
@@ -9,33 +9,33 @@
 
 /// Decides what follows after a send of a request that brought no good answer.
 pub fn next_step(
-    desk: &SharedState,
+    shared: &SharedState,
     a: &AdmittedRequest,
     handoff: &mut Attempts,
     outcome: SendOutcome,
 ) -> Decision {
-    handoff.decide(desk.now(), outcome, || take_retry(desk, a))
+    handoff.decide(shared.now(), outcome, || take_retry(shared, a))
 }
 
 /// Takes one retry out of the service's budget; returns false if none is left.
-fn take_retry(desk: &SharedState, a: &AdmittedRequest) -> bool {
-    let (now, service) = (desk.now(), &a.service.name);
-    let before = desk
+fn take_retry(shared: &SharedState, a: &AdmittedRequest) -> bool {
+    let (now, service) = (shared.now(), &a.service.name);
+    let before = shared
         .retry_budgets
         .with(service, |window| window.balance(now));
-    let taken = desk
+    let taken = shared
         .retry_budgets
         .with(service, |window| window.withdraw(now));
     let result = if taken { "taken" } else { "refused" };
-    desk.metrics.retries.with_label_values(&[result]).inc();
+    shared.metrics.retries.with_label_values(&[result]).inc();
     let fields = json!({
         "result": result,
         "service": &**service,
         "earned": before.earned,
         "spent": before.spent,
         "left": before.left,
-        "boxes": desk.retry_budgets.boxes(),
-        "up_ms": desk.uptime().as_millis() as u64,
+        "boxes": shared.retry_budgets.boxes(),
+        "up_ms": shared.uptime().as_millis() as u64,
     });
     a.record.log_step("retry", fields);
     taken
--- a/crates/ashgauged/src/relay/select.rs
+++ b/crates/ashgauged/src/relay/select.rs
@@ -45,11 +45,11 @@
         service: &str,
         tried: &[UpstreamId],
     ) -> Option<(UpstreamId, String)> {
-        let roster = self.registry.borrow();
+        let registry = self.registry.borrow();
         let (pipes, shares) = (self.wan_usage.borrow(), self.fleet_load.borrow());
-        let scene = self.selection_context(&roster, &pipes, &shares, service);
-        let id = selection::select_upstream(&scene, tried, &mut *self.rng())?;
-        let addr = roster.get(&id)?.upstream.addr.clone();
+        let context = self.selection_context(&registry, &pipes, &shares, service);
+        let id = selection::select_upstream(&context, tried, &mut *self.rng())?;
+        let addr = registry.get(&id)?.upstream.addr.clone();
         Some((id, addr))
     }
 
@@ -63,65 +63,65 @@
         avoid: &[UpstreamId],
         wish: ChainCriteria,
     ) -> Option<Vec<Stage>> {
-        let roster = self.registry.borrow();
+        let registry = self.registry.borrow();
         let (pipes, shares) = (self.wan_usage.borrow(), self.fleet_load.borrow());
-        let scene = self.selection_context(&roster, &pipes, &shares, service);
+        let context = self.selection_context(&registry, &pipes, &shares, service);
         let together = match wish.slack {
             Slack::Streaming => true,
-            Slack::Late => selection::local_utilization(&scene, model) < MAX_SIMULTANEOUS_FILL,
+            Slack::Late => selection::local_utilization(&context, model) < MAX_SIMULTANEOUS_FILL,
             Slack::OnTime => false,
         };
-        let scene = SelectionContext {
+        let context = SelectionContext {
             simultaneous: together,
             size: wish.size,
-            ..scene
+            ..context
         };
-        selection::select_chain(&scene, model, span, avoid, wish.need, &mut *self.rng())
+        selection::select_chain(&context, model, span, avoid, wish.need, &mut *self.rng())
     }
 
     /// How long until a request of a service can go somewhere, if upstreams that want
     /// rest are what it lacks.
     pub fn backoff_left(&self, service: &Service) -> Option<Duration> {
-        let roster = self.registry.borrow();
+        let registry = self.registry.borrow();
         let (pipes, shares) = (self.wan_usage.borrow(), self.fleet_load.borrow());
-        let scene = self.selection_context(&roster, &pipes, &shares, &service.name);
+        let context = self.selection_context(&registry, &pipes, &shares, &service.name);
         let model = service.model.as_ref().filter(|m| m.layers > 0);
-        selection::backoff_left(&scene, model, &mut *self.rng())
+        selection::backoff_left(&context, model, &mut *self.rng())
     }
 
     /// Share of an engine's memory that requests hold, as far as is known.
     pub fn fullness(&self, id: &str) -> Option<f64> {
-        let (roster, routing) = (self.registry.borrow(), self.routing());
-        let entry = roster.get(id)?;
+        let (registry, routing) = (self.registry.borrow(), self.routing());
+        let entry = registry.get(id)?;
         let service = routing.services.get(&entry.upstream.service)?;
         let (pipes, shares) = (self.wan_usage.borrow(), self.fleet_load.borrow());
-        let scene = self.selection_context(&roster, &pipes, &shares, &service.name);
-        selection::memory_utilization(&scene, service.model.as_ref()?, entry)
+        let context = self.selection_context(&registry, &pipes, &shares, &service.name);
+        selection::memory_utilization(&context, service.model.as_ref()?, entry)
     }
 
     /// How many of a service's engines are filled up to the share at which they
     /// get no first sends, and how many hold layers.
     pub fn count_full(&self, service: &Service) -> (usize, usize) {
         let limit = self.with_queue(&service.name, |l| l.fill_limit());
-        let (roster, pipes, shares) = (
+        let (registry, pipes, shares) = (
             self.registry.borrow(),
             self.wan_usage.borrow(),
             self.fleet_load.borrow(),
         );
-        let scene = self.selection_context(&roster, &pipes, &shares, &service.name);
+        let context = self.selection_context(&registry, &pipes, &shares, &service.name);
         let model = service.model.as_ref();
-        model.map_or((0, 0), |m| selection::count_full(&scene, m, limit))
+        model.map_or((0, 0), |m| selection::count_full(&context, m, limit))
     }
 
     /// How near the engines of a service are to what they can do.
     pub fn pressure(&self, service: &Service, model: &Model) -> Pressure {
-        let (roster, pipes, shares) = (
+        let (registry, pipes, shares) = (
             self.registry.borrow(),
             self.wan_usage.borrow(),
             self.fleet_load.borrow(),
         );
-        let scene = self.selection_context(&roster, &pipes, &shares, &service.name);
-        Pressure::from_context(&scene, model)
+        let context = self.selection_context(&registry, &pipes, &shares, &service.name);
+        Pressure::from_context(&context, model)
     }
 
     /// What the callers of all boxes ask of a service, and requests of it that end each
@@ -149,16 +149,16 @@
         stages: &[Stage],
         prompt: u32,
     ) -> Forecast {
-        let roster = self.registry.borrow();
+        let registry = self.registry.borrow();
         let (pipes, shares) = (self.wan_usage.borrow(), self.fleet_load.borrow());
-        let scene = self.selection_context(&roster, &pipes, &shares, service);
-        forecast::forecast(&scene, model, stages, prompt)
+        let context = self.selection_context(&registry, &pipes, &shares, service);
+        forecast::forecast(&context, model, stages, prompt)
     }
 
     /// Writes a chain for the wire, with the first engine's address.
     pub fn encode_chain(&self, stages: &[Stage]) -> Option<(String, String)> {
-        let roster = self.registry.borrow();
-        let addr = |id: &str| roster.get(id).map(|e| e.upstream.addr.as_str());
+        let registry = self.registry.borrow();
+        let addr = |id: &str| registry.get(id).map(|e| e.upstream.addr.as_str());
         let text = platform::engine::format_chain(stages, addr)?;
         let first = addr(&stages.first()?.upstream)?;
         Some((text, first.into()))
@@ -166,9 +166,9 @@
 
     /// How often a chain changes data centre.
     pub fn count_crossings(&self, stages: &[Stage]) -> usize {
-        let roster = self.registry.borrow();
+        let registry = self.registry.borrow();
         let place = |s: &Stage| {
-            roster
+            registry
                 .get(&s.upstream)
                 .map(|e| e.upstream.data_centre.clone())
         };
@@ -179,10 +179,10 @@
     /// Notes what goes between data centres for `tokens` tokens that a chain
     /// reads.
     pub fn note_transfers(&self, model: &Model, stages: &[Stage], tokens: u32) {
-        let (roster, now) = (self.registry.borrow(), self.now());
+        let (registry, now) = (self.registry.borrow(), self.now());
         let mut pipes = self.wan_usage.borrow_mut();
         let place = |s: &Stage| {
-            roster
+            registry
                 .get(&s.upstream)
                 .map(|e| e.upstream.data_centre.clone())
         };
@@ -203,41 +203,41 @@
         stages: impl Iterator<Item = &'a Stage>,
         tokens: u32,
     ) {
-        let mut roster = self.registry.borrow_mut();
+        let mut registry = self.registry.borrow_mut();
         let (pipes, shares) = (self.wan_usage.borrow(), self.fleet_load.borrow());
         for stage in stages {
             let layers = stage.end - stage.first;
-            let scene = self.selection_context(&roster, &pipes, &shares, service);
-            let entry = roster.get(&stage.upstream);
-            let seconds = entry.map(|e| cost::prefill_seconds(&scene, model, e, layers, tokens));
+            let context = self.selection_context(&registry, &pipes, &shares, service);
+            let entry = registry.get(&stage.upstream);
+            let seconds = entry.map(|e| cost::prefill_seconds(&context, model, e, layers, tokens));
             if let Some(seconds) = seconds {
-                roster.note_prefill(self.now(), &stage.upstream, seconds);
+                registry.note_prefill(self.now(), &stage.upstream, seconds);
             }
         }
     }
 
     /// Boxes of one data centre, on average.
-    fn mean_local_boxes(&self, roster: &UpstreamRegistry) -> f64 {
-        let places = roster.data_centres().max(1) as f64;
+    fn mean_local_boxes(&self, registry: &UpstreamRegistry) -> f64 {
+        let places = registry.data_centres().max(1) as f64;
         (f64::from(self.fleet_size()) / places).max(1.0)
     }
 
     fn selection_context<'a>(
         &'a self,
-        roster: &'a UpstreamRegistry,
+        registry: &'a UpstreamRegistry,
         pipes: &'a WanUsage,
         shares: &'a FleetLoad,
         service: &'a str,
     ) -> SelectionContext<'a> {
         SelectionContext {
-            registry: roster,
+            registry: registry,
             wan_usage: pipes,
             fleet_load: shares,
             service,
             data_centre: &self.data_centre,
             remote_interval: self.report_interval.get(),
             boxes: f64::from(self.fleet_size()),
-            local_boxes: self.mean_local_boxes(roster),
+            local_boxes: self.mean_local_boxes(registry),
             request_duration: self.mean_duration(service),
             simultaneous: false,
             size: None,
--- a/crates/ashgauged/src/relay/serve.rs
+++ b/crates/ashgauged/src/relay/serve.rs
@@ -56,11 +56,11 @@
 impl std::error::Error for AbortedBody {}
 
 /// Accepts callers' connections as long as the process runs.
-pub async fn accept(desk: Rc<SharedState>, listener: TcpListener) {
+pub async fn accept(shared: Rc<SharedState>, listener: TcpListener) {
     loop {
         match listener.accept().await {
             Ok((stream, _)) => {
-                tokio::task::spawn_local(serve_connection(desk.clone(), stream));
+                tokio::task::spawn_local(serve_connection(shared.clone(), stream));
             }
             Err(e) => {
                 let fields = json!({"cause": e.to_string()});
@@ -72,9 +72,9 @@
 }
 
 /// Answers the balancer's question on a port of its own.
-pub async fn serve_readiness(desk: Rc<SharedState>, listener: TcpListener) {
+pub async fn serve_readiness(shared: Rc<SharedState>, listener: TcpListener) {
     serve_text(listener, move |_| {
-        let status = match desk.is_ready() {
+        let status = match shared.is_ready() {
             true => StatusCode::OK,
             false => StatusCode::SERVICE_UNAVAILABLE,
         };
@@ -84,15 +84,15 @@
 }
 
 /// Serves the metrics, and the box's view of the fleet under `/status`.
-pub async fn serve_metrics(desk: Rc<SharedState>, listener: TcpListener) {
+pub async fn serve_metrics(shared: Rc<SharedState>, listener: TcpListener) {
     serve_text(listener, move |request| {
         if request.uri().path() == STATUS_PATH {
-            return (StatusCode::OK, status::encode(&desk));
+            return (StatusCode::OK, status::encode(&shared));
         }
-        desk.metrics.inflight.set(desk.inflight.get() as i64);
-        desk.metrics.dropped_lines.set(log::dropped() as i64);
-        levels::set_gauges(&desk);
-        (StatusCode::OK, desk.metrics.encode())
+        shared.metrics.inflight.set(shared.inflight.get() as i64);
+        shared.metrics.dropped_lines.set(log::dropped() as i64);
+        levels::set_gauges(&shared);
+        (StatusCode::OK, shared.metrics.encode())
     })
     .await;
 }
@@ -148,7 +148,7 @@
     }
 }
 
-async fn serve_connection(desk: Rc<SharedState>, stream: TcpStream) {
+async fn serve_connection(shared: Rc<SharedState>, stream: TcpStream) {
     // Without it small events come later, and nothing else changes.
     let _ = stream.set_nodelay(true);
     let activity = Rc::new(ConnectionActivity {
@@ -160,15 +160,15 @@
         inner: TokioIo::new(stream),
         activity: activity.clone(),
     };
-    let bounds = desk.routing().client_limits;
-    let (shared, active) = (desk.clone(), activity.clone());
+    let bounds = shared.routing().client_limits;
+    let (state, active) = (shared.clone(), activity.clone());
     let service = service_fn(move |request| {
         active.set(Phase::Busy);
-        let busy = RequestGuard::new(&shared, &active);
-        let desk = shared.clone();
+        let busy = RequestGuard::new(&state, &active);
+        let shared = state.clone();
         async move {
-            let mut response = forward::handle(desk.clone(), request).await;
-            if desk.is_stopping.get() {
+            let mut response = forward::handle(shared.clone(), request).await;
+            if shared.is_stopping.get() {
                 let close = HeaderValue::from_static("close");
                 response.headers_mut().insert(CONNECTION, close);
             }
@@ -182,13 +182,13 @@
         .serve_connection(io, service);
     tokio::pin!(serving);
     loop {
-        let until = deadline(&desk, &activity);
+        let until = deadline(&shared, &activity);
         tokio::select! {
             // The caller sees its connection end; there is nobody to tell.
             _ = serving.as_mut() => return,
             () = activity.head_begun.notified() => {}
             () = sleep_until(until) => {
-                if Instant::now() >= deadline(&desk, &activity) {
+                if Instant::now() >= deadline(&shared, &activity) {
                     return;
                 }
             }
@@ -197,8 +197,8 @@
 }
 
 /// When the connection has used up the time for what it is doing.
-fn deadline(desk: &SharedState, activity: &ConnectionActivity) -> Instant {
-    let bounds = desk.routing().client_limits;
+fn deadline(shared: &SharedState, activity: &ConnectionActivity) -> Instant {
+    let bounds = shared.routing().client_limits;
     let since = activity.since.get();
     match activity.phase.get() {
         Phase::Idle => since + bounds.idle_timeout,
@@ -261,15 +261,15 @@
 
 /// Counts a request from its head until its whole answer is in hyper's hands.
 struct RequestGuard {
-    desk: Rc<SharedState>,
+    shared: Rc<SharedState>,
     activity: Rc<ConnectionActivity>,
 }
 
 impl RequestGuard {
-    fn new(desk: &Rc<SharedState>, activity: &Rc<ConnectionActivity>) -> Self {
-        desk.inflight.set(desk.inflight.get() + 1);
+    fn new(shared: &Rc<SharedState>, activity: &Rc<ConnectionActivity>) -> Self {
+        shared.inflight.set(shared.inflight.get() + 1);
         RequestGuard {
-            desk: desk.clone(),
+            shared: shared.clone(),
             activity: activity.clone(),
         }
     }
@@ -277,7 +277,7 @@
 
 impl Drop for RequestGuard {
     fn drop(&mut self) {
-        self.desk.inflight.set(self.desk.inflight.get() - 1);
+        self.shared.inflight.set(self.shared.inflight.get() - 1);
         self.activity.set(Phase::Idle);
     }
 }
--- a/crates/ashgauged/src/relay/shedding.rs
+++ b/crates/ashgauged/src/relay/shedding.rs
@@ -27,21 +27,21 @@
 const IDLE_LEVEL_INTERVAL: Duration = Duration::from_millis(300);
 
 /// Whether streams of a service are let in by the level.
-pub fn sheds_streams(desk: &SharedState, service: &Service) -> bool {
+pub fn sheds_streams(shared: &SharedState, service: &Service) -> bool {
     let has_engines = service.model.as_ref().is_some_and(|m| m.layers > 0);
-    has_engines && is_shedding_enabled(desk, &service.name)
+    has_engines && is_shedding_enabled(shared, &service.name)
 }
 
 /// Whether shedding is switched on for a service, by its routes' ranks and the setting.
-pub fn is_shedding_enabled(desk: &SharedState, service: &str) -> bool {
-    let routing = desk.routing();
+pub fn is_shedding_enabled(shared: &SharedState, service: &str) -> bool {
+    let routing = shared.routing();
     let ranks = routing.priorities(service);
-    ranks.is_some_and(|r| desk.settings().sheds(r))
+    ranks.is_some_and(|r| shared.settings().sheds(r))
 }
 
 /// The priority class of a request, if its service lets streams in by those.
-pub fn class_of(desk: &SharedState, a: &AdmittedRequest) -> Option<Class> {
-    if a.route.stream.is_none() || !sheds_streams(desk, &a.service) {
+pub fn class_of(shared: &SharedState, a: &AdmittedRequest) -> Option<Class> {
+    if a.route.stream.is_none() || !sheds_streams(shared, &a.service) {
         return None;
     }
     let team = a.team.as_ref().and_then(|t| t.priority);
@@ -51,18 +51,18 @@
 /// Notes a stream that wants to begin, and decides whether it may; if not, says when its
 /// caller is to come back.
 pub fn admit(
-    desk: &Rc<SharedState>,
+    shared: &Rc<SharedState>,
     a: &mut AdmittedRequest,
 ) -> Result<Option<Admission>, Duration> {
     let (Some(model), Some(class)) = (a.service.model.as_ref(), a.class) else {
         return Ok(None);
     };
     let team = demand::key(a.team.as_ref().map_or("", |t| t.name.as_str()));
-    note_demand(desk, a, model, class, team);
-    update_level(desk, &a.service, model);
-    let start = desk.rng().random_range(0.0..1.0);
-    let now = desk.now();
-    let (is_in, level) = desk.admissions.with(&a.service.name, |s| {
+    note_demand(shared, a, model, class, team);
+    update_level(shared, &a.service, model);
+    let start = shared.rng().random_range(0.0..1.0);
+    let now = shared.now();
+    let (is_in, level) = shared.admissions.with(&a.service.name, |s| {
         let is_in = s.gate.admit(class, team, start);
         s.count(class, is_in);
         if is_in {
@@ -72,26 +72,26 @@
     });
     a.record.level = level;
     let result = if is_in { "let in" } else { "refused" };
-    desk.metrics.admissions.with_label_values(&[result]).inc();
+    shared.metrics.admissions.with_label_values(&[result]).inc();
     if is_in {
         return Ok(Some(Admission {
-            desk: desk.clone(),
+            shared: shared.clone(),
             service: a.service.name.clone(),
             begun: Cell::new(false),
         }));
     }
-    Err(retry_after(desk, a))
+    Err(retry_after(shared, a))
 }
 
 /// When the caller of a request that is refused for overload is to come back.
-pub fn retry_after(desk: &SharedState, a: &AdmittedRequest) -> Duration {
+pub fn retry_after(shared: &SharedState, a: &AdmittedRequest) -> Duration {
     let patience = a.client_request.timeout.unwrap_or(a.route.timeout);
-    let draw = desk.rng().random_range(0.0..1.0);
+    let draw = shared.rng().random_range(0.0..1.0);
     level::retry_after(patience, draw)
 }
 
 fn note_demand(
-    desk: &SharedState,
+    shared: &SharedState,
     a: &AdmittedRequest,
     model: &Model,
     class: Class,
@@ -109,15 +109,16 @@
         ),
         (model.typical_prompt, model.typical_output),
     );
-    let now = desk.now();
-    desk.admissions
+    let now = shared.now();
+    shared
+        .admissions
         .with(&a.service.name, |s| s.meter.record(now, source, work));
 }
 
 /// Reckons the level anew, if it is old.
-fn update_level(desk: &SharedState, service: &Service, model: &Model) {
-    let now = desk.now();
-    let is_due = desk.admissions.with(&service.name, |s| {
+fn update_level(shared: &SharedState, service: &Service, model: &Model) {
+    let now = shared.now();
+    let is_due = shared.admissions.with(&service.name, |s| {
         let is_due = s.level_at.is_none_or(|at| now >= at + LEVEL_INTERVAL);
         if is_due {
             s.level_at = Some(now);
@@ -127,21 +128,21 @@
     if !is_due {
         return;
     }
-    let (demands, ends) = desk.fleet_demand(&service.name);
+    let (demands, ends) = shared.fleet_demand(&service.name);
     let known = Observation {
         demands,
-        pressure: desk.pressure(service, model),
+        pressure: shared.pressure(service, model),
         completion_rate: ends,
-        boxes: desk
+        boxes: shared
             .fleet_load
             .borrow()
-            .present_boxes(f64::from(desk.fleet_size())),
-        age: desk.report_age(),
-        report_interval: desk.role().traffic_interval(),
-        full_slowdown: growth(desk, service, model),
+            .present_boxes(f64::from(shared.fleet_size())),
+        age: shared.report_age(),
+        report_interval: shared.role().traffic_interval(),
+        full_slowdown: growth(shared, service, model),
     };
-    let boxes = desk.fleet_load.borrow().boxes();
-    desk.admissions.with(&service.name, |s| {
+    let boxes = shared.fleet_load.borrow().boxes();
+    shared.admissions.with(&service.name, |s| {
         let estimate = s.estimator.estimate(now, &known);
         let (demands, pressure) = (&estimate.demands, estimate.pressure);
         let basis = LevelInputs::new(
@@ -161,30 +162,37 @@
     });
 }
 
-fn growth(desk: &SharedState, service: &Service, model: &Model) -> f64 {
-    let roster = desk.registry.borrow();
-    pressure::full_slowdown(model, roster.of_service(&service.name).map(|e| &e.upstream))
+fn growth(shared: &SharedState, service: &Service, model: &Model) -> f64 {
+    let registry = shared.registry.borrow();
+    pressure::full_slowdown(
+        model,
+        registry.of_service(&service.name).map(|e| &e.upstream),
+    )
 }
 
 /// Reckons levels also while no streams arrive, as long as the process runs, so that what
 /// operators see is not older than [`WATCH_EVERY`] and the end of a level is logged.
-pub async fn update_levels(desk: Rc<SharedState>) {
+pub async fn update_levels(shared: Rc<SharedState>) {
     loop {
         sleep(IDLE_LEVEL_INTERVAL).await;
-        let routing = desk.routing();
+        let routing = shared.routing();
         for service in routing.services.values() {
             match &service.model {
-                Some(model) if sheds_streams(&desk, service) => update_level(&desk, service, model),
+                Some(model) if sheds_streams(&shared, service) => {
+                    update_level(&shared, service, model)
+                }
                 _ => {}
             }
         }
         let is_off = |name: &ServiceId| {
             let service = routing.services.get(name);
-            !service.is_some_and(|s| sheds_streams(&desk, s))
+            !service.is_some_and(|s| sheds_streams(&shared, s))
         };
-        let now = desk.now();
-        for name in desk.admissions.names().into_iter().filter(is_off) {
-            desk.admissions.with(&name, |s| clear_level(now, &name, s));
+        let now = shared.now();
+        for name in shared.admissions.names().into_iter().filter(is_off) {
+            shared
+                .admissions
+                .with(&name, |s| clear_level(now, &name, s));
         }
     }
 }
@@ -199,7 +207,7 @@
 
 /// A stream that was let in; notes its end when it is dropped.
 pub struct Admission {
-    desk: Rc<SharedState>,
+    shared: Rc<SharedState>,
     service: ServiceId,
     begun: Cell<bool>,
 }
@@ -216,8 +224,8 @@
         if !self.begun.get() {
             return;
         }
-        let (now, key) = (self.desk.now(), demand::key(&self.service));
-        self.desk
+        let (now, key) = (self.shared.now(), demand::key(&self.service));
+        self.shared
             .admissions
             .with(&self.service, |s| s.meter.record_completion(now, key));
     }
--- a/crates/ashgauged/src/relay/status.rs
+++ b/crates/ashgauged/src/relay/status.rs
@@ -114,14 +114,14 @@
     failures: f64,
 }
 
-fn held_requests(desk: &SharedState) -> Vec<(String, u64)> {
-    let held = desk.quarantine.borrow().quarantined(desk.now());
+fn held_requests(shared: &SharedState) -> Vec<(String, u64)> {
+    let held = shared.quarantine.borrow().quarantined(shared.now());
     let text = |(digest, left): (u64, Duration)| (digest::format_digest(digest), left.as_secs());
     held.into_iter().map(text).collect()
 }
 
-fn retry_statuses(desk: &SharedState) -> Vec<RetryStatus> {
-    let balances = desk.retry_budgets.balances(desk.now()).into_iter();
+fn retry_statuses(shared: &SharedState) -> Vec<RetryStatus> {
+    let balances = shared.retry_budgets.balances(shared.now()).into_iter();
     let status = balances.map(|(service, balance)| RetryStatus {
         service: service.to_string(),
         earned: balance.earned,
@@ -131,10 +131,10 @@
     status.collect()
 }
 
-fn limit_statuses(desk: &SharedState) -> Vec<LimitStatus> {
-    let (roster, permits) = (desk.registry.borrow(), &desk.permits);
+fn limit_statuses(shared: &SharedState) -> Vec<LimitStatus> {
+    let (registry, permits) = (shared.registry.borrow(), &shared.permits);
     let (limits, grants) = (permits.limits.borrow(), permits.grants.borrow());
-    let named = roster.iter().filter_map(|e| {
+    let named = registry.iter().filter_map(|e| {
         let (id, key) = (&e.upstream.id, load_report::upstream_key(&e.upstream.id));
         Some(LimitStatus {
             upstream: id.to_string(),
@@ -150,9 +150,9 @@
     boxes.iter().map(|id| id.to_string()).collect()
 }
 
-fn informed_boxes(desk: &SharedState) -> Vec<Informed> {
-    let (now, covered) = (desk.now(), desk.mirror.borrow().covered());
-    let (askers, peers) = (desk.pollers.borrow(), desk.peers.borrow());
+fn informed_boxes(shared: &SharedState) -> Vec<Informed> {
+    let (now, covered) = (shared.now(), shared.mirror.borrow().covered());
+    let (askers, peers) = (shared.pollers.borrow(), shared.peers.borrow());
     let mut places: BTreeMap<&str, Informed> = BTreeMap::new();
     for (id, asked) in askers.iter() {
         let Some(peer) = peers.get(id) else {
@@ -168,8 +168,8 @@
     places.into_values().collect()
 }
 
-fn role(desk: &SharedState) -> String {
-    match desk.role() {
+fn role(shared: &SharedState) -> String {
+    match shared.role() {
         Role::Peer => "tells all".into(),
         Role::Hub => "hub".into(),
         Role::Leaf(hub) => format!("tells {hub}"),
@@ -177,12 +177,12 @@
 }
 
 /// Writes the status as JSON.
-pub fn encode(desk: &SharedState) -> String {
-    let now = desk.now();
-    let settings = desk.settings();
-    let roster = desk.registry.borrow();
-    let shares = desk.fleet_load.borrow();
-    let upstreams = roster.iter().map(|e| UpstreamStatus {
+pub fn encode(shared: &SharedState) -> String {
+    let now = shared.now();
+    let settings = shared.settings();
+    let registry = shared.registry.borrow();
+    let shares = shared.fleet_load.borrow();
+    let upstreams = registry.iter().map(|e| UpstreamStatus {
         id: e.upstream.id.to_string(),
         service: e.upstream.service.to_string(),
         addr: e.upstream.addr.clone(),
@@ -190,7 +190,7 @@
         layers: e.upstream.layers.map(|l| (l.first, l.end)),
         leaving: e.is_leaving(),
         rest_ms: e.backoff(now).map(|r| r.as_millis() as u64),
-        limit: desk.permits.limits.borrow().rate(&e.upstream.id),
+        limit: shared.permits.limits.borrow().rate(&e.upstream.id),
         suspect: e.is_suspect(now),
         slowness: e.slowness(now),
         inflight: e.inflight,
@@ -204,28 +204,28 @@
     let status = Status {
         id: settings.id.clone(),
         data_centre: settings.data_centre.clone(),
-        ready: desk.is_ready(),
-        config_version: desk.routing.borrow().version,
-        config_age_ms: desk
+        ready: shared.is_ready(),
+        config_version: shared.routing.borrow().version,
+        config_age_ms: shared
             .freshness
             .borrow()
             .age(now)
             .map(|a| a.as_millis() as u64),
-        store_away: desk.store_down.get(),
-        reads: *desk.reads_store.borrow(),
-        era: revision::era(desk.mirror.borrow().covered()),
-        revision: revision::count(desk.mirror.borrow().covered()),
-        boxes: desk.fleet_size(),
-        role: role(desk),
-        readers: to_strings(&desk.readers.borrow().ids),
-        informs: informed_boxes(desk),
+        store_away: shared.store_down.get(),
+        reads: *shared.reads_store.borrow(),
+        era: revision::era(shared.mirror.borrow().covered()),
+        revision: revision::count(shared.mirror.borrow().covered()),
+        boxes: shared.fleet_size(),
+        role: role(shared),
+        readers: to_strings(&shared.readers.borrow().ids),
+        informs: informed_boxes(shared),
         boxes_heard: shares.boxes(),
-        inflight: desk.inflight.get(),
-        retries: retry_statuses(desk),
-        held: held_requests(desk),
-        suspects: desk.quarantine.borrow().suspect_count(),
-        limits: limit_statuses(desk),
-        levels: levels::status(desk),
+        inflight: shared.inflight.get(),
+        retries: retry_statuses(shared),
+        held: held_requests(shared),
+        suspects: shared.quarantine.borrow().suspect_count(),
+        limits: limit_statuses(shared),
+        levels: levels::status(shared),
         upstreams,
     };
     match serde_json::to_string(&status) {
--- a/crates/ashgauged/src/relay/stream.rs
+++ b/crates/ashgauged/src/relay/stream.rs
@@ -27,89 +27,91 @@
 
 /// Answers a request whose answer is a stream.
 pub async fn handle_stream(
-    desk: Rc<SharedState>,
+    shared: Rc<SharedState>,
     mut a: AdmittedRequest,
     mut handoff: Attempts,
     rule: StreamPolicy,
 ) -> Response<Body> {
-    a.admission = match shedding::admit(&desk, &mut a) {
+    a.admission = match shedding::admit(&shared, &mut a) {
         Ok(admission) => admission,
         Err(after) => return refuse_overload(a, after),
     };
     let mut avoid = Vec::new();
-    let mut turn = CapacityWait::new(&desk, &a);
+    let mut turn = CapacityWait::new(&shared, &a);
     let run = loop {
         // One that may have run cannot be refused as not run; it goes on at once.
         let may_have_run = handoff.may_have_run();
         if !may_have_run && !turn.wait(&a).await {
-            return refuse_no_capacity(&desk, a);
+            return refuse_no_capacity(&shared, a);
         }
         let last = a.client_request.last_event;
         let chosen = match may_have_run {
-            true => pick_or_wait(&desk, &a, &handoff, &avoid, last).await,
-            false => pick_with_permit(&desk, &a, &handoff, &avoid, false, last).await,
+            true => pick_or_wait(&shared, &a, &handoff, &avoid, last).await,
+            false => pick_with_permit(&shared, &a, &handoff, &avoid, false, last).await,
         };
         let chosen = match chosen {
             Ok(chosen) => chosen,
             Err(PickError::AtLimit(_)) if may_have_run => {
-                let end = handoff.failure(desk.now());
-                return finish(&desk, a, end);
+                let end = handoff.failure(shared.now());
+                return finish(&shared, a, end);
             }
             Err(PickError::AtLimit(wait)) if !turn.fits_deadline(wait) => {
-                return refuse_no_capacity(&desk, a);
+                return refuse_no_capacity(&shared, a);
             }
             Err(PickError::NoCapacity | PickError::AtLimit(_)) => {
                 turn.wait_for_capacity(&a);
                 continue;
             }
-            Err(PickError::Quarantined) => return refuse_quarantined(&desk, a, may_have_run),
+            Err(PickError::Quarantined) => return refuse_quarantined(&shared, a, may_have_run),
             Err(PickError::NoChain | PickError::Denied) => {
                 a.record
                     .log_step("no chain", json!({"avoided": avoid.len()}));
-                let end = handoff.failure(desk.now());
-                return finish(&desk, a, end);
+                let end = handoff.failure(shared.now());
+                return finish(&shared, a, end);
             }
         };
         turn.note_admitted();
-        let began = desk.now();
-        let failed = match start_run(&desk, &mut a, &mut handoff, &mut avoid, None, chosen).await {
+        let began = shared.now();
+        let failed = match start_run(&shared, &mut a, &mut handoff, &mut avoid, None, chosen).await
+        {
             Ok(run) => break run,
             Err(failed) => failed,
         };
-        note_outcome(&desk, &a, &failed.upstream, failed.outcome);
+        note_outcome(&shared, &a, &failed.upstream, failed.outcome);
         if failed.outcome == SendOutcome::Lost {
             let loss = BrokenRun::before_answer(&failed.upstream, began);
-            if loss::check_loss(&desk, &a, loss).await {
+            if loss::check_loss(&shared, &a, loss).await {
                 handoff.record_lost();
             }
         }
         let is_refused = !may_have_run && failed.outcome == SendOutcome::NotRun;
-        if is_refused && !recovery::may_resend(&desk, &a, &handoff, &avoid) {
-            let after = shedding::retry_after(&desk, &a);
+        if is_refused && !recovery::may_resend(&shared, &a, &handoff, &avoid) {
+            let after = shedding::retry_after(&shared, &a);
             return refuse_overload(a, after);
         }
-        let next = retry::next_step(&desk, &a, &mut handoff, failed.outcome);
+        let next = retry::next_step(&shared, &a, &mut handoff, failed.outcome);
         match (next, failed.answer) {
             (Decision::Resend, _) if is_refused => {}
-            (Decision::Resend, _) => recovery::wait_for_budget(&desk, &a).await,
+            (Decision::Resend, _) => recovery::wait_for_budget(&shared, &a).await,
             (Decision::Forward, Some(answer)) => {
                 a.record.end("failed upstream");
                 return upstream_response(answer);
             }
-            (Decision::Fail(end), _) => return finish(&desk, a, end),
-            (Decision::Forward, None) => return finish(&desk, a, FailureKind::Unknown),
+            (Decision::Fail(end), _) => return finish(&shared, a, end),
+            (Decision::Forward, None) => return finish(&shared, a, FailureKind::Unknown),
         }
     };
     if let Some(admission) = &a.admission {
         admission.note_started();
     }
-    desk.metrics
+    shared
+        .metrics
         .first_seconds
         .observe(a.record.elapsed().as_secs_f64());
     let mut head = Response::new(());
     let parts = response_head(&run.exchange);
     *head.status_mut() = parts.status;
     *head.headers_mut() = engine::answer_headers(&parts);
-    let body = event_forwarder::start(desk, a, handoff, rule, run);
+    let body = event_forwarder::start(shared, a, handoff, rule, run);
     head.map(|()| body.boxed_unsync())
 }
--- a/crates/ashgauged/src/relay/suspicion.rs
+++ b/crates/ashgauged/src/relay/suspicion.rs
@@ -34,88 +34,98 @@
 }
 
 /// Notes an engine that this box suspects, if its own connection failed a moment ago.
-pub fn note_suspect(desk: &SharedState, id: &str) {
-    let roster = desk.registry.borrow();
-    let Some(entry) = roster.get(id) else {
+pub fn note_suspect(shared: &SharedState, id: &str) {
+    let registry = shared.registry.borrow();
+    let Some(entry) = registry.get(id) else {
         return;
     };
     let upstream = &entry.upstream;
-    if !sheds_streams(desk, &upstream.service) || !probe::failed_recently(desk, &upstream.addr) {
+    if !sheds_streams(shared, &upstream.service) || !probe::failed_recently(shared, &upstream.addr)
+    {
         return;
     }
     let start = instance_key(&upstream.id, upstream.started_ms);
-    if desk.suspicions.borrow_mut().record_found(desk.now(), start) {
-        desk.suspect_notify.notify_one();
+    if shared
+        .suspicions
+        .borrow_mut()
+        .record_found(shared.now(), start)
+    {
+        shared.suspect_notify.notify_one();
     }
 }
 
 /// Takes what another box reports: a hub forwards it to those that do not hear that box,
 /// and engines on which this one has streams are checked. The report itself makes none
 /// suspect, as its sender may be cut off from engines that others reach.
-pub fn handle_reports(desk: &Rc<SharedState>, from: &BoxId, starts: &[InstanceKey]) {
-    let now = desk.now();
+pub fn handle_reports(shared: &Rc<SharedState>, from: &BoxId, starts: &[InstanceKey]) {
+    let now = shared.now();
     let starts = &starts[..starts.len().min(MAX_SUSPECTS_SENT)];
-    let audience = audience(desk, from);
-    for reported in find_reported(desk, starts) {
+    let audience = audience(shared, from);
+    for reported in find_reported(shared, starts) {
         let start = reported.start;
-        if desk
+        if shared
             .suspicions
             .borrow_mut()
             .record_report(now, start, audience)
         {
-            desk.suspect_notify.notify_one();
+            shared.suspect_notify.notify_one();
         }
-        let has_budget = || probe::may_check_reported(desk, &reported.service, &reported.id);
-        let mut suspicions = desk.suspicions.borrow_mut();
+        let has_budget = || probe::may_check_reported(shared, &reported.service, &reported.id);
+        let mut suspicions = shared.suspicions.borrow_mut();
         if reported.is_used && suspicions.begin_check(now, start, has_budget) {
-            tokio::task::spawn_local(check_reported(desk.clone(), from.clone(), reported.id));
+            tokio::task::spawn_local(check_reported(shared.clone(), from.clone(), reported.id));
         } else {
-            count_result(desk, "ignored");
+            count_result(shared, "ignored");
         }
     }
 }
 
 /// Checks an engine that another box reports, and suspects it if it accepts no connection.
-async fn check_reported(desk: Rc<SharedState>, from: BoxId, id: UpstreamId) {
-    let found = probe::check_reported(&desk, &id).await;
-    desk.suspicions.borrow_mut().end_check();
+async fn check_reported(shared: Rc<SharedState>, from: BoxId, id: UpstreamId) {
+    let found = probe::check_reported(&shared, &id).await;
+    shared.suspicions.borrow_mut().end_check();
     match found {
-        ProbeResult::Alive => count_result(&desk, "alive"),
-        ProbeResult::Delisted => count_result(&desk, "ignored"),
+        ProbeResult::Alive => count_result(&shared, "alive"),
+        ProbeResult::Delisted => count_result(&shared, "ignored"),
         ProbeResult::Lost => {
-            count_result(&desk, "confirmed");
+            count_result(&shared, "confirmed");
             let fields = json!({"upstream": &*id, "from": &*from});
             log::event(Level::Warn, "roster", "told", fields);
-            desk.mark_suspect(&id, "told by another, no connection");
+            shared.mark_suspect(&id, "told by another, no connection");
         }
     }
 }
 
 /// Notifies the other boxes, as long as the process runs. What is lost of it is not sent
 /// again: boxes find lost engines by their own streams as well.
-pub async fn broadcast(desk: Rc<SharedState>, peers: Rc<Peers>) {
+pub async fn broadcast(shared: Rc<SharedState>, peers: Rc<Peers>) {
     loop {
-        desk.suspect_notify.notified().await;
+        shared.suspect_notify.notified().await;
         sleep(BATCH_DELAY).await;
         loop {
-            let told = desk.suspicions.borrow_mut().take_pending(desk.now());
+            let told = shared.suspicions.borrow_mut().take_pending(shared.now());
             if told.is_empty() {
                 break;
             }
             let to_all = told.iter().filter(|(_, to)| *to == Audience::All);
             let to_all = to_all.map(|(start, _)| *start).collect();
             let to_below = told.iter().map(|(start, _)| *start).collect();
-            send(&desk, &peers, to_all, desk.report_targets()).await;
-            send(&desk, &peers, to_below, desk.leaves()).await;
+            send(&shared, &peers, to_all, shared.report_targets()).await;
+            send(&shared, &peers, to_below, shared.leaves()).await;
         }
     }
 }
 
-async fn send(desk: &SharedState, peers: &Peers, starts: Vec<InstanceKey>, to: Vec<(BoxId, Peer)>) {
+async fn send(
+    shared: &SharedState,
+    peers: &Peers,
+    starts: Vec<InstanceKey>,
+    to: Vec<(BoxId, Peer)>,
+) {
     if starts.is_empty() || to.is_empty() {
         return;
     }
-    let from = desk.settings().id.as_str().into();
+    let from = shared.settings().id.as_str().into();
     let Some(bytes) = pack::encode(&Datagram::Suspects(from, starts)) else {
         return;
     };
@@ -125,11 +135,11 @@
 }
 
 /// Whom this box forwards a report to: a hub tells those that do not hear its sender.
-fn audience(desk: &SharedState, from: &BoxId) -> Option<Audience> {
-    if desk.role() != Role::Hub {
+fn audience(shared: &SharedState, from: &BoxId) -> Option<Audience> {
+    if shared.role() != Role::Hub {
         return None;
     }
-    let is_hub = desk.readers.borrow().ids.contains(from);
+    let is_hub = shared.readers.borrow().ids.contains(from);
     Some(if is_hub {
         Audience::Downstream
     } else {
@@ -138,11 +148,11 @@
 }
 
 /// The engines among some starts whose service lets streams in by their class.
-fn find_reported(desk: &SharedState, starts: &[InstanceKey]) -> Vec<ReportedEngine> {
-    let (now, roster) = (desk.now(), desk.registry.borrow());
+fn find_reported(shared: &SharedState, starts: &[InstanceKey]) -> Vec<ReportedEngine> {
+    let (now, registry) = (shared.now(), shared.registry.borrow());
     let mut services: HashMap<ServiceId, bool> = HashMap::new();
     let mut found = Vec::new();
-    for entry in roster.iter() {
+    for entry in registry.iter() {
         let upstream = &entry.upstream;
         let start = instance_key(&upstream.id, upstream.started_ms);
         if !starts.contains(&start) {
@@ -151,7 +161,7 @@
         let service = upstream.service.clone();
         let is_on = services
             .entry(service.clone())
-            .or_insert_with(|| sheds_streams(desk, &service));
+            .or_insert_with(|| sheds_streams(shared, &service));
         if *is_on {
             found.push(ReportedEngine {
                 start,
@@ -164,14 +174,15 @@
     found
 }
 
-fn sheds_streams(desk: &SharedState, service: &str) -> bool {
-    let routing = desk.routing();
+fn sheds_streams(shared: &SharedState, service: &str) -> bool {
+    let routing = shared.routing();
     let service = routing.services.get(service);
-    service.is_some_and(|s| shedding::sheds_streams(desk, s))
+    service.is_some_and(|s| shedding::sheds_streams(shared, s))
 }
 
-fn count_result(desk: &SharedState, result: &str) {
-    desk.metrics
+fn count_result(shared: &SharedState, result: &str) {
+    shared
+        .metrics
         .reported_suspects
         .with_label_values(&[result])
         .inc();
--- a/crates/bench/src/decision.rs
+++ b/crates/bench/src/decision.rs
@@ -88,10 +88,10 @@
         FleetLoad::default(),
         Arc::from("place-0"),
     );
-    let roster = roster(model, engines);
-    let scene = SelectionContext {
+    let registry = registry(model, engines);
+    let context = SelectionContext {
         size: shape,
-        ..scene(&roster, &pipes, &shares, &place)
+        ..context(&registry, &pipes, &shares, &place)
     };
     let (all, mut rng) = (
         selection::all_layers(model.layers),
@@ -100,7 +100,7 @@
     let began = Instant::now();
     for _ in 0..CHOICES {
         black_box(selection::select_chain(
-            &scene,
+            &context,
             model,
             all,
             &[],
@@ -121,15 +121,15 @@
 
 fn level(model: &Model, engines: usize) -> f64 {
     let (pipes, place) = (WanUsage::default(), Arc::from("place-0"));
-    let roster = roster(model, engines);
+    let registry = registry(model, engines);
     let mut shares = FleetLoad::default();
-    shares.apply(Duration::from_secs(100), word(&roster));
-    let scene = scene(&roster, &pipes, &shares, &place);
+    shares.apply(Duration::from_secs(100), word(&registry));
+    let context = context(&registry, &pipes, &shares, &place);
     let own = flows();
     let (mut estimator, mut now) = (Estimator::default(), Duration::ZERO);
     let began = Instant::now();
     for _ in 0..CHOICES {
-        let pressure = Pressure::from_context(&scene, model);
+        let pressure = Pressure::from_context(&context, model);
         let flows = shares.flows(&own);
         let service = demand::key(MODEL);
         let known = Observation {
@@ -139,7 +139,7 @@
             boxes: 2.0,
             age: AGE,
             report_interval: AGE,
-            full_slowdown: pressure::full_slowdown(model, roster.iter().map(|e| &e.upstream)),
+            full_slowdown: pressure::full_slowdown(model, registry.iter().map(|e| &e.upstream)),
         };
         now += RECKON_EVERY;
         let estimate = estimator.estimate(now, &known);
@@ -151,14 +151,14 @@
 }
 
 /// What a hub tells of all other boxes.
-fn word(roster: &UpstreamRegistry) -> LoadReport {
+fn word(registry: &UpstreamRegistry) -> LoadReport {
     let busy = Usage {
         requests: 100,
         head_requests: 20,
         token_layers: 100_000,
         prefill_ms: 10,
     };
-    let mut uses: UsageList = roster
+    let mut uses: UsageList = registry
         .iter()
         .map(|e| (load_report::upstream_key(&e.upstream.id), busy))
         .collect();
@@ -192,12 +192,12 @@
     meter.traffic(Duration::ZERO)
 }
 
-fn roster(model: &Model, engines: usize) -> UpstreamRegistry {
+fn registry(model: &Model, engines: usize) -> UpstreamRegistry {
     let seats = seats(engines);
     let ranges = sorted(placement::plan(model, &seats));
-    let mut roster = UpstreamRegistry::default();
+    let mut registry = UpstreamRegistry::default();
     for (seat, range) in seats.into_iter().zip(ranges) {
-        roster.put(Upstream {
+        registry.put(Upstream {
             id: seat.id,
             started_ms: None,
             service: MODEL.into(),
@@ -210,17 +210,17 @@
             models: Vec::new(),
         });
     }
-    roster
+    registry
 }
 
-fn scene<'a>(
-    roster: &'a UpstreamRegistry,
+fn context<'a>(
+    registry: &'a UpstreamRegistry,
     pipes: &'a WanUsage,
     shares: &'a FleetLoad,
     place: &'a Arc<str>,
 ) -> SelectionContext<'a> {
     SelectionContext {
-        registry: roster,
+        registry: registry,
         wan_usage: pipes,
         fleet_load: shares,
         service: MODEL,
