--- a/crates/ashgauge/src/chain.rs
+++ b/crates/ashgauge/src/chain.rs
@@ -29,7 +29,7 @@
     pub fixed_cost: f64,
     /// Seconds that each layer costs.
     pub layer_cost: f64,
-    /// Number of the place where it stands, from 0, for [`cheapest_across`].
+    /// Number of the place where it stands, from 0, for [`cheapest_crossing_chain`].
     pub data_centre: usize,
 }
 
@@ -43,27 +43,27 @@
 /// # Example
 ///
 /// ```
-/// use ashgauge::chain::{cheapest, Edge};
+/// use ashgauge::chain::{cheapest_chain, Edge};
 ///
 /// let edge = |id: &str, first, end| Edge {
-///     upstream: id.into(), first, end, fixed: 0.001, layer: 0.01, place: 0,
+///     upstream: id.into(), first, end, fixed_cost: 0.001, layer_cost: 0.01, data_centre: 0,
 /// };
-/// let chain = cheapest(0, 4, &[edge("a", 0, 3), edge("b", 2, 4)]).unwrap();
+/// let chain = cheapest_chain(0, 4, &[edge("a", 0, 3), edge("b", 2, 4)]).unwrap();
 /// assert_eq!((chain[0].first, chain[1].end), (0, 4));
 /// assert_eq!(chain[0].end, chain[1].first);
-/// assert!(cheapest(0, 5, &[edge("a", 0, 3)]).is_none());
+/// assert!(cheapest_chain(0, 5, &[edge("a", 0, 3)]).is_none());
 /// ```
 pub fn cheapest_chain(first: Layer, end: Layer, edges: &[Edge]) -> Option<Vec<Stage>> {
     cheapest_crossing_chain(first, end, edges, |_, _| 0.0)
 }
 
-/// As [`cheapest`], with a cost in seconds for going on from one edge to
+/// As [`cheapest_chain`], with a cost in seconds for going on from one edge to
 /// another; `None` as the first stands for the start of the chain.
 ///
 /// An infinite cost forbids that way.
 ///
 /// The cost may only depend on what places the edges stand in: edges of one
-/// place must be alike to it. `place` numbers are those of [`Edge::place`].
+/// place must be alike to it. `place` numbers are those of [`Edge::data_centre`].
 /// No upstream is in the chain twice, if each has one edge; the chain is then
 /// not always the cheapest.
 pub fn cheapest_crossing_chain(
--- a/crates/ashgauge/src/claim.rs
+++ b/crates/ashgauge/src/claim.rs
@@ -243,7 +243,7 @@
         });
     }
 
-    /// Takes the answer to [`Step::Read`]; `None` if the platform gave none.
+    /// Takes the answer to [`ClaimAction::Read`]; `None` if the platform gave none.
     pub fn on_read(
         &mut self,
         now: Duration,
@@ -268,7 +268,7 @@
         self.advance(now, wall, shard)
     }
 
-    /// Takes the answer to [`Step::Write`].
+    /// Takes the answer to [`ClaimAction::Write`].
     pub fn on_written(
         &mut self,
         now: Duration,
--- a/crates/ashgauge/src/class.rs
+++ b/crates/ashgauge/src/class.rs
@@ -89,9 +89,9 @@
     /// use ashgauge::class::{Class, Ranks};
     ///
     /// let ranks = Ranks::new(&[Some(0), Some(1)], &[0, 2]);
-    /// assert!(ranks.differ());
-    /// assert_eq!(ranks.order(Class::new(Some(0), 2, false)), 2);
-    /// assert_eq!(ranks.order(Class::new(Some(1), 0, false)), 3);
+    /// assert!(ranks.routes_differ());
+    /// assert_eq!(ranks.priority(Class::new(Some(0), 2, false)), 2);
+    /// assert_eq!(ranks.priority(Class::new(Some(1), 0, false)), 3);
     /// ```
     pub fn priority(&self, class: Class) -> u32 {
         let before = self
--- a/crates/ashgauge/src/cost.rs
+++ b/crates/ashgauge/src/cost.rs
@@ -30,7 +30,7 @@
 const FULL_THRESHOLD: f64 = 0.95;
 
 /// How late the cost of an engine rises as it fills, where the data centre holds
-/// [`COPIES_SPARE`]: half full it is an eighth dearer, not twice as dear, which
+/// [`SPARE_COPIES`]: half full it is an eighth dearer, not twice as dear, which
 /// led requests to slow engines that they hold for longer.
 const SPARE_FILL_EXPONENT: i32 = 3;
 
@@ -38,7 +38,7 @@
 /// engine that is full. With fewer, room is saved from the first request on.
 const SPARE_COPIES: f64 = 2.0;
 
-/// Seconds that an engine past [`FULL`] counts for besides, more than two
+/// Seconds that an engine past [`FULL_THRESHOLD`] counts for besides, more than two
 /// changes of data centre.
 const FULL_PENALTY_SECONDS: f64 = 8.0;
 
--- a/crates/ashgauge/src/demand.rs
+++ b/crates/ashgauge/src/demand.rs
@@ -62,7 +62,7 @@
     pub teams: TeamSketch,
 }
 
-/// Words of [`Teams`].
+/// Words of [`TeamSketch`].
 const SKETCH_WORDS: usize = 8;
 
 /// How many teams there are, of which each box knows some: one bit for each of them, by
@@ -93,12 +93,12 @@
     /// # Example
     ///
     /// ```
-    /// use ashgauge::demand::{key, Teams};
+    /// use ashgauge::demand::{key, TeamSketch};
     ///
-    /// let teams = (0..100).map(|n| Teams::one(key(&format!("team-{n}"))));
-    /// let all = teams.fold(Teams::default(), Teams::and);
+    /// let teams = (0..100).map(|n| TeamSketch::single(key(&format!("team-{n}"))));
+    /// let all = teams.fold(TeamSketch::default(), TeamSketch::union);
     /// assert!((80.0..120.0).contains(&all.count()));
-    /// assert_eq!(Teams::one(7).and(Teams::one(7)).count().round(), 1.0);
+    /// assert_eq!(TeamSketch::single(7).union(TeamSketch::single(7)).count().round(), 1.0);
     /// ```
     pub fn count(self) -> f64 {
         let bits = f64::from(u64::BITS) * SKETCH_WORDS as f64;
@@ -134,12 +134,12 @@
 /// # Example
 ///
 /// ```
-/// use ashgauge::demand::work;
+/// use ashgauge::demand::relative_work;
 ///
-/// assert_eq!(work((800, 200), (800, 200)), 1.0);
-/// assert!(work((800, 400), (800, 200)) > 2.0);
-/// assert!(work((u32::MAX, u32::MAX), (800, 200)) < 10.0);
-/// assert!(work((0, 0), (0, 0)) > 0.0);
+/// assert_eq!(relative_work((800, 200), (800, 200)), 1.0);
+/// assert!(relative_work((800, 400), (800, 200)) > 2.0);
+/// assert!(relative_work((u32::MAX, u32::MAX), (800, 200)) < 10.0);
+/// assert!(relative_work((0, 0), (0, 0)) > 0.0);
 /// ```
 pub fn relative_work(
     (prompt, answer): (u32, u32),
--- a/crates/ashgauge/src/digest.rs
+++ b/crates/ashgauge/src/digest.rs
@@ -13,11 +13,11 @@
 /// # Example
 ///
 /// ```
-/// use ashgauge::digest::of;
+/// use ashgauge::digest::request_digest;
 ///
-/// let note = of("/notes/7", "payroll", b"a note");
-/// assert_eq!(note, of("/notes/7", "payroll", b"a note"));
-/// assert_ne!(note, of("/notes/7", "payroll", b"another"));
+/// let note = request_digest("/notes/7", "payroll", b"a note");
+/// assert_eq!(note, request_digest("/notes/7", "payroll", b"a note"));
+/// assert_ne!(note, request_digest("/notes/7", "payroll", b"another"));
 /// ```
 pub fn request_digest(path: &str, caller: &str, body: &[u8]) -> Digest {
     let mut hasher = Xxh3::new();
@@ -34,7 +34,7 @@
 /// # Example
 ///
 /// ```
-/// assert_eq!(ashgauge::digest::text(255), "00000000000000ff");
+/// assert_eq!(ashgauge::digest::format_digest(255), "00000000000000ff");
 /// ```
 pub fn format_digest(digest: Digest) -> String {
     format!("{digest:016x}")
--- a/crates/ashgauge/src/editor.rs
+++ b/crates/ashgauge/src/editor.rs
@@ -64,7 +64,7 @@
         self.advance(now)
     }
 
-    /// Takes the answer to [`Step::Read`].
+    /// Takes the answer to [`EditAction::Read`].
     ///
     /// An answer older than `least`, the version known to be in force, is a
     /// stale one and is asked for again: a refusal must not rest on it.
@@ -87,7 +87,7 @@
         self.advance(now)
     }
 
-    /// Takes the answer to [`Step::Write`] of `table`.
+    /// Takes the answer to [`EditAction::Write`] of `table`.
     pub fn on_written(
         &mut self,
         now: Duration,
--- a/crates/ashgauge/src/estimate.rs
+++ b/crates/ashgauge/src/estimate.rs
@@ -12,7 +12,7 @@
 use crate::demand::{COMPLETION_WINDOW, DEMAND_WINDOW, Demands};
 use crate::pressure::Pressure;
 
-/// Groups of requests that are kept, by the time at which they began. With [`COHORT_PART`]
+/// Groups of requests that are kept, by the time at which they began. With [`COHORT_SHARE`]
 /// they cover four times as long as a request stays.
 const MAX_COHORTS: usize = 80;
 
@@ -52,7 +52,7 @@
 /// refuse what does not fit.
 const MAX_UTILIZATION: f64 = 2.0;
 
-/// Use of the engines for which [`Estimate::ends`] holds.
+/// Use of the engines for which [`Estimate::completion_rate`] holds.
 const TYPICAL_UTILIZATION: f64 = 0.87;
 
 /// Part by which the boxes that count may change between two estimates; with more, the
@@ -158,19 +158,19 @@
     /// # Example
     ///
     /// ```
-    /// use ashgauge::estimate::{Estimator, Known};
+    /// use ashgauge::estimate::{Estimator, Observation};
     /// use ashgauge::pressure::Pressure;
     /// use std::time::Duration;
     ///
     /// let ms = Duration::from_millis;
-    /// let known = Known {
+    /// let known = Observation {
     ///     demands: Vec::new(),
     ///     pressure: Pressure { requests: 600.0, memory: 0.75, slots: 0.1 },
-    ///     ends: 300.0,
+    ///     completion_rate: 300.0,
     ///     boxes: 8.0,
     ///     age: ms(500),
-    ///     every: ms(100),
-    ///     growth: 0.8,
+    ///     report_interval: ms(100),
+    ///     full_slowdown: 0.8,
     /// };
     /// let mut estimator = Estimator::default();
     /// let estimate = estimator.estimate(ms(5000), &known);
--- a/crates/ashgauge/src/events.rs
+++ b/crates/ashgauge/src/events.rs
@@ -21,10 +21,10 @@
 /// # Example
 ///
 /// ```
-/// use ashgauge::events::cut;
+/// use ashgauge::events::scan_complete;
 ///
-/// let whole = cut(b"id: 1\ndata: a\n\nid: 2\ndata: b\n\nid: 3\nda");
-/// assert_eq!((whole.count, whole.first, whole.last), (2, Some(1), Some(2)));
+/// let whole = scan_complete(b"id: 1\ndata: a\n\nid: 2\ndata: b\n\nid: 3\nda");
+/// assert_eq!((whole.count, whole.first_id, whole.last_id), (2, Some(1), Some(2)));
 /// assert_eq!(whole.len, 30);
 /// ```
 pub fn scan_complete(bytes: &[u8]) -> CompleteEvents {
--- a/crates/ashgauge/src/forecast.rs
+++ b/crates/ashgauge/src/forecast.rs
@@ -50,10 +50,10 @@
     /// use std::time::Duration;
     /// use ashgauge::forecast::Forecast;
     ///
-    /// let first = Duration::from_millis(100);
-    /// let forecast = Forecast { first, ..Forecast::default() };
-    /// assert_eq!(forecast.ratio(first * 2), Some(2.0));
-    /// assert_eq!(Forecast::default().ratio(first), None);
+    /// let first_event = Duration::from_millis(100);
+    /// let forecast = Forecast { first_event, ..Forecast::default() };
+    /// assert_eq!(forecast.ratio(first_event * 2), Some(2.0));
+    /// assert_eq!(Forecast::default().ratio(first_event), None);
     /// ```
     pub fn ratio(&self, actual: Duration) -> Option<f64> {
         let is_known = !self.first_event.is_zero() && !self.is_capped();
@@ -108,11 +108,11 @@
 ///
 /// ```
 /// use std::time::Duration;
-/// use ashgauge::forecast::patience;
+/// use ashgauge::forecast::check_delay;
 ///
 /// let ms = Duration::from_millis;
-/// assert_eq!(patience(ms(20), ms(250), ms(1300)), ms(250));
-/// assert_eq!(patience(ms(400), ms(250), ms(1300)), ms(800));
+/// assert_eq!(check_delay(ms(20), ms(250), ms(1300)), ms(250));
+/// assert_eq!(check_delay(ms(400), ms(250), ms(1300)), ms(800));
 /// ```
 pub fn check_delay(first: Duration, least: Duration, most: Duration) -> Duration {
     let late = first.saturating_mul(LATE_FACTOR);
@@ -167,10 +167,10 @@
 /// use ashgauge::forecast::Calibration;
 ///
 /// let mut calibration = Calibration::default();
-/// (0..200).for_each(|_| calibration.note(2.0));
+/// (0..200).for_each(|_| calibration.record(2.0));
 /// let calibrated = calibration.apply(Duration::from_millis(100));
 /// assert!(calibrated > Duration::from_millis(199));
-/// assert!(calibration.spread() < 1.1);
+/// assert!(calibration.error_factor() < 1.1);
 /// ```
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct Calibration {
--- a/crates/ashgauge/src/freshness.rs
+++ b/crates/ashgauge/src/freshness.rs
@@ -21,11 +21,11 @@
 ///
 /// ```
 /// use std::time::Duration;
-/// use ashgauge::fresh::start_patience;
+/// use ashgauge::freshness::startup_wait;
 ///
 /// let ms = Duration::from_millis;
-/// assert_eq!(start_patience(ms(200)), ms(1300));
-/// assert_eq!(start_patience(ms(4000)), Duration::ZERO);
+/// assert_eq!(startup_wait(ms(200)), ms(1300));
+/// assert_eq!(startup_wait(ms(4000)), Duration::ZERO);
 /// ```
 pub fn startup_wait(uptime: Duration) -> Duration {
     STARTUP_GRACE.saturating_sub(uptime)
@@ -41,14 +41,14 @@
 ///
 /// ```
 /// use std::time::Duration;
-/// use ashgauge::fresh::Freshness;
+/// use ashgauge::freshness::Freshness;
 ///
 /// let second = Duration::from_secs(1);
 /// let mut fresh = Freshness::new(second * 3);
-/// assert!(!fresh.holds(second));
+/// assert!(!fresh.is_fresh(second));
 /// fresh.confirm(second);
-/// assert!(fresh.holds(second * 4));
-/// assert!(!fresh.holds(second * 4 + Duration::from_millis(1)));
+/// assert!(fresh.is_fresh(second * 4));
+/// assert!(!fresh.is_fresh(second * 4 + Duration::from_millis(1)));
 /// ```
 #[derive(Clone, Copy, Debug)]
 pub struct Freshness {
@@ -94,13 +94,13 @@
 /// # Example
 ///
 /// ```
-/// use ashgauge::fresh::Ledger;
+/// use ashgauge::freshness::RevisionTracker;
 ///
-/// let mut ledger = Ledger::default();
-/// ledger.read_all(10);
-/// ledger.add(12);
+/// let mut ledger = RevisionTracker::default();
+/// ledger.mark_read_to(10);
+/// ledger.mark_read(12);
 /// assert!(!ledger.covers(12));
-/// ledger.add(11);
+/// ledger.mark_read(11);
 /// assert!(ledger.covers(12));
 /// ```
 #[derive(Clone, Debug, Default)]
--- a/crates/ashgauge/src/hub.rs
+++ b/crates/ashgauge/src/hub.rs
@@ -75,9 +75,9 @@
 /// use ashgauge::hub::{role, Role};
 /// use ashgauge::reader::Readers;
 ///
-/// let readers = Readers { all: vec!["b1".into()], sources: vec!["b1".into()], ..Default::default() };
-/// assert_eq!(role(7, &readers), Role::Peer);
-/// assert_eq!(role(985, &readers), Role::Leaf("b1".into()));
+/// let reader_count = Readers { ids: vec!["b1".into()], sources: vec!["b1".into()], ..Default::default() };
+/// assert_eq!(role(7, &reader_count), Role::Peer);
+/// assert_eq!(role(985, &reader_count), Role::Leaf("b1".into()));
 /// ```
 pub fn role(boxes: usize, readers: &Readers) -> Role {
     if is_full_mesh(boxes) || readers.ids.is_empty() {
--- a/crates/ashgauge/src/lease.rs
+++ b/crates/ashgauge/src/lease.rs
@@ -109,7 +109,7 @@
         Some(LeaseAction::Write(*version, empty))
     }
 
-    /// Takes the answer to [`Step::Read`]; `None` if there was none.
+    /// Takes the answer to [`LeaseAction::Read`]; `None` if there was none.
     pub fn on_read(&mut self, now: Duration, answer: Option<(Version, StoredLease)>) {
         self.sent_at = None;
         self.next_call = now + self.ttl / 4;
@@ -126,7 +126,7 @@
         }
     }
 
-    /// Takes the answer to [`Step::Write`].
+    /// Takes the answer to [`LeaseAction::Write`].
     pub fn on_written(&mut self, now: Duration, result: WriteResult) {
         let asked = self.sent_at.take();
         let writing = self.pending.take();
--- a/crates/ashgauge/src/level.rs
+++ b/crates/ashgauge/src/level.rs
@@ -47,14 +47,14 @@
 /// # Example
 ///
 /// ```
-/// use ashgauge::level::allowed;
+/// use ashgauge::level::allowed_rate;
 /// use ashgauge::pressure::Pressure;
 ///
 /// let pressure = |memory| Pressure { requests: 600.0, memory, slots: 0.1 };
-/// assert_eq!(allowed(&pressure(0.4), 300.0), f64::INFINITY);
+/// assert_eq!(allowed_rate(&pressure(0.4), 300.0), f64::INFINITY);
 /// // There is room left: more may begin than end.
-/// assert!(allowed(&pressure(0.6), 300.0) > 500.0);
-/// assert!(allowed(&pressure(1.0), 300.0) < 300.0);
+/// assert!(allowed_rate(&pressure(0.6), 300.0) > 500.0);
+/// assert!(allowed_rate(&pressure(1.0), 300.0) < 300.0);
 /// ```
 pub fn allowed_rate(pressure: &Pressure, ends: f64) -> f64 {
     let used = pressure.max_share();
@@ -75,13 +75,13 @@
 /// # Example
 ///
 /// ```
-/// use ashgauge::level::back_after;
+/// use ashgauge::level::retry_after;
 /// use std::time::Duration;
 ///
 /// let ms = Duration::from_millis;
-/// assert!(back_after(ms(20_000), 0.0) >= ms(3000));
-/// assert!(back_after(ms(20_000), 1.0) < ms(6667));
-/// assert!(back_after(ms(300), 1.0) < ms(100));
+/// assert!(retry_after(ms(20_000), 0.0) >= ms(3000));
+/// assert!(retry_after(ms(20_000), 1.0) < ms(6667));
+/// assert!(retry_after(ms(300), 1.0) < ms(100));
 /// ```
 pub fn retry_after(patience: Duration, draw: f64) -> Duration {
     let (least, most) = RETRY_AFTER_RANGE;
--- a/crates/ashgauge/src/lib.rs
+++ b/crates/ashgauge/src/lib.rs
@@ -22,13 +22,13 @@
 //! layers:
 //!
 //! ```
-//! use ashgauge::chain::{cheapest, Edge};
+//! use ashgauge::chain::{cheapest_chain, Edge};
 //!
-//! let edge = |id: &str, first, end, layer| Edge {
-//!     upstream: id.into(), first, end, fixed: 0.0, layer, place: 0,
+//! let edge = |id: &str, first, end, layer_cost| Edge {
+//!     upstream: id.into(), first, end, fixed_cost: 0.0, layer_cost, data_centre: 0,
 //! };
 //! let edges = [edge("slow", 0, 8, 0.02), edge("fast", 0, 4, 0.01), edge("rest", 4, 8, 0.01)];
-//! let chain = cheapest(0, 8, &edges).unwrap();
+//! let chain = cheapest_chain(0, 8, &edges).unwrap();
 //! assert_eq!(chain.len(), 2);
 //! ```
 //!
@@ -36,17 +36,17 @@
 //!   and its edits.
 //! - [`queue`], [`limit`], [`retry`]: order, limits shared by the fleet, retry
 //!   budget.
-//! - [`chain`], [`load`]: which stages serve a request, and what was learned.
+//! - [`chain`], [`upstream_stats`]: which stages serve a request, and what was learned.
 //! - [`claim`], [`lease`], [`order`]: at most once, one doer, fenced orders.
 //! - [`ident`], [`member`], [`message`]: boxes and upstreams, and what boxes tell each
 //!   other.
 //! - [`clock`], [`record`]: the time line.
-//! - [`routing`], [`roster`], [`share`], [`hub`], [`scene`]: what a box knows of services,
+//! - [`routing`], [`registry`], [`load_report`], [`hub`], [`context`]: what a box knows of services,
 //!   upstreams and other boxes.
-//! - [`choice`], [`cost`], [`shape`], [`pipes`], [`slack`], [`admission`], [`stay`]: where a
+//! - [`selection`], [`cost`], [`request_size`], [`wan`], [`slack`], [`admission`], [`request_duration`]: where a
 //!   request goes, and whether there is room for it.
-//! - [`placement`], [`rate`], [`pending`]: which engines hold which layers.
-//! - [`handoff`], [`digest`], [`quarantine`], [`events`], [`fresh`], [`suspension`]: what
+//! - [`placement`], [`throughput`], [`pending`]: which engines hold which layers.
+//! - [`attempts`], [`digest`], [`quarantine`], [`events`], [`freshness`], [`suspension`]: what
 //!   a box owes a request that it hands on whole.
 //! - [`class`], [`demand`], [`pressure`], [`estimate`], [`level`], [`report`]: who is let in
 //!   where callers ask for more than engines can do in time.
@@ -55,7 +55,7 @@
 //! - [`recovery`]: how much is done for streams that are held up.
 //! - [`suspicion`]: what boxes tell each other of engines that accept no connections.
 //! - [`permit`]: limits that upstreams name for all boxes together, and who may send.
-//! - [`mirror`], [`revision`], [`reader`], [`question`], [`asker`]: a store that few boxes
+//! - [`mirror`], [`revision`], [`reader`], [`query`], [`poller`]: a store that few boxes
 //!   read and all know, also where it comes back from a copy.
 
 #![warn(missing_docs)]
--- a/crates/ashgauge/src/limit.rs
+++ b/crates/ashgauge/src/limit.rs
@@ -15,7 +15,7 @@
 /// How long a loan is valid, counted by its borrower from before it asked.
 pub const LOAN_TTL: Duration = Duration::from_secs(2);
 
-/// Allowance on top of [`LOAN_TIME`] for clocks that run at other speeds.
+/// Allowance on top of [`LOAN_TTL`] for clocks that run at other speeds.
 const CLOCK_MARGIN: Duration = Duration::from_millis(200);
 
 /// Time between two asks of one team.
--- a/crates/ashgauge/src/load_report.rs
+++ b/crates/ashgauge/src/load_report.rs
@@ -160,10 +160,10 @@
 /// # Example
 ///
 /// ```
-/// use ashgauge::share::tell_times;
+/// use ashgauge::load_report::report_intervals;
 /// use std::time::Duration;
 ///
-/// let (near, far) = tell_times(1, 5);
+/// let (near, far) = report_intervals(1, 5);
 /// assert_eq!((near, far), (Duration::from_millis(100), Duration::from_millis(100)));
 /// ```
 pub fn report_intervals(near: usize, others: usize) -> (Duration, Duration) {
--- a/crates/ashgauge/src/message.rs
+++ b/crates/ashgauge/src/message.rs
@@ -64,7 +64,7 @@
         /// Unique name of the claim.
         id: ClaimId,
     },
-    /// Answers [`Message::AskClaim`].
+    /// Answers [`Message::RequestClaim`].
     #[serde(rename = "tell_claim")]
     ClaimReply {
         /// Unique name of the claim.
--- a/crates/ashgauge/src/mirror.rs
+++ b/crates/ashgauge/src/mirror.rs
@@ -8,7 +8,7 @@
 //! A store that has come back from a copy holds an earlier state until what it lost is
 //! written again. Nothing goes back to that: an upstream that leaves goes on leaving, and
 //! an entry that was removed stays so until it is written again, or until
-//! [`Mirror::settle`] believes the store.
+//! [`Mirror::accept_restored`] believes the store.
 
 use std::collections::{BTreeMap, HashMap, HashSet};
 
@@ -69,16 +69,16 @@
 /// # Example
 ///
 /// ```
-/// use ashgauge::mirror::{Mirror, What};
+/// use ashgauge::mirror::{Mirror, ChangeKind};
 ///
 /// let mut reader = Mirror::default();
 /// reader.set_config(7, b"routes".to_vec());
-/// reader.replace(9, Vec::new());
-/// reader.read_all(9);
+/// reader.replace_all(9, Vec::new());
+/// reader.mark_read_to(9);
 ///
 /// let mut other = Mirror::default();
-/// let news = other.take(reader.update(other.covered(), true));
-/// assert_eq!(news[0].what, What::Config(b"routes".to_vec()));
+/// let news = other.apply(reader.update(other.covered(), true));
+/// assert_eq!(news[0].kind, ChangeKind::Config(b"routes".to_vec()));
 /// assert_eq!(other.covered(), 9);
 /// ```
 #[derive(Clone, Debug, Default)]
--- a/crates/ashgauge/src/node/types.rs
+++ b/crates/ashgauge/src/node/types.rs
@@ -107,7 +107,7 @@
     pub rebuild: u32,
 }
 
-/// A stage's answer to a [`Run`].
+/// A stage's answer to a [`StageRun`].
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub struct StageResult {
     /// The request.
@@ -265,20 +265,20 @@
 pub enum ObjectKey {
     /// The table; see [`Table`].
     Table,
-    /// A shard of claims; see [`Entries`].
+    /// A shard of claims; see [`StoredShard`].
     Claims(u32),
     /// A lease; see [`lease::Stored`].
     Lease,
 }
 
-/// A typed value of an [`Object`].
+/// A typed value of an [`ObjectKey`].
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub enum ObjectValue {
-    /// Of [`Object::Table`].
+    /// Of [`ObjectKey::Table`].
     Table(Arc<Table>),
-    /// Of [`Object::Claims`].
+    /// Of [`ObjectKey::ClaimSettings`].
     Claims(StoredShard),
-    /// Of [`Object::Lease`].
+    /// Of [`ObjectKey::Lease`].
     Lease(lease::StoredLease),
 }
 
--- a/crates/ashgauge/src/notice.rs
+++ b/crates/ashgauge/src/notice.rs
@@ -17,14 +17,14 @@
 /// # Example
 ///
 /// ```
-/// use ashgauge::notice::Notice;
+/// use ashgauge::notice::UpstreamNotice;
 /// use std::time::Duration;
 ///
 /// let second = Duration::from_secs(1);
-/// let mut notice = Notice::default();
-/// notice.note_rest(second, second * 3);
-/// assert_eq!(notice.rest(second * 2), Some(second * 2));
-/// assert_eq!(notice.rest(second * 4), None);
+/// let mut notice = UpstreamNotice::default();
+/// notice.extend_backoff(second, second * 3);
+/// assert_eq!(notice.backoff(second * 2), Some(second * 2));
+/// assert_eq!(notice.backoff(second * 4), None);
 /// ```
 #[derive(Clone, Copy, Debug, Default, PartialEq)]
 pub struct UpstreamNotice {
--- a/crates/ashgauge/src/pending.rs
+++ b/crates/ashgauge/src/pending.rs
@@ -31,18 +31,18 @@
 ///
 /// ```
 /// use std::time::Duration;
-/// use ashgauge::pending::Pending;
+/// use ashgauge::pending::PendingAssignments;
 /// use ashgauge::placement::Assignment;
-/// use ashgauge::upstream::Span;
+/// use ashgauge::upstream::LayerRange;
 ///
 /// let second = Duration::from_secs(1);
-/// let range = Assignment { id: "e1".into(), span: Span { first: 0, end: 4 } };
-/// let (mut here, mut there) = (Pending::default(), Pending::default());
-/// here.order(Duration::ZERO, &[range], second * 5);
-/// there.hear(second * 2, &here.tell(second * 2));
-/// assert!(there.span("e1").is_some());
+/// let assignment = Assignment { id: "e1".into(), layers: LayerRange { first: 0, end: 4 } };
+/// let (mut here, mut there) = (PendingAssignments::default(), PendingAssignments::default());
+/// here.add(Duration::ZERO, &[assignment], second * 5);
+/// there.merge(second * 2, &here.snapshot(second * 2));
+/// assert!(there.layers("e1").is_some());
 /// there.expire(second * 5);
-/// assert!(there.span("e1").is_none());
+/// assert!(there.layers("e1").is_none());
 /// ```
 #[derive(Clone, Debug, Default)]
 pub struct PendingAssignments(HashMap<UpstreamId, (LayerRange, Duration)>);
@@ -102,15 +102,15 @@
 /// # Example
 ///
 /// ```
-/// use ashgauge::pending::Rounds;
+/// use ashgauge::pending::OrderRounds;
 ///
-/// let mut rounds = Rounds::default();
-/// assert!(rounds.lacks(&"model".into(), 0, 5));
-/// rounds.note("model".into(), 0, 5);
-/// assert!(!rounds.lacks(&"model".into(), 0, 5));
-/// // Round 3 of the next era is news, but no order that was not given.
-/// assert!(rounds.lacks(&"model".into(), 1, 3));
-/// assert!(!rounds.lacks_orders(&"model".into(), 1, 3));
+/// let mut rounds = OrderRounds::default();
+/// assert!(rounds.is_newer(&"model".into(), 0, 5));
+/// rounds.record("model".into(), 0, 5);
+/// assert!(!rounds.is_newer(&"model".into(), 0, 5));
+/// // Round 3 of the next era is news, but no add that was not given.
+/// assert!(rounds.is_newer(&"model".into(), 1, 3));
+/// assert!(!rounds.may_be_unsent(&"model".into(), 1, 3));
 /// ```
 #[derive(Clone, Debug, Default)]
 pub struct OrderRounds(HashMap<ServiceId, (Era, u64)>);
--- a/crates/ashgauge/src/permit/grants.rs
+++ b/crates/ashgauge/src/permit/grants.rs
@@ -75,15 +75,15 @@
 /// # Example
 ///
 /// ```
-/// use ashgauge::permit::{Grants, Place, Told};
+/// use ashgauge::permit::{PermitBuckets, IssuerRank, LimitReport};
 /// use std::time::Duration;
 ///
 /// let second = Duration::from_secs(1);
-/// let told = Told { key: 1, rate: Some(2.0), since_ms: 60_000, age_ms: 0 };
-/// let mut grants = Grants::default();
+/// let limit = LimitReport { key: 1, rate: Some(2.0), since_ms: 60_000, age_ms: 0 };
+/// let mut grants = PermitBuckets::default();
 /// let half = Duration::from_millis(500);
-/// assert_eq!(grants.take(second, &told, 2.0, Place::First), Ok(()));
-/// assert_eq!(grants.take(second, &told, 2.0, Place::First), Err(half));
+/// assert_eq!(grants.withdraw(second, &limit, 2.0, IssuerRank::Primary), Ok(()));
+/// assert_eq!(grants.withdraw(second, &limit, 2.0, IssuerRank::Primary), Err(half));
 /// ```
 #[derive(Clone, Debug, Default)]
 pub struct PermitBuckets {
--- a/crates/ashgauge/src/permit/limits.rs
+++ b/crates/ashgauge/src/permit/limits.rs
@@ -66,16 +66,16 @@
 /// # Example
 ///
 /// ```
-/// use ashgauge::permit::Limits;
+/// use ashgauge::permit::UpstreamLimits;
 /// use std::time::Duration;
 ///
 /// let ms = Duration::from_millis;
-/// let mut limits = Limits::default();
-/// assert!(limits.note(ms(100), "e1", ms(50), Some(6.3)));
+/// let mut limits = UpstreamLimits::default();
+/// assert!(limits.record(ms(100), "e1", ms(50), Some(6.3)));
 /// // This answer may have been made before the limit was named.
-/// assert!(!limits.note(ms(120), "e1", ms(90), None));
+/// assert!(!limits.record(ms(120), "e1", ms(90), None));
 /// assert_eq!(limits.rate("e1"), Some(6.3));
-/// assert!(limits.note(ms(300), "e1", ms(200), None));
+/// assert!(limits.record(ms(300), "e1", ms(200), None));
 /// assert_eq!(limits.rate("e1"), None);
 /// ```
 #[derive(Clone, Debug, Default)]
--- a/crates/ashgauge/src/permit/mod.rs
+++ b/crates/ashgauge/src/permit/mod.rs
@@ -80,7 +80,7 @@
 
 /// Who decides on a permit that the box `own` needs at `now`, among so many `boxes`.
 ///
-/// `order` is that of [`givers`], `silent` the box that has just not answered; `hears`
+/// `order` is that of [`issuer_order`], `silent` the box that has just not answered; `hears`
 /// tells whether another box is there.
 pub fn choose_issuer(
     now: Duration,
@@ -121,14 +121,14 @@
 /// # Example
 ///
 /// ```
-/// use ashgauge::permit::givers;
+/// use ashgauge::permit::issuer_order;
 ///
 /// let boxes = ["b1".into(), "b2".into(), "b3".into()];
-/// let all = givers(7, &boxes);
+/// let all = issuer_order(7, &boxes);
 /// assert_eq!(all.len(), 3);
 /// // Without the first one the others stay in order.
 /// let rest: Vec<_> = boxes.into_iter().filter(|b| *b != all[0]).collect();
-/// assert_eq!(givers(7, &rest), all[1..]);
+/// assert_eq!(issuer_order(7, &rest), all[1..]);
 /// ```
 pub fn issuer_order(key: UpstreamKey, boxes: &[BoxId]) -> Vec<BoxId> {
     let mut ordered = boxes.to_vec();
--- a/crates/ashgauge/src/permit/schedule.rs
+++ b/crates/ashgauge/src/permit/schedule.rs
@@ -16,13 +16,13 @@
 /// # Example
 ///
 /// ```
-/// use ashgauge::permit::Schedule;
+/// use ashgauge::permit::RetrySchedule;
 /// use std::time::Duration;
 ///
 /// let second = Duration::from_secs(1);
-/// let mut schedule = Schedule::default();
-/// assert_eq!(schedule.next(second, &"notes".into(), second, 2.0), second * 3 / 2);
-/// assert_eq!(schedule.next(second, &"notes".into(), second, 2.0), second * 2);
+/// let mut schedule = RetrySchedule::default();
+/// assert_eq!(schedule.retry_after(second, &"notes".into(), second, 2.0), second * 3 / 2);
+/// assert_eq!(schedule.retry_after(second, &"notes".into(), second, 2.0), second * 2);
 /// ```
 #[derive(Clone, Debug, Default)]
 pub struct RetrySchedule {
--- a/crates/ashgauge/src/permit/skipped.rs
+++ b/crates/ashgauge/src/permit/skipped.rs
@@ -21,16 +21,16 @@
 /// # Example
 ///
 /// ```
-/// use ashgauge::permit::Passed;
+/// use ashgauge::permit::SkippedBoxes;
 /// use std::time::Duration;
 ///
 /// let second = Duration::from_secs(1);
-/// let mut passed = Passed::default();
-/// passed.miss(second, &"b1".into());
-/// assert!(!passed.holds(second, "b1"));
-/// passed.miss(second, &"b1".into());
-/// assert!(passed.holds(second, "b1"));
-/// assert!(!passed.holds(second * 2, "b1"));
+/// let mut passed = SkippedBoxes::default();
+/// passed.record_miss(second, &"b1".into());
+/// assert!(!passed.is_skipped(second, "b1"));
+/// passed.record_miss(second, &"b1".into());
+/// assert!(passed.is_skipped(second, "b1"));
+/// assert!(!passed.is_skipped(second * 2, "b1"));
 /// ```
 #[derive(Clone, Debug, Default)]
 pub struct SkippedBoxes {
--- a/crates/ashgauge/src/placement.rs
+++ b/crates/ashgauge/src/placement.rs
@@ -116,7 +116,7 @@
 /// the one engine, if any, that is much more useful elsewhere.
 ///
 /// The same seats bring the same ranges, in whatever order they are given.
-/// No engine gets more layers than [`capacity`] allows.
+/// No engine gets more layers than [`layer_capacity`] allows.
 pub fn plan(model: &Model, seats: &[PlacedEngine]) -> Vec<Assignment> {
     let mut board = PlacementState::new(model, seats);
     let mut out = Vec::new();
@@ -144,12 +144,12 @@
 /// # Example
 ///
 /// ```
-/// use ashgauge::placement::is_whole;
-/// use ashgauge::upstream::Span;
+/// use ashgauge::placement::covers_model;
+/// use ashgauge::upstream::LayerRange;
 ///
-/// let spans = [Span { first: 0, end: 3 }, Span { first: 2, end: 4 }];
-/// assert!(is_whole(4, spans.into_iter()));
-/// assert!(!is_whole(5, spans.into_iter()));
+/// let spans = [LayerRange { first: 0, end: 3 }, LayerRange { first: 2, end: 4 }];
+/// assert!(covers_model(4, spans.into_iter()));
+/// assert!(!covers_model(5, spans.into_iter()));
 /// ```
 pub fn covers_model(layers: Layer, spans: impl Iterator<Item = LayerRange>) -> bool {
     let mut spans: Vec<LayerRange> = spans.collect();
@@ -446,7 +446,7 @@
 }
 
 /// The share of memory for weights at which a data centre carries most, if it
-/// holds [`COPIES`] of the model; `copies` gives how many it holds.
+/// holds [`TARGET_COPIES`] of the model; `copies` gives how many it holds.
 fn best_weight_share(
     model: &Model,
     seats: &[PlacedEngine],
--- a/crates/ashgauge/src/poller.rs
+++ b/crates/ashgauge/src/poller.rs
@@ -78,20 +78,20 @@
 ///
 /// ```
 /// use std::time::Duration;
-/// use ashgauge::asker::{Asker, Pace, Step};
+/// use ashgauge::poller::{Poller, PollTiming, PollAction};
 /// use rand::SeedableRng;
 ///
 /// let ms = Duration::from_millis;
-/// let pace = Pace { every: ms(1000), answer: ms(150), fetch: ms(1000), stale: ms(1800) };
-/// let mut asker = Asker::default();
+/// let pace = PollTiming { interval: ms(1000), answer_timeout: ms(150), fetch_timeout: ms(1000), max_age: ms(1800) };
+/// let mut asker = Poller::default();
 /// let sources = || vec!["b1".into(), "b2".into()];
 /// let mut rng = rand::rngs::SmallRng::seed_from_u64(1);
-/// let step = asker.step(ms(0), &pace, sources, &mut rng);
-/// assert!(matches!(step, Step::Ask { to, .. } if &*to == "b1"));
-/// // It is silent, so the next one is asked.
-/// let step = asker.step(ms(150), &pace, sources, &mut rng);
-/// assert!(matches!(step, Step::Ask { to, .. } if &*to == "b2"));
-/// assert!(asker.silences.holds(ms(150), "b1"));
+/// let next_action = asker.next_action(ms(0), &pace, sources, &mut rng);
+/// assert!(matches!(next_action, PollAction::Query { to, .. } if &*to == "b1"));
+/// // It is silent, so the next_round one is asked.
+/// let next_action = asker.next_action(ms(150), &pace, sources, &mut rng);
+/// assert!(matches!(next_action, PollAction::Query { to, .. } if &*to == "b2"));
+/// assert!(asker.backoffs.is_backed_off(ms(150), "b1"));
 /// ```
 #[derive(Debug, Default)]
 pub struct Poller {
--- a/crates/ashgauge/src/progress.rs
+++ b/crates/ashgauge/src/progress.rs
@@ -10,9 +10,9 @@
 /// use ashgauge::progress::Progress;
 /// use std::time::Duration;
 ///
-/// // 20 of 40 events are left, at 25 ms each.
-/// let progress = Progress { answer: 200, events: 20, pause: 0.025 };
-/// assert_eq!(progress.left(5), Duration::from_millis(500));
+/// // 20 of 40 events are time_left, at 25 ms each.
+/// let progress = Progress { answer_tokens: 200, events: 20, event_gap: 0.025 };
+/// assert_eq!(progress.time_left(5), Duration::from_millis(500));
 /// assert!(progress.ends_within(5, Duration::from_secs(3)));
 /// ```
 #[derive(Clone, Copy, Debug, PartialEq)]
--- a/crates/ashgauge/src/quarantine.rs
+++ b/crates/ashgauge/src/quarantine.rs
@@ -90,13 +90,13 @@
 ///
 /// ```
 /// use std::time::Duration;
-/// use ashgauge::quarantine::{start_key, Lost, Quarantine};
+/// use ashgauge::quarantine::{instance_key, InstanceLoss, Quarantine};
 ///
 /// let now = Duration::from_secs(1);
 /// let mut quarantine = Quarantine::default();
 /// for engine in ["e1", "e2", "e3"] {
 ///     assert!(quarantine.time_left(now, 7).is_none());
-///     quarantine.note(now, Lost { digest: 7, start: start_key(engine, None) });
+///     quarantine.record_loss(now, InstanceLoss { digest: 7, instance: instance_key(engine, None) });
 /// }
 /// assert!(quarantine.time_left(now, 7).is_some());
 /// ```
@@ -168,14 +168,14 @@
     /// # Example
     ///
     /// ```
-    /// use ashgauge::quarantine::{start_key, Lost, Quarantine};
+    /// use ashgauge::quarantine::{instance_key, InstanceLoss, Quarantine};
     ///
-    /// let lost = ["a", "b", "c"].map(|id| Lost { digest: 7, start: start_key(id, None) });
+    /// let lost = ["a", "b", "c"].map(|id| InstanceLoss { digest: 7, instance: instance_key(id, None) });
     /// let mut quarantine = Quarantine::default();
     /// lost.iter().for_each(|lost| quarantine.begin_check(*lost));
-    /// assert!(quarantine.is_in_doubt(7) && !quarantine.is_in_doubt(8));
+    /// assert!(quarantine.may_be_quarantined(7) && !quarantine.may_be_quarantined(8));
     /// quarantine.end_check(lost[0]);
-    /// assert!(!quarantine.is_in_doubt(7));
+    /// assert!(!quarantine.may_be_quarantined(7));
     /// ```
     pub fn may_be_quarantined(&self, digest: Digest) -> bool {
         let found = self.suspects.get(&digest);
--- a/crates/ashgauge/src/query.rs
+++ b/crates/ashgauge/src/query.rs
@@ -41,7 +41,7 @@
     /// Whether it may.
     Permit(permit::PermitReply),
     /// Engines that accept no connections, as the box with this name found or was told; at
-    /// most [`crate::suspicion::SUSPECTS_TOLD`].
+    /// most [`crate::suspicion::MAX_SUSPECTS_SENT`].
     Suspects(BoxId, Vec<InstanceKey>),
 }
 
--- a/crates/ashgauge/src/reader.rs
+++ b/crates/ashgauge/src/reader.rs
@@ -4,7 +4,7 @@
 //! highest random weights, among the boxes that answer, spread over the data
 //! centres. Nothing is agreed on. Two views of who reads
 //! cost calls of the store, never safety, since what a box may believe rests on
-//! the answers that it gets ([`crate::question`]), whoever gave them.
+//! the answers that it gets ([`crate::query`]), whoever gave them.
 
 use std::cmp::Reverse;
 use std::collections::{HashMap, HashSet};
@@ -122,9 +122,9 @@
 /// # Example
 ///
 /// ```
-/// use ashgauge::reader::listing;
+/// use ashgauge::reader::listing_key;
 ///
-/// assert!(listing(1000, "z") < listing(20, "a"));
+/// assert!(listing_key(1000, "z") < listing_key(20, "a"));
 /// ```
 pub fn listing_key(link: u32, id: &str) -> String {
     let slowness = MAX_LINK_MBPS - link.min(MAX_LINK_MBPS);
@@ -138,11 +138,11 @@
 /// # Example
 ///
 /// ```
-/// use ashgauge::reader::count;
+/// use ashgauge::reader::reader_count;
 ///
-/// assert_eq!(count(295, 3, std::iter::repeat(20)), 10);
-/// assert_eq!(count(295, 3, std::iter::repeat(1000)), 3);
-/// assert_eq!(count(1, 1, std::iter::repeat(20)), 1);
+/// assert_eq!(reader_count(295, 3, std::iter::repeat(20)), 10);
+/// assert_eq!(reader_count(295, 3, std::iter::repeat(1000)), 3);
+/// assert_eq!(reader_count(1, 1, std::iter::repeat(20)), 1);
 /// ```
 pub fn reader_count(boxes: usize, places: usize, links: impl Iterator<Item = u32>) -> usize {
     // One in each data centre that is worth it, so that most need not ask far away.
@@ -172,13 +172,13 @@
 ///
 /// ```
 /// use std::time::Duration;
-/// use ashgauge::reader::{choose, Fleet, Member, Silences};
+/// use ashgauge::reader::{choose, Fleet, Member, Backoffs};
 ///
-/// let member = |id: &str| Member { id: id.into(), place: "a".into(), link: 0 };
+/// let member = |id: &str| Member { id: id.into(), data_centre: "a".into(), link_mbps: 0 };
 /// let candidates = vec![member("b1"), member("b2"), member("b3")];
-/// let fleet = Fleet { candidates, boxes: 3, readers: Some(1) };
-/// let choose = |me: &Member| choose(me, &fleet, &Silences::default(), Duration::ZERO);
-/// let readers: Vec<_> = fleet.candidates.iter().filter(|m| choose(m).is_own).collect();
+/// let fleet = Fleet { candidates, box_count: 3, reader_count: Some(1) };
+/// let choose = |me: &Member| choose(me, &fleet, &Backoffs::default(), Duration::ZERO);
+/// let readers: Vec<_> = fleet.candidates.iter().filter(|m| choose(m).includes_self).collect();
 /// assert_eq!(readers.len(), 1);
 /// ```
 pub fn choose(me: &Member, fleet: &Fleet, silences: &Backoffs, now: Duration) -> Readers {
--- a/crates/ashgauge/src/recovery.rs
+++ b/crates/ashgauge/src/recovery.rs
@@ -28,7 +28,7 @@
 /// Time over which requests are counted.
 const RATE_WINDOW: Duration = Duration::from_secs(1);
 
-/// Time of earnings that may be saved. With [`PRESSURE_TIME`] it makes the second after
+/// Time of earnings that may be saved. With [`PRESSURE_TTL`] it makes the second after
 /// which an account is full once the load has gone.
 const BURST_TIME: Duration = Duration::from_millis(600);
 
@@ -72,14 +72,14 @@
 ///
 /// ```
 /// use std::time::Duration;
-/// use ashgauge::recovery::{Account, Use};
+/// use ashgauge::recovery::{RecoveryBudget, RecoveryAction};
 ///
 /// let now = Duration::from_secs(60);
-/// let mut account = Account::default();
+/// let mut account = RecoveryBudget::default();
 /// account.set_pressure(now, 1.0);
-/// assert!(account.take(now, Use::Check));
-/// assert!(!account.take(now, Use::Check));
-/// assert!(account.take(now, Use::Repair));
+/// assert!(account.withdraw(now, RecoveryAction::Check));
+/// assert!(!account.withdraw(now, RecoveryAction::Check));
+/// assert!(account.withdraw(now, RecoveryAction::Repair));
 /// ```
 #[derive(Clone, Debug)]
 pub struct RecoveryBudget {
@@ -207,13 +207,13 @@
 ///
 /// ```
 /// use std::time::Duration;
-/// use ashgauge::recovery::goes_anyway;
+/// use ashgauge::recovery::stops_waiting;
 ///
 /// let ms = Duration::from_millis;
-/// // One in twenty goes at this look.
-/// assert!(goes_anyway(ms(1000), ms(50), 0.04));
-/// assert!(!goes_anyway(ms(1000), ms(50), 0.06));
-/// assert!(goes_anyway(ms(0), ms(50), 0.99));
+/// // One in twenty goes updated this look.
+/// assert!(stops_waiting(ms(1000), ms(50), 0.04));
+/// assert!(!stops_waiting(ms(1000), ms(50), 0.06));
+/// assert!(stops_waiting(ms(0), ms(50), 0.99));
 /// ```
 pub fn stops_waiting(left: Duration, every: Duration, draw: f64) -> bool {
     left.mul_f64(draw.clamp(0.0, 1.0)) <= every
--- a/crates/ashgauge/src/report.rs
+++ b/crates/ashgauge/src/report.rs
@@ -36,13 +36,13 @@
     ///
     /// ```
     /// use ashgauge::pressure::Pressure;
-    /// use ashgauge::report::Basis;
+    /// use ashgauge::report::LevelInputs;
     /// use std::time::Duration;
     ///
     /// let age = Duration::from_millis(100);
-    /// let basis = Basis::new(&Vec::new(), Pressure::default(), 0.0, age, 0);
-    /// assert_eq!(basis.asked(), 0.0);
-    /// assert_eq!(basis.allowed, f64::INFINITY);
+    /// let basis = LevelInputs::new(&Vec::new(), Pressure::default(), 0.0, age, 0);
+    /// assert_eq!(basis.demand_rate(), 0.0);
+    /// assert_eq!(basis.allowed_rate, f64::INFINITY);
     /// ```
     pub fn new(
         demands: &Demands,
@@ -107,13 +107,13 @@
     /// ```
     /// use std::time::Duration;
     /// use ashgauge::class::Class;
-    /// use ashgauge::report::{Change, Report};
+    /// use ashgauge::report::{LevelChange, ChangeReporter};
     ///
-    /// let (mut report, class) = (Report::default(), Class::default());
+    /// let (mut report, class) = (ChangeReporter::default(), Class::default());
     /// let second = Duration::from_secs(1);
-    /// assert_eq!(report.change(second, Some(class)), Some(Change::Began));
+    /// assert_eq!(report.change(second, Some(class)), Some(LevelChange::Started));
     /// assert_eq!(report.change(second, None), None);
-    /// assert_eq!(report.change(second * 2, None), Some(Change::Ended(second)));
+    /// assert_eq!(report.change(second * 2, None), Some(LevelChange::Ended(second)));
     /// ```
     pub fn change(&mut self, now: Duration, class: Option<Class>) -> Option<LevelChange> {
         let is_early = self
--- a/crates/ashgauge/src/request_duration.rs
+++ b/crates/ashgauge/src/request_duration.rs
@@ -15,11 +15,11 @@
 ///
 /// ```
 /// use std::time::Duration;
-/// use ashgauge::stay::Stay;
+/// use ashgauge::request_duration::RequestDuration;
 ///
-/// let mut stay = Stay::default();
+/// let mut stay = RequestDuration::default();
 /// assert_eq!(stay.mean(), Duration::from_secs(2));
-/// (0..200).for_each(|_| stay.note(Duration::from_secs(1)));
+/// (0..200).for_each(|_| stay.record(Duration::from_secs(1)));
 /// assert!(stay.mean() < Duration::from_millis(1010));
 /// ```
 #[derive(Clone, Copy, Debug)]
--- a/crates/ashgauge/src/retry.rs
+++ b/crates/ashgauge/src/retry.rs
@@ -57,7 +57,7 @@
 
 /// Retries that the fleet must be allowed, for each square root of its boxes, for parts
 /// of a retry to be rounded at random: the sum of that over all boxes then keeps within
-/// what [`MARGIN`] leaves.
+/// what [`USABLE_SHARE`] leaves.
 const MIN_ROUNDING_EXTRA: f64 = 28.0;
 
 /// What a fleet allows for one service in any window of time.
@@ -100,14 +100,14 @@
 ///
 /// ```
 /// use std::time::Duration;
-/// use ashgauge::retry::{Allowance, Window};
+/// use ashgauge::retry::{Allowance, SlidingBudget};
 ///
 /// let window = Duration::from_secs(10);
 /// let allowance = Allowance { window, ratio: 0.0, extra: 20.0 };
-/// let mut budget = Window::new(allowance, Duration::ZERO, 0.0);
-/// budget.share_with(4);
-/// assert!(!budget.take(Duration::ZERO));
-/// assert!(budget.take(window) && budget.take(window));
+/// let mut budget = SlidingBudget::new(allowance, Duration::ZERO, 0.0);
+/// budget.set_boxes(4);
+/// assert!(!budget.withdraw(Duration::ZERO));
+/// assert!(budget.withdraw(window) && budget.withdraw(window));
 /// ```
 #[derive(Clone, Debug)]
 pub struct SlidingBudget {
--- a/crates/ashgauge/src/revision.rs
+++ b/crates/ashgauge/src/revision.rs
@@ -24,11 +24,11 @@
 /// # Example
 ///
 /// ```
-/// use ashgauge::revision::{count, era, revision};
+/// use ashgauge::revision::{count, era, from_parts};
 ///
-/// assert_eq!(revision(0, 97), 97);
-/// assert!(revision(1, 60) > revision(0, 97));
-/// assert_eq!((era(revision(3, 60)), count(revision(3, 60))), (3, 60));
+/// assert_eq!(from_parts(0, 97), 97);
+/// assert!(from_parts(1, 60) > from_parts(0, 97));
+/// assert_eq!((era(from_parts(3, 60)), count(from_parts(3, 60))), (3, 60));
 /// ```
 pub fn from_parts(era: Era, count: u64) -> Revision {
     era.min(MAX_ERA) << COUNT_BITS | count.min(MAX_COUNT)
--- a/crates/ashgauge/src/routing.rs
+++ b/crates/ashgauge/src/routing.rs
@@ -211,9 +211,9 @@
     /// # Example
     ///
     /// ```
-    /// use ashgauge::routing::Routing;
+    /// use ashgauge::routing::RoutingConfig;
     ///
-    /// assert!(Routing::default().find("a.example", "/notes/1").is_none());
+    /// assert!(RoutingConfig::default().find_route("a.example", "/notes/1").is_none());
     /// ```
     pub fn find_route(&self, host: &str, path: &str) -> Option<&Arc<Route>> {
         let routes = self.hosts.get(host)?;
--- a/crates/ashgauge/src/selection.rs
+++ b/crates/ashgauge/src/selection.rs
@@ -23,7 +23,7 @@
 const FULL_QUEUE_PENALTY: f64 = 20.0;
 
 /// Share of the limit up to which engines are filled that a data centre's engines keep for
-/// the callers of its own boxes, see [`Need::reserved`].
+/// the callers of its own boxes, see [`Requirements::reserved_share`].
 pub const RESERVED_SHARE: f64 = 0.125;
 
 /// Chooses an upstream of a plain service, and not one that was `tried` if
--- a/crates/ashgauge/src/silence.rs
+++ b/crates/ashgauge/src/silence.rs
@@ -20,17 +20,17 @@
 /// # Example
 ///
 /// ```
-/// use ashgauge::silence::Silence;
+/// use ashgauge::silence::SilenceTimer;
 /// use std::time::Duration;
 ///
 /// let ms = Duration::from_millis;
-/// let mut silence = Silence::new(ms(0));
-/// assert_eq!(silence.due(ms(250), ms(100)), ms(250));
-/// silence.hear(ms(90));
-/// silence.hear(ms(190));
-/// assert_eq!(silence.due(ms(250), ms(100)), ms(190 + 250));
-/// silence.note_check();
-/// assert_eq!(silence.due(ms(250), ms(100)), ms(190 + 500));
+/// let mut silence = SilenceTimer::new(ms(0));
+/// assert_eq!(silence.next_check(ms(250), ms(100)), ms(250));
+/// silence.record_event(ms(90));
+/// silence.record_event(ms(190));
+/// assert_eq!(silence.next_check(ms(250), ms(100)), ms(190 + 250));
+/// silence.record_check();
+/// assert_eq!(silence.next_check(ms(250), ms(100)), ms(190 + 500));
 /// ```
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct SilenceTimer {
@@ -96,20 +96,20 @@
         self.last_event + silence * 2u32.pow(self.checks.min(MAX_DOUBLINGS))
     }
 
-    /// As [`Silence::due`], but one of the checks comes after a silence of `most`, if the
+    /// As [`SilenceTimer::next_check`], but one of the checks comes after a silence of `most`, if the
     /// first comes no later: after a long `first` the next would come late by far.
     ///
     /// # Example
     ///
     /// ```
-    /// use ashgauge::silence::Silence;
+    /// use ashgauge::silence::SilenceTimer;
     /// use std::time::Duration;
     ///
     /// let ms = Duration::from_millis;
-    /// let mut silence = Silence::new(ms(0));
-    /// assert_eq!(silence.due_within(ms(800), ms(100), ms(1300)), ms(800));
-    /// silence.note_check();
-    /// assert_eq!(silence.due_within(ms(800), ms(100), ms(1300)), ms(1300));
+    /// let mut silence = SilenceTimer::new(ms(0));
+    /// assert_eq!(silence.next_check_within(ms(800), ms(100), ms(1300)), ms(800));
+    /// silence.record_check();
+    /// assert_eq!(silence.next_check_within(ms(800), ms(100), ms(1300)), ms(1300));
     /// ```
     pub fn next_check_within(&self, first: Duration, least: Duration, most: Duration) -> Duration {
         let due = self.next_check(first, least);
--- a/crates/ashgauge/src/slack.rs
+++ b/crates/ashgauge/src/slack.rs
@@ -24,12 +24,12 @@
 /// # Example
 ///
 /// ```
-/// use ashgauge::slack::is_repeat;
+/// use ashgauge::slack::is_retry;
 /// use std::time::Duration;
 ///
 /// let second = Duration::from_secs(1);
-/// assert!(!is_repeat(second * 18, second * 20));
-/// assert!(is_repeat(second * 16, second * 20));
+/// assert!(!is_retry(second * 18, second * 20));
+/// assert!(is_retry(second * 16, second * 20));
 /// ```
 pub fn is_retry(patience: Duration, timeout: Duration) -> bool {
     patience < timeout.mul_f64(MIN_FIRST_PATIENCE)
@@ -47,8 +47,8 @@
     ///
     /// let second = Duration::from_secs(1);
     /// let (timeout, aim) = (second * 20, second / 2);
-    /// assert_eq!(Slack::of(timeout, timeout, aim), Slack::Ample);
-    /// assert_eq!(Slack::of(second * 18, timeout, aim), Slack::Late);
+    /// assert_eq!(Slack::before_first_event(timeout, timeout, aim), Slack::OnTime);
+    /// assert_eq!(Slack::before_first_event(second * 18, timeout, aim), Slack::Late);
     /// ```
     pub fn before_first_event(patience: Duration, timeout: Duration, aim: Duration) -> Self {
         match timeout.saturating_sub(patience) >= aim {
@@ -67,11 +67,11 @@
 /// # Example
 ///
 /// ```
-/// use ashgauge::slack::{order, Slack};
+/// use ashgauge::slack::{engine_priority, Slack};
 ///
-/// assert!(order(1, Slack::Short) < order(1, Slack::Ample));
-/// assert!(order(1, Slack::Ample) < order(1, Slack::Late));
-/// assert!(order(1, Slack::Late) < order(3, Slack::Ample));
+/// assert!(engine_priority(1, Slack::Streaming) < engine_priority(1, Slack::OnTime));
+/// assert!(engine_priority(1, Slack::OnTime) < engine_priority(1, Slack::Late));
+/// assert!(engine_priority(1, Slack::Late) < engine_priority(3, Slack::OnTime));
 /// ```
 pub fn engine_priority(rank: u32, slack: Slack) -> u32 {
     match slack {
--- a/crates/ashgauge/src/suspension.rs
+++ b/crates/ashgauge/src/suspension.rs
@@ -16,12 +16,12 @@
 ///
 /// ```
 /// use std::time::Duration;
-/// use ashgauge::suspension::Suspension;
+/// use ashgauge::suspension::SuspensionDetector;
 ///
 /// let second = Duration::from_secs(1);
-/// let mut suspension = Suspension::new(second * 5, second * 100);
-/// assert_eq!(suspension.look(second * 6, second * 101), None);
-/// assert_eq!(suspension.look(second * 7, second * 105), Some(second * 3));
+/// let mut suspension = SuspensionDetector::new(second * 5, second * 100);
+/// assert_eq!(suspension.check(second * 6, second * 101), None);
+/// assert_eq!(suspension.check(second * 7, second * 105), Some(second * 3));
 /// ```
 #[derive(Clone, Copy, Debug)]
 pub struct SuspensionDetector {
--- a/crates/ashgauge/src/suspicion.rs
+++ b/crates/ashgauge/src/suspicion.rs
@@ -29,16 +29,16 @@
 ///
 /// ```
 /// use std::time::Duration;
-/// use ashgauge::quarantine::{start_key, Audience};
-/// use ashgauge::suspicion::Suspicions;
+/// use ashgauge::quarantine::{instance_key, Audience};
+/// use ashgauge::suspicion::SuspectReports;
 ///
 /// let now = Duration::from_secs(1);
-/// let lost = start_key("e1", None);
-/// let mut suspicions = Suspicions::default();
-/// assert!(suspicions.note(now, lost));
-/// assert_eq!(suspicions.take(now), [(lost, Audience::All)]);
-/// // It was told.
-/// assert!(!suspicions.note(now, lost));
+/// let lost = instance_key("e1", None);
+/// let mut suspicions = SuspectReports::default();
+/// assert!(suspicions.record_found(now, lost));
+/// assert_eq!(suspicions.take_pending(now), [(lost, Audience::All)]);
+/// // It was reported.
+/// assert!(!suspicions.record_found(now, lost));
 /// ```
 #[derive(Clone, Debug, Default)]
 pub struct SuspectReports {
@@ -75,7 +75,7 @@
         self.record_entry(now, start, audience)
     }
 
-    /// Takes out what is to be sent now, the oldest first; at most [`SUSPECTS_TOLD`].
+    /// Takes out what is to be sent now, the oldest first; at most [`MAX_SUSPECTS_SENT`].
     pub fn take_pending(&mut self, now: Duration) -> Vec<(InstanceKey, Audience)> {
         self.expire(now);
         let waiting = self.entries.iter();
@@ -94,8 +94,8 @@
     }
 
     /// Begins a check of an engine that another box has told of, if there was none for
-    /// [`REPEAT_TIME`], few others are under way and `has_budget`, which is asked last.
-    /// Each check that begins must be ended by [`Suspicions::end_check`].
+    /// [`MIN_REPEAT_INTERVAL`], few others are under way and `has_budget`, which is asked last.
+    /// Each check that begins must be ended by [`SuspectReports::end_check`].
     pub fn begin_check(
         &mut self,
         now: Duration,
--- a/crates/ashgauge/src/table.rs
+++ b/crates/ashgauge/src/table.rs
@@ -122,7 +122,7 @@
 pub struct Table {
     /// Cells by row and column.
     pub rows: BTreeMap<String, BTreeMap<String, Cell>>,
-    /// The last [`HISTORY`] edits, oldest first.
+    /// The last [`MAX_EDITS`] edits, oldest first.
     pub edits: Vec<Edit>,
 }
 
@@ -179,9 +179,9 @@
     ///     seen: None,
     ///     value: Some(Cell::Number(0.0)),
     /// };
-    /// let edit = Edit { id: "e1".into(), who: "ana".into(), at: 0, cells: vec![rank] };
+    /// let edit = Edit { id: "e1".into(), who: "ana".into(), at: 0, changes: vec![rank] };
     /// let table = Table::default().apply(&edit).unwrap();
-    /// assert!(table.holds("e1"));
+    /// assert!(table.contains_edit("e1"));
     /// assert!(Table::default().apply(&edit).unwrap().apply(&edit).unwrap() == table);
     /// ```
     ///
--- a/crates/ashgauged/src/handle.rs
+++ b/crates/ashgauged/src/handle.rs
@@ -29,7 +29,7 @@
 #[derive(Clone)]
 pub struct PeerInbox(Arc<OnceLock<ActorRef<Msg>>>);
 
-/// Connects the node to a [`Gate`].
+/// Connects the node to a [`PeerInbox`].
 pub struct InboxConnector(Arc<OnceLock<ActorRef<Msg>>>);
 
 /// Makes a gate, which the peers' port needs before the node exists.
--- a/crates/ashgauged/src/relay/dial.rs
+++ b/crates/ashgauged/src/relay/dial.rs
@@ -72,7 +72,7 @@
     ///
     /// # Errors
     ///
-    /// Fails with [`Failure::Lost`] if the request may have got out.
+    /// Fails with [`Failure::InstanceLoss`] if the request may have got out.
     pub async fn send(mut self, request: Request<Full<Bytes>>) -> Result<OpenResponse, Failure> {
         match self.sender.try_send_request(request).await {
             Ok(response) => Ok(OpenResponse {
--- a/crates/ashgauged/src/relay/event_forwarder/repair.rs
+++ b/crates/ashgauged/src/relay/event_forwarder/repair.rs
@@ -358,7 +358,7 @@
         self.rule.resumable && (self.last_id.is_some() || !self.has_forwarded)
     }
 
-    /// As [`Pump::resume`]; returns whether it goes on elsewhere.
+    /// As [`EventForwarder::resume`]; returns whether it goes on elsewhere.
     async fn try_resume(&mut self, why: &str) -> bool {
         if !self.can_resume() {
             return false;
--- a/crates/ashgauged/src/relay/follow/revision_check.rs
+++ b/crates/ashgauged/src/relay/follow/revision_check.rs
@@ -13,7 +13,7 @@
 use super::super::{log, membership, placer, quarantine};
 use super::StoreFollower;
 
-/// First pause after a call that failed; doubled up to [`PAUSE_MOST`].
+/// First pause after a call that failed; doubled up to [`MAX_RETRY_DELAY`].
 pub const MIN_RETRY_DELAY: Duration = Duration::from_millis(100);
 
 /// Longest pause after a call that failed: a store that is back is noticed
--- a/crates/ashgauged/src/relay/pick.rs
+++ b/crates/ashgauged/src/relay/pick.rs
@@ -80,7 +80,7 @@
     }
 }
 
-/// Chooses a chain as [`pick`] does, whose first engine takes one more request.
+/// Chooses a chain as [`try_pick`] does, whose first engine takes one more request.
 pub async fn pick_with_permit(
     shared: &SharedState,
     a: &AdmittedRequest,
--- a/crates/ashgauged/src/relay/probe.rs
+++ b/crates/ashgauged/src/relay/probe.rs
@@ -257,7 +257,7 @@
     )
 }
 
-/// Connects to an engine that another box reports, which [`may_check`] allowed.
+/// Connects to an engine that another box reports, which [`may_check_reported`] allowed.
 ///
 /// What streams heard and what was found a moment ago is from before the other box's
 /// connection failed, or may be: streams hear an engine up to 60 ms after such an event.
--- a/crates/ashgauged/src/relay/quarantine.rs
+++ b/crates/ashgauged/src/relay/quarantine.rs
@@ -29,7 +29,7 @@
 const BATCH_DELAY: Duration = Duration::from_millis(10);
 
 /// First pause after a call to the store that failed; doubled up to
-/// [`PAUSE_MOST`].
+/// [`MAX_RETRY_DELAY`].
 const MIN_RETRY_DELAY: Duration = Duration::from_millis(500);
 
 /// Longest pause after a call that failed, as calls are priced.
--- a/crates/ashgauged/src/relay/recovery.rs
+++ b/crates/ashgauged/src/relay/recovery.rs
@@ -42,7 +42,7 @@
     a.class.is_none() || take_for(shared, &a.service.name, purpose_of(a))
 }
 
-/// Whether [`take`] would find a use.
+/// Whether [`take_budget`] would find a use.
 pub fn has_budget(shared: &SharedState, a: &AdmittedRequest) -> bool {
     let (now, what) = (shared.now(), purpose_of(a));
     let service = &a.service.name;
--- a/crates/ashgauged/src/relay/shared_state.rs
+++ b/crates/ashgauged/src/relay/shared_state.rs
@@ -241,7 +241,7 @@
         *self.settings.borrow_mut() = Rc::new(settings);
     }
 
-    /// Time since [`CLOCK_START`] before the process's start; goes on while the
+    /// Time since [`CLOCK_OFFSET`] before the process's start; goes on while the
     /// process stands still or its machine is suspended.
     pub fn now(&self) -> Duration {
         CLOCK_OFFSET + self.clock.elapsed()
--- a/crates/ashgauged/src/relay/shedding.rs
+++ b/crates/ashgauged/src/relay/shedding.rs
@@ -171,7 +171,7 @@
 }
 
 /// Reckons levels also while no streams arrive, as long as the process runs, so that what
-/// operators see is not older than [`WATCH_EVERY`] and the end of a level is logged.
+/// operators see is not older than [`IDLE_LEVEL_INTERVAL`] and the end of a level is logged.
 pub async fn update_levels(shared: Rc<SharedState>) {
     loop {
         sleep(IDLE_LEVEL_INTERVAL).await;
--- a/crates/caller/src/request.rs
+++ b/crates/caller/src/request.rs
@@ -1,4 +1,4 @@
-//! From an HTTP request to an [`Order`].
+//! From an HTTP request to an [`IncomingRequest`].
 
 use std::time::Duration;
 
--- a/crates/upstream/src/wire.rs
+++ b/crates/upstream/src/wire.rs
@@ -80,12 +80,12 @@
     ("no-layers", RefusalReason::NoLayers),
 ];
 
-/// Reads a [`NOT_RUN`] word.
+/// Reads a [`NOT_RUN_HEADER`] word.
 pub fn parse_reason(word: &str) -> Option<RefusalReason> {
     REASONS.iter().find(|(w, _)| *w == word).map(|(_, r)| *r)
 }
 
-/// The [`NOT_RUN`] word of a reason.
+/// The [`NOT_RUN_HEADER`] word of a reason.
 pub fn reason_name(reason: RefusalReason) -> &'static str {
     let found = REASONS.iter().find(|(_, r)| *r == reason);
     found.map_or("busy", |(w, _)| w)
