--- a/crates/ashgauge/src/cost.rs
+++ b/crates/ashgauge/src/cost.rs
@@ -93,7 +93,7 @@
         let spare = local_copies(context, model) >= SPARE_COPIES;
         let shape = context.size.unwrap_or_else(|| RequestSize::typical(model));
         CostModel {
-            context: context,
+            context,
             model,
             size: shape,
             has_spare: spare,
--- a/crates/ashgauge/src/demand.rs
+++ b/crates/ashgauge/src/demand.rs
@@ -188,7 +188,7 @@
     }
 
     /// Requests, and work, in thousandths of one a second.
-    fn to_milli(&self, now: Duration, window: Duration) -> (u32, u32) {
+    fn milli_rates(&self, now: Duration, window: Duration) -> (u32, u32) {
         let thousandths = self.decay(now, window) * 1e3;
         let told = |rate: f64| (rate * thousandths) as u32;
         (told(self.requests), told(self.work))
@@ -211,9 +211,9 @@
     /// What is asked for now, and what ends; forgets those who asked for nothing lately.
     pub fn traffic(&mut self, now: Duration) -> Traffic {
         self.rates
-            .retain(|_, rate| rate.to_milli(now, DEMAND_WINDOW).0 > MIN_RATE);
+            .retain(|_, rate| rate.milli_rates(now, DEMAND_WINDOW).0 > MIN_RATE);
         let demand = |(source, rate): (&DemandSource, &DecayingRate)| {
-            let (rate, work) = rate.to_milli(now, DEMAND_WINDOW);
+            let (rate, work) = rate.milli_rates(now, DEMAND_WINDOW);
             let teams = source.team.map(TeamSketch::single).unwrap_or_default();
             (*source, Demand { rate, work, teams })
         };
@@ -221,7 +221,7 @@
         let ends = self
             .completions
             .iter()
-            .map(|(s, rate)| (*s, rate.to_milli(now, COMPLETION_WINDOW).0));
+            .map(|(s, rate)| (*s, rate.milli_rates(now, COMPLETION_WINDOW).0));
         let mut ends: CompletionRates = ends.collect();
         demands.sort_unstable_by_key(|(source, _)| *source);
         ends.sort_unstable();
--- a/crates/ashgauge/tests/engines/mod.rs
+++ b/crates/ashgauge/tests/engines/mod.rs
@@ -129,7 +129,7 @@
     place: &'a Arc<str>,
 ) -> SelectionContext<'a> {
     SelectionContext {
-        registry: registry,
+        registry,
         wan_usage: pipes,
         fleet_load: shares,
         service: "model",
--- a/crates/ashgauged/src/relay/select.rs
+++ b/crates/ashgauged/src/relay/select.rs
@@ -230,7 +230,7 @@
         service: &'a str,
     ) -> SelectionContext<'a> {
         SelectionContext {
-            registry: registry,
+            registry,
             wan_usage: pipes,
             fleet_load: shares,
             service,
--- a/crates/bench/src/decision.rs
+++ b/crates/bench/src/decision.rs
@@ -220,7 +220,7 @@
     place: &'a Arc<str>,
 ) -> SelectionContext<'a> {
     SelectionContext {
-        registry: registry,
+        registry,
         wan_usage: pipes,
         fleet_load: shares,
         service: MODEL,
