--- a/crates/ashgauged/src/relay/pick.rs
+++ b/crates/ashgauged/src/relay/pick.rs
@@ -1,4 +1,4 @@
-//! Which chain a request takes, and whether its first engine takes one more.
+//! Choice of the chain for a request, including a permit if its first engine needs one.
 
 use std::time::Duration;
 
@@ -17,39 +17,41 @@
 use super::select::ChainCriteria;
 use super::shared_state::SharedState;
 
-/// Upstreams, or first engines of chains, that are looked at which turn out to take no more;
-/// where the boxes that give permits are silent, each costs as long as two answers may take.
+/// Number of upstreams, or first engines of chains, that are asked for a permit before a
+/// request gives up. Where the issuers are silent, each one takes up to two reply
+/// time-outs.
 pub const MAX_PICKS: u32 = 4;
 
-/// Longest wait of a request that may have run for an engine that takes one more; a caller
-/// that has a part of the answer leaves after two seconds.
+/// Longest time that a request which may have run waits for an engine that takes one more.
+/// A caller that has part of the answer leaves after two seconds.
 const MAX_PERMIT_WAIT: Duration = Duration::from_millis(1000);
 
-/// Time between two looks of such a request.
+/// Interval at which such a request tries again.
 const PERMIT_RETRY_INTERVAL: Duration = Duration::from_millis(20);
 
-/// Share of its memory up to which an engine is filled where streams are let in by class: all
-/// engines together are filled to less, so there is another one.
+/// Memory utilization up to which an engine is filled if its service admits streams by
+/// class. Admission keeps the engines as a whole below it, so there is another engine.
 const MAX_SHED_FILL: f64 = 0.92;
 
 /// Why there is no chain for a request.
 pub enum PickError {
-    /// Some layers have no engine that may be used.
+    /// Some layers have no usable engine.
     NoChain,
-    /// No chain has room.
+    /// No chain has the capacity.
     NoCapacity,
-    /// Its engines take no more requests for so long.
+    /// The engines are at their rate limits; the field is the time until they take another
+    /// request.
     AtLimit(Duration),
-    /// The key no longer counts.
+    /// The key is no longer valid.
     Denied,
-    /// The request ends the upstreams that run it.
+    /// The request is quarantined because it crashes the upstreams that run it.
     Quarantined,
 }
 
-/// Chooses a chain for the request, of which the first engine may need a permit.
+/// Chooses a chain for the request, without the permit that its first engine may need.
 ///
-/// An answer that goes on elsewhere is not held up for want of room: its caller
-/// has a part of it already, up to event `last`.
+/// An answer that continues on another chain does not wait for capacity, as its caller
+/// already has part of it, up to event `last`.
 fn try_pick(
     shared: &SharedState,
     a: &AdmittedRequest,
@@ -80,7 +82,7 @@
     }
 }
 
-/// Chooses a chain as [`try_pick`] does, whose first engine takes one more request.
+/// Chooses a chain as [`try_pick`] does, and takes the permit for its first engine.
 pub async fn pick_with_permit(
     shared: &SharedState,
     a: &AdmittedRequest,
@@ -99,8 +101,8 @@
     Err(PickError::AtLimit(Duration::ZERO))
 }
 
-/// The same for a request that may have run: it cannot be refused, so it waits for engines
-/// that take no more for the moment.
+/// The same for a request that may have run. It cannot be refused, so it waits while
+/// engines are at their rate limits.
 pub async fn pick_or_wait(
     shared: &SharedState,
     a: &AdmittedRequest,
@@ -119,18 +121,18 @@
     }
 }
 
-/// Where a request is to go.
+/// A chosen chain.
 pub struct ChosenChain {
-    /// The engines with their layers.
+    /// Engines of the chain, with their layers.
     pub stages: Vec<Stage>,
-    /// The chain as the engines take it, if layers are spread over them.
+    /// The chain in the engines' format, if layers are spread over them.
     pub encoded: Option<String>,
     /// Address of the first engine.
     pub first_addr: String,
 }
 
-/// Chooses for a request under which upstreams were lost, without those that run
-/// others of its kind.
+/// Chooses a chain for a request under which upstreams were lost, without the upstreams
+/// that run other requests of that kind.
 fn choose_isolated(
     shared: &SharedState,
     a: &AdmittedRequest,
@@ -147,7 +149,7 @@
     choose(shared, a, handoff, &avoid, need, last)
 }
 
-/// Chooses a chain, or one engine if each holds the whole model.
+/// Chooses a chain, or a single engine if each one holds the whole model.
 fn choose(
     shared: &SharedState,
     a: &AdmittedRequest,
@@ -193,7 +195,7 @@
     }
 }
 
-/// Whether there is a chain with room for a request without the engines to `avoid`.
+/// Whether there is a chain with capacity for a request without the engines in `avoid`.
 pub fn has_room(
     shared: &SharedState,
     a: &AdmittedRequest,
@@ -211,10 +213,11 @@
     .is_some()
 }
 
-/// What a request has to read and to write after event `last`, if its service lets streams
-/// in by class.
+/// Tokens that a request has to prefill and to generate after event `last`, if its service
+/// admits streams by class.
 ///
-/// The answer that its caller expects is the whole one, also of a caller that has a part of it.
+/// The caller's expected length is that of the whole answer, also if the caller already has
+/// part of it.
 pub fn request_size(a: &AdmittedRequest, model: &Model, last: Option<u64>) -> Option<RequestSize> {
     a.class?;
     let whole = RequestSize::clamped(
@@ -225,7 +228,7 @@
     Some(whole.after_events(last.unwrap_or(0), model))
 }
 
-/// The room that a request needs, if it goes over a chain.
+/// Capacity that a request needs, if it goes over a chain.
 fn requirements(shared: &SharedState, a: &AdmittedRequest) -> Option<Requirements> {
     a.service.model.as_ref().filter(|m| m.layers > 0)?;
     let learned = shared.with_queue(&a.service.name, |l| l.fill_limit());
--- a/crates/ashgauged/src/relay/placer.rs
+++ b/crates/ashgauged/src/relay/placer.rs
@@ -1,9 +1,10 @@
-//! The one duty that needs one doer: giving layers to engines that hold none.
+//! Placement of model layers on engines that hold none: the only task of the fleet that a
+//! single box must do.
 //!
-//! Whoever sees such engines writes the ranges into the store, on the
-//! condition that nobody else did meanwhile, and then gives the orders. The
-//! write is the lease: it names who gives these orders, and it lapses by
-//! itself when the engines do not show the layers in time.
+//! Any box that sees such engines writes the layer ranges to the store, on the condition
+//! that no other box has written meanwhile, and then sends the orders. The write acts as a
+//! lease: it names the box that sends these orders, and it expires by itself if the engines
+//! do not announce the layers in time.
 
 use std::rc::Rc;
 use std::time::Duration;
@@ -27,83 +28,85 @@
 use super::log;
 use super::shared_state::SharedState;
 
-/// Kind of the objects that say which engine is to hold what.
+/// Kind of the stored objects that assign layers to engines.
 const KIND: &str = "ashgauge-placements";
 
-/// Time between two looks for engines that hold nothing.
+/// Interval between two checks for engines that hold no layers.
 const POLL_INTERVAL: Duration = Duration::from_millis(250);
 
-/// Pause after a look that found nothing to do; an engine that becomes suspect
-/// or lets an order lapse is noticed as late.
+/// Pause after a check that found nothing to do. An engine that becomes suspect or lets an
+/// order expire is noticed that much later.
 const IDLE_PAUSE: Duration = Duration::from_millis(750);
 
-/// How long no engine may have come or gone before ranges are chosen, so that
-/// those of one start are placed together.
+/// Time without changes among the engines after which ranges are planned, so that engines
+/// that start together are placed together.
 const SETTLE_TIME: Duration = Duration::from_millis(800);
 
-/// The same once layers were given: losses are to be made good soon.
+/// The same once layers are placed: losses are to be repaired soon.
 const RESETTLE_TIME: Duration = Duration::from_millis(300);
 
-/// Longest wait for engines to stop coming and going, once layers were given:
-/// while a release goes on they never do.
+/// Longest wait for changes to stop once layers are placed; they never stop while a release
+/// is rolled out.
 const MAX_RESETTLE_WAIT: Duration = Duration::from_millis(700);
 
-/// The same before, when the fleet starts; entries come in over some seconds.
+/// The same before layers are placed, when the fleet starts; entries arrive over some
+/// seconds.
 const MAX_SETTLE_WAIT: Duration = Duration::from_millis(6000);
 
-/// Boxes wait up to this long, each at random, so that mostly one writes.
+/// Upper bound of the random time that a box waits before it writes, so that mostly only
+/// one box writes.
 const MAX_STAGGER: Duration = Duration::from_millis(300);
 
-/// For an engine's answer to an order, which takes milliseconds.
+/// Time-out of an engine's reply to an order, which takes milliseconds.
 const ORDER_TIMEOUT: Duration = Duration::from_millis(700);
 
-/// Times an order is sent at most.
+/// Most times that an order is sent.
 const MAX_ORDER_TRIES: u32 = 4;
 
-/// Orders of a box that wait for an answer at one time: each has a connection.
+/// Most orders of a box that wait for a reply at the same time; each one has a connection.
 const MAX_OPEN_ORDERS: usize = 256;
 
-/// Pause before an order that got no answer is sent again; it may have been
-/// taken, and then the engine's report shows it.
+/// Delay before an order that got no reply is sent again. The engine may have taken it,
+/// which its report then shows.
 const ORDER_RETRY_DELAY: Duration = Duration::from_millis(1200);
 
-/// Revisions of earlier rounds that are kept; rounds follow each other within
-/// seconds at the most, and boxes look as often.
+/// Most revisions of earlier rounds that are kept. Rounds are seconds apart at their most
+/// frequent, and boxes check as often.
 const MAX_KEPT_REVISIONS: usize = 16;
 
-/// What an engine's announcement may lag behind its loading.
+/// Longest time by which an engine's announcement may lag behind its loading.
 const ANNOUNCE_LAG: Duration = Duration::from_secs(3);
 
-/// Ranges of one service's engines, as stored.
+/// Layer ranges of one service's engines, as stored.
 #[derive(Clone, Debug, Default, Serialize, Deserialize)]
 struct StoredRound {
-    /// The box that gives the orders.
+    /// Id of the box that sends the orders.
     #[serde(rename = "by")]
     owner: String,
-    /// Number of the writing, one more each time.
+    /// Number of the round; each write increments it.
     round: u64,
-    /// The ranges that it orders.
+    /// Ranges that this round orders.
     ranges: Vec<Assignment>,
-    /// Whether engines break off what uses the layers that they give up.
+    /// Whether engines abort the requests that use the layers which they release.
     #[serde(default)]
     #[serde(rename = "cut")]
     abort: bool,
-    /// Ranges that were ordered before and had not shown yet.
+    /// Ranges that earlier rounds ordered and that were not announced yet.
     #[serde(default)]
     #[serde(rename = "earlier")]
     unannounced: Vec<PendingAssignment>,
-    /// Revisions of the store at which the last rounds before were written.
+    /// Store revisions at which the preceding rounds were written.
     #[serde(default)]
     #[serde(rename = "written")]
     revisions: Vec<Revision>,
 }
 
-/// Revisions at which boxes wrote rounds of orders lately, as they were known
-/// some seconds ago.
+/// Returns the revisions at which boxes recently wrote rounds, from a read that is some
+/// seconds old.
 ///
 /// # Errors
 ///
-/// As every call of the store.
+/// Fails as every call to the store does.
 pub async fn round_revisions(shared: &SharedState) -> Result<Vec<Revision>, StoreError> {
     let stored = shared.store.list_stale::<StoredRound>(KIND).await;
     shared.count_store_call("stale", &stored);
@@ -115,26 +118,26 @@
     Ok(revisions.collect())
 }
 
-/// Follows the engines and places those that hold nothing.
+/// Watches the engines and places layers on those that hold none.
 pub struct Placer {
     shared: Rc<SharedState>,
-    /// Places of orders that wait for an answer.
+    /// Slots for orders that wait for a reply.
     order_slots: Rc<Semaphore>,
-    /// Ranges ordered by some box that do not show yet.
+    /// Ranges that some box ordered and that are not announced yet.
     pending: PendingAssignments,
-    /// Round of each service that was taken into `pending`.
+    /// Last round of each service that was merged into `pending`.
     rounds: OrderRounds,
     registry_generation: u64,
-    /// When engines last came, went or changed.
+    /// When an engine last appeared, disappeared or changed.
     changed_at: Duration,
-    /// Until when nothing is looked for, unless engines come, go or change.
+    /// Time until which no check is made, unless engines appear, disappear or change.
     idle_until: Duration,
-    /// When they first did since the last look.
+    /// When engines first changed since they last were settled.
     unsettled_since: Option<Duration>,
 }
 
 impl Placer {
-    /// Starts the duty; its task runs as long as the process.
+    /// Starts the placement task, which runs as long as the process.
     pub fn start(shared: Rc<SharedState>) {
         let placer = Placer {
             shared,
@@ -152,7 +155,7 @@
     async fn run(mut self) {
         loop {
             sleep(POLL_INTERVAL).await;
-            // A box that does not read hears late of what others ordered.
+            // A box that does not read the store learns late what others ordered.
             let reads = *self.shared.reads_store.borrow();
             let idle = !reads || self.shared.is_stopping.get() || self.shared.store_down.get();
             if idle || !self.has_settled() || self.shared.now() < self.idle_until {
@@ -195,7 +198,7 @@
         settled
     }
 
-    /// Places the engines of a service that hold nothing, if any.
+    /// Places layers on the engines of a service that hold none, if there are any.
     async fn place_unassigned(
         &mut self,
         service: &Service,
@@ -247,22 +250,22 @@
         self.shared.count_store_call("write", &written);
         match written {
             Ok(()) => self.issue_orders(service, model, era, next),
-            // Another box was first; its ranges are taken in at the next look.
+            // Another box wrote first; its ranges are adopted at the next check.
             Err(StoreError::Conflict) => {}
             Err(fault) => return Err(fault),
         }
         Ok(())
     }
 
-    /// Whether this box wrote the round without hearing of it: the answer was
-    /// lost, or the process ended before the orders. Giving them again is safe,
-    /// as each names the count of orders before it.
+    /// Whether this box wrote the round but may not have sent its orders: the store's reply
+    /// was lost, or the process ended before. Sending them again is safe, as each order
+    /// names the number of orders before it.
     fn is_unacknowledged(&self, service: &Service, era: Era, stored: &StoredRound) -> bool {
         let is_own = stored.owner == self.shared.settings().id;
         is_own && self.rounds.may_be_unsent(&service.name, era, stored.round)
     }
 
-    /// Takes a stored round into account, once.
+    /// Merges a stored round into the pending assignments, once.
     fn adopt_round(&mut self, service: &Service, model: &Model, era: Era, stored: &StoredRound) {
         if !self.rounds.is_newer(&service.name, era, stored.round) {
             return;
@@ -272,7 +275,7 @@
         self.pending.merge(self.shared.now(), &stored.unannounced);
     }
 
-    /// Ranges of a service's engines that were ordered and do not show yet.
+    /// Ranges of a service's engines that were ordered and are not announced yet.
     fn unannounced(&self, service: &Service) -> Vec<PendingAssignment> {
         let registry = self.shared.registry.borrow();
         let of_service = |id: &str| {
@@ -289,8 +292,8 @@
         self.pending.add(self.shared.now(), ranges, time);
     }
 
-    /// Ranges for the engines that hold nothing and were ordered nothing, or
-    /// for one that is needed elsewhere.
+    /// Plans ranges for the engines that hold no layers and have no pending order, or for
+    /// one engine that is needed elsewhere.
     fn plan_ranges(&mut self, service: &Service, model: &Model) -> Vec<Assignment> {
         let now = self.shared.now();
         let registry = self.shared.registry.borrow();
@@ -306,11 +309,11 @@
         placement::plan(model, &seats)
     }
 
-    /// Whether a whole chain is left.
+    /// Whether a complete chain is left.
     ///
-    /// Without one nothing passes that could end well, yet engines that wait for
-    /// what passes may wait until the deadlines of requests whose boxes lost
-    /// power. A box that reaches less than half of the engines may be cut off itself.
+    /// Without one, no request can complete; yet engines that wait for running requests
+    /// might wait until the deadlines of requests whose boxes lost power. A box that
+    /// reaches less than half of the engines may be cut off itself.
     fn has_chain(&self, service: &Service, model: &Model) -> bool {
         let now = self.shared.now();
         let registry = self.shared.registry.borrow();
@@ -336,7 +339,7 @@
         })
     }
 
-    /// Gives the orders of a round that this box has written.
+    /// Sends the orders of a round that this box has written.
     fn issue_orders(&mut self, service: &Service, model: &Model, era: Era, stored: StoredRound) {
         let fields = json!({
             "service": &*service.name,
@@ -360,7 +363,7 @@
     }
 }
 
-/// The revisions of earlier rounds with that of the last one.
+/// Returns the revisions of earlier rounds with that of the last round.
 fn recent_revisions(mut written: Vec<Revision>, last: Option<Revision>) -> Vec<Revision> {
     written.extend(last);
     let old = written.len().saturating_sub(MAX_KEPT_REVISIONS);
@@ -368,7 +371,7 @@
     written
 }
 
-/// Time until engines that begin together have loaded their ranges.
+/// Time until engines that start to load together have loaded their ranges.
 fn load_time(model: &Model, ranges: &[Assignment]) -> Duration {
     let layers: u32 = ranges.iter().map(|r| r.layers.len()).sum();
     let longest = ranges.iter().map(|r| r.layers.len()).max().unwrap_or(0);
@@ -379,8 +382,8 @@
         .mul_f64(worst / f64::from(model.layers.max(1)))
 }
 
-/// Orders one engine to hold a range, and writes a line if it does not show
-/// the range in time.
+/// Orders one engine to hold a range, and logs a warning if the engine does not announce it
+/// in time.
 async fn order_and_verify(
     shared: Rc<SharedState>,
     orders: Rc<Semaphore>,
@@ -404,7 +407,7 @@
     log::event(Level::Warn, "placement", "not shown", fields);
 }
 
-/// Orders one engine to hold a range, until it says that it does.
+/// Orders one engine to hold a range, until the engine confirms it.
 async fn send_order(
     shared: Rc<SharedState>,
     orders: &Semaphore,
@@ -413,23 +416,23 @@
 ) {
     let mut before = None;
     for attempt in 1..=MAX_ORDER_TRIES {
-        // It is never closed.
+        // The semaphore is never closed.
         let place = orders.acquire().await;
         let Some((addr, held)) = pending_order(&shared, &range) else {
             return;
         };
-        // It has carried out another box's order meanwhile, which is newer.
+        // The engine has carried out another box's order meanwhile, which is newer.
         let first = *before.get_or_insert(held);
         if held.is_some() && held != first {
             return;
         }
         let empty = held.is_none();
-        // An engine that holds nothing has mostly taken no order; of others,
-        // and after an order in vain, the count must be asked for.
+        // An engine that holds no layers has mostly taken no order yet. Other engines, and
+        // those that did not reply to an order, are asked for their number of orders.
         let orders = match empty && attempt == 1 {
             true => Some(0),
             false => match count_orders(&shared, &range, &addr).await {
-                // It carries out an order, which is this one or a later one.
+                // The engine carries out an order, which is this one or a later one.
                 OrderCount::Busy => return,
                 OrderCount::Taken(orders) => Some(orders),
                 OrderCount::Unknown => None,
@@ -456,7 +459,7 @@
     }
 }
 
-/// What an engine says of the orders that it has taken.
+/// What an engine reports of the orders that it has taken.
 enum OrderCount {
     Taken(u64),
     Busy,
@@ -488,7 +491,7 @@
     log::event(Level::Info, "placement", "ordered", fields);
 }
 
-/// Address of an engine that does not show the range yet, and what it holds.
+/// Address and held layers of an engine that has not announced the range yet.
 fn pending_order(shared: &SharedState, range: &Assignment) -> Option<(String, Option<LayerRange>)> {
     let registry = shared.registry.borrow();
     let entry = registry.get(&range.id)?;
--- a/crates/ashgauged/src/relay/probe.rs
+++ b/crates/ashgauged/src/relay/probe.rs
@@ -1,9 +1,9 @@
-//! Checks whether upstreams still take connections.
+//! Checks whether upstreams still accept connections.
 //!
-//! A crashed process refuses a connection at once and a machine without power
-//! does not answer, so a connection tells within milliseconds which engine of
-//! a silent chain is lost; the engines' own reports lag some hundred. An engine
-//! that had a part in another stream's last event needs no connection for that.
+//! A crashed process refuses a connection at once, and a machine without power does not
+//! answer. So a connection attempt shows within milliseconds which engine of a silent chain
+//! is lost, while the engines' own reports lag by some hundred milliseconds. An engine that
+//! took part in another stream's last event needs no connection attempt.
 
 use std::rc::Rc;
 use std::sync::Arc;
@@ -26,33 +26,33 @@
 use super::state::probes::{ProbeCache, cached_cell, is_cached};
 use super::{log, notice, recovery, shedding};
 
-/// For a connection to come up; a healthy one takes under 2 ms. A machine without
-/// power answers nothing, so each millisecond here is one more of pause for every
-/// stream that it held: at 50 ms only one in ten of 157 resumed streams paused for
-/// less than 243 ms, of 250 that may be.
+/// Time-out of a connection attempt; a healthy engine accepts it in under 2 ms. A machine
+/// without power does not answer, so each millisecond here lengthens the pause of every
+/// stream that it served: at 50 ms, only one in ten of 157 resumed streams paused for less
+/// than 243 ms, of the 250 ms that are allowed.
 const PROBE_TIMEOUT: Duration = Duration::from_millis(25);
 
-/// How long a probe's result serves others that ask.
+/// Longest time for which a probe's result is shared with others that ask.
 const MAX_PROBE_AGE: Duration = Duration::from_millis(200);
 
-/// The same for a look after a connection broke: what was found before it says
-/// nothing, and streams that break together share one look.
+/// The same for a probe after a connection broke. Earlier results say nothing then, and
+/// streams that break together share one probe.
 const MAX_RECHECK_AGE: Duration = Duration::from_millis(20);
 
-/// For an engine's report of its state.
+/// Time-out of a request for an engine's report.
 const REPORT_TIMEOUT: Duration = Duration::from_millis(100);
 
-/// How long an engine's report serves others that ask; it is some hundred
-/// milliseconds old itself, and priced.
+/// Longest time for which an engine's report is shared with others that ask. Reports are
+/// some hundred milliseconds old themselves, and each request for one has a price.
 const MAX_REPORT_AGE: Duration = Duration::from_millis(700);
 
-/// Factor from which on an engine counts as slow.
+/// Time factor from which on an engine counts as slow.
 const MIN_SLOW_FACTOR: f64 = 1.5;
 
-/// Finds the engines of a chain that take no connection.
+/// Returns the engines of a chain that accept no connection.
 ///
-/// Under pressure those need none that were heard after `since`, when what a request waits
-/// for was due.
+/// Under pressure, engines that were active after `since` are not probed; `since` is when
+/// the event that the request waits for was due.
 pub async fn find_unreachable(
     shared: &Rc<SharedState>,
     a: &AdmittedRequest,
@@ -77,7 +77,7 @@
     dead
 }
 
-/// The engines of a chain that are connected to, for want of a sign of them.
+/// Returns the engines of a chain that are probed because they showed no recent activity.
 fn engines_to_probe(
     shared: &SharedState,
     a: &AdmittedRequest,
@@ -98,8 +98,8 @@
     ids.retain(|id| {
         !registry.get(id).is_some_and(|e| e.is_active(now)) && heard(id) <= Some(since)
     });
-    // A lost one is among those that were heard longest ago; chains that lost the same
-    // one are not to check their other engines in the same order.
+    // A lost engine is among those whose activity is longest ago. Chains that lost the same
+    // engine should not probe their other engines in the same order.
     ids.sort_by_cached_key(|id| (heard(id), shared.rng().random::<u32>()));
     drop(registry);
     let alive = &shared.probes.reachable;
@@ -107,8 +107,8 @@
     ids
 }
 
-/// Whether there is an answer of an engine to share, or it may be asked for one; the
-/// question then stands for all that ask meanwhile.
+/// Whether there is a result of an engine to share, or the budget allows another query.
+/// That query then serves all that ask meanwhile.
 fn may_probe<T>(
     shared: &SharedState,
     service: &ServiceId,
@@ -118,7 +118,7 @@
 ) -> bool {
     let now = shared.now();
     let Some(addr) = address(shared, id) else {
-        // That it is gone is known without a connection.
+        // That the engine is gone is known without a connection.
         return true;
     };
     if is_cached(cached, now, &addr, max_age) {
@@ -131,8 +131,8 @@
     may
 }
 
-/// Whether an engine is asked how it is. Under pressure only the first of a chain is: it
-/// names the one that holds the chain up.
+/// Whether an engine of a chain is asked for its report. Under pressure only the first one
+/// is, which names the engine that stalls the chain.
 fn may_query(shared: &SharedState, a: &AdmittedRequest, n: usize, id: &str) -> bool {
     if a.class.is_none() {
         return true;
@@ -144,9 +144,8 @@
     may_probe(shared, &a.service.name, reports, id, MAX_REPORT_AGE)
 }
 
-/// Asks the engines of a chain how they are, and notes which are slow.
-/// Returns the engine that the first one names as the cause of the silence of
-/// the request.
+/// Queries the engines of a chain for their reports, and records which are slow. Returns
+/// the engine that the first one names as the cause of the request's silence.
 pub async fn query_engines(
     shared: &Rc<SharedState>,
     a: &AdmittedRequest,
@@ -163,7 +162,7 @@
     }
     let mut culprit = None;
     while let Some(answer) = asked.join_next().await {
-        // A question neither panics nor is cancelled here.
+        // A query neither panics nor is cancelled here.
         let Ok((n, Some(report))) = answer else {
             continue;
         };
@@ -204,7 +203,7 @@
     cell.get_or_init(|| ask).await.clone()
 }
 
-/// Suspects an upstream if it takes no connection.
+/// Marks an upstream as suspect if it accepts no connection.
 pub async fn check_upstream(shared: Rc<SharedState>, id: UpstreamId) {
     if lacks_check_budget(&shared, &id) {
         return;
@@ -214,7 +213,7 @@
     }
 }
 
-/// Whether an upstream is not checked, as there are no checks left for its service.
+/// Whether an upstream is not checked because its service has no checks left in its budget.
 fn lacks_check_budget(shared: &SharedState, id: &str) -> bool {
     let registry = shared.registry.borrow();
     let Some(entry) = registry.get(id).filter(|e| !e.is_active(shared.now())) else {
@@ -235,18 +234,18 @@
         )
 }
 
-/// What a check of an engine that another box reports found.
+/// Result of the check of an engine that another box reported.
 pub enum ProbeResult {
-    /// It accepts connections.
+    /// The engine accepts connections.
     Alive,
-    /// It does not.
+    /// The engine accepts no connection.
     Lost,
-    /// It is not listed any more.
+    /// The engine is no longer listed.
     Delisted,
 }
 
-/// Whether the account of a service allows the check of an engine that another box
-/// reports. The connection then stands for all that ask meanwhile.
+/// Whether the recovery budget of a service allows the check of an engine that another box
+/// reported. The connection then serves all that ask meanwhile.
 pub fn may_check_reported(shared: &SharedState, service: &ServiceId, id: &str) -> bool {
     may_probe(
         shared,
@@ -257,10 +256,12 @@
     )
 }
 
-/// Connects to an engine that another box reports, which [`may_check_reported`] allowed.
+/// Connects to an engine that another box reported and that [`may_check_reported`] allowed
+/// to check.
 ///
-/// What streams heard and what was found a moment ago is from before the other box's
-/// connection failed, or may be: streams hear an engine up to 60 ms after such an event.
+/// Recent activity and earlier probes do not count, as they may be from before the other
+/// box's connection failed: streams record an engine as active up to 60 ms after such a
+/// failure.
 pub async fn check_reported(shared: &SharedState, id: &str) -> ProbeResult {
     match accepts_connections(shared, id, MAX_RECHECK_AGE).await {
         true => ProbeResult::Alive,
@@ -269,7 +270,7 @@
     }
 }
 
-/// Whether a connection of this box to an address has just failed.
+/// Whether a connection attempt of this box to an address has just failed.
 pub fn failed_recently(shared: &SharedState, addr: &str) -> bool {
     let alive = shared.probes.reachable.borrow();
     let recent = alive.get(addr);
@@ -277,15 +278,16 @@
     recent.is_some_and(|(_, cell)| cell.get() == Some(&false))
 }
 
-/// Whether an upstream whose connection just broke takes no other one.
+/// Whether an upstream whose connection just broke accepts no new one.
 ///
-/// That streams heard it a moment ago says nothing here. It takes nothing out of the
-/// account: without it a stream loses an attempt for an engine that is lost.
+/// Recent activity on other streams says nothing here. The probe takes nothing from the
+/// recovery budget: without it, a stream would use up an attempt for an engine that is
+/// lost.
 pub async fn is_lost(shared: &SharedState, id: &str) -> bool {
     !accepts_connections(shared, id, MAX_RECHECK_AGE).await
 }
 
-/// Whether an upstream takes a connection; one that is gone does not.
+/// Whether an upstream accepts connections; one that is no longer listed does not.
 async fn is_alive(shared: &SharedState, id: &str) -> bool {
     let heard = |e: &UpstreamState| e.is_active(shared.now());
     if shared.registry.borrow().get(id).is_some_and(heard) {
@@ -294,7 +296,7 @@
     accepts_connections(shared, id, MAX_PROBE_AGE).await
 }
 
-/// Connects to an upstream, or goes by what was found less than `shared` ago.
+/// Connects to an upstream, or uses a result that is less than `max_age` old.
 async fn accepts_connections(shared: &SharedState, id: &str, max_age: Duration) -> bool {
     let Some(addr) = address(shared, id) else {
         return false;
--- a/crates/ashgauged/src/relay/select.rs
+++ b/crates/ashgauged/src/relay/select.rs
@@ -1,5 +1,5 @@
-//! What a box chooses for a request: an upstream, or a chain of engines; and what it
-//! notes of what it chose.
+//! Selection of an upstream or a chain of engines for a request, and records of the load
+//! that it puts on them.
 
 use std::time::Duration;
 
@@ -21,25 +21,27 @@
 
 use super::shared_state::SharedState;
 
-/// Share of the memory near up to which those who come back late choose as streams
-/// of a lost engine do: they come back together, as they were cut together, and by
-/// the time of a whole answer all would go to the same engines. Where memory is
-/// scarce a chain must be quick as a whole, as it holds memory for as long.
+/// Utilization of the local engines' memory up to which late retries choose their chain as
+/// the streams of a lost engine do. They were cut off together and return together; if they
+/// chose by the duration of a whole answer, all would choose the same engines. Where memory
+/// is scarce, a chain must be fast as a whole, as it occupies memory for that long.
 const MAX_SIMULTANEOUS_FILL: f64 = 0.4;
 
-/// What a chain is chosen for.
+/// Criteria for the choice of a chain.
 #[derive(Clone, Copy)]
 pub struct ChainCriteria {
-    /// Room that it needs; none for a stream that goes on, which is not held up.
+    /// Capacity that the request needs; `None` for a stream that continues, which does not
+    /// wait for capacity.
     pub need: Option<Requirements>,
-    /// How the request stands against its aim.
+    /// Slack of the request against its target latency.
     pub slack: Slack,
-    /// What it has to read and to write; `None` stands for a usual request.
+    /// Tokens that are left to prefill and to generate; `None` for a request of typical
+    /// size.
     pub size: Option<RequestSize>,
 }
 
 impl SharedState {
-    /// Chooses an upstream of a plain service.
+    /// Chooses an upstream of a service without chains.
     pub fn choose_upstream(
         &self,
         service: &str,
@@ -53,8 +55,8 @@
         Some((id, addr))
     }
 
-    /// Chooses a chain over a range of a model's layers; without a `need` for a
-    /// stream that goes on elsewhere, as others do at the same moment.
+    /// Chooses a chain over a range of a model's layers. Criteria without `need` are those
+    /// of a stream that continues elsewhere, as others do at the same moment.
     pub fn choose_chain(
         &self,
         service: &str,
@@ -79,8 +81,8 @@
         selection::select_chain(&context, model, span, avoid, wish.need, &mut *self.rng())
     }
 
-    /// How long until a request of a service can go somewhere, if upstreams that want
-    /// rest are what it lacks.
+    /// Time until a request of a service can be sent, if only the backoff of upstreams
+    /// prevents it.
     pub fn backoff_left(&self, service: &Service) -> Option<Duration> {
         let registry = self.registry.borrow();
         let (pipes, shares) = (self.wan_usage.borrow(), self.fleet_load.borrow());
@@ -89,7 +91,7 @@
         selection::backoff_left(&context, model, &mut *self.rng())
     }
 
-    /// Share of an engine's memory that requests hold, as far as is known.
+    /// Share of an engine's memory that requests hold, if known.
     pub fn fullness(&self, id: &str) -> Option<f64> {
         let (registry, routing) = (self.registry.borrow(), self.routing());
         let entry = registry.get(id)?;
@@ -99,8 +101,8 @@
         selection::memory_utilization(&context, service.model.as_ref()?, entry)
     }
 
-    /// How many of a service's engines are filled up to the share at which they
-    /// get no first sends, and how many hold layers.
+    /// Number of a service's engines that are filled up to the limit at which they get no
+    /// first sends, and number of engines that hold layers.
     pub fn count_full(&self, service: &Service) -> (usize, usize) {
         let limit = self.with_queue(&service.name, |l| l.fill_limit());
         let (registry, pipes, shares) = (
@@ -113,7 +115,7 @@
         model.map_or((0, 0), |m| selection::count_full(&context, m, limit))
     }
 
-    /// How near the engines of a service are to what they can do.
+    /// Pressure on the engines of a service: how close they are to their capacity.
     pub fn pressure(&self, service: &Service, model: &Model) -> Pressure {
         let (registry, pipes, shares) = (
             self.registry.borrow(),
@@ -124,14 +126,14 @@
         Pressure::from_context(&context, model)
     }
 
-    /// What the callers of all boxes ask of a service, and requests of it that end each
-    /// second; boxes that were not heard lately are taken to do as those that were.
+    /// Demand of all boxes' callers for a service, and its completions per second. Boxes
+    /// without a recent report are assumed to match those with one.
     pub fn fleet_demand(&self, service: &str) -> (Demands, f64) {
         let own = self.admissions.own_traffic(self.now());
         let shares = self.fleet_load.borrow();
         let flows = shares.flows(&own);
         let heard = shares.boxes() as f64 + 1.0;
-        // More are heard than there are where some are in a hub's sum as well.
+        // More boxes are heard from than exist if some are also part of a hub's sum.
         let factor = shares.present_boxes(f64::from(self.fleet_size())) / heard;
         let key = demand::key(service);
         let mut demands = flows.demands_of(key);
@@ -155,7 +157,7 @@
         forecast::forecast(&context, model, stages, prompt)
     }
 
-    /// Writes a chain for the wire, with the first engine's address.
+    /// Encodes a chain for the wire, and returns it with the first engine's address.
     pub fn encode_chain(&self, stages: &[Stage]) -> Option<(String, String)> {
         let registry = self.registry.borrow();
         let addr = |id: &str| registry.get(id).map(|e| e.upstream.addr.as_str());
@@ -164,7 +166,7 @@
         Some((text, first.into()))
     }
 
-    /// How often a chain changes data centre.
+    /// Counts how often a chain changes data centre.
     pub fn count_crossings(&self, stages: &[Stage]) -> usize {
         let registry = self.registry.borrow();
         let place = |s: &Stage| {
@@ -176,8 +178,7 @@
         pairs.filter(|p| place(&p[0]) != place(&p[1])).count()
     }
 
-    /// Notes what goes between data centres for `tokens` tokens that a chain
-    /// reads.
+    /// Records the traffic between data centres for `tokens` tokens that a chain prefills.
     pub fn note_transfers(&self, model: &Model, stages: &[Stage], tokens: u32) {
         let (registry, now) = (self.registry.borrow(), self.now());
         let mut pipes = self.wan_usage.borrow_mut();
@@ -195,7 +196,7 @@
         }
     }
 
-    /// Notes that engines are to read `tokens` tokens, each through its stage.
+    /// Records that engines are to prefill `tokens` tokens, each through its own stage.
     pub fn note_prefill<'a>(
         &self,
         model: &Model,
@@ -216,7 +217,7 @@
         }
     }
 
-    /// Boxes of one data centre, on average.
+    /// Mean number of boxes in one data centre.
     fn mean_local_boxes(&self, registry: &UpstreamRegistry) -> f64 {
         let places = registry.data_centres().max(1) as f64;
         (f64::from(self.fleet_size()) / places).max(1.0)
--- a/crates/ashgauged/src/relay/shared_state.rs
+++ b/crates/ashgauged/src/relay/shared_state.rs
@@ -1,8 +1,8 @@
-//! What the tasks of one box share: what it knows, and its budgets.
+//! State that the tasks of one box share: what the box knows, and its retry budgets.
 //!
-//! All tasks run on one thread. A decision borrows the state, decides and
-//! lets go without waiting in between, so what it decided on still holds when
-//! the bytes go out.
+//! All tasks run on one thread. A decision borrows the state, decides and releases the
+//! borrow without awaiting in between, so the state that it is based on is unchanged when
+//! the bytes are sent.
 
 use std::cell::{Cell, RefCell};
 use std::collections::HashMap;
@@ -39,138 +39,139 @@
 use super::state::{AdmissionStates, Clock, Permits, Probes, RetryBudgets, boot_time};
 use super::{log, suspicion};
 
-/// Boxes assumed by choices of upstreams before their number is known.
+/// Fleet size that is assumed when upstreams are chosen before the boxes are counted.
 const DEFAULT_FLEET_SIZE: u32 = 16;
 
-/// Time since the start after which a small count of the boxes is believed.
+/// Time since the start after which a small count of the boxes is trusted.
 const COUNT_TRUST_DELAY: Duration = Duration::from_secs(3);
 
-/// What the clock shows when the process starts, so that moments before it have
-/// a time as well: a proof from another box may be older than the process.
+/// Reading of the clock when the process starts. Moments before the start need a time as
+/// well: a proof from another box may be older than the process.
 const CLOCK_OFFSET: Duration = Duration::from_secs(60);
 
 /// Another box, as it announced itself.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Peer {
-    /// Address on which it hears.
+    /// Address on which the box receives messages of other boxes.
     pub addr: SocketAddr,
-    /// Its data centre.
+    /// Data centre of the box.
     pub data_centre: Arc<str>,
-    /// Whether it stands in the same data centre.
+    /// Whether the box is in the same data centre as this one.
     pub is_local: bool,
-    /// What its link carries, in Mbit/s; 0 if it did not say.
+    /// Capacity of the box's network link, in Mbit/s; 0 if unknown.
     pub link_mbps: u32,
-    /// Whether all boxes know it, so that it may read for them.
+    /// Whether all boxes know the box, so that it may read the store for them.
     pub is_candidate: bool,
 }
 
-/// What another box asked last.
+/// Last query of another box.
 #[derive(Clone, Copy, Debug)]
 pub struct LastQuery {
-    /// When.
+    /// When the query arrived.
     pub asked_at: Duration,
-    /// Revision up to which it knew everything.
+    /// Revision up to which the other box knew everything.
     pub revision: Revision,
 }
 
-/// What the tasks of one box share.
+/// State that the tasks of one box share.
 pub struct SharedState {
     settings: RefCell<Rc<Settings>>,
-    /// The store.
+    /// Client of the store.
     pub store: StoreClient,
-    /// Connections for orders and reports.
+    /// HTTP client for orders to engines and for their reports.
     pub client: Client,
-    /// The configuration in force.
+    /// Configuration in force.
     pub routing: RefCell<Arc<RoutingConfig>>,
-    /// The upstreams.
+    /// The known upstreams.
     pub registry: RefCell<UpstreamRegistry>,
-    /// Limits that upstreams name, and permits to send to those.
+    /// Rate limits that upstreams name, and permits to send to those upstreams.
     pub permits: Permits,
-    /// How sure the configuration is.
+    /// How current the configuration is.
     pub freshness: RefCell<Freshness>,
-    /// What was read of the store, to hand on to other boxes.
+    /// Copy of what was read from the store, to pass on to other boxes.
     pub mirror: RefCell<Mirror>,
-    /// Whether entries that are gone are certainly gone.
+    /// Whether entries that are missing were certainly removed.
     pub removals_certain: Cell<bool>,
     /// Whether this box reads the store itself.
     pub reads_store: watch::Sender<bool>,
-    /// When the other boxes had been looked for, so that who reads can be told.
+    /// When the search for the other boxes ended, so that the readers can be chosen.
     pub discovered_at: Cell<Option<Duration>>,
-    /// Whether all boxes know this one, so that it may read for them.
+    /// Whether all boxes know this one, so that it may read the store for them.
     pub is_candidate: Cell<bool>,
-    /// Whether the others knew this box before it started.
+    /// Whether this box was listed before it started.
     pub was_listed: Cell<bool>,
     /// Whether there are boxes that this one does not know.
     pub peers_partial: Cell<bool>,
-    /// The boxes that read for the others.
+    /// The boxes that read the store for the others.
     pub readers: RefCell<Rc<Readers>>,
-    /// When the store was last asked for a configuration that it did not have.
+    /// When the store was last asked for a configuration and had none.
     pub config_missing_at: Cell<Option<Duration>>,
-    /// Whether the last proof failed, so that calls to the store are in vain.
+    /// Whether the last revision check failed, so that other calls to the store would fail
+    /// too.
     pub store_down: Cell<bool>,
-    /// Whether the list of upstreams was read.
+    /// Whether the list of upstreams has been read.
     pub upstreams_listed: Cell<bool>,
-    /// Whether a configuration and the list of upstreams were read.
+    /// Whether a configuration and the list of upstreams have been read.
     synced: watch::Sender<bool>,
     /// Whether the box is stopping.
     pub is_stopping: Cell<bool>,
-    /// Whether new requests are refused, as the process is about to end.
+    /// Whether new requests are refused because the process is about to end.
     pub is_stopped: Cell<bool>,
-    /// Requests under way.
+    /// Number of requests in flight.
     pub inflight: Cell<usize>,
-    /// Bytes of bodies that are being read.
+    /// Bytes of request bodies that are being read.
     pub body_bytes: Cell<usize>,
-    /// Figures for operators.
+    /// Metrics of the box.
     pub metrics: Metrics,
-    /// Tells streams that an upstream became suspect, or gives up what it held.
+    /// Notifies streams that an upstream became suspect or releases layers.
     pub upstream_changes: watch::Sender<u64>,
-    /// Probes of upstreams of the last moments.
+    /// Recent probes of upstreams.
     pub probes: Probes,
-    /// Requests that wait for room, by service.
+    /// Queues of requests that wait for capacity, by service.
     pub queues: RefCell<HashMap<ServiceId, AdmissionQueue>>,
-    /// How much is asked of each service, and who is let in.
+    /// Demand for each service, and which streams are admitted.
     pub admissions: AdmissionStates,
-    /// How long streams stay, by service.
+    /// Mean duration of streams, by service.
     pub durations: RefCell<HashMap<ServiceId, RequestDuration>>,
-    /// How far forecasts of first events are off, by service.
+    /// Corrections of forecasts of first events, by service.
     pub calibrations: RefCell<HashMap<ServiceId, Calibration>>,
-    /// What the other boxes have on the upstreams.
+    /// Load of the other boxes on the upstreams.
     pub fleet_load: RefCell<FleetLoad>,
-    /// Time between two words on what boxes elsewhere have.
+    /// Interval between two load reports about boxes in other data centres.
     pub report_interval: Cell<Duration>,
-    /// Requests that end upstreams.
+    /// Requests that crash the upstreams that run them.
     pub quarantine: RefCell<Quarantine>,
-    /// Upstreams that run requests under which others were lost, one for each.
+    /// Upstreams that run requests under which others were lost, one entry for each run.
     pub suspect_runs: RefCell<Vec<UpstreamId>>,
-    /// Tells that the other boxes are to know of another loss.
+    /// Notifies that there is another loss to report to the other boxes.
     pub loss_notify: Notify,
-    /// Tells that a check of an upstream that may be lost has ended.
+    /// Notifies that a check of a possibly lost upstream has ended.
     pub check_notify: Notify,
-    /// Engines that accept no connections, as this box found and others told it.
+    /// Engines that accept no connections, as found by this box and as reported by others.
     pub suspicions: RefCell<SuspectReports>,
-    /// Tells that the other boxes are to be notified of such engines.
+    /// Notifies that there are such engines to report to the other boxes.
     pub suspect_notify: Notify,
-    /// Address on which this box hears the others, if it does.
+    /// Address on which this box receives messages of the others, if it does.
     pub peer_addr: Cell<Option<SocketAddr>>,
-    /// The other boxes, by name.
+    /// The other boxes, by id.
     pub peers: RefCell<HashMap<BoxId, Peer>>,
-    /// Boxes that ask this one.
+    /// Boxes that query this one.
     pub pollers: RefCell<HashMap<BoxId, LastQuery>>,
-    /// What goes between data centres.
+    /// Traffic between data centres.
     pub wan_usage: RefCell<WanUsage>,
-    /// This box's data centre.
+    /// Data centre of this box.
     pub data_centre: Arc<str>,
-    /// Retries that this box may take.
+    /// Retries that this box may make.
     pub retry_budgets: RetryBudgets,
     fleet_size: Cell<u32>,
     counted: Cell<u32>,
     rng: RefCell<SmallRng>,
-    /// The clock by which everything here goes.
+    /// Clock that all times here are measured by.
     pub clock: Clock,
 }
 
 impl SharedState {
-    /// Makes the state of a box that knows nothing yet.
+    /// Creates the state of a box that knows nothing yet.
     pub fn new(settings: Settings, metrics: Metrics) -> Self {
         let ms = Duration::from_millis;
         SharedState {
@@ -225,13 +226,13 @@
         }
     }
 
-    /// The settings in force.
+    /// Returns the settings in force.
     pub fn settings(&self) -> Rc<Settings> {
         self.settings.borrow().clone()
     }
 
-    /// Puts changed bounds and times in force. Addresses, the name and the
-    /// log level hold from the next start on.
+    /// Puts changed bounds and times in force. Addresses, the id and the log level only
+    /// change with a restart.
     pub fn reload(&self, settings: Settings) {
         self.freshness
             .borrow_mut()
@@ -241,55 +242,55 @@
         *self.settings.borrow_mut() = Rc::new(settings);
     }
 
-    /// Time since [`CLOCK_OFFSET`] before the process's start; goes on while the
-    /// process stands still or its machine is suspended.
+    /// Time on the box's clock, which starts at [`CLOCK_OFFSET`]. It keeps running while
+    /// the process is stopped or its machine is suspended.
     pub fn now(&self) -> Duration {
         CLOCK_OFFSET + self.clock.elapsed()
     }
 
-    /// Time since the process's start.
+    /// Time since the start of the process.
     pub fn uptime(&self) -> Duration {
         self.clock.elapsed()
     }
 
-    /// The configuration in force.
+    /// Returns the configuration in force.
     pub fn routing(&self) -> Arc<RoutingConfig> {
         self.routing.borrow().clone()
     }
 
-    /// Random choices.
+    /// Returns the random number generator.
     pub fn rng(&self) -> std::cell::RefMut<'_, SmallRng> {
         self.rng.borrow_mut()
     }
 
-    /// Whether the balancer should send callers here.
+    /// Whether the load balancer should send callers here.
     pub fn is_ready(&self) -> bool {
         let keyed = self.routing.borrow().requires_keys();
         let sure = !keyed || self.freshness.borrow().is_fresh(self.now());
         self.is_synced() && sure && !self.is_stopping.get()
     }
 
-    /// Whether a configuration and the list of upstreams were read.
+    /// Whether a configuration and the list of upstreams have been read.
     pub fn is_synced(&self) -> bool {
         self.routing.borrow().version > 0 && self.upstreams_listed.get()
     }
 
-    /// Notes that something was read for the first time.
+    /// Updates whether the box is synced, after something was read.
     pub fn update_synced(&self) {
         let known = self.is_synced();
         self.synced
             .send_if_modified(|k| std::mem::replace(k, known) != known);
     }
 
-    /// Waits until a box that has just started knows enough to serve, or for
-    /// `most`.
+    /// Waits until a box that has just started knows enough to serve, but not longer than
+    /// `max_wait`.
     pub async fn wait_synced(&self, most: Duration) {
         let mut known = self.synced.subscribe();
-        // Either way the request is judged by what is known then.
+        // In either case the request is judged by what is known by then.
         let _ = timeout(most, known.wait_for(|k| *k)).await;
     }
 
-    /// Notes how many boxes there are.
+    /// Records how many boxes there are.
     pub fn set_fleet_size(&self, boxes: u32) {
         self.counted.set(boxes);
         let is_trusted = self.is_count_trusted();
@@ -306,20 +307,20 @@
         }
     }
 
-    /// Whether a count of the boxes is believed: a first one may be from before the
-    /// others had started, but not where this box is listed from before its own start.
+    /// Whether a count of the boxes is trusted. A first count may be from before the others
+    /// had started, unless this box was listed before its own start.
     fn is_count_trusted(&self) -> bool {
         self.was_listed.get() || self.uptime() >= COUNT_TRUST_DELAY
     }
 
-    /// What this box is to the others.
+    /// Role of this box in the exchange of load reports.
     pub fn role(&self) -> Role {
         let known = self.peers.borrow().len() + 1;
         let boxes = known.max(self.counted.get() as usize);
         hub::role(boxes, &self.readers.borrow())
     }
 
-    /// Boxes that this one tells what it has.
+    /// Boxes that this one sends its load reports to.
     pub fn report_targets(&self) -> Vec<(BoxId, Peer)> {
         let peers = self.peers.borrow();
         let named = |id: &BoxId| Some((id.clone(), peers.get(id)?.clone()));
@@ -330,7 +331,8 @@
         }
     }
 
-    /// Boxes that hear of the others by this one.
+    /// Boxes that learn the load of the rest of the fleet from this one; none unless it is
+    /// a hub.
     pub fn leaves(&self) -> Vec<(BoxId, Peer)> {
         if self.role() != Role::Hub {
             return Vec::new();
@@ -342,7 +344,7 @@
         named.collect()
     }
 
-    /// Believes the last count, as the others have had the time to start.
+    /// Trusts the last count, as the other boxes have had time to start.
     pub fn trust_count(&self) {
         match self.counted.get() {
             0 => {}
@@ -362,17 +364,17 @@
             .inc();
     }
 
-    /// Boxes that were counted so far; 0 before the first count.
+    /// Number of boxes at the last count; 0 before the first one.
     pub fn counted_boxes(&self) -> u32 {
         self.counted.get()
     }
 
-    /// Boxes of the fleet, as far as is known.
+    /// Size of the fleet, as far as known.
     pub fn fleet_size(&self) -> u32 {
         self.fleet_size.get()
     }
 
-    /// Uses the line of requests that wait for a service.
+    /// Calls `with` on the queue of requests that wait for a service.
     pub fn with_queue<T>(
         &self,
         service: &ServiceId,
@@ -381,14 +383,14 @@
         with(self.queues.borrow_mut().entry(service.clone()).or_default())
     }
 
-    /// How long streams of a service stay.
+    /// Mean duration of a service's streams.
     pub fn mean_duration(&self, service: &str) -> Duration {
         let stays = self.durations.borrow();
         stays.get(service).copied().unwrap_or_default().mean()
     }
 
-    /// About how old what this box knows of all others is: words come each lag, those of
-    /// the own data centre more often.
+    /// Approximate age of what this box knows of all others. Load reports come once per
+    /// interval, those of the own data centre more often.
     pub fn report_age(&self) -> Duration {
         let heard = self.fleet_load.borrow().boxes() as f64;
         self.report_interval
@@ -396,13 +398,13 @@
             .mul_f64(0.5 * heard / (heard + 1.0))
     }
 
-    /// Notes how long a stream took that ended well.
+    /// Records the duration of a stream that completed.
     pub fn note_duration(&self, service: &ServiceId, took: Duration) {
         let mut stays = self.durations.borrow_mut();
         stays.entry(service.clone()).or_default().record(took);
     }
 
-    /// Notes that an engine refused a request at a share of its memory.
+    /// Records that an engine refused a request at a certain utilization of its memory.
     pub fn note_full_refusal(&self, id: &str, fullness: f64) {
         let service = self
             .registry
@@ -414,13 +416,14 @@
         }
     }
 
-    /// Tells the streams that the upstreams that they use may have changed.
+    /// Notifies the streams that the upstreams that they use may have changed.
     pub fn notify_streams(&self) {
         self.upstream_changes.send_modify(|n| *n += 1);
     }
 
-    /// Notes that an upstream does not answer and tells the streams on it; the other boxes as
-    /// well if it just accepted no connection of this box.
+    /// Marks an upstream that does not answer as suspect and notifies the streams on it.
+    /// The other boxes are notified as well if it has just failed to accept a connection of
+    /// this box.
     pub fn mark_suspect(&self, id: &str, why: &str) {
         let new = self.registry.borrow_mut().mark_suspect(self.now(), id);
         if new {
