--- a/crates/ashgauged/src/relay/body.rs
+++ b/crates/ashgauged/src/relay/body.rs
@@ -1,4 +1,4 @@
-//! Reads callers' bodies, within their bounds.
+//! Reads callers' bodies, within limits of size and time.
 
 use std::cell::Cell;
 use std::time::Duration;
@@ -10,14 +10,15 @@
 
 use super::shared_state::SharedState;
 
-/// For a request's body to come; those of today's callers come at once.
+/// Time-out for a request's body; today's callers send it at once.
 const BODY_TIMEOUT: Duration = Duration::from_secs(5);
 
-/// Bytes of bodies that may be read at one time, over all callers: a part of
-/// the least memory that the users give a box (160 MB).
+/// Bytes of bodies that may be read at the same time, over all callers: part of the least
+/// memory that users give a box (160 MB).
 const MAX_BUFFERED_BYTES: usize = 48 << 20;
 
-/// Reads a request's body, or tells the status and end of the refusal.
+/// Reads a request's body. On failure returns the response's status, and how the request
+/// ended.
 pub async fn read(
     shared: &SharedState,
     body: Incoming,
@@ -42,7 +43,7 @@
     }
 }
 
-/// A part of the room for bodies, given back when dropped.
+/// Part of the buffer space for bodies, released when dropped.
 struct BodyReservation<'a> {
     total_bytes: &'a Cell<usize>,
     bytes: usize,
@@ -51,7 +52,7 @@
 impl<'a> BodyReservation<'a> {
     fn reserve(bodies: &'a Cell<usize>, bytes: usize) -> Option<Self> {
         let taken = bodies.get() + bytes;
-        // One body may always be read, whatever its bound.
+        // One body may always be read, whatever its limit.
         if taken > MAX_BUFFERED_BYTES && bodies.get() > 0 {
             return None;
         }
--- a/crates/ashgauged/src/relay/capacity_wait.rs
+++ b/crates/ashgauged/src/relay/capacity_wait.rs
@@ -1,4 +1,4 @@
-//! A request's wait for room on the engines.
+//! A request's wait for capacity on the engines.
 
 use std::rc::Rc;
 use std::sync::Arc;
@@ -12,34 +12,34 @@
 use super::request::AdmittedRequest;
 use super::shared_state::SharedState;
 
-/// Longest wait for room. A request that would wait longer is refused at once
-/// and comes back when there may be room.
+/// Longest wait for capacity. A request that would wait longer is refused at once and comes
+/// back when there may be capacity.
 const MAX_WAIT: Duration = Duration::from_millis(400);
 
-/// The same for a request that comes back: most callers ask twice only, so
-/// another refusal is the last word. Callers leave after two seconds.
+/// The same for a retry. Most callers try only twice, so another refusal is final. Callers
+/// leave after two seconds.
 const MAX_RETRY_WAIT: Duration = Duration::from_millis(1200);
 
-/// Part of the expected wait that must fit: the expectation is rough, and one
-/// that is refused may have been let in.
+/// Share of the expected wait that must fit before the deadline. The expectation is rough,
+/// and a request that is refused might have been admitted.
 const MIN_WAIT_SHARE: f64 = 0.5;
 
-/// Time between two looks of the request that is next; some five requests end
+/// Interval at which the first request of the queue checks again; about five requests end
 /// meanwhile over the users' fleets.
 const POLL_INTERVAL: Duration = Duration::from_millis(20);
 
-/// A request that is to be let in; leaves the line when it is dropped.
+/// A request that waits to be admitted. Dropping it removes it from the queue.
 pub struct CapacityWait {
     shared: Rc<SharedState>,
     service: ServiceId,
     ticket: Option<Ticket>,
-    /// Whether it is made for the first time.
+    /// Whether this is the first try of the request.
     is_first: bool,
     deadline: Duration,
 }
 
 impl CapacityWait {
-    /// A request that does not wait yet.
+    /// Creates the wait of a request that is not in the queue yet.
     pub fn new(shared: &Rc<SharedState>, a: &AdmittedRequest) -> Self {
         let first = !a.may_be_retry();
         let most = if first { MAX_WAIT } else { MAX_RETRY_WAIT };
@@ -52,7 +52,8 @@
         }
     }
 
-    /// Puts the request into the line, if it is not there, as no chain has room.
+    /// Puts the request into the queue, if it is not there yet, because no chain has the
+    /// capacity.
     pub fn wait_for_capacity(&mut self, a: &AdmittedRequest) {
         if self.ticket.is_none() {
             let fields = json!({
@@ -76,8 +77,8 @@
         }
     }
 
-    /// Waits until the request may look for a chain; returns false if it would
-    /// take too long.
+    /// Waits until the request may choose a chain. Returns `false` if that would take too
+    /// long.
     pub async fn wait(&mut self, a: &AdmittedRequest) -> bool {
         let rank = a.rank(&self.shared);
         let line_ahead = |l: &mut AdmissionQueue| l.ahead_of_new(rank);
@@ -99,12 +100,12 @@
         }
     }
 
-    /// Whether the request may wait for so long.
+    /// Whether a wait of this length ends before the deadline.
     pub fn fits_deadline(&self, wait: Duration) -> bool {
         self.shared.now() + wait <= self.deadline
     }
 
-    /// Whether a request with so many ahead is better refused now.
+    /// Whether a request with `ahead` others before it is better refused now.
     fn exceeds_deadline(&self, ahead: usize) -> bool {
         let wait = self
             .shared
@@ -113,7 +114,7 @@
         now >= self.deadline || now + wait.mul_f64(MIN_WAIT_SHARE) > self.deadline
     }
 
-    /// Notes that the request was let in.
+    /// Records that the request was admitted.
     pub fn note_admitted(&mut self) {
         let now = self.shared.now();
         self.shared
--- a/crates/ashgauged/src/relay/forward.rs
+++ b/crates/ashgauged/src/relay/forward.rs
@@ -1,4 +1,5 @@
-//! A caller's request: admission, and the sends of a plain service's request.
+//! Entry point of callers' requests: resolves route, team and service, and sends the
+//! requests whose answers are not streams.
 
 use std::rc::Rc;
 use std::sync::Arc;
@@ -39,17 +40,17 @@
 use super::shedding;
 use super::stream;
 
-/// Longest answer of a plain service that is held until it is whole.
+/// Largest answer that is not a stream; it is buffered until it is complete.
 const MAX_ANSWER_BYTES: usize = 16 << 20;
 
-/// Part of the aim after which a repeatable request is given up on an
-/// upstream that stays silent.
+/// Share of the target latency after which a retryable request is given up on a silent
+/// upstream.
 const SILENCE_AIM_SHARE: f64 = 0.6;
 
-/// Multiple of an upstream's learned time after which it counts as silent.
+/// Multiple of an upstream's learned latency after which it counts as silent.
 const SILENCE_FACTOR: f64 = 4.0;
 
-/// Answers one request.
+/// Handles one request.
 pub async fn handle(shared: Rc<SharedState>, request: Request<Incoming>) -> Response<Body> {
     let arrived = shared.now();
     let (head, body) = request.into_parts();
@@ -106,7 +107,7 @@
     }
 }
 
-/// The digest of a request; a team's keys count as one caller.
+/// Digest of a request; all keys of a team count as one caller.
 fn digest_of(
     head: &request::Parts,
     ask: &ClientRequest,
@@ -119,14 +120,14 @@
     digest::request_digest(path, caller, body)
 }
 
-/// Why a request is not let in.
+/// Why a request is refused before it is sent.
 #[derive(Clone, Copy, Debug)]
 enum Refusal {
     /// The box is about to end.
     Stopping,
-    /// The box does not know what is in force.
+    /// The box does not know which configuration is in force.
     Unsynced,
-    /// No route leads there.
+    /// No route matches.
     NoRoute,
     /// The key is missing or unknown.
     NoKey,
@@ -145,7 +146,7 @@
     if routing.version == 0 {
         return Err(Refusal::Unsynced);
     }
-    // What a stale configuration lacks may be there by now.
+    // What a stale configuration lacks may exist by now.
     let or_unsure = |refusal| if sure { refusal } else { Refusal::Unsynced };
     let route = routing.find_route(&ask.host, &ask.path);
     let route = route.ok_or(or_unsure(Refusal::NoRoute))?;
@@ -238,7 +239,7 @@
     }
 }
 
-/// Chooses an upstream that takes one more request.
+/// Chooses an upstream and takes the permit that it may need.
 async fn choose_upstream(
     shared: &SharedState,
     a: &AdmittedRequest,
@@ -302,7 +303,7 @@
     Ok(answer)
 }
 
-/// How long a repeatable request waits on a silent upstream.
+/// Time that a retryable request waits on a silent upstream.
 fn silence_timeout(shared: &SharedState, a: &AdmittedRequest, id: &str) -> Duration {
     let registry = shared.registry.borrow();
     let learned = registry.get(id).map_or(0.0, |e| e.latency_seconds);
@@ -312,7 +313,7 @@
 
 type CollectedAnswer = (FullResponse, Option<(u32, u32)>);
 
-/// Sends on a fresh connection and reads the whole answer.
+/// Sends the request on a new connection and reads the whole answer.
 async fn collect_answer(
     shared: &Rc<SharedState>,
     upstream: &UpstreamId,
--- a/crates/ashgauged/src/relay/open.rs
+++ b/crates/ashgauged/src/relay/open.rs
@@ -1,4 +1,4 @@
-//! Begins a stream: sends the request over a chosen chain and waits for the head of the
+//! Start of a stream: sends the request over a chosen chain and waits for the head of the
 //! answer.
 
 use std::rc::Rc;
@@ -25,44 +25,45 @@
 use super::request::{AdmittedRequest, LoadGuard, apply_refusal, failure_outcome, is_authorized};
 use super::shared_state::SharedState;
 
-/// Silence after which a stream whose engines all answer goes on elsewhere;
-/// its caller leaves after two seconds.
+/// Silence after which a stream continues elsewhere though all its engines answer; its
+/// caller leaves after two seconds.
 pub const MAX_SILENCE: Duration = Duration::from_millis(1300);
 
-/// Longest answer with a failure that is passed on.
+/// Largest error response that is forwarded to the caller.
 const MAX_FAILURE_BYTES: usize = 1 << 20;
 
-/// Where a stream runs.
+/// A running stream, and the chain that it runs on.
 pub struct Run {
-    /// The engines with their layers.
+    /// Engines of the chain, with their layers.
     pub stages: Vec<Stage>,
     /// Address of the first engine.
     pub first_addr: String,
-    /// The answer on its way.
+    /// The response whose body is being received.
     pub exchange: OpenResponse,
-    /// When its head had come.
+    /// When the head of the answer arrived.
     pub head_at: Duration,
-    /// Whole events that it has brought.
+    /// Number of complete events received.
     pub event_count: u64,
-    /// When the first of them came.
+    /// When the first event arrived.
     pub first_event: Option<Duration>,
-    /// Whether it has shown that the request does not end its upstream.
+    /// Whether the run has shown that the request does not crash its upstream.
     pub proven_safe: bool,
-    /// What was forecast for it, if its service lets streams in by their class.
+    /// Forecast for the run, if its service admits streams by class.
     pub estimate: Option<Estimate>,
-    /// Counts it as a trial until then, if upstreams were lost under the request.
+    /// Marks the run as suspect until it is proven safe, if upstreams were lost under the
+    /// request.
     pub suspect_run: Option<SuspectRun>,
-    /// Counts the stream on its engines.
+    /// Counts the stream as load on its engines.
     pub load_guard: LoadGuard,
 }
 
-/// A send that brought nothing.
+/// A send that brought no answer to forward as a stream.
 pub struct FailedSend {
-    /// How it ended.
+    /// How the send ended.
     pub outcome: SendOutcome,
-    /// The engine that it was sent to.
+    /// Engine that the request was sent to.
     pub upstream: UpstreamId,
-    /// That engine's own answer, if it is one.
+    /// The engine's own error response, if it sent one.
     pub answer: Option<Response<Bytes>>,
 }
 
@@ -73,8 +74,8 @@
     copy.into_parts().0
 }
 
-/// Sends the request over a chosen chain and waits for the head of the answer,
-/// which goes on after event `last`.
+/// Sends the request over a chosen chain and waits for the head of the answer, which
+/// continues after event `last`.
 pub async fn start_run(
     shared: &Rc<SharedState>,
     a: &mut AdmittedRequest,
@@ -161,7 +162,7 @@
     })
 }
 
-/// How a request stands that goes on after event `last`, if it has any.
+/// Slack of a request, which continues after event `last` if there is one.
 fn slack_of(a: &AdmittedRequest, last: Option<u64>) -> Slack {
     match last {
         Some(_) => Slack::Streaming,
@@ -169,7 +170,7 @@
     }
 }
 
-/// Notes what a request will put on its chain.
+/// Records the load that a request will put on its chain.
 fn note_expected_load(shared: &SharedState, a: &AdmittedRequest, stages: &[Stage]) {
     if let Some(model) = a.service.model.as_ref().filter(|m| m.layers > 0) {
         shared.note_transfers(model, stages, a.max_tokens());
@@ -182,14 +183,14 @@
     }
 }
 
-/// How long to wait for the head of an answer before the engines are checked.
+/// Time to wait for the head of an answer before the engines are checked.
 fn head_timeout(shared: &SharedState, estimate: Option<&Estimate>) -> Duration {
     let least = Duration::from_millis(shared.settings().timing.first_ms);
     estimate.map_or(least, |e| e.silence_limit(least))
 }
 
-/// Waits for the head of an answer; checks the chain's engines when it is
-/// late, first after `wait`.
+/// Waits for the head of an answer. If it is late, checks the chain's engines, first after
+/// `wait`.
 async fn await_head(
     shared: &Rc<SharedState>,
     a: &AdmittedRequest,
--- a/crates/ashgauged/src/relay/record.rs
+++ b/crates/ashgauged/src/relay/record.rs
@@ -1,4 +1,4 @@
-//! What a request leaves behind: its lines in the log, and its figures.
+//! Log lines and metrics of a request.
 
 use std::rc::Rc;
 use std::sync::Arc;
@@ -13,31 +13,32 @@
 use super::log;
 use super::shared_state::SharedState;
 
-/// The line and the figures that a request leaves behind.
+/// Collects the log line and the metrics of a request.
 pub struct Record {
     shared: Rc<SharedState>,
     id: String,
     route: String,
-    /// Tells repeats of a request from others, once its body was read.
+    /// Digest that tells repeats of the request from others; set once the body is read.
     pub digest: Option<Digest>,
-    /// Its priority class, if its service admits streams by those.
+    /// Priority class, if the service admits streams by class.
     pub class: Option<Class>,
-    /// Class of the level at its arrival, if one was in force.
+    /// Class of the admission level at the request's arrival, if a level was in force.
     pub level: Option<Class>,
     arrived: Duration,
-    /// Upstreams or chains that it was sent to.
+    /// Upstreams or chains that the request was sent to.
     pub sends: Vec<Arc<str>>,
     /// Time to the first event of a stream.
     pub first_event: Option<Duration>,
-    /// Forecast of the time from the send that brought it, or the last one, to that event.
+    /// Forecast of the time to the first event, from the send that brought it or else from
+    /// the last send.
     forecast: Option<Duration>,
-    /// Longest pause between two events that were passed on.
+    /// Longest pause between two forwarded events.
     pub longest_pause: Duration,
     ended: bool,
 }
 
 impl Record {
-    /// Begins the record of a request that arrived at `arrived`.
+    /// Creates the record of a request that arrived at `arrived`.
     pub fn new(
         shared: &Rc<SharedState>,
         ask: &ClientRequest,
@@ -65,21 +66,21 @@
         self.shared.now().saturating_sub(self.arrived)
     }
 
-    /// Notes what is forecast for a send, if no event came before.
+    /// Records the forecast for a send, if no event arrived before.
     pub fn note_forecast(&mut self, first: Duration) {
         if self.first_event.is_none() {
             self.forecast = Some(first);
         }
     }
 
-    /// Writes a line about a step of this request.
+    /// Logs a step of this request.
     pub fn log_step(&self, what: &str, mut fields: serde_json::Value) {
         fields["id"] = self.id.as_str().into();
         fields["ms"] = (self.elapsed().as_millis() as u64).into();
         log::event(Level::Info, "request", what, fields);
     }
 
-    /// Notes how the request ended.
+    /// Records how the request ended.
     pub fn end(&mut self, what: &str) {
         if std::mem::replace(&mut self.ended, true) {
             return;
--- a/crates/ashgauged/src/relay/request.rs
+++ b/crates/ashgauged/src/relay/request.rs
@@ -1,5 +1,5 @@
-//! A request that was let in, and what the modules that serve it share: how it
-//! counts on its upstreams, what came of its sends, the box's own answers.
+//! Requests that were accepted, and what the modules that handle them share: their load on
+//! upstreams, the outcomes of their sends, and the box's own responses.
 
 use std::ops::Range;
 use std::rc::Rc;
@@ -32,57 +32,57 @@
 use super::shared_state::SharedState;
 use super::shedding::Admission;
 
-/// When to come back to a box that does not know its configuration.
+/// Retry delay that callers of a box without a current configuration are given.
 pub const RETRY_AFTER_UNSYNCED: Duration = Duration::from_millis(1000);
 
-/// The same for a box that has just started: nine of ten are informed 0.56 s
-/// after their start where 295 start together.
+/// The same for a box that has just started. Where 295 boxes start together, nine in ten
+/// are synced 0.56 s after their start.
 const RETRY_AFTER_START: Duration = Duration::from_millis(300);
 
-/// How long after its start a box counts as just started.
+/// Time since its start for which a box counts as just started.
 const START_PERIOD: Duration = Duration::from_millis(1500);
 
-/// When to come back if no upstream can take the request.
+/// Retry delay if no upstream can take the request.
 pub const RETRY_AFTER_FULL: Duration = Duration::from_millis(400);
 
-/// When to come back if the engines have no room, at random so that callers do
-/// not return together: about as long as requests stay on the engines.
+/// Retry delay if the engines have no capacity: about as long as requests run on the
+/// engines, and random, so that callers do not return together.
 const RETRY_AFTER_NO_CAPACITY: Range<Duration> =
     Duration::from_millis(1500)..Duration::from_millis(4500);
 
-/// A request with less than this part of its route's time left may have been made before.
+/// A request with less than this share of its route's time-out left may be a retry.
 const FIRST_TRY_SHARE: f64 = 0.97;
 
-/// An upstream's whole answer.
+/// Complete response of an upstream.
 pub type FullResponse = Response<Bytes>;
 
-/// A request that was let in.
+/// A request with its route, service and team.
 pub struct AdmittedRequest {
-    /// The request's head, as the caller sent it.
+    /// Head of the request, as the caller sent it.
     pub head: request::Parts,
-    /// What the head says.
+    /// Fields that were parsed from the head.
     pub client_request: ClientRequest,
-    /// Its body.
+    /// Body of the request.
     pub body: Bytes,
-    /// Tells repeats of it from other requests.
+    /// Digest that tells repeats of the request from other requests.
     pub digest: Digest,
-    /// Its route.
+    /// Route that the request matched.
     pub route: Arc<Route>,
-    /// The service that it goes to.
+    /// Service that the request goes to.
     pub service: Arc<Service>,
-    /// The key's team.
+    /// Team that the key belongs to.
     pub team: Option<Arc<Team>>,
-    /// Its priority class, if the service lets requests in by those.
+    /// Priority class, if the service admits requests by class.
     pub class: Option<Class>,
-    /// Counts it among what was let in, if so.
+    /// Counts the request among the admitted ones, if it was admitted by class.
     pub admission: Option<Admission>,
-    /// What it came to.
+    /// Log lines and metrics of the request.
     pub record: Record,
 }
 
 impl AdmittedRequest {
-    /// The request's rank: the team's, else the route's; where requests are let in by
-    /// their class, the order of that.
+    /// Rank of the request: the priority of its class if the service admits requests by
+    /// class, else the rank of its team, else that of its route.
     pub fn rank(&self, shared: &SharedState) -> u32 {
         let routing = shared.routing();
         let ranks = routing.priorities(&self.service.name);
@@ -93,19 +93,20 @@
         team.unwrap_or(self.route.priority)
     }
 
-    /// Whether its caller may come back: a part of the route's time is gone.
+    /// Whether the request may be a retry: part of the route's time-out has passed.
     pub fn may_be_retry(&self) -> bool {
         let timeout = self.route.timeout;
         self.client_request.timeout.unwrap_or(timeout) < timeout.mul_f64(FIRST_TRY_SHARE)
     }
 
-    /// Whether its caller made it before: more time is gone than callers' own limits take.
+    /// Whether the request is a retry: more time has passed than callers' own limits
+    /// account for.
     pub fn is_retry(&self) -> bool {
         let timeout = self.route.timeout;
         slack::is_retry(self.client_request.timeout.unwrap_or(timeout), timeout)
     }
 
-    /// How the request stands against its aim, at its arrival.
+    /// Slack of the request against its target latency, at its arrival.
     pub fn slack(&self) -> Slack {
         let timeout = self.route.timeout;
         let patience = self.client_request.timeout.unwrap_or(timeout);
@@ -119,8 +120,8 @@
             .saturating_add(self.client_request.answer_tokens)
     }
 
-    /// Tokens that the request holds on the average of its time: its prompt and
-    /// half of its answer.
+    /// Mean number of tokens that the request holds while it runs: its prompt and half of
+    /// its answer.
     pub fn mean_tokens(&self) -> u32 {
         self.client_request
             .prompt_tokens
@@ -128,7 +129,7 @@
     }
 }
 
-/// Notes a send that brought no good answer.
+/// Records a send that brought no successful answer.
 pub fn note_outcome(shared: &SharedState, a: &AdmittedRequest, id: &str, outcome: SendOutcome) {
     let label = match outcome {
         SendOutcome::NotSent => "not sent",
@@ -142,7 +143,7 @@
     match outcome {
         SendOutcome::NotSent => shared.mark_suspect(id, "no connection"),
         SendOutcome::NotRun => {}
-        // Which engine of a chain was lost is looked into where it is seen.
+        // Which engine of a chain was lost is determined where the loss is seen.
         SendOutcome::Lost if a.route.stream.is_some() => {}
         SendOutcome::Failed | SendOutcome::Lost => {
             let now = shared.now();
@@ -151,7 +152,7 @@
     }
 }
 
-/// Whether the request's key still counts, checked in the moment of sending.
+/// Whether the request's key is still valid; checked at the moment of sending.
 pub fn is_authorized(shared: &SharedState, a: &AdmittedRequest) -> bool {
     if a.team.is_none() {
         return true;
@@ -161,17 +162,17 @@
     shared.freshness.borrow().is_fresh(shared.now()) && matches!(access, Access::Team(_))
 }
 
-/// Whether the request is held back, as it ends the upstreams that run it.
+/// Whether the request is quarantined because it crashes the upstreams that run it.
 pub fn is_quarantined(shared: &SharedState, a: &AdmittedRequest) -> bool {
     let quarantine = shared.quarantine.borrow();
     quarantine.time_left(shared.now(), a.digest).is_some()
 }
 
-/// Learns from a refusal of an upstream, or of an engine that it names;
-/// returns whose it was.
+/// Learns from a refusal by an upstream, or by an engine that it names. Returns the one
+/// that refused.
 ///
-/// An engine of a chain that is dead is named in the same way as one that has
-/// no room, so one that another engine names is checked.
+/// A dead engine of a chain is named in the same way as one without capacity, so an engine
+/// that another one names is checked.
 pub fn apply_refusal(
     shared: &Rc<SharedState>,
     upstream: &UpstreamId,
@@ -213,12 +214,12 @@
     }
 }
 
-/// Ends a request with the box's own answer.
+/// Ends a request with the box's own response.
 pub fn finish(shared: &SharedState, mut a: AdmittedRequest, end: FailureKind) -> Response<Body> {
     let sure = is_authorized(shared, &a);
     let (what, status, after) = match end {
         FailureKind::NotRun if sure => {
-            // Whoever comes back earlier is refused once more.
+            // A caller that returns earlier is refused once more.
             let after = permit::retry_after(shared, &a.service);
             let after = after.or_else(|| shared.backoff_left(&a.service));
             let after = after.unwrap_or(RETRY_AFTER_FULL);
@@ -236,8 +237,8 @@
     own_response(status, Some(&a.client_request), after)
 }
 
-/// Ends a request for which the engines have no room, and says when they may
-/// have some.
+/// Refuses a request that the engines have no capacity for, and says when they may have
+/// some.
 pub fn refuse_no_capacity(shared: &SharedState, mut a: AdmittedRequest) -> Response<Body> {
     let after = permit::retry_after(shared, &a.service);
     let after = after.unwrap_or_else(|| shared.rng().random_range(RETRY_AFTER_NO_CAPACITY));
@@ -249,7 +250,7 @@
     )
 }
 
-/// Ends a request for which there is no time at the engines, and says when there may be.
+/// Refuses a request that the engines have no time for, and says when they may have some.
 pub fn refuse_overload(mut a: AdmittedRequest, after: Duration) -> Response<Body> {
     a.record.end("overload");
     own_response(
@@ -259,8 +260,8 @@
     )
 }
 
-/// Ends a request that is held back. Its caller is told that it has not run, and
-/// when it is tried again, unless it may have run.
+/// Refuses a quarantined request. Unless it may have run, its caller is told that it has
+/// not run and when to try again.
 pub fn refuse_quarantined(
     shared: &SharedState,
     mut a: AdmittedRequest,
@@ -279,7 +280,7 @@
     )
 }
 
-/// The box's own answer.
+/// Builds a response of the box itself.
 pub fn own_response(
     status: StatusCode,
     ask: Option<&ClientRequest>,
@@ -289,12 +290,12 @@
     answer.map(|()| Empty::new().map_err(|e| match e {}).boxed_unsync())
 }
 
-/// An upstream's whole answer for the caller.
+/// Builds the response for the caller from an upstream's complete response.
 pub fn upstream_response(answer: FullResponse) -> Response<Body> {
     answer.map(|body| Full::new(body).map_err(|e| match e {}).boxed_unsync())
 }
 
-/// When to come back to a box that does not know enough.
+/// Retry delay of a box that does not know enough to serve.
 pub fn unsynced_retry_after(shared: &SharedState) -> Duration {
     match shared.uptime() < START_PERIOD {
         true => RETRY_AFTER_START,
@@ -302,24 +303,24 @@
     }
 }
 
-/// Counts a request on its upstreams, the first of which it was sent to, until
-/// it is dropped.
+/// Counts a request as load on its upstreams until it is dropped. The first upstream is the
+/// one that the request was sent to.
 pub struct LoadGuard {
     shared: Rc<SharedState>,
-    /// Upstreams, with the memory that the request holds on each, in tokens
-    /// times layers.
+    /// Upstreams, with the memory that the request holds on each one, in tokens times
+    /// layers.
     upstreams: Vec<(UpstreamId, u64)>,
 }
 
 impl LoadGuard {
-    /// Counts a request of so many tokens on the engines of a chain.
+    /// Counts a request of `tokens` tokens on the engines of a chain.
     pub fn for_chain(shared: &Rc<SharedState>, stages: &[Stage], tokens: u32) -> Self {
         let memory = |s: &Stage| u64::from(tokens) * u64::from(s.end - s.first);
         let parts = stages.iter().map(|s| (s.upstream.clone(), memory(s)));
         LoadGuard::new(shared, parts.collect())
     }
 
-    /// Counts a request on a plain service's upstream.
+    /// Counts a request on a single upstream.
     pub fn for_upstream(shared: &Rc<SharedState>, id: &UpstreamId) -> Self {
         LoadGuard::new(shared, vec![(id.clone(), 0)])
     }
--- a/crates/ashgauged/src/relay/serve.rs
+++ b/crates/ashgauged/src/relay/serve.rs
@@ -1,4 +1,4 @@
-//! Connections from callers.
+//! Servers of the box: callers' connections, readiness and metrics.
 
 use std::cell::Cell;
 use std::convert::Infallible;
@@ -25,25 +25,25 @@
 use super::shared_state::SharedState;
 use super::{forward, levels, log, status};
 
-/// Pause after a connection could not be accepted, which mostly means that
-/// the descriptors are used up.
+/// Delay after a connection could not be accepted, mostly because the process has run out
+/// of file descriptors.
 const ACCEPT_RETRY_DELAY: Duration = Duration::from_millis(20);
 
-/// Longest time for one request on a connection. Requests have limits of their
-/// own, far below; this ends connections whose callers never read.
+/// Longest time for one request on a connection. Requests have their own limits, far below
+/// this one; it closes the connections of callers that never read.
 const MAX_REQUEST_TIME: Duration = Duration::from_secs(600);
 
-/// Path of the box's view of the fleet, on the metrics' port.
+/// Path of the box's status, on the metrics port.
 const STATUS_PATH: &str = "/status";
 
-/// Least size of hyper's buffer for a head.
+/// Smallest size of hyper's buffer for a head.
 const MIN_BUFFER_BYTES: usize = 8192;
 
-/// Body of an answer.
+/// Body of a response.
 pub type Body = UnsyncBoxBody<Bytes, AbortedBody>;
 
-/// The answer cannot be brought to its end; the connection must break so that
-/// it does not look whole.
+/// Error of a response body that cannot be completed. It breaks the connection, so that the
+/// response does not look complete.
 #[derive(Debug)]
 pub struct AbortedBody;
 
@@ -71,7 +71,7 @@
     }
 }
 
-/// Answers the balancer's question on a port of its own.
+/// Answers the load balancer's readiness checks on a port of their own.
 pub async fn serve_readiness(shared: Rc<SharedState>, listener: TcpListener) {
     serve_text(listener, move |_| {
         let status = match shared.is_ready() {
@@ -83,7 +83,7 @@
     .await;
 }
 
-/// Serves the metrics, and the box's view of the fleet under `/status`.
+/// Serves the metrics, and the box's status under `/status`.
 pub async fn serve_metrics(shared: Rc<SharedState>, listener: TcpListener) {
     serve_text(listener, move |request| {
         if request.uri().path() == STATUS_PATH {
@@ -115,7 +115,7 @@
             async move { Ok::<_, Infallible>(response) }
         });
         tokio::task::spawn_local(async move {
-            // Whoever asked may be gone; it asks again.
+            // The client may be gone; it asks again.
             let _ = http1::Builder::new()
                 .serve_connection(TokioIo::new(stream), service)
                 .await;
@@ -123,21 +123,22 @@
     }
 }
 
-/// What a connection is doing, for its time limits.
+/// Phase of a connection; each one has its own time limit.
 #[derive(Clone, Copy, PartialEq)]
 enum Phase {
     /// No request has begun.
     Idle,
-    /// A part of a head has come.
+    /// Part of a head has arrived.
     Head,
-    /// A request is being answered.
+    /// A request is being handled.
     Busy,
 }
 
 struct ConnectionActivity {
     phase: Cell<Phase>,
     since: Cell<Instant>,
-    /// Tells that a head has begun, which may take less time than a rest.
+    /// Notifies that a head has begun, whose time limit may be shorter than that of an idle
+    /// connection.
     head_begun: Notify,
 }
 
@@ -149,7 +150,7 @@
 }
 
 async fn serve_connection(shared: Rc<SharedState>, stream: TcpStream) {
-    // Without it small events come later, and nothing else changes.
+    // Without it small events arrive later, and nothing else changes.
     let _ = stream.set_nodelay(true);
     let activity = Rc::new(ConnectionActivity {
         phase: Cell::new(Phase::Idle),
@@ -184,7 +185,7 @@
     loop {
         let until = deadline(&shared, &activity);
         tokio::select! {
-            // The caller sees its connection end; there is nobody to tell.
+            // The caller sees its connection end; nobody else has to be told.
             _ = serving.as_mut() => return,
             () = activity.head_begun.notified() => {}
             () = sleep_until(until) => {
@@ -196,7 +197,7 @@
     }
 }
 
-/// When the connection has used up the time for what it is doing.
+/// When the time limit of the connection's current phase ends.
 fn deadline(shared: &SharedState, activity: &ConnectionActivity) -> Instant {
     let bounds = shared.routing().client_limits;
     let since = activity.since.get();
@@ -259,7 +260,7 @@
     }
 }
 
-/// Counts a request from its head until its whole answer is in hyper's hands.
+/// Counts a request as in flight from its head until hyper has its whole response.
 struct RequestGuard {
     shared: Rc<SharedState>,
     activity: Rc<ConnectionActivity>,
@@ -282,7 +283,7 @@
     }
 }
 
-/// An answer's body; the connection rests once it is dropped.
+/// Body of a response. The connection is idle again once it is dropped.
 struct TrackedBody {
     body: Body,
     _busy: RequestGuard,
--- a/crates/ashgauged/src/relay/stream.rs
+++ b/crates/ashgauged/src/relay/stream.rs
@@ -1,5 +1,5 @@
-//! Answers that are streams of events: passed on as they come, and repaired
-//! when an engine of their chain is lost.
+//! Answers that are streams of events. Events are forwarded as they arrive, and the stream
+//! is repaired if an engine of its chain is lost.
 
 use std::rc::Rc;
 
@@ -25,7 +25,7 @@
 use super::shared_state::SharedState;
 use super::shedding;
 
-/// Answers a request whose answer is a stream.
+/// Handles a request whose answer is a stream.
 pub async fn handle_stream(
     shared: Rc<SharedState>,
     mut a: AdmittedRequest,
@@ -39,7 +39,8 @@
     let mut avoid = Vec::new();
     let mut turn = CapacityWait::new(&shared, &a);
     let run = loop {
-        // One that may have run cannot be refused as not run; it goes on at once.
+        // A request that may have run cannot be refused as not run, so it continues at
+        // once.
         let may_have_run = handoff.may_have_run();
         if !may_have_run && !turn.wait(&a).await {
             return refuse_no_capacity(&shared, a);
