--- a/crates/ashgauged/src/relay/event_forwarder/mod.rs
+++ b/crates/ashgauged/src/relay/event_forwarder/mod.rs
@@ -1,4 +1,4 @@
-//! Copies a stream's events to its caller; [`mend`] repairs the stream.
+//! Forwards a stream's events to its caller; [`repair`] repairs the stream.
 
 mod repair;
 
@@ -23,16 +23,16 @@
 use super::shared_state::SharedState;
 use super::stream_body::StreamBody;
 
-/// Pieces that may wait for a slow caller.
+/// Most chunks that are queued for a slow caller.
 const MAX_QUEUED_CHUNKS: usize = 64;
 
-/// Bytes of an event that is not whole yet, at most.
+/// Most bytes of an incomplete event.
 const MAX_EVENT_BYTES: usize = 1 << 20;
 
-/// Least time between two notes that a chain's engines are there.
+/// Least time between two records of activity of a chain's engines.
 const LIVENESS_INTERVAL: Duration = Duration::from_millis(20);
 
-/// Starts passing a stream's events on; the body ends the task when dropped.
+/// Starts to forward a stream's events. Dropping the body ends the task.
 pub fn start(
     shared: Rc<SharedState>,
     a: AdmittedRequest,
@@ -68,7 +68,7 @@
     }
 }
 
-/// Copies one stream.
+/// Forwards the events of one stream.
 struct EventForwarder {
     shared: Rc<SharedState>,
     request: AdmittedRequest,
@@ -77,28 +77,28 @@
     run: Run,
     sender: mpsc::Sender<Result<Bytes, AbortedBody>>,
     upstream_changes: watch::Receiver<u64>,
-    /// Bytes of an event that is not whole yet.
+    /// Bytes of an incomplete event.
     buffer: BytesMut,
-    /// Id of the last whole event that the caller has.
+    /// Id of the last complete event that the caller has.
     last_id: Option<u64>,
-    /// Whether an event was passed on.
+    /// Whether an event was forwarded.
     has_forwarded: bool,
-    /// How long nothing has come, and how long that is usual.
+    /// How long nothing has arrived, and how long that usually takes.
     silence: SilenceTimer,
-    /// When the chain's engines were last noted as being there.
+    /// When activity of the chain's engines was last recorded.
     liveness_at: Duration,
-    /// When the last event was passed on.
+    /// When the last event was forwarded.
     event_at: Duration,
-    /// Engines that the stream left before their end, or tried to.
+    /// Engines that the stream was routed around, or tried to be, before they ended.
     left_engines: Vec<UpstreamId>,
-    /// When to look again for a way around engines that leave.
+    /// When to look again for a way around engines that leave, or for recovery budget.
     recheck_at: Option<Duration>,
     repairs: u32,
-    /// When the last bytes before a repair came, until the next come.
+    /// When the last bytes before a repair arrived; reset when the next ones arrive.
     broke_at: Option<Duration>,
 }
 
-/// What a pump saw next.
+/// What a forwarder has to handle next.
 enum StreamInput {
     Data(Bytes),
     End,
@@ -109,7 +109,7 @@
     CallerLeft,
 }
 
-/// Whether a stream goes on.
+/// Whether a stream continues.
 #[derive(PartialEq)]
 enum ForwardState {
     Continue,
@@ -146,7 +146,7 @@
                 }
                 ForwardState::Abort(why) => {
                     self.request.record.end(why);
-                    // A caller that left does not miss it.
+                    // A caller that left does not need the error.
                     let _ = self.sender.send(Err(AbortedBody)).await;
                     return;
                 }
@@ -196,7 +196,7 @@
         }
     }
 
-    /// Passes whole events on.
+    /// Forwards complete events.
     async fn forward(&mut self, bytes: Bytes) -> ForwardState {
         let now = self.shared.now();
         self.silence.record_event(now);
@@ -238,8 +238,8 @@
         }
     }
 
-    /// Notes that the chain's engines are there, for other streams' checks: more
-    /// than half of all connections to engines were for these.
+    /// Records that the chain's engines are active, for the checks of other streams: more
+    /// than half of all connections to engines were for such checks.
     fn note_liveness(&mut self, now: Duration) {
         if now < self.liveness_at + LIVENESS_INTERVAL {
             return;
@@ -251,7 +251,7 @@
         }
     }
 
-    /// Notes the pause before an event, for the request's line.
+    /// Records the pause before an event, for the request's log line.
     fn note_pause(&mut self, now: Duration) {
         let record = &mut self.request.record;
         match self.has_forwarded {
@@ -261,8 +261,9 @@
         self.event_at = now;
     }
 
-    /// Compares the time of the first event with its forecast. A loss, a refusal or a
-    /// repair makes an event late that the forecast knows nothing of.
+    /// Compares the time of the first event with its forecast. Events that a loss, a
+    /// refusal or a repair has delayed are left out, as the forecast does not account for
+    /// these.
     fn learn_forecast(&self, now: Duration) {
         let was_sent_once = self.request.record.sends.len() == 1
             && self.request.client_request.last_event.is_none();
@@ -275,7 +276,7 @@
         }
     }
 
-    /// Notes once that the request does not end its upstream.
+    /// Records once that the request does not crash its upstream.
     fn note_proven(&mut self, now: Duration) {
         let run = &mut self.run;
         let first = run.first_event.get_or_insert(now);
--- a/crates/ashgauged/src/relay/event_forwarder/repair.rs
+++ b/crates/ashgauged/src/relay/event_forwarder/repair.rs
@@ -1,5 +1,5 @@
-//! Repairs a stream: finds out what holds it up, leads it around engines that are
-//! lost or leave, or lets it go on over another chain.
+//! Repair of a stream: finds what stalls it, routes it around engines that are lost or
+//! leave, or continues it on another chain.
 
 use std::time::Duration;
 
@@ -25,24 +25,24 @@
 use super::super::select::ChainCriteria;
 use super::{EventForwarder, ForwardState};
 
-/// Repairs of one stream at most; each one lost an engine.
+/// Most repairs of one stream; each one lost an engine.
 const MAX_REPAIRS: u32 = 6;
 
-/// Pause before a stream looks again for a way around engines that leave.
+/// Delay before a stream looks again for a way around engines that leave.
 const LEAVE_RETRY_INTERVAL: Duration = Duration::from_millis(500);
 
-/// For an engine's answer to a change of the chain, which takes milliseconds.
+/// Time-out of an engine's reply to a change of the chain, which takes milliseconds.
 const REPATH_TIMEOUT: Duration = Duration::from_millis(150);
 
 impl EventForwarder {
-    /// Notes which engines are lost after an answer broke off, and lets the stream
-    /// go on elsewhere.
+    /// Finds out which engines are lost after an answer broke off, and continues the stream
+    /// elsewhere.
     pub(super) async fn handle_break(&mut self, cause: &str) -> ForwardState {
         self.request.record.log_step(
             "stream broke",
             json!({"cause": cause, "last": self.last_id}),
         );
-        // What was heard longer ago than a moment before it broke says nothing.
+        // Activity from before the break says nothing.
         let since = self.shared.now();
         let dead = find_unreachable(&self.shared, &self.request, &self.run.stages, since).await;
         dead.iter()
@@ -53,8 +53,8 @@
         self.resume("broken", false).await
     }
 
-    /// An answer that ends is whole, unless it brought nothing and its engine is lost:
-    /// without a length, one that was cut off ends in the same way.
+    /// Handles the end of an answer. It is complete unless it brought no event and its
+    /// engine is lost: without a length, an answer that was cut off ends in the same way.
     pub(super) async fn handle_end(&mut self) -> ForwardState {
         if self.run.event_count > 0
             || !loss::check_loss(&self.shared, &self.request, self.broken_run()).await
@@ -79,7 +79,8 @@
             return self.resume("silent", true).await;
         }
         match query_engines(&self.shared, &self.request, &self.run.stages).await {
-            // A report lags; it may name an engine that was led around already.
+            // A report lags; it may name an engine that the stream was already routed
+            // around.
             Some(id) if self.run.stages.iter().any(|s| s.upstream == id) => {
                 self.shared.mark_suspect(&id, "reported as stalled");
                 self.repair(vec![id]).await
@@ -88,15 +89,15 @@
         }
     }
 
-    /// Repairs the chain if another stream found one of its engines lost, or
-    /// leads it away from engines that will soon be.
+    /// Repairs the chain if another stream found one of its engines lost, or routes the
+    /// stream around engines that are about to leave.
     pub(super) async fn handle_upstream_change(&mut self) -> ForwardState {
         let now = self.shared.now();
         let lost = self.engines_where(|e, _| e.is_suspect(now));
         if !lost.is_empty() {
             return self.repair(lost).await;
         }
-        // One that had no turn yet to leave its silent engines.
+        // The stream had no budget yet to leave its silent engines.
         if self.request.class.is_some() && self.is_overdue() {
             return match self.may_move() {
                 true => self.resume("silent", true).await,
@@ -107,7 +108,7 @@
         ForwardState::Continue
     }
 
-    /// Whether nothing has come for so long that the stream goes on elsewhere.
+    /// Whether nothing has arrived for so long that the stream continues elsewhere.
     fn is_overdue(&self) -> bool {
         self.shared.now() >= self.overdue_at()
     }
@@ -116,15 +117,15 @@
         self.silence.last_event() + MAX_SILENCE
     }
 
-    /// Whether a stream whose engines all answer is led elsewhere now. It may go on by
-    /// itself, so it waits for its turn as long as it takes.
+    /// Whether a stream whose engines all answer is moved elsewhere now. It may continue by
+    /// itself, so it waits for budget as long as that takes.
     fn may_move(&mut self) -> bool {
         let may = recovery::take_budget(&self.shared, &self.request);
         self.schedule_recheck(may);
         may
     }
 
-    /// The same for a stream that cannot go on by itself, which waits until it is late
+    /// The same for a stream that cannot continue by itself; it waits until it is overdue
     /// at most.
     fn may_repair(&mut self) -> bool {
         let may = recovery::take_or_overdue(&self.shared, &self.request, self.overdue_at());
@@ -132,7 +133,7 @@
         may
     }
 
-    /// Has the stream looked at soon that has no turn.
+    /// Schedules an early check of a stream that got no budget.
     fn schedule_recheck(&mut self, may: bool) {
         if self.request.class.is_none() {
             return;
@@ -144,7 +145,7 @@
         };
     }
 
-    /// Waits for the turn of a stream whose answer has ended; returns false if its caller
+    /// Waits for budget for a stream whose answer has ended. Returns `false` if its caller
     /// leaves.
     async fn wait_for_budget(&mut self) -> bool {
         while !self.may_repair() {
@@ -156,13 +157,13 @@
         true
     }
 
-    /// Leads the stream away from engines that leave or give up their part,
-    /// while they still work: a stream that waits for their end breaks off, and
-    /// holds up their new orders until then.
+    /// Routes the stream around engines that leave or release layers that it uses, while
+    /// they still work. A stream that waits for their end breaks off, and delays their new
+    /// orders until then.
     ///
-    /// The first engine cannot be changed without another run. A stream that
-    /// will have ended before an engine leaves stays; one that gives up its part
-    /// waits for what passes.
+    /// The first engine cannot be changed without another run. A stream that ends before an
+    /// engine leaves stays on it; an engine that releases layers waits for the requests
+    /// that use them.
     async fn avoid_leaving(&mut self) {
         self.recheck_at = None;
         if self.ends_soon() {
@@ -193,7 +194,8 @@
         self.repath(&ends, stages, &text).await;
     }
 
-    /// Engines of the chain, but for those that are gone, for which `is_so`.
+    /// Engines of the chain for which `is_so` holds, without those that are no longer
+    /// listed.
     fn engines_where(&self, is_so: impl Fn(&UpstreamState, &Stage) -> bool) -> Vec<UpstreamId> {
         let registry = self.shared.registry.borrow();
         let stages = self.run.stages.iter();
@@ -213,11 +215,11 @@
         progress.ends_within(event_tokens, self.shared.settings().drain_bound())
     }
 
-    /// Leads the stream around lost engines, or lets it go on elsewhere.
+    /// Routes the stream around lost engines, or continues it elsewhere.
     ///
-    /// A detour through another data centre sends all tokens so far over its
-    /// pipe, which takes seconds if many streams lose the same engine; a whole
-    /// chain elsewhere reads them anew in a fraction of that.
+    /// A detour through another data centre sends all tokens so far over the link between
+    /// them, which takes seconds if many streams lose the same engine. A whole chain
+    /// elsewhere prefills them again in a fraction of that time.
     async fn repair(&mut self, lost: Vec<UpstreamId>) -> ForwardState {
         if !self.may_repair() {
             return ForwardState::Continue;
@@ -246,8 +248,8 @@
         self.resume("not led around", true).await
     }
 
-    /// Orders the first engine to lead the stream over another chain; returns
-    /// whether it does.
+    /// Orders the first engine to route the stream over another chain. Returns whether it
+    /// does.
     async fn repath(&mut self, lost: &[UpstreamId], stages: Vec<Stage>, text: &str) -> bool {
         let silent = self.silent_ms();
         let (client, id) = (&self.shared.client, &self.request.client_request.id);
@@ -291,7 +293,7 @@
         true
     }
 
-    /// The chain with the lost engines' ranges given to others.
+    /// The chain with the lost engines' layers given to other engines.
     fn detour(&self, lost: &[UpstreamId]) -> Option<(Vec<Stage>, String)> {
         let model = self.request.service.model.as_ref()?;
         let mut stages: Vec<Stage> = Vec::new();
@@ -301,7 +303,7 @@
                 continue;
             }
             let mut avoid = lost.to_vec();
-            // An engine may be named only once in a chain.
+            // An engine may appear only once in a chain.
             avoid.extend(self.run.stages.iter().map(|s| s.upstream.clone()));
             avoid.extend(stages.iter().map(|s| s.upstream.clone()));
             stages.extend(self.fill_range(model, stage, &avoid)?);
@@ -318,7 +320,7 @@
             first: stage.first,
             end: stage.end,
         };
-        // Without ids there was no other run, so this one brought all events.
+        // Without event ids there was no other run, so this one brought all events.
         let last = self.last_id.unwrap_or(self.run.event_count);
         let wish = ChainCriteria {
             need: None,
@@ -329,10 +331,10 @@
             .choose_chain(&self.request.service.name, model, span, avoid, wish)
     }
 
-    /// Lets another chain go on behind the last event that was passed on.
+    /// Continues the stream on another chain, after the last event that was forwarded.
     ///
-    /// If that cannot be and `alive` says that the present answer may still
-    /// go on, it is waited for.
+    /// If that is not possible and `alive` says that the present answer may still continue,
+    /// the stream waits for it.
     pub(super) async fn resume(&mut self, why: &'static str, alive: bool) -> ForwardState {
         if !alive && self.can_resume() && !self.wait_for_budget().await {
             return ForwardState::Abort("caller left");
@@ -343,7 +345,7 @@
         }
     }
 
-    /// The run as it stands, if its first engine is lost.
+    /// The present run as a broken one, whose first engine may be lost.
     fn broken_run(&self) -> BrokenRun {
         BrokenRun {
             upstream: self.run.stages[0].upstream.clone(),
@@ -353,12 +355,12 @@
         }
     }
 
-    /// Whether another run may go on where this one stands.
+    /// Whether another run may continue where this one stands.
     fn can_resume(&self) -> bool {
         self.rule.resumable && (self.last_id.is_some() || !self.has_forwarded)
     }
 
-    /// As [`EventForwarder::resume`]; returns whether it goes on elsewhere.
+    /// As [`EventForwarder::resume`], but returns whether the stream continues elsewhere.
     async fn try_resume(&mut self, why: &str) -> bool {
         if !self.can_resume() {
             return false;
@@ -425,12 +427,12 @@
         self.restart_silence();
     }
 
-    /// Milliseconds since something came, or since the last repair.
+    /// Milliseconds since something arrived, or since the last repair.
     fn silent_ms(&self) -> u64 {
         (self.shared.now() - self.silence.last_event()).as_millis() as u64
     }
 
-    /// Counts the silence of the stream from now on.
+    /// Measures the stream's silence from now on.
     fn restart_silence(&mut self) {
         self.broke_at.get_or_insert(self.silence.last_event());
         self.silence.reset(self.shared.now());
--- a/crates/ashgauged/src/relay/forecast.rs
+++ b/crates/ashgauged/src/relay/forecast.rs
@@ -1,5 +1,5 @@
-//! Forecasts of first events: made for a chosen chain, used to tell engines that are busy
-//! from lost ones, and compared with what came.
+//! Forecasts of first events. They are made for a chosen chain, tell busy engines from lost
+//! ones, and are compared with the actual times.
 
 use std::time::Duration;
 
@@ -12,27 +12,27 @@
 use super::request::AdmittedRequest;
 use super::shared_state::SharedState;
 
-/// What is expected of a stream on its chain.
+/// Forecast for a stream on its chain.
 #[derive(Clone, Copy)]
 pub struct Estimate {
-    /// What follows from the load of the engines.
+    /// Forecast from the load of the engines.
     forecast: Forecast,
-    /// Time to the first event, corrected by what was learned of the service.
+    /// Time to the first event, corrected by the service's calibration.
     pub first: Duration,
     /// When the chain was chosen.
     made_at: Duration,
 }
 
 impl Estimate {
-    /// Silence before the first event after which the engines are checked, `least` at the
-    /// least.
+    /// Silence before the first event after which the engines are checked; at least
+    /// `least`.
     pub fn silence_limit(&self, least: Duration) -> Duration {
         forecast::check_delay(self.first, least, MAX_SILENCE)
     }
 }
 
-/// Forecasts a request on a chain that it is not counted on yet, if its service lets
-/// streams in by their class.
+/// Forecasts a request on a chain that it is not counted on yet, if its service admits
+/// streams by class.
 pub fn estimate(shared: &SharedState, a: &AdmittedRequest, stages: &[Stage]) -> Option<Estimate> {
     a.class?;
     let (service, prompt) = (&a.service.name, a.client_request.prompt_tokens);
@@ -52,8 +52,8 @@
     })
 }
 
-/// Learns from the first event of a stream of which nothing but the load of its chain
-/// decided when it came.
+/// Calibrates the forecasts of a service with the first event of a stream whose time
+/// depended only on the load of its chain.
 pub fn calibrate(shared: &SharedState, service: &ServiceId, estimate: &Estimate, now: Duration) {
     let actual = now.saturating_sub(estimate.made_at);
     let Some(ratio) = estimate.forecast.ratio(actual) else {
--- a/crates/ashgauged/src/relay/loss.rs
+++ b/crates/ashgauged/src/relay/loss.rs
@@ -1,4 +1,4 @@
-//! Upstreams that are lost while they run a request.
+//! Detection of upstreams that are lost while they run a request.
 
 use std::rc::Rc;
 use std::time::Duration;
@@ -14,29 +14,29 @@
 use super::shared_state::SharedState;
 use super::{log, probe, quarantine};
 
-/// Pauses before an upstream that was still there is looked at once more. A process that
-/// ends closes its sockets one after the other: within milliseconds, but on a busy machine
-/// later than 40 ms.
+/// Delays before an upstream that still accepted connections is checked again. A process
+/// that ends closes its sockets one after the other: within milliseconds, but on a busy
+/// machine later than 40 ms.
 const RECHECK_DELAYS: [Duration; 3] = [
     Duration::from_millis(40),
     Duration::from_millis(80),
     Duration::from_millis(160),
 ];
 
-/// A run that broke off, as its upstream may have been lost.
+/// A run that broke off, possibly because its upstream was lost.
 pub struct BrokenRun {
-    /// The upstream that the request was sent to.
+    /// Upstream that the request was sent to.
     pub upstream: UpstreamId,
-    /// When the request was sent, or the head of its answer came.
+    /// When the request was sent, or the head of its answer arrived.
     pub began: Duration,
-    /// Whole events that the run brought.
+    /// Number of complete events that the run brought.
     pub event_count: u64,
-    /// Whether it has shown that the request does not end its upstream.
+    /// Whether the run has shown that the request does not crash its upstream.
     pub proven_safe: bool,
 }
 
 impl BrokenRun {
-    /// A run that broke off before the head of an answer came.
+    /// Creates the record of a run that broke off before the head of an answer arrived.
     pub fn before_answer(upstream: &UpstreamId, began: Duration) -> Self {
         BrokenRun {
             upstream: upstream.clone(),
@@ -47,18 +47,19 @@
     }
 }
 
-/// A run of a request under which upstreams were lost, until it ends or has shown that
-/// the request does not end them.
+/// A run of a request under which upstreams were lost, until it ends or has shown that the
+/// request does not crash them.
 ///
-/// Such runs go to upstreams of their own where that can be: those that were cut off
-/// together would else be lost together again, and look alike.
+/// Such runs go to separate upstreams if possible. Otherwise requests that were cut off
+/// together would be lost together again, and the one that crashes upstreams could not be
+/// told from the others.
 pub struct SuspectRun {
     shared: Rc<SharedState>,
     upstream: UpstreamId,
 }
 
 impl SuspectRun {
-    /// Notes that a request goes to an upstream, if others were lost under it.
+    /// Records that a request goes to an upstream, if others were lost under it.
     pub fn begin(shared: &Rc<SharedState>, digest: Digest, upstream: &UpstreamId) -> Option<Self> {
         if !shared.quarantine.borrow().is_suspect(digest) {
             return None;
@@ -80,19 +81,20 @@
     }
 }
 
-/// What is to be noted if the upstream is lost.
+/// What is recorded if the upstream is lost.
 struct SuspectedLoss {
-    /// Id of the try.
+    /// Id of the attempt.
     id: String,
     digest: Digest,
     loss: BrokenRun,
-    /// The start that is laid to the request, if it is.
+    /// Instance whose loss is attributed to the request, if it is.
     start: Option<InstanceKey>,
-    /// Holds other sends of the request up while it is looked into.
+    /// Delays other sends of the request during the check.
     _check: Option<LossCheck>,
 }
 
-/// A check of an upstream that is laid to a request, until it is dropped.
+/// A check of an upstream whose loss would be attributed to a request. It ends when this is
+/// dropped.
 struct LossCheck {
     shared: Rc<SharedState>,
     loss: InstanceLoss,
@@ -113,14 +115,16 @@
     }
 }
 
-/// Looks whether the upstream of a run that broke off is lost, and notes it; returns
-/// whether it is. A lost upstream takes no attempt away: those that a request cut off
-/// twice by ending their engines would break though others could go on with them.
+/// Checks whether the upstream of a run that broke off is lost, and records it if so.
+/// Returns whether it is lost. A lost upstream uses up no attempt: requests that were cut
+/// off twice because another request crashed their engines would fail, though other engines
+/// could continue them.
 ///
-/// One that is still there is looked at some more times, while the request goes on.
+/// An upstream that still accepts connections is checked a few more times while the request
+/// continues.
 pub async fn check_loss(shared: &Rc<SharedState>, a: &AdmittedRequest, loss: BrokenRun) -> bool {
     let digest = a.digest;
-    // Its entry may be gone after the look.
+    // The upstream's entry may be gone after the check.
     let start = blamed_instance(shared, &loss);
     let suspicion = SuspectedLoss {
         id: a.client_request.id.clone(),
@@ -153,8 +157,8 @@
     false
 }
 
-/// The start of an upstream whose loss is laid to the request: unless the request had
-/// run well before, or the upstream was to end anyway.
+/// Instance of an upstream whose loss is attributed to the request; none if the request had
+/// run safely before, or if the upstream was going to end anyway.
 fn blamed_instance(shared: &SharedState, loss: &BrokenRun) -> Option<InstanceKey> {
     let registry = shared.registry.borrow();
     let entry = registry.get(&loss.upstream)?;
@@ -164,16 +168,16 @@
 }
 
 impl SuspectedLoss {
-    /// Notes that the upstream is lost. New tries go elsewhere at once, also if other
-    /// streams heard it a moment ago.
+    /// Records that the upstream is lost. New tries go elsewhere at once, even if other
+    /// streams recorded activity of it a moment ago.
     fn confirm(self, shared: &Rc<SharedState>) {
         let now = shared.now();
         shared
             .registry
             .borrow_mut()
             .note_unreachable(now, &self.loss.upstream);
-        // Leaving lost engines out does not stop a request that ends them: it goes on
-        // to the next one with each repeat.
+        // Avoiding lost engines does not stop a request that crashes them: it moves on to
+        // the next one with each repeat.
         if let Some(start) = self.start {
             let digest = self.digest;
             quarantine::record_loss(
--- a/crates/ashgauged/src/relay/recovery.rs
+++ b/crates/ashgauged/src/relay/recovery.rs
@@ -1,5 +1,5 @@
-//! How much the box does for streams that are held up, where streams are let in by the
-//! level. All others have what they need at once.
+//! Budget for the recovery of stalled streams, for services that admit streams by class.
+//! Streams of all other services are not limited.
 
 use std::time::Duration;
 
@@ -17,18 +17,18 @@
 use super::request::AdmittedRequest;
 use super::shared_state::SharedState;
 
-/// Time between two looks of a stream that waits for its turn; a tenth of the time in
+/// Interval at which a stream that waits for budget tries again; a tenth of the time in
 /// which a first event is due.
 pub const POLL_INTERVAL: Duration = Duration::from_millis(50);
 
-/// Longest wait before a request of which the caller has nothing is sent again: a part
-/// of the 500 ms in which a first event is due.
+/// Longest wait before a request is sent again whose caller has received nothing: part of
+/// the 500 ms in which a first event is due.
 const MAX_RESEND_WAIT: Duration = Duration::from_millis(100);
 
-/// Time between two lines on repairs that were refused; streams that wait ask often.
+/// Least time between two log lines about refused repairs; streams that wait try often.
 const LOG_INTERVAL: Duration = Duration::from_secs(1);
 
-/// What sending a request elsewhere is for its caller.
+/// What it means for the caller that its request is sent elsewhere.
 fn purpose_of(a: &AdmittedRequest) -> RecoveryAction {
     match a.record.first_event.is_some() || a.client_request.last_event.is_some() {
         true => RecoveryAction::Repair,
@@ -36,13 +36,12 @@
     }
 }
 
-/// Takes one use out of the account for a stream that is led elsewhere; returns false if
-/// none is left.
+/// Takes budget to continue a stream elsewhere. Returns `false` if none is left.
 pub fn take_budget(shared: &SharedState, a: &AdmittedRequest) -> bool {
     a.class.is_none() || take_for(shared, &a.service.name, purpose_of(a))
 }
 
-/// Whether [`take_budget`] would find a use.
+/// Whether [`take_budget`] would find budget.
 pub fn has_budget(shared: &SharedState, a: &AdmittedRequest) -> bool {
     let (now, what) = (shared.now(), purpose_of(a));
     let service = &a.service.name;
@@ -52,8 +51,8 @@
             .with(service, |s| s.recovery_budget.has_credit(now, what))
 }
 
-/// Takes a turn of a stream that cannot go on where it is; returns whether it goes now.
-/// Without a turn it goes at a moment before `until`.
+/// Takes budget for a stream that cannot continue where it is. Returns whether it continues
+/// elsewhere now; without budget it does so at a random moment before `until`.
 pub fn take_or_overdue(shared: &SharedState, a: &AdmittedRequest, until: Duration) -> bool {
     if take_budget(shared, a) {
         return true;
@@ -67,7 +66,7 @@
     goes
 }
 
-/// Waits for the turn of a request that is sent again, but not for long.
+/// Waits for budget to send a request again, but not for long.
 pub async fn wait_for_budget(shared: &SharedState, a: &AdmittedRequest) {
     let until = shared.now() + MAX_RESEND_WAIT;
     while !take_or_overdue(shared, a, until) {
@@ -76,7 +75,8 @@
 }
 
 /// Whether a request that an engine refused, and that has not run, is sent again. Under
-/// pressure it needs a second chain with room and a turn; else its caller comes back.
+/// high pressure that requires a second chain with capacity, and budget; otherwise its
+/// caller comes back.
 pub fn may_resend(
     shared: &SharedState,
     a: &AdmittedRequest,
@@ -94,17 +94,17 @@
     take_budget(shared, a) || !is_tight
 }
 
-/// Takes one check of an engine of a service; returns false if none is left.
+/// Takes budget for one check of an engine of a service. Returns `false` if none is left.
 pub fn take_check(shared: &SharedState, service: &ServiceId) -> bool {
     take_for(shared, service, RecoveryAction::Check)
 }
 
-/// Whether the engines have so much to do that checks which may be in vain are left out.
+/// Whether the engines are so busy that checks which may be in vain are left out.
 pub fn is_under_pressure(shared: &SharedState, a: &AdmittedRequest) -> bool {
     a.class.is_some() && pressure(shared, a) > LOW_PRESSURE
 }
 
-/// The pressure on the engines of a request's service, as it was last reckoned.
+/// Pressure on the engines of a request's service, as last computed.
 fn pressure(shared: &SharedState, a: &AdmittedRequest) -> f64 {
     let now = shared.now();
     shared
@@ -129,7 +129,7 @@
     shared.metrics.recovery.with_label_values(&labels).inc();
 }
 
-/// Writes a line about a repair that has to wait, unless there was one a moment ago.
+/// Logs that a repair has to wait, unless that was logged a moment ago.
 fn log_refused_repair(shared: &SharedState, service: &ServiceId) {
     let now = shared.now();
     if !shared.admissions.may_log(now, LOG_INTERVAL) {
--- a/crates/ashgauged/src/relay/stream_body.rs
+++ b/crates/ashgauged/src/relay/stream_body.rs
@@ -1,4 +1,4 @@
-//! The body of a stream's answer, as its pump gives it out.
+//! Body of a streamed response, as its forwarder fills it.
 
 use std::pin::Pin;
 use std::task::{Context, Poll};
@@ -10,11 +10,11 @@
 
 use super::serve::AbortedBody;
 
-/// The body of a stream's answer; ends its task when it is dropped.
+/// Body of a streamed response. Dropping it ends the forwarder's task.
 pub struct StreamBody {
-    /// What the pump sends.
+    /// Chunks from the forwarder.
     pub chunks: mpsc::Receiver<Result<Bytes, AbortedBody>>,
-    /// The pump.
+    /// Task of the forwarder.
     pub task: JoinHandle<()>,
 }
 
