--- a/crates/ashgauged/src/relay/body.rs
+++ b/crates/ashgauged/src/relay/body.rs
@@ -22,18 +22,22 @@
 pub async fn read(
     shared: &SharedState,
     body: Incoming,
-    held: Duration,
+    timeout: Duration,
 ) -> Result<Bytes, (StatusCode, &'static str)> {
-    let most = shared.routing().client_limits.body_bytes;
-    let told = body.size_hint().upper().map_or(most, |n| n as usize);
-    if told > most {
+    let max_bytes = shared.routing().client_limits.body_bytes;
+    let declared_bytes = body.size_hint().upper().map_or(max_bytes, |n| n as usize);
+    if declared_bytes > max_bytes {
         return Err((StatusCode::PAYLOAD_TOO_LARGE, "body too long"));
     }
-    let Some(_room) = BodyReservation::reserve(&shared.body_bytes, told) else {
+    let Some(_reservation) = BodyReservation::reserve(&shared.body_bytes, declared_bytes) else {
         return Err((StatusCode::SERVICE_UNAVAILABLE, "no room for the body"));
     };
-    let reading = Limited::new(body, most).collect();
-    match shared.clock.within(held.min(BODY_TIMEOUT), reading).await {
+    let reading = Limited::new(body, max_bytes).collect();
+    match shared
+        .clock
+        .within(timeout.min(BODY_TIMEOUT), reading)
+        .await
+    {
         Some(Ok(body)) => Ok(body.to_bytes()),
         Some(Err(e)) if e.is::<LengthLimitError>() => {
             Err((StatusCode::PAYLOAD_TOO_LARGE, "body too long"))
@@ -50,17 +54,14 @@
 }
 
 impl<'a> BodyReservation<'a> {
-    fn reserve(bodies: &'a Cell<usize>, bytes: usize) -> Option<Self> {
-        let taken = bodies.get() + bytes;
+    fn reserve(total_bytes: &'a Cell<usize>, bytes: usize) -> Option<Self> {
+        let new_total = total_bytes.get() + bytes;
         // One body may always be read, whatever its limit.
-        if taken > MAX_BUFFERED_BYTES && bodies.get() > 0 {
+        if new_total > MAX_BUFFERED_BYTES && total_bytes.get() > 0 {
             return None;
         }
-        bodies.set(taken);
-        Some(BodyReservation {
-            total_bytes: bodies,
-            bytes,
-        })
+        total_bytes.set(new_total);
+        Some(BodyReservation { total_bytes, bytes })
     }
 }
 
--- a/crates/ashgauged/src/relay/capacity_wait.rs
+++ b/crates/ashgauged/src/relay/capacity_wait.rs
@@ -40,38 +40,38 @@
 
 impl CapacityWait {
     /// Creates the wait of a request that is not in the queue yet.
-    pub fn new(shared: &Rc<SharedState>, a: &AdmittedRequest) -> Self {
-        let first = !a.may_be_retry();
-        let most = if first { MAX_WAIT } else { MAX_RETRY_WAIT };
+    pub fn new(shared: &Rc<SharedState>, request: &AdmittedRequest) -> Self {
+        let is_first = !request.may_be_retry();
+        let max_wait = if is_first { MAX_WAIT } else { MAX_RETRY_WAIT };
         CapacityWait {
             shared: shared.clone(),
-            service: a.service.name.clone(),
+            service: request.service.name.clone(),
             ticket: None,
-            is_first: first,
-            deadline: shared.now() + most,
+            is_first,
+            deadline: shared.now() + max_wait,
         }
     }
 
     /// Puts the request into the queue, if it is not there yet, because no chain has the
     /// capacity.
-    pub fn wait_for_capacity(&mut self, a: &AdmittedRequest) {
+    pub fn wait_for_capacity(&mut self, request: &AdmittedRequest) {
         if self.ticket.is_none() {
             let fields = json!({
-                "full": self.shared.count_full(&a.service),
-                "limit": self.shared.with_queue(&self.service, |l| l.fill_limit()),
+                "full": self.shared.count_full(&request.service),
+                "limit": self.shared.with_queue(&self.service, |queue| queue.fill_limit()),
                 "boxes_heard": self.shared.fleet_load.borrow().boxes(),
             });
-            a.record.log_step("waits for room", fields);
+            request.record.log_step("waits for room", fields);
         }
-        self.enqueue(a);
+        self.enqueue(request);
     }
 
-    fn enqueue(&mut self, a: &AdmittedRequest) {
+    fn enqueue(&mut self, request: &AdmittedRequest) {
         if self.ticket.is_none() {
-            let team = a.team.as_ref().map_or("", |t| t.name.as_str());
-            let rank = a.rank(&self.shared);
-            let ticket = self.shared.with_queue(&self.service, |l| {
-                l.enqueue(rank, self.is_first, &Arc::from(team))
+            let team = request.team.as_ref().map_or("", |t| t.name.as_str());
+            let rank = request.rank(&self.shared);
+            let ticket = self.shared.with_queue(&self.service, |queue| {
+                queue.enqueue(rank, self.is_first, &Arc::from(team))
             });
             self.ticket = Some(ticket);
         }
@@ -79,17 +79,19 @@
 
     /// Waits until the request may choose a chain. Returns `false` if that would take too
     /// long.
-    pub async fn wait(&mut self, a: &AdmittedRequest) -> bool {
-        let rank = a.rank(&self.shared);
-        let line_ahead = |l: &mut AdmissionQueue| l.ahead_of_new(rank);
-        if self.ticket.is_none() && self.shared.with_queue(&self.service, line_ahead) > 0 {
-            self.enqueue(a);
+    pub async fn wait(&mut self, request: &AdmittedRequest) -> bool {
+        let rank = request.rank(&self.shared);
+        let queue_ahead = |queue: &mut AdmissionQueue| queue.ahead_of_new(rank);
+        if self.ticket.is_none() && self.shared.with_queue(&self.service, queue_ahead) > 0 {
+            self.enqueue(request);
         }
         let Some(ticket) = &self.ticket else {
             return true;
         };
         loop {
-            let ahead = self.shared.with_queue(&self.service, |l| l.ahead(ticket));
+            let ahead = self
+                .shared
+                .with_queue(&self.service, |queue| queue.ahead(ticket));
             if self.exceeds_deadline(ahead) {
                 return false;
             }
@@ -109,7 +111,7 @@
     fn exceeds_deadline(&self, ahead: usize) -> bool {
         let wait = self
             .shared
-            .with_queue(&self.service, |l| l.expected_wait(ahead));
+            .with_queue(&self.service, |queue| queue.expected_wait(ahead));
         let now = self.shared.now();
         now >= self.deadline || now + wait.mul_f64(MIN_WAIT_SHARE) > self.deadline
     }
@@ -118,13 +120,14 @@
     pub fn note_admitted(&mut self) {
         let now = self.shared.now();
         self.shared
-            .with_queue(&self.service, |l| l.note_admitted(now));
+            .with_queue(&self.service, |queue| queue.note_admitted(now));
         self.dequeue();
     }
 
     fn dequeue(&mut self) {
         if let Some(ticket) = self.ticket.take() {
-            self.shared.with_queue(&self.service, |l| l.remove(&ticket));
+            self.shared
+                .with_queue(&self.service, |queue| queue.remove(&ticket));
         }
     }
 }
--- a/crates/ashgauged/src/relay/event_forwarder/mod.rs
+++ b/crates/ashgauged/src/relay/event_forwarder/mod.rs
@@ -35,15 +35,15 @@
 /// Starts to forward a stream's events. Dropping the body ends the task.
 pub fn start(
     shared: Rc<SharedState>,
-    a: AdmittedRequest,
-    handoff: Attempts,
-    rule: StreamPolicy,
+    request: AdmittedRequest,
+    attempts: Attempts,
+    policy: StreamPolicy,
     run: Run,
 ) -> StreamBody {
-    let (sender, pieces) = mpsc::channel(MAX_QUEUED_CHUNKS);
+    let (sender, chunks) = mpsc::channel(MAX_QUEUED_CHUNKS);
     let now = shared.now();
-    let pump = EventForwarder {
-        last_id: a.client_request.last_event,
+    let forwarder = EventForwarder {
+        last_id: request.client_request.last_event,
         has_forwarded: false,
         buffer: BytesMut::new(),
         silence: SilenceTimer::new(now),
@@ -56,24 +56,21 @@
         upstream_changes: shared.upstream_changes.subscribe(),
         sender,
         run,
-        rule,
-        handoff,
-        request: a,
+        policy,
+        attempts,
+        request,
         shared,
     };
-    let task = tokio::task::spawn_local(pump.run());
-    StreamBody {
-        chunks: pieces,
-        task,
-    }
+    let task = tokio::task::spawn_local(forwarder.run());
+    StreamBody { chunks, task }
 }
 
 /// Forwards the events of one stream.
 struct EventForwarder {
     shared: Rc<SharedState>,
     request: AdmittedRequest,
-    handoff: Attempts,
-    rule: StreamPolicy,
+    attempts: Attempts,
+    policy: StreamPolicy,
     run: Run,
     sender: mpsc::Sender<Result<Bytes, AbortedBody>>,
     upstream_changes: watch::Receiver<u64>,
@@ -120,7 +117,7 @@
 impl EventForwarder {
     async fn run(mut self) {
         loop {
-            let go = match self.next_input().await {
+            let state = match self.next_input().await {
                 StreamInput::Data(bytes) => self.forward(bytes).await,
                 StreamInput::End if self.buffer.is_empty() => self.handle_end().await,
                 StreamInput::End => self.resume("half an event at the end", false).await,
@@ -130,11 +127,12 @@
                 StreamInput::Deadline => ForwardState::Abort("late"),
                 StreamInput::CallerLeft => return,
             };
-            match go {
+            match state {
                 ForwardState::Continue => {}
                 ForwardState::Done => {
-                    let took = self.request.record.elapsed();
-                    self.shared.note_duration(&self.request.service.name, took);
+                    let elapsed = self.request.record.elapsed();
+                    self.shared
+                        .note_duration(&self.request.service.name, elapsed);
                     if self.run.event_count > 0 {
                         self.shared
                             .quarantine
@@ -144,8 +142,8 @@
                     self.request.record.end("answered");
                     return;
                 }
-                ForwardState::Abort(why) => {
-                    self.request.record.end(why);
+                ForwardState::Abort(reason) => {
+                    self.request.record.end(reason);
                     // A caller that left does not need the error.
                     let _ = self.sender.send(Err(AbortedBody)).await;
                     return;
@@ -155,12 +153,15 @@
     }
 
     async fn next_input(&mut self) -> StreamInput {
-        let silent = self.silence_deadline();
-        let until = self.handoff.deadline();
+        let silence_deadline = self.silence_deadline();
+        let deadline = self.attempts.deadline();
         let now = self.shared.now();
-        let leave = self.recheck_at.unwrap_or(until);
-        let wait = silent.min(until).min(leave).saturating_sub(now);
-        let alarm = tokio::time::Instant::now() + wait;
+        let recheck = self.recheck_at.unwrap_or(deadline);
+        let wait = silence_deadline
+            .min(deadline)
+            .min(recheck)
+            .saturating_sub(now);
+        let wake_at = tokio::time::Instant::now() + wait;
         let body = self.run.exchange.response.body_mut();
         tokio::select! {
             biased;
@@ -174,9 +175,9 @@
             },
             () = self.sender.closed() => StreamInput::CallerLeft,
             Ok(()) = self.upstream_changes.changed() => StreamInput::UpstreamChange,
-            () = sleep_until(alarm) => match self.shared.now() {
-                now if now >= until => StreamInput::Deadline,
-                now if now < silent && now >= leave => StreamInput::UpstreamChange,
+            () = sleep_until(wake_at) => match self.shared.now() {
+                now if now >= deadline => StreamInput::Deadline,
+                now if now < silence_deadline && now >= recheck => StreamInput::UpstreamChange,
                 _ => StreamInput::Silence,
             },
         }
@@ -186,13 +187,13 @@
     fn silence_deadline(&self) -> Duration {
         let settings = self.shared.settings();
         let ms = Duration::from_millis;
-        let (first, least) = (settings.timing.first_ms, settings.timing.silence_ms);
+        let (first, min_silence) = (settings.timing.first_ms, settings.timing.silence_ms);
         match &self.run.estimate {
             Some(estimate) if !self.has_forwarded => {
                 let first = estimate.silence_limit(ms(first));
                 self.silence.next_check_within(first, first, MAX_SILENCE)
             }
-            _ => self.silence.next_check(ms(first), ms(least)),
+            _ => self.silence.next_check(ms(first), ms(min_silence)),
         }
     }
 
@@ -201,37 +202,37 @@
         let now = self.shared.now();
         self.silence.record_event(now);
         self.note_liveness(now);
-        if let Some(broke) = self.broke_at.take() {
+        if let Some(broke_at) = self.broke_at.take() {
             self.shared
                 .metrics
                 .repair_gap
-                .observe((now - broke).as_secs_f64());
+                .observe((now - broke_at).as_secs_f64());
         }
         self.buffer.extend_from_slice(&bytes);
-        let whole = events::scan_complete(&self.buffer);
-        if whole.len == 0 {
+        let complete = events::scan_complete(&self.buffer);
+        if complete.len == 0 {
             return match self.buffer.len() > MAX_EVENT_BYTES {
                 true => ForwardState::Abort("event too long"),
                 false => ForwardState::Continue,
             };
         }
-        if !self.is_next_event(whole.first_id) {
+        if !self.is_next_event(complete.first_id) {
             return self.resume("events out of order", false).await;
         }
-        let piece = self.buffer.split_to(whole.len).freeze();
-        self.last_id = whole.last_id.or(self.last_id);
+        let chunk = self.buffer.split_to(complete.len).freeze();
+        self.last_id = complete.last_id.or(self.last_id);
         self.note_pause(now);
-        if whole.count > 0 && !self.has_forwarded {
+        if complete.count > 0 && !self.has_forwarded {
             self.learn_forecast(now);
         }
-        self.has_forwarded |= whole.count > 0;
-        self.run.event_count += whole.count as u64;
-        if whole.count > 0 {
+        self.has_forwarded |= complete.count > 0;
+        self.run.event_count += complete.count as u64;
+        if complete.count > 0 {
             self.note_proven(now);
         }
-        let left = self.handoff.time_left(now);
-        let sending = self.sender.send(Ok(piece));
-        match self.shared.clock.within(left, sending).await {
+        let time_left = self.attempts.time_left(now);
+        let sending = self.sender.send(Ok(chunk));
+        match self.shared.clock.within(time_left, sending).await {
             Some(Ok(())) => ForwardState::Continue,
             Some(Err(_)) => ForwardState::Abort("caller left"),
             None => ForwardState::Abort("late"),
--- a/crates/ashgauged/src/relay/event_forwarder/repair.rs
+++ b/crates/ashgauged/src/relay/event_forwarder/repair.rs
@@ -44,11 +44,13 @@
         );
         // Activity from before the break says nothing.
         let since = self.shared.now();
-        let dead = find_unreachable(&self.shared, &self.request, &self.run.stages, since).await;
-        dead.iter()
+        let unreachable =
+            find_unreachable(&self.shared, &self.request, &self.run.stages, since).await;
+        unreachable
+            .iter()
             .for_each(|id| self.shared.mark_suspect(id, "no connection"));
         if loss::check_loss(&self.shared, &self.request, self.broken_run()).await {
-            self.handoff.record_lost();
+            self.attempts.record_lost();
         }
         self.resume("broken", false).await
     }
@@ -61,19 +63,21 @@
         {
             return ForwardState::Done;
         }
-        self.handoff.record_lost();
+        self.attempts.record_lost();
         self.resume("ended without an event", false).await
     }
 
     /// Looks for the cause of a silence.
     pub(super) async fn handle_silence(&mut self) -> ForwardState {
         self.silence.record_check();
-        let due = self.silence.last_event() + Duration::from_secs_f64(self.silence.event_gap());
-        let dead = find_unreachable(&self.shared, &self.request, &self.run.stages, due).await;
-        if !dead.is_empty() {
-            dead.iter()
+        let due_at = self.silence.last_event() + Duration::from_secs_f64(self.silence.event_gap());
+        let unreachable =
+            find_unreachable(&self.shared, &self.request, &self.run.stages, due_at).await;
+        if !unreachable.is_empty() {
+            unreachable
+                .iter()
                 .for_each(|id| self.shared.mark_suspect(id, "no connection"));
-            return self.repair(dead).await;
+            return self.repair(unreachable).await;
         }
         if self.is_overdue() && self.may_move() {
             return self.resume("silent", true).await;
@@ -120,26 +124,26 @@
     /// Whether a stream whose engines all answer is moved elsewhere now. It may continue by
     /// itself, so it waits for budget as long as that takes.
     fn may_move(&mut self) -> bool {
-        let may = recovery::take_budget(&self.shared, &self.request);
-        self.schedule_recheck(may);
-        may
+        let allowed = recovery::take_budget(&self.shared, &self.request);
+        self.schedule_recheck(allowed);
+        allowed
     }
 
     /// The same for a stream that cannot continue by itself; it waits until it is overdue
     /// at most.
     fn may_repair(&mut self) -> bool {
-        let may = recovery::take_or_overdue(&self.shared, &self.request, self.overdue_at());
-        self.schedule_recheck(may);
-        may
+        let allowed = recovery::take_or_overdue(&self.shared, &self.request, self.overdue_at());
+        self.schedule_recheck(allowed);
+        allowed
     }
 
     /// Schedules an early check of a stream that got no budget.
-    fn schedule_recheck(&mut self, may: bool) {
+    fn schedule_recheck(&mut self, allowed: bool) {
         if self.request.class.is_none() {
             return;
         }
         let now = self.shared.now();
-        self.recheck_at = match may {
+        self.recheck_at = match allowed {
             true => self.recheck_at.map(|at| at.max(now + LEAVE_RETRY_INTERVAL)),
             false => Some(now + recovery::POLL_INTERVAL),
         };
@@ -169,20 +173,20 @@
         if self.ends_soon() {
             return;
         }
-        let mut ends = self.engines_where(|e, stage| {
+        let mut leaving = self.engines_where(|e, stage| {
             let held = e.upstream.layers.unwrap_or(LayerRange { first: 0, end: 0 });
-            let gives_up = held.first > stage.first || held.end < stage.end;
-            gives_up || e.is_leaving()
+            let releases = held.first > stage.first || held.end < stage.end;
+            releases || e.is_leaving()
         });
-        let first = self.run.stages[0].upstream.clone();
-        ends.retain(|id| *id != first && !self.left_engines.contains(id));
-        if ends.is_empty() || self.repairs >= MAX_REPAIRS {
+        let first_engine = self.run.stages[0].upstream.clone();
+        leaving.retain(|id| *id != first_engine && !self.left_engines.contains(id));
+        if leaving.is_empty() || self.repairs >= MAX_REPAIRS {
             return;
         }
-        let before = self.shared.count_crossings(&self.run.stages);
-        let detour = self.detour(&ends);
-        let detour = detour.filter(|(stages, _)| self.shared.count_crossings(stages) <= before);
-        let Some((stages, text)) = detour else {
+        let crossings = self.shared.count_crossings(&self.run.stages);
+        let detour = self.detour(&leaving);
+        let detour = detour.filter(|(stages, _)| self.shared.count_crossings(stages) <= crossings);
+        let Some((stages, encoded)) = detour else {
             self.recheck_at = Some(self.shared.now() + LEAVE_RETRY_INTERVAL);
             return;
         };
@@ -190,8 +194,8 @@
             self.recheck_at = Some(self.shared.now() + LEAVE_RETRY_INTERVAL);
             return;
         }
-        self.left_engines.extend(ends.iter().cloned());
-        self.repath(&ends, stages, &text).await;
+        self.left_engines.extend(leaving.iter().cloned());
+        self.repath(&leaving, stages, &encoded).await;
     }
 
     /// Engines of the chain for which `is_so` holds, without those that are no longer
@@ -224,25 +228,25 @@
         if !self.may_repair() {
             return ForwardState::Continue;
         }
-        let first = &self.run.stages[0].upstream;
-        if lost.contains(first) {
-            self.handoff.record_lost();
+        let first_engine = &self.run.stages[0].upstream;
+        if lost.contains(first_engine) {
+            self.attempts.record_lost();
             loss::check_loss(&self.shared, &self.request, self.broken_run()).await;
             return self.resume("first engine lost", true).await;
         }
         if self.repairs >= MAX_REPAIRS {
             return self.resume("repaired too often", true).await;
         }
-        let Some((stages, text)) = self.detour(&lost) else {
+        let Some((stages, encoded)) = self.detour(&lost) else {
             return self.resume("no detour", true).await;
         };
-        let before = self.shared.count_crossings(&self.run.stages);
-        let crosses = self.shared.count_crossings(&stages) > before;
+        let crossings = self.shared.count_crossings(&self.run.stages);
+        let crosses = self.shared.count_crossings(&stages) > crossings;
         if crosses && self.try_resume("the detour crosses").await {
             return ForwardState::Continue;
         }
         self.repairs += 1;
-        if self.repath(&lost, stages, &text).await {
+        if self.repath(&lost, stages, &encoded).await {
             return ForwardState::Continue;
         }
         self.resume("not led around", true).await
@@ -250,13 +254,17 @@
 
     /// Orders the first engine to route the stream over another chain. Returns whether it
     /// does.
-    async fn repath(&mut self, lost: &[UpstreamId], stages: Vec<Stage>, text: &str) -> bool {
-        let silent = self.silent_ms();
+    async fn repath(&mut self, lost: &[UpstreamId], stages: Vec<Stage>, encoded: &str) -> bool {
+        let silent_ms = self.silent_ms();
         let (client, id) = (&self.shared.client, &self.request.client_request.id);
         let reply =
-            engine::order_repath(client, &self.run.first_addr, id, text, REPATH_TIMEOUT).await;
-        let done = matches!(reply, OrderReply::Begun | OrderReply::Holds);
-        let label = if done { "led around" } else { "not led around" };
+            engine::order_repath(client, &self.run.first_addr, id, encoded, REPATH_TIMEOUT).await;
+        let accepted = matches!(reply, OrderReply::Begun | OrderReply::Holds);
+        let label = if accepted {
+            "led around"
+        } else {
+            "not led around"
+        };
         self.shared
             .metrics
             .repairs
@@ -264,10 +272,10 @@
             .inc();
         let fields = json!({
             "lost": lost.iter().map(|l| &**l).collect::<Vec<_>>(),
-            "chain": text,
+            "chain": encoded,
             "reply": format!("{reply:?}"),
             "last": self.last_id,
-            "silent_ms": silent,
+            "silent_ms": silent_ms,
         });
         self.request.record.log_step("repath", fields);
         if let OrderReply::Unfit(Some(addr)) = &reply
@@ -276,7 +284,7 @@
             let now = self.shared.now();
             self.shared.registry.borrow_mut().note_full(now, &id);
         }
-        if !done {
+        if !accepted {
             return false;
         }
         if let Some(model) = &self.request.service.model {
@@ -311,35 +319,35 @@
         if !chain::covers(0, model.layers, &stages) {
             return None;
         }
-        let (text, _) = self.shared.encode_chain(&stages)?;
-        Some((stages, text))
+        let (encoded, _) = self.shared.encode_chain(&stages)?;
+        Some((stages, encoded))
     }
 
     fn fill_range(&self, model: &Model, stage: &Stage, avoid: &[UpstreamId]) -> Option<Vec<Stage>> {
-        let span = LayerRange {
+        let layers = LayerRange {
             first: stage.first,
             end: stage.end,
         };
         // Without event ids there was no other run, so this one brought all events.
-        let last = self.last_id.unwrap_or(self.run.event_count);
-        let wish = ChainCriteria {
+        let last_event = self.last_id.unwrap_or(self.run.event_count);
+        let criteria = ChainCriteria {
             need: None,
             slack: Slack::Streaming,
-            size: pick::request_size(&self.request, model, Some(last)),
+            size: pick::request_size(&self.request, model, Some(last_event)),
         };
         self.shared
-            .choose_chain(&self.request.service.name, model, span, avoid, wish)
+            .choose_chain(&self.request.service.name, model, layers, avoid, criteria)
     }
 
     /// Continues the stream on another chain, after the last event that was forwarded.
     ///
     /// If that is not possible and `alive` says that the present answer may still continue,
     /// the stream waits for it.
-    pub(super) async fn resume(&mut self, why: &'static str, alive: bool) -> ForwardState {
+    pub(super) async fn resume(&mut self, reason: &'static str, alive: bool) -> ForwardState {
         if !alive && self.can_resume() && !self.wait_for_budget().await {
             return ForwardState::Abort("caller left");
         }
-        match self.try_resume(why).await || alive {
+        match self.try_resume(reason).await || alive {
             true => ForwardState::Continue,
             false => ForwardState::Abort("broken"),
         }
@@ -357,31 +365,32 @@
 
     /// Whether another run may continue where this one stands.
     fn can_resume(&self) -> bool {
-        self.rule.resumable && (self.last_id.is_some() || !self.has_forwarded)
+        self.policy.resumable && (self.last_id.is_some() || !self.has_forwarded)
     }
 
     /// As [`EventForwarder::resume`], but returns whether the stream continues elsewhere.
-    async fn try_resume(&mut self, why: &str) -> bool {
+    async fn try_resume(&mut self, reason: &str) -> bool {
         if !self.can_resume() {
             return false;
         }
         let mut avoid = vec![self.run.stages[0].upstream.clone()];
         let mut outcome = SendOutcome::Lost;
         loop {
-            let next = retry::next_step(&self.shared, &self.request, &mut self.handoff, outcome);
+            let next = retry::next_step(&self.shared, &self.request, &mut self.attempts, outcome);
             if next != Decision::Resend {
                 return false;
             }
-            let (shared, a) = (&self.shared, &mut self.request);
+            let (shared, request) = (&self.shared, &mut self.request);
             let began = shared.now();
-            let Ok(chosen) = pick_or_wait(shared, a, &self.handoff, &avoid, self.last_id).await
+            let Ok(chosen) =
+                pick_or_wait(shared, request, &self.attempts, &avoid, self.last_id).await
             else {
                 return false;
             };
             match start_run(
                 shared,
-                a,
-                &mut self.handoff,
+                request,
+                &mut self.attempts,
                 &mut avoid,
                 self.last_id,
                 chosen,
@@ -389,7 +398,7 @@
             .await
             {
                 Ok(run) => {
-                    self.adopt_run(why, run);
+                    self.adopt_run(reason, run);
                     return true;
                 }
                 Err(failed) => {
@@ -403,7 +412,7 @@
                     if outcome == SendOutcome::Lost {
                         let loss = BrokenRun::before_answer(&failed.upstream, began);
                         if loss::check_loss(&self.shared, &self.request, loss).await {
-                            self.handoff.record_lost();
+                            self.attempts.record_lost();
                         }
                     }
                     recovery::wait_for_budget(&self.shared, &self.request).await;
@@ -412,11 +421,11 @@
         }
     }
 
-    fn adopt_run(&mut self, why: &str, run: Run) {
+    fn adopt_run(&mut self, reason: &str, run: Run) {
         let resumed = self.shared.metrics.repairs.with_label_values(&["resumed"]);
         resumed.inc();
         let fields = json!({
-            "why": why,
+            "why": reason,
             "last": self.last_id,
             "first": run.first_addr,
             "silent_ms": self.silent_ms(),
--- a/crates/ashgauged/src/relay/forecast.rs
+++ b/crates/ashgauged/src/relay/forecast.rs
@@ -18,36 +18,40 @@
     /// Forecast from the load of the engines.
     forecast: Forecast,
     /// Time to the first event, corrected by the service's calibration.
-    pub first: Duration,
+    pub first_event: Duration,
     /// When the chain was chosen.
     made_at: Duration,
 }
 
 impl Estimate {
     /// Silence before the first event after which the engines are checked; at least
-    /// `least`.
-    pub fn silence_limit(&self, least: Duration) -> Duration {
-        forecast::check_delay(self.first, least, MAX_SILENCE)
+    /// `min_wait`.
+    pub fn silence_limit(&self, min_wait: Duration) -> Duration {
+        forecast::check_delay(self.first_event, min_wait, MAX_SILENCE)
     }
 }
 
 /// Forecasts a request on a chain that it is not counted on yet, if its service admits
 /// streams by class.
-pub fn estimate(shared: &SharedState, a: &AdmittedRequest, stages: &[Stage]) -> Option<Estimate> {
-    a.class?;
-    let (service, prompt) = (&a.service.name, a.client_request.prompt_tokens);
-    let model = a.service.model.as_ref()?;
+pub fn estimate(
+    shared: &SharedState,
+    request: &AdmittedRequest,
+    stages: &[Stage],
+) -> Option<Estimate> {
+    request.class?;
+    let (service, prompt) = (&request.service.name, request.client_request.prompt_tokens);
+    let model = request.service.model.as_ref()?;
     let forecast = shared.forecast(service, model, stages, prompt);
     let calibrations = shared.calibrations.borrow();
     let calibration = calibrations.get(service).copied().unwrap_or_default();
-    let first = calibration.apply(forecast.first_event);
+    let first_event = calibration.apply(forecast.first_event);
     if prompt == 0 || forecast.is_capped() {
-        let fields = json!({"prompt": prompt, "forecast_ms": first.as_millis() as u64});
-        a.record.log_step("rough forecast", fields);
+        let fields = json!({"prompt": prompt, "forecast_ms": first_event.as_millis() as u64});
+        request.record.log_step("rough forecast", fields);
     }
     Some(Estimate {
         forecast,
-        first,
+        first_event,
         made_at: shared.now(),
     })
 }
--- a/crates/ashgauged/src/relay/forward.rs
+++ b/crates/ashgauged/src/relay/forward.rs
@@ -54,35 +54,42 @@
 pub async fn handle(shared: Rc<SharedState>, request: Request<Incoming>) -> Response<Body> {
     let arrived = shared.now();
     let (head, body) = request.into_parts();
-    let ask = match ingress::parse_request(&head) {
-        Ok(ask) => ask,
-        Err(why) => {
-            log::event(Level::Info, "request", "malformed", json!({"why": why}));
+    let client_request = match ingress::parse_request(&head) {
+        Ok(client_request) => client_request,
+        Err(reason) => {
+            log::event(Level::Info, "request", "malformed", json!({"why": reason}));
             return own_response(StatusCode::BAD_REQUEST, None, None);
         }
     };
     shared.wait_synced(startup_wait(shared.uptime())).await;
-    let (route, service, team) = match resolve(&shared, &ask) {
+    let (route, service, team) = match resolve(&shared, &client_request) {
         Ok(admitted) => admitted,
-        Err(refusal) => return refuse(&shared, &ask, refusal, arrived),
+        Err(refusal) => return refuse(&shared, &client_request, refusal, arrived),
     };
-    let mut record = Record::new(&shared, &ask, &route.name, arrived);
-    let held = ask.timeout.unwrap_or(route.timeout).min(route.timeout);
-    let until = arrived + held;
-    let body = match super::body::read(&shared, body, held).await {
+    let mut record = Record::new(&shared, &client_request, &route.name, arrived);
+    let timeout = client_request
+        .timeout
+        .unwrap_or(route.timeout)
+        .min(route.timeout);
+    let deadline = arrived + timeout;
+    let body = match super::body::read(&shared, body, timeout).await {
         Ok(body) => body,
-        Err((status, why)) => {
-            record.end(why);
+        Err((status, reason)) => {
+            record.end(reason);
             let not_run = status == StatusCode::SERVICE_UNAVAILABLE;
-            return own_response(status, Some(&ask), not_run.then_some(RETRY_AFTER_FULL));
+            return own_response(
+                status,
+                Some(&client_request),
+                not_run.then_some(RETRY_AFTER_FULL),
+            );
         }
     };
-    let digest = digest_of(&head, &ask, team.as_deref(), &body);
+    let digest = digest_of(&head, &client_request, team.as_deref(), &body);
     record.digest = Some(digest);
-    let mut handoff = Attempts::new(until, route.max_attempts, route.is_retryable());
+    let mut attempts = Attempts::new(deadline, route.max_attempts, route.is_retryable());
     let mut admitted = AdmittedRequest {
         head,
-        client_request: ask,
+        client_request,
         body,
         digest,
         route,
@@ -102,20 +109,20 @@
         .retry_budgets
         .earn(shared.now(), &admitted.service.name);
     match admitted.route.stream {
-        Some(rule) => stream::handle_stream(shared, admitted, handoff, rule).await,
-        None => send_plain(&shared, admitted, &mut handoff).await,
+        Some(policy) => stream::handle_stream(shared, admitted, attempts, policy).await,
+        None => send_plain(&shared, admitted, &mut attempts).await,
     }
 }
 
 /// Digest of a request; all keys of a team count as one caller.
 fn digest_of(
     head: &request::Parts,
-    ask: &ClientRequest,
+    client_request: &ClientRequest,
     team: Option<&Team>,
     body: &[u8],
 ) -> Digest {
     let path = head.uri.path_and_query().map_or("/", |p| p.as_str());
-    let key = ask.key.as_deref().unwrap_or_default();
+    let key = client_request.key.as_deref().unwrap_or_default();
     let caller = team.map_or(key, |t| t.name.as_str());
     digest::request_digest(path, caller, body)
 }
@@ -137,24 +144,30 @@
 
 type Destination = (Arc<Route>, Arc<Service>, Option<Arc<Team>>);
 
-fn resolve(shared: &SharedState, ask: &ClientRequest) -> Result<Destination, Refusal> {
+fn resolve(shared: &SharedState, client_request: &ClientRequest) -> Result<Destination, Refusal> {
     let routing = shared.routing();
     if shared.is_stopped.get() {
         return Err(Refusal::Stopping);
     }
-    let sure = shared.freshness.borrow().is_fresh(shared.now());
+    let is_current = shared.freshness.borrow().is_fresh(shared.now());
     if routing.version == 0 {
         return Err(Refusal::Unsynced);
     }
     // What a stale configuration lacks may exist by now.
-    let or_unsure = |refusal| if sure { refusal } else { Refusal::Unsynced };
-    let route = routing.find_route(&ask.host, &ask.path);
-    let route = route.ok_or(or_unsure(Refusal::NoRoute))?;
-    let team = match routing.authorize(route, ask.key.as_deref()) {
-        Access::Team(_) if !sure => return Err(Refusal::Unsynced),
+    let or_unsynced = |refusal| {
+        if is_current {
+            refusal
+        } else {
+            Refusal::Unsynced
+        }
+    };
+    let route = routing.find_route(&client_request.host, &client_request.path);
+    let route = route.ok_or(or_unsynced(Refusal::NoRoute))?;
+    let team = match routing.authorize(route, client_request.key.as_deref()) {
+        Access::Team(_) if !is_current => return Err(Refusal::Unsynced),
         Access::Team(team) => Some(team),
         Access::Anonymous => None,
-        Access::Denied => return Err(or_unsure(Refusal::NoKey)),
+        Access::Denied => return Err(or_unsynced(Refusal::NoKey)),
     };
     let service = route.choose_service(&mut *shared.rng());
     let service = service.and_then(|s| routing.services.get(s));
@@ -164,12 +177,12 @@
 
 fn refuse(
     shared: &Rc<SharedState>,
-    ask: &ClientRequest,
+    client_request: &ClientRequest,
     refusal: Refusal,
     arrived: Duration,
 ) -> Response<Body> {
-    let mut record = Record::new(shared, ask, "", arrived);
-    let (what, status, after) = match refusal {
+    let mut record = Record::new(shared, client_request, "", arrived);
+    let (reason, status, retry_after) = match refusal {
         Refusal::Stopping => (
             "stopping",
             StatusCode::SERVICE_UNAVAILABLE,
@@ -188,53 +201,56 @@
             Some(RETRY_AFTER_UNSYNCED),
         ),
     };
-    record.end(what);
-    own_response(status, Some(ask), after)
+    record.end(reason);
+    own_response(status, Some(client_request), retry_after)
 }
 
 async fn send_plain(
     shared: &Rc<SharedState>,
-    mut a: AdmittedRequest,
-    handoff: &mut Attempts,
+    mut request: AdmittedRequest,
+    attempts: &mut Attempts,
 ) -> Response<Body> {
     loop {
-        if !is_authorized(shared, &a) {
-            return finish(shared, a, FailureKind::NotRun);
+        if !is_authorized(shared, &request) {
+            return finish(shared, request, FailureKind::NotRun);
         }
-        quarantine::await_checks(shared, a.digest).await;
-        if is_quarantined(shared, &a) {
-            return refuse_quarantined(shared, a, handoff.may_have_run());
+        quarantine::await_checks(shared, request.digest).await;
+        if is_quarantined(shared, &request) {
+            return refuse_quarantined(shared, request, attempts.may_have_run());
         }
-        let Some((id, addr)) = choose_upstream(shared, &a, handoff).await else {
-            let end = handoff.failure(shared.now());
-            return finish(shared, a, end);
+        let Some((id, addr)) = choose_upstream(shared, &request, attempts).await else {
+            let end = attempts.failure(shared.now());
+            return finish(shared, request, end);
         };
-        handoff.record_send(id.clone());
-        a.record.sends.push(id.clone());
+        attempts.record_send(id.clone());
+        request.record.sends.push(id.clone());
         let began = shared.now();
-        let (outcome, answer) = match send_once(shared, &a, handoff, &id, &addr).await {
+        let (outcome, answer) = match send_once(shared, &request, attempts, &id, &addr).await {
             Ok(answer) if !answer.status().is_server_error() => {
-                shared.quarantine.borrow_mut().clear_losses(a.digest);
-                a.record.end("answered");
+                shared.quarantine.borrow_mut().clear_losses(request.digest);
+                request.record.end("answered");
                 return upstream_response(answer);
             }
             Ok(answer) => (SendOutcome::Failed, Some(answer)),
             Err(outcome) => (outcome, None),
         };
-        note_outcome(shared, &a, &id, outcome);
+        note_outcome(shared, &request, &id, outcome);
         if outcome == SendOutcome::Lost
-            && loss::check_loss(shared, &a, BrokenRun::before_answer(&id, began)).await
+            && loss::check_loss(shared, &request, BrokenRun::before_answer(&id, began)).await
         {
-            handoff.record_lost();
+            attempts.record_lost();
         }
-        match (retry::next_step(shared, &a, handoff, outcome), answer) {
+        match (
+            retry::next_step(shared, &request, attempts, outcome),
+            answer,
+        ) {
             (Decision::Resend, _) => {}
             (Decision::Forward, Some(answer)) => {
-                a.record.end("failed upstream");
+                request.record.end("failed upstream");
                 return upstream_response(answer);
             }
-            (Decision::Fail(end), _) => return finish(shared, a, end),
-            (Decision::Forward, None) => return finish(shared, a, FailureKind::Unknown),
+            (Decision::Fail(end), _) => return finish(shared, request, end),
+            (Decision::Forward, None) => return finish(shared, request, FailureKind::Unknown),
         }
     }
 }
@@ -242,11 +258,11 @@
 /// Chooses an upstream and takes the permit that it may need.
 async fn choose_upstream(
     shared: &SharedState,
-    a: &AdmittedRequest,
-    handoff: &Attempts,
+    request: &AdmittedRequest,
+    attempts: &Attempts,
 ) -> Option<(UpstreamId, String)> {
     for _ in 0..MAX_PICKS {
-        let (id, addr) = shared.choose_upstream(&a.service.name, handoff.tried())?;
+        let (id, addr) = shared.choose_upstream(&request.service.name, attempts.tried())?;
         if permit::acquire(shared, &id).await {
             return Some((id, addr));
         }
@@ -256,37 +272,38 @@
 
 async fn send_once(
     shared: &Rc<SharedState>,
-    a: &AdmittedRequest,
-    handoff: &Attempts,
+    request: &AdmittedRequest,
+    attempts: &Attempts,
     id: &UpstreamId,
     addr: &str,
 ) -> Result<FullResponse, SendOutcome> {
     let began = shared.now();
-    let _hold = LoadGuard::for_upstream(shared, id);
-    let connect = Duration::from_millis(shared.settings().timing.connect_ms);
-    let line = dial::connect(addr, connect.min(handoff.time_left(began))).await;
-    let line = line.map_err(|_| SendOutcome::NotSent)?;
-    if !is_authorized(shared, a) {
+    let _load_guard = LoadGuard::for_upstream(shared, id);
+    let connect_timeout = Duration::from_millis(shared.settings().timing.connect_ms);
+    let connection = dial::connect(addr, connect_timeout.min(attempts.time_left(began))).await;
+    let connection = connection.map_err(|_| SendOutcome::NotSent)?;
+    if !is_authorized(shared, request) {
         return Err(SendOutcome::NotSent);
     }
-    let left = handoff.time_left(shared.now());
+    let time_left = attempts.time_left(shared.now());
     let target = Target {
         id,
         chain: None,
-        team: a.team.as_ref().map(|t| t.name.as_str()),
-        rank: a.rank(shared),
-        time_left: left,
+        team: request.team.as_ref().map(|t| t.name.as_str()),
+        rank: request.rank(shared),
+        time_left,
         last_event: None,
     };
-    notice::count_send(shared, id, &a.client_request.id);
-    let request = engine::build_request(&a.head, a.body.clone(), &target);
-    let limit =
-        match a.route.is_retryable() && handoff.tried().len() < a.route.max_attempts as usize {
-            true => silence_timeout(shared, a, id).min(left),
-            false => left,
-        };
-    let collecting = collect_answer(shared, id, line, request, &a.client_request.id);
-    let answer = shared.clock.within(limit, collecting).await;
+    notice::count_send(shared, id, &request.client_request.id);
+    let outgoing = engine::build_request(&request.head, request.body.clone(), &target);
+    let time_limit = match request.route.is_retryable()
+        && attempts.tried().len() < request.route.max_attempts as usize
+    {
+        true => silence_timeout(shared, request, id).min(time_left),
+        false => time_left,
+    };
+    let collecting = collect_answer(shared, id, connection, outgoing, &request.client_request.id);
+    let answer = shared.clock.within(time_limit, collecting).await;
     let (answer, load) = answer.ok_or(SendOutcome::Lost)??;
     let mut registry = shared.registry.borrow_mut();
     if let Some((running, waiting)) = load {
@@ -298,17 +315,21 @@
         shared
             .metrics
             .first_seconds
-            .observe(a.record.elapsed().as_secs_f64());
+            .observe(request.record.elapsed().as_secs_f64());
     }
     Ok(answer)
 }
 
 /// Time that a retryable request waits on a silent upstream.
-fn silence_timeout(shared: &SharedState, a: &AdmittedRequest, id: &str) -> Duration {
+fn silence_timeout(shared: &SharedState, request: &AdmittedRequest, id: &str) -> Duration {
     let registry = shared.registry.borrow();
-    let learned = registry.get(id).map_or(0.0, |e| e.latency_seconds);
-    let usual = Duration::from_secs_f64(learned * SILENCE_FACTOR);
-    a.route.target_latency.mul_f64(SILENCE_AIM_SHARE).max(usual)
+    let latency = registry.get(id).map_or(0.0, |e| e.latency_seconds);
+    let usual_limit = Duration::from_secs_f64(latency * SILENCE_FACTOR);
+    request
+        .route
+        .target_latency
+        .mul_f64(SILENCE_AIM_SHARE)
+        .max(usual_limit)
 }
 
 type CollectedAnswer = (FullResponse, Option<(u32, u32)>);
@@ -317,12 +338,15 @@
 async fn collect_answer(
     shared: &Rc<SharedState>,
     upstream: &UpstreamId,
-    line: dial::Connection,
+    connection: dial::Connection,
     request: Request<Full<Bytes>>,
     id: &str,
 ) -> Result<CollectedAnswer, SendOutcome> {
     let sent = shared.now();
-    let exchange = line.send(request).await.map_err(|e| failure_outcome(&e))?;
+    let exchange = connection
+        .send(request)
+        .await
+        .map_err(|e| failure_outcome(&e))?;
     let (parts, body) = exchange.response.into_parts();
     notice::apply(shared, upstream, sent, &parts);
     let load = engine::parse_load(&parts.headers);
--- a/crates/ashgauged/src/relay/loss.rs
+++ b/crates/ashgauged/src/relay/loss.rs
@@ -74,9 +74,9 @@
 
 impl Drop for SuspectRun {
     fn drop(&mut self) {
-        let mut trials = self.shared.suspect_runs.borrow_mut();
-        if let Some(at) = trials.iter().position(|id| *id == self.upstream) {
-            trials.swap_remove(at);
+        let mut suspect_runs = self.shared.suspect_runs.borrow_mut();
+        if let Some(index) = suspect_runs.iter().position(|id| *id == self.upstream) {
+            suspect_runs.swap_remove(index);
         }
     }
 }
@@ -88,7 +88,7 @@
     digest: Digest,
     loss: BrokenRun,
     /// Instance whose loss is attributed to the request, if it is.
-    start: Option<InstanceKey>,
+    instance: Option<InstanceKey>,
     /// Delays other sends of the request during the check.
     _check: Option<LossCheck>,
 }
@@ -101,10 +101,10 @@
 }
 
 impl LossCheck {
-    fn begin(shared: &Rc<SharedState>, lost: InstanceLoss) -> Self {
-        shared.quarantine.borrow_mut().begin_check(lost);
+    fn begin(shared: &Rc<SharedState>, loss: InstanceLoss) -> Self {
+        shared.quarantine.borrow_mut().begin_check(loss);
         let shared = shared.clone();
-        LossCheck { shared, loss: lost }
+        LossCheck { shared, loss }
     }
 }
 
@@ -122,35 +122,32 @@
 ///
 /// An upstream that still accepts connections is checked a few more times while the request
 /// continues.
-pub async fn check_loss(shared: &Rc<SharedState>, a: &AdmittedRequest, loss: BrokenRun) -> bool {
-    let digest = a.digest;
+pub async fn check_loss(
+    shared: &Rc<SharedState>,
+    request: &AdmittedRequest,
+    loss: BrokenRun,
+) -> bool {
+    let digest = request.digest;
     // The upstream's entry may be gone after the check.
-    let start = blamed_instance(shared, &loss);
-    let suspicion = SuspectedLoss {
-        id: a.client_request.id.clone(),
+    let instance = blamed_instance(shared, &loss);
+    let suspected = SuspectedLoss {
+        id: request.client_request.id.clone(),
         digest,
         loss,
-        start,
-        _check: start.map(|start| {
-            LossCheck::begin(
-                shared,
-                InstanceLoss {
-                    digest,
-                    instance: start,
-                },
-            )
-        }),
+        instance,
+        _check: instance
+            .map(|instance| LossCheck::begin(shared, InstanceLoss { digest, instance })),
     };
-    if probe::is_lost(shared, &suspicion.loss.upstream).await {
-        suspicion.confirm(shared);
+    if probe::is_lost(shared, &suspected.loss.upstream).await {
+        suspected.confirm(shared);
         return true;
     }
     let shared = shared.clone();
     tokio::task::spawn_local(async move {
-        for pause in RECHECK_DELAYS {
-            sleep(pause).await;
-            if probe::is_lost(&shared, &suspicion.loss.upstream).await {
-                return suspicion.confirm(&shared);
+        for delay in RECHECK_DELAYS {
+            sleep(delay).await;
+            if probe::is_lost(&shared, &suspected.loss.upstream).await {
+                return suspected.confirm(&shared);
             }
         }
     });
@@ -161,10 +158,10 @@
 /// run safely before, or if the upstream was going to end anyway.
 fn blamed_instance(shared: &SharedState, loss: &BrokenRun) -> Option<InstanceKey> {
     let registry = shared.registry.borrow();
-    let entry = registry.get(&loss.upstream)?;
-    let upstream = &entry.upstream;
-    let counts = !loss.proven_safe && !entry.is_leaving();
-    counts.then(|| instance_key(&upstream.id, upstream.started_ms))
+    let state = registry.get(&loss.upstream)?;
+    let upstream = &state.upstream;
+    let is_attributed = !loss.proven_safe && !state.is_leaving();
+    is_attributed.then(|| instance_key(&upstream.id, upstream.started_ms))
 }
 
 impl SuspectedLoss {
@@ -178,17 +175,11 @@
             .note_unreachable(now, &self.loss.upstream);
         // Avoiding lost engines does not stop a request that crashes them: it moves on to
         // the next one with each repeat.
-        if let Some(start) = self.start {
+        if let Some(instance) = self.instance {
             let digest = self.digest;
-            quarantine::record_loss(
-                shared,
-                InstanceLoss {
-                    digest,
-                    instance: start,
-                },
-            );
+            quarantine::record_loss(shared, InstanceLoss { digest, instance });
         }
-        let run = shared.now().saturating_sub(self.loss.began);
+        let run_time = shared.now().saturating_sub(self.loss.began);
         let events = if self.loss.event_count == 0 {
             "none"
         } else {
@@ -199,9 +190,9 @@
             "id": self.id,
             "upstream": &*self.loss.upstream,
             "digest": digest::format_digest(self.digest),
-            "run_ms": run.as_millis() as u64,
+            "run_ms": run_time.as_millis() as u64,
             "events": self.loss.event_count,
-            "counts": self.start.is_some(),
+            "counts": self.instance.is_some(),
         });
         log::event(Level::Info, "request", "upstream lost", fields);
     }
--- a/crates/ashgauged/src/relay/open.rs
+++ b/crates/ashgauged/src/relay/open.rs
@@ -68,69 +68,76 @@
 }
 
 pub fn response_head(exchange: &OpenResponse) -> response::Parts {
-    let mut copy = Response::new(());
-    *copy.status_mut() = exchange.response.status();
-    *copy.headers_mut() = exchange.response.headers().clone();
-    copy.into_parts().0
+    let mut head = Response::new(());
+    *head.status_mut() = exchange.response.status();
+    *head.headers_mut() = exchange.response.headers().clone();
+    head.into_parts().0
 }
 
 /// Sends the request over a chosen chain and waits for the head of the answer, which
-/// continues after event `last`.
+/// continues after event `last_event`.
 pub async fn start_run(
     shared: &Rc<SharedState>,
-    a: &mut AdmittedRequest,
-    handoff: &mut Attempts,
+    request: &mut AdmittedRequest,
+    attempts: &mut Attempts,
     avoid: &mut Vec<UpstreamId>,
-    last: Option<u64>,
+    last_event: Option<u64>,
     chosen: ChosenChain,
 ) -> Result<Run, FailedSend> {
     let ChosenChain {
         stages,
-        encoded: text,
-        first_addr: first,
+        encoded,
+        first_addr,
     } = chosen;
-    let estimate = forecast::estimate(shared, a, &stages);
+    let estimate = forecast::estimate(shared, request, &stages);
     if let Some(estimate) = &estimate {
-        a.record.note_forecast(estimate.first);
+        request.record.note_forecast(estimate.first_event);
     }
-    note_expected_load(shared, a, &stages);
-    let lead = stages[0].upstream.clone();
+    note_expected_load(shared, request, &stages);
+    let first_engine = stages[0].upstream.clone();
     let failed = |outcome| FailedSend {
         outcome,
-        upstream: lead.clone(),
+        upstream: first_engine.clone(),
         answer: None,
     };
-    handoff.record_send(lead.clone());
-    a.record.sends.push(text.as_deref().unwrap_or(&lead).into());
-    let hold = LoadGuard::for_chain(shared, &stages, a.mean_tokens());
-    let trial = SuspectRun::begin(shared, a.digest, &lead);
-    let connect = Duration::from_millis(shared.settings().timing.connect_ms);
-    let line = dial::connect(&first, connect.min(handoff.time_left(shared.now()))).await;
-    let line = line.map_err(|e| failed(failure_outcome(&e)))?;
-    if !is_authorized(shared, a) {
+    attempts.record_send(first_engine.clone());
+    request
+        .record
+        .sends
+        .push(encoded.as_deref().unwrap_or(&first_engine).into());
+    let load_guard = LoadGuard::for_chain(shared, &stages, request.mean_tokens());
+    let suspect_run = SuspectRun::begin(shared, request.digest, &first_engine);
+    let connect_timeout = Duration::from_millis(shared.settings().timing.connect_ms);
+    let connection = dial::connect(
+        &first_addr,
+        connect_timeout.min(attempts.time_left(shared.now())),
+    )
+    .await;
+    let connection = connection.map_err(|e| failed(failure_outcome(&e)))?;
+    if !is_authorized(shared, request) {
         return Err(failed(SendOutcome::NotSent));
     }
     let target = Target {
-        id: &lead,
-        chain: text.as_deref(),
-        team: a.team.as_ref().map(|t| t.name.as_str()),
-        rank: slack::engine_priority(a.rank(shared), slack_of(a, last)),
-        time_left: handoff.time_left(shared.now()),
-        last_event: last,
+        id: &first_engine,
+        chain: encoded.as_deref(),
+        team: request.team.as_ref().map(|t| t.name.as_str()),
+        rank: slack::engine_priority(request.rank(shared), slack_of(request, last_event)),
+        time_left: attempts.time_left(shared.now()),
+        last_event,
     };
-    notice::count_send(shared, &lead, &a.client_request.id);
-    let request = engine::build_request(&a.head, a.body.clone(), &target);
+    notice::count_send(shared, &first_engine, &request.client_request.id);
+    let outgoing = engine::build_request(&request.head, request.body.clone(), &target);
     let sent = shared.now();
-    let sending = line.send(request);
+    let sending = connection.send(outgoing);
     let wait = head_timeout(shared, estimate.as_ref());
-    let exchange = await_head(shared, a, &stages, sending, handoff, avoid, wait).await;
+    let exchange = await_head(shared, request, &stages, sending, attempts, avoid, wait).await;
     let exchange = exchange.map_err(failed)?;
     let parts = response_head(&exchange);
-    notice::apply(shared, &lead, sent, &parts);
-    match engine::classify(&parts, &a.client_request.id) {
+    notice::apply(shared, &first_engine, sent, &parts);
+    match engine::classify(&parts, &request.client_request.id) {
         Verdict::Answer if parts.status.is_success() => {}
         Verdict::Answer => {
-            avoid.push(lead.clone());
+            avoid.push(first_engine.clone());
             let failure = read_error_response(exchange, parts).await;
             let outcome = match &failure {
                 Some(_) => SendOutcome::Failed,
@@ -138,112 +145,119 @@
             };
             return Err(FailedSend {
                 outcome,
-                upstream: lead,
+                upstream: first_engine,
                 answer: failure,
             });
         }
         verdict @ (Verdict::Full(_) | Verdict::Stale(_)) => {
-            avoid.push(apply_refusal(shared, &lead, verdict));
+            avoid.push(apply_refusal(shared, &first_engine, verdict));
             return Err(failed(SendOutcome::NotRun));
         }
         Verdict::Foreign => return Err(failed(SendOutcome::Lost)),
     }
     Ok(Run {
         stages,
-        first_addr: first,
+        first_addr,
         exchange,
         head_at: shared.now(),
         event_count: 0,
         first_event: None,
         proven_safe: false,
         estimate,
-        suspect_run: trial,
-        load_guard: hold,
+        suspect_run,
+        load_guard,
     })
 }
 
-/// Slack of a request, which continues after event `last` if there is one.
-fn slack_of(a: &AdmittedRequest, last: Option<u64>) -> Slack {
-    match last {
+/// Slack of a request, which continues after event `last_event` if there is one.
+fn slack_of(request: &AdmittedRequest, last_event: Option<u64>) -> Slack {
+    match last_event {
         Some(_) => Slack::Streaming,
-        None => a.slack(),
+        None => request.slack(),
     }
 }
 
 /// Records the load that a request will put on its chain.
-fn note_expected_load(shared: &SharedState, a: &AdmittedRequest, stages: &[Stage]) {
-    if let Some(model) = a.service.model.as_ref().filter(|m| m.layers > 0) {
-        shared.note_transfers(model, stages, a.max_tokens());
+fn note_expected_load(shared: &SharedState, request: &AdmittedRequest, stages: &[Stage]) {
+    if let Some(model) = request.service.model.as_ref().filter(|m| m.layers > 0) {
+        shared.note_transfers(model, stages, request.max_tokens());
         shared.note_prefill(
             model,
-            &a.service.name,
+            &request.service.name,
             stages.iter(),
-            a.client_request.prompt_tokens,
+            request.client_request.prompt_tokens,
         );
     }
 }
 
 /// Time to wait for the head of an answer before the engines are checked.
 fn head_timeout(shared: &SharedState, estimate: Option<&Estimate>) -> Duration {
-    let least = Duration::from_millis(shared.settings().timing.first_ms);
-    estimate.map_or(least, |e| e.silence_limit(least))
+    let min_wait = Duration::from_millis(shared.settings().timing.first_ms);
+    estimate.map_or(min_wait, |e| e.silence_limit(min_wait))
 }
 
 /// Waits for the head of an answer. If it is late, checks the chain's engines, first after
 /// `wait`.
 async fn await_head(
     shared: &Rc<SharedState>,
-    a: &AdmittedRequest,
+    request: &AdmittedRequest,
     stages: &[Stage],
     sending: impl Future<Output = Result<OpenResponse, ::http::Failure>>,
-    handoff: &Attempts,
+    attempts: &Attempts,
     avoid: &mut Vec<UpstreamId>,
     mut wait: Duration,
 ) -> Result<OpenResponse, SendOutcome> {
     tokio::pin!(sending);
-    let lead = &stages[0].upstream;
-    let began = shared.now();
+    let first_engine = &stages[0].upstream;
+    let sent_at = shared.now();
     loop {
-        let left = handoff.time_left(shared.now());
-        let head = shared.clock.within(wait.min(left), sending.as_mut()).await;
-        if let Some(sent) = head {
+        let time_left = attempts.time_left(shared.now());
+        let head = shared
+            .clock
+            .within(wait.min(time_left), sending.as_mut())
+            .await;
+        if let Some(result) = head {
             let now = shared.now();
             let mut registry = shared.registry.borrow_mut();
-            return match sent {
+            return match result {
                 Ok(exchange) => {
-                    registry.record_latency(now, lead, now - began);
+                    registry.record_latency(now, first_engine, now - sent_at);
                     Ok(exchange)
                 }
                 Err(failure) => {
-                    registry.record_failure(now, lead);
-                    avoid.push(lead.clone());
+                    registry.record_failure(now, first_engine);
+                    avoid.push(first_engine.clone());
                     Err(failure_outcome(&failure))
                 }
             };
         }
-        let waited = shared.now() - began;
-        let mut dead = find_unreachable(shared, a, stages, Duration::ZERO).await;
-        if dead.is_empty() {
-            dead.extend(query_engines(shared, a, stages).await);
+        let waited = shared.now() - sent_at;
+        let mut unreachable = find_unreachable(shared, request, stages, Duration::ZERO).await;
+        if unreachable.is_empty() {
+            unreachable.extend(query_engines(shared, request, stages).await);
         }
-        if handoff.time_left(shared.now()).is_zero() {
+        if attempts.time_left(shared.now()).is_zero() {
             return Err(SendOutcome::Lost);
         }
         let is_late = waited >= MAX_SILENCE;
-        if !dead.is_empty() || (is_late && recovery::has_budget(shared, a)) {
-            dead.iter()
+        if !unreachable.is_empty() || (is_late && recovery::has_budget(shared, request)) {
+            unreachable
+                .iter()
                 .for_each(|id| shared.mark_suspect(id, "holds up its chain"));
-            if dead.is_empty() {
+            if unreachable.is_empty() {
                 let now = shared.now();
-                shared.registry.borrow_mut().record_failure(now, lead);
-                avoid.push(lead.clone());
+                shared
+                    .registry
+                    .borrow_mut()
+                    .record_failure(now, first_engine);
+                avoid.push(first_engine.clone());
             }
-            avoid.extend(dead);
+            avoid.extend(unreachable);
             return Err(SendOutcome::Lost);
         }
         wait = match is_late {
             true => recovery::POLL_INTERVAL,
-            false => next_wait(wait, shared.now() - began, MAX_SILENCE),
+            false => next_wait(wait, shared.now() - sent_at, MAX_SILENCE),
         };
     }
 }
--- a/crates/ashgauged/src/relay/pick.rs
+++ b/crates/ashgauged/src/relay/pick.rs
@@ -7,7 +7,7 @@
 use ashgauge::member::UpstreamId;
 use ashgauge::request_size::RequestSize;
 use ashgauge::routing::Model;
-use ashgauge::selection::{RESERVED_SHARE, Requirements, all_layers as whole_model};
+use ashgauge::selection::{RESERVED_SHARE, Requirements, all_layers};
 use ashgauge::slack::Slack;
 use tokio::time::sleep;
 
@@ -51,32 +51,32 @@
 /// Chooses a chain for the request, without the permit that its first engine may need.
 ///
 /// An answer that continues on another chain does not wait for capacity, as its caller
-/// already has part of it, up to event `last`.
+/// already has part of it, up to event `last_event`.
 fn try_pick(
     shared: &SharedState,
-    a: &AdmittedRequest,
-    handoff: &Attempts,
+    request: &AdmittedRequest,
+    attempts: &Attempts,
     avoid: &[UpstreamId],
-    goes_on: bool,
-    last: Option<u64>,
+    continues: bool,
+    last_event: Option<u64>,
 ) -> Result<ChosenChain, PickError> {
-    if !is_authorized(shared, a) {
+    if !is_authorized(shared, request) {
         return Err(PickError::Denied);
     }
-    if is_quarantined(shared, a) {
+    if is_quarantined(shared, request) {
         return Err(PickError::Quarantined);
     }
-    let need = requirements(shared, a).filter(|_| !goes_on);
-    if let Some(chosen) = choose_isolated(shared, a, handoff, avoid, need, last) {
+    let need = requirements(shared, request).filter(|_| !continues);
+    if let Some(chosen) = choose_isolated(shared, request, attempts, avoid, need, last_event) {
         return Ok(chosen);
     }
-    if let Some(chosen) = choose(shared, a, handoff, avoid, need, last) {
+    if let Some(chosen) = choose(shared, request, attempts, avoid, need, last_event) {
         return Ok(chosen);
     }
-    if need.is_some() && choose(shared, a, handoff, avoid, None, last).is_some() {
+    if need.is_some() && choose(shared, request, attempts, avoid, None, last_event).is_some() {
         return Err(PickError::NoCapacity);
     }
-    match permit::limit_wait(shared, &a.service) {
+    match permit::limit_wait(shared, &request.service) {
         Some(left) => Err(PickError::AtLimit(left)),
         None => Err(PickError::NoChain),
     }
@@ -85,15 +85,15 @@
 /// Chooses a chain as [`try_pick`] does, and takes the permit for its first engine.
 pub async fn pick_with_permit(
     shared: &SharedState,
-    a: &AdmittedRequest,
-    handoff: &Attempts,
+    request: &AdmittedRequest,
+    attempts: &Attempts,
     avoid: &[UpstreamId],
-    goes_on: bool,
-    last: Option<u64>,
+    continues: bool,
+    last_event: Option<u64>,
 ) -> Result<ChosenChain, PickError> {
     for _ in 0..MAX_PICKS {
-        quarantine::await_checks(shared, a.digest).await;
-        let chosen = try_pick(shared, a, handoff, avoid, goes_on, last)?;
+        quarantine::await_checks(shared, request.digest).await;
+        let chosen = try_pick(shared, request, attempts, avoid, continues, last_event)?;
         if permit::acquire(shared, &chosen.stages[0].upstream).await {
             return Ok(chosen);
         }
@@ -105,14 +105,14 @@
 /// engines are at their rate limits.
 pub async fn pick_or_wait(
     shared: &SharedState,
-    a: &AdmittedRequest,
-    handoff: &Attempts,
+    request: &AdmittedRequest,
+    attempts: &Attempts,
     avoid: &[UpstreamId],
-    last: Option<u64>,
+    last_event: Option<u64>,
 ) -> Result<ChosenChain, PickError> {
-    let until = shared.now() + MAX_PERMIT_WAIT.min(handoff.time_left(shared.now()));
+    let until = shared.now() + MAX_PERMIT_WAIT.min(attempts.time_left(shared.now()));
     loop {
-        match pick_with_permit(shared, a, handoff, avoid, true, last).await {
+        match pick_with_permit(shared, request, attempts, avoid, true, last_event).await {
             Err(PickError::AtLimit(_)) if shared.now() < until => {
                 sleep(PERMIT_RETRY_INTERVAL).await
             }
@@ -135,52 +135,49 @@
 /// that run other requests of that kind.
 fn choose_isolated(
     shared: &SharedState,
-    a: &AdmittedRequest,
-    handoff: &Attempts,
+    request: &AdmittedRequest,
+    attempts: &Attempts,
     avoid: &[UpstreamId],
     need: Option<Requirements>,
-    last: Option<u64>,
+    last_event: Option<u64>,
 ) -> Option<ChosenChain> {
-    if !shared.quarantine.borrow().is_suspect(a.digest) {
+    if !shared.quarantine.borrow().is_suspect(request.digest) {
         return None;
     }
     let mut avoid = avoid.to_vec();
     avoid.extend(shared.suspect_runs.borrow().iter().cloned());
-    choose(shared, a, handoff, &avoid, need, last)
+    choose(shared, request, attempts, &avoid, need, last_event)
 }
 
 /// Chooses a chain, or a single engine if each one holds the whole model.
 fn choose(
     shared: &SharedState,
-    a: &AdmittedRequest,
-    handoff: &Attempts,
+    request: &AdmittedRequest,
+    attempts: &Attempts,
     avoid: &[UpstreamId],
     need: Option<Requirements>,
-    last: Option<u64>,
+    last_event: Option<u64>,
 ) -> Option<ChosenChain> {
-    match a.service.model.as_ref().filter(|m| m.layers > 0) {
+    match request.service.model.as_ref().filter(|m| m.layers > 0) {
         Some(model) => {
-            let span = whole_model(model.layers);
-            let slack = need.map_or(Slack::Streaming, |_| a.slack());
-            let shape = request_size(a, model, last);
-            let wish = ChainCriteria {
-                need,
-                slack,
-                size: shape,
-            };
-            let stages = shared.choose_chain(&a.service.name, model, span, avoid, wish)?;
+            let layers = all_layers(model.layers);
+            let slack = need.map_or(Slack::Streaming, |_| request.slack());
+            let size = request_size(request, model, last_event);
+            let criteria = ChainCriteria { need, slack, size };
+            let stages =
+                shared.choose_chain(&request.service.name, model, layers, avoid, criteria)?;
             if !chain::covers(0, model.layers, &stages) {
                 return None;
             }
-            let (text, first) = shared.encode_chain(&stages)?;
+            let (encoded, first_addr) = shared.encode_chain(&stages)?;
             Some(ChosenChain {
                 stages,
-                encoded: Some(text),
-                first_addr: first,
+                encoded: Some(encoded),
+                first_addr,
             })
         }
         None => {
-            let (id, addr) = shared.choose_upstream(&a.service.name, handoff.tried())?;
+            let (id, addr) = shared.choose_upstream(&request.service.name, attempts.tried())?;
             let stage = Stage {
                 upstream: id,
                 first: 0,
@@ -196,49 +193,53 @@
 }
 
 /// Whether there is a chain with capacity for a request without the engines in `avoid`.
-pub fn has_room(
+pub fn has_capacity(
     shared: &SharedState,
-    a: &AdmittedRequest,
-    handoff: &Attempts,
+    request: &AdmittedRequest,
+    attempts: &Attempts,
     avoid: &[UpstreamId],
 ) -> bool {
     choose(
         shared,
-        a,
-        handoff,
+        request,
+        attempts,
         avoid,
-        requirements(shared, a),
-        a.client_request.last_event,
+        requirements(shared, request),
+        request.client_request.last_event,
     )
     .is_some()
 }
 
-/// Tokens that a request has to prefill and to generate after event `last`, if its service
+/// Tokens that a request has to prefill and to generate after event `last_event`, if its service
 /// admits streams by class.
 ///
 /// The caller's expected length is that of the whole answer, also if the caller already has
 /// part of it.
-pub fn request_size(a: &AdmittedRequest, model: &Model, last: Option<u64>) -> Option<RequestSize> {
-    a.class?;
-    let whole = RequestSize::clamped(
-        a.client_request.prompt_tokens,
-        a.client_request.answer_tokens,
+pub fn request_size(
+    request: &AdmittedRequest,
+    model: &Model,
+    last_event: Option<u64>,
+) -> Option<RequestSize> {
+    request.class?;
+    let full_size = RequestSize::clamped(
+        request.client_request.prompt_tokens,
+        request.client_request.answer_tokens,
         model,
     );
-    Some(whole.after_events(last.unwrap_or(0), model))
+    Some(full_size.after_events(last_event.unwrap_or(0), model))
 }
 
 /// Capacity that a request needs, if it goes over a chain.
-fn requirements(shared: &SharedState, a: &AdmittedRequest) -> Option<Requirements> {
-    a.service.model.as_ref().filter(|m| m.layers > 0)?;
-    let learned = shared.with_queue(&a.service.name, |l| l.fill_limit());
-    let (limit, reserved) = match a.class {
-        Some(_) => (learned.min(MAX_SHED_FILL), RESERVED_SHARE),
-        None => (learned, 0.0),
+fn requirements(shared: &SharedState, request: &AdmittedRequest) -> Option<Requirements> {
+    request.service.model.as_ref().filter(|m| m.layers > 0)?;
+    let learned_limit = shared.with_queue(&request.service.name, |queue| queue.fill_limit());
+    let (fill_limit, reserved_share) = match request.class {
+        Some(_) => (learned_limit.min(MAX_SHED_FILL), RESERVED_SHARE),
+        None => (learned_limit, 0.0),
     };
     Some(Requirements {
-        tokens: a.mean_tokens(),
-        fill_limit: limit,
-        reserved_share: reserved,
+        tokens: request.mean_tokens(),
+        fill_limit,
+        reserved_share,
     })
 }
--- a/crates/ashgauged/src/relay/placer.rs
+++ b/crates/ashgauged/src/relay/placer.rs
@@ -184,14 +184,14 @@
             self.unsettled_since.get_or_insert(now);
         }
         let placed = registry.iter().any(|e| e.upstream.layers.is_some());
-        let (time, most) = match placed {
+        let (time, max_wait) = match placed {
             true => (RESETTLE_TIME, MAX_RESETTLE_WAIT),
             false => (SETTLE_TIME, MAX_SETTLE_WAIT),
         };
-        let long = self
+        let waited_long = self
             .unsettled_since
-            .is_some_and(|since| now >= since + most);
-        let settled = long || now >= self.changed_at + time;
+            .is_some_and(|since| now >= since + max_wait);
+        let settled = waited_long || now >= self.changed_at + time;
         if settled {
             self.unsettled_since = None;
         }
@@ -243,12 +243,12 @@
             revisions: recent_revisions(stored.revisions, revision),
         };
         let store = &self.shared.store;
-        let written = match revision {
+        let write_result = match revision {
             Some(revision) => store.replace(KIND, &service.name, revision, &next).await,
             None => store.create(KIND, &service.name, &next).await,
         };
-        self.shared.count_store_call("write", &written);
-        match written {
+        self.shared.count_store_call("write", &write_result);
+        match write_result {
             Ok(()) => self.issue_orders(service, model, era, next),
             // Another box wrote first; its ranges are adopted at the next check.
             Err(StoreError::Conflict) => {}
@@ -260,19 +260,19 @@
     /// Whether this box wrote the round but may not have sent its orders: the store's reply
     /// was lost, or the process ended before. Sending them again is safe, as each order
     /// names the number of orders before it.
-    fn is_unacknowledged(&self, service: &Service, era: Era, stored: &StoredRound) -> bool {
-        let is_own = stored.owner == self.shared.settings().id;
-        is_own && self.rounds.may_be_unsent(&service.name, era, stored.round)
+    fn is_unacknowledged(&self, service: &Service, era: Era, round: &StoredRound) -> bool {
+        let is_own = round.owner == self.shared.settings().id;
+        is_own && self.rounds.may_be_unsent(&service.name, era, round.round)
     }
 
     /// Merges a stored round into the pending assignments, once.
-    fn adopt_round(&mut self, service: &Service, model: &Model, era: Era, stored: &StoredRound) {
-        if !self.rounds.is_newer(&service.name, era, stored.round) {
+    fn adopt_round(&mut self, service: &Service, model: &Model, era: Era, round: &StoredRound) {
+        if !self.rounds.is_newer(&service.name, era, round.round) {
             return;
         }
-        self.rounds.record(service.name.clone(), era, stored.round);
-        self.note_orders(model, &stored.ranges);
-        self.pending.merge(self.shared.now(), &stored.unannounced);
+        self.rounds.record(service.name.clone(), era, round.round);
+        self.note_orders(model, &round.ranges);
+        self.pending.merge(self.shared.now(), &round.unannounced);
     }
 
     /// Ranges of a service's engines that were ordered and are not announced yet.
@@ -282,14 +282,14 @@
             let entry = registry.get(id);
             entry.is_some_and(|e| e.upstream.service == service.name)
         };
-        let mut told = self.pending.snapshot(self.shared.now());
-        told.retain(|unshown| of_service(&unshown.assignment.id));
-        told
+        let mut unannounced = self.pending.snapshot(self.shared.now());
+        unannounced.retain(|pending| of_service(&pending.assignment.id));
+        unannounced
     }
 
     fn note_orders(&mut self, model: &Model, ranges: &[Assignment]) {
-        let time = load_time(model, ranges) + ANNOUNCE_LAG;
-        self.pending.add(self.shared.now(), ranges, time);
+        let deadline = load_time(model, ranges) + ANNOUNCE_LAG;
+        self.pending.add(self.shared.now(), ranges, deadline);
     }
 
     /// Plans ranges for the engines that hold no layers and have no pending order, or for
@@ -298,15 +298,15 @@
         let now = self.shared.now();
         let registry = self.shared.registry.borrow();
         self.pending.expire(now);
-        self.pending.retain(|id, span| {
+        self.pending.retain(|id, layers| {
             let entry = registry.get(id);
-            entry.is_some_and(|e| e.upstream.layers != Some(span))
+            entry.is_some_and(|e| e.upstream.layers != Some(layers))
         });
         let entries = registry
             .of_service(&service.name)
             .filter(|e| e.is_usable(now));
-        let seats: Vec<PlacedEngine> = entries.filter_map(|e| self.to_seat(e)).collect();
-        placement::plan(model, &seats)
+        let engines: Vec<PlacedEngine> = entries.filter_map(|e| self.to_placed_engine(e)).collect();
+        placement::plan(model, &engines)
     }
 
     /// Whether a complete chain is left.
@@ -322,12 +322,12 @@
                 .of_service(&service.name)
                 .filter(|e| e.is_usable(now))
         };
-        let spans = usable().filter_map(|e| e.upstream.layers);
+        let ranges = usable().filter_map(|e| e.upstream.layers);
         let is_cut_off = usable().count() * 2 < registry.of_service(&service.name).count();
-        is_cut_off || placement::covers_model(model.layers, spans)
+        is_cut_off || placement::covers_model(model.layers, ranges)
     }
 
-    fn to_seat(&self, entry: &UpstreamState) -> Option<PlacedEngine> {
+    fn to_placed_engine(&self, entry: &UpstreamState) -> Option<PlacedEngine> {
         let upstream = &entry.upstream;
         let ordered = self.pending.layers(&upstream.id);
         Some(PlacedEngine {
@@ -340,43 +340,43 @@
     }
 
     /// Sends the orders of a round that this box has written.
-    fn issue_orders(&mut self, service: &Service, model: &Model, era: Era, stored: StoredRound) {
+    fn issue_orders(&mut self, service: &Service, model: &Model, era: Era, round: StoredRound) {
         let fields = json!({
             "service": &*service.name,
-            "round": stored.round,
-            "engines": stored.ranges.len(),
-            "cut": stored.abort,
+            "round": round.round,
+            "engines": round.ranges.len(),
+            "cut": round.abort,
         });
         log::event(Level::Info, "placement", "ordering", fields);
-        self.rounds.record(service.name.clone(), era, stored.round);
-        self.note_orders(model, &stored.ranges);
-        let time = load_time(model, &stored.ranges) + ANNOUNCE_LAG;
-        let giving = if stored.abort {
+        self.rounds.record(service.name.clone(), era, round.round);
+        self.note_orders(model, &round.ranges);
+        let time = load_time(model, &round.ranges) + ANNOUNCE_LAG;
+        let release_mode = if round.abort {
             ReleaseMode::Cut
         } else {
             ReleaseMode::Wait
         };
-        for range in stored.ranges {
-            let (shared, orders) = (self.shared.clone(), self.order_slots.clone());
-            tokio::task::spawn_local(order_and_verify(shared, orders, range, giving, time));
+        for range in round.ranges {
+            let (shared, slots) = (self.shared.clone(), self.order_slots.clone());
+            tokio::task::spawn_local(order_and_verify(shared, slots, range, release_mode, time));
         }
     }
 }
 
 /// Returns the revisions of earlier rounds with that of the last round.
-fn recent_revisions(mut written: Vec<Revision>, last: Option<Revision>) -> Vec<Revision> {
-    written.extend(last);
-    let old = written.len().saturating_sub(MAX_KEPT_REVISIONS);
-    written.drain(..old);
-    written
+fn recent_revisions(mut revisions: Vec<Revision>, last: Option<Revision>) -> Vec<Revision> {
+    revisions.extend(last);
+    let old = revisions.len().saturating_sub(MAX_KEPT_REVISIONS);
+    revisions.drain(..old);
+    revisions
 }
 
 /// Time until engines that start to load together have loaded their ranges.
 fn load_time(model: &Model, ranges: &[Assignment]) -> Duration {
     let layers: u32 = ranges.iter().map(|r| r.layers.len()).sum();
     let longest = ranges.iter().map(|r| r.layers.len()).max().unwrap_or(0);
-    let slot_share = f64::from(layers) / f64::from(model.parallel_loads);
-    let worst = slot_share.max(f64::from(longest));
+    let per_slot = f64::from(layers) / f64::from(model.parallel_loads);
+    let worst = per_slot.max(f64::from(longest));
     model
         .load_time
         .mul_f64(worst / f64::from(model.layers.max(1)))
@@ -386,12 +386,12 @@
 /// in time.
 async fn order_and_verify(
     shared: Rc<SharedState>,
-    orders: Rc<Semaphore>,
+    slots: Rc<Semaphore>,
     range: Assignment,
-    giving: ReleaseMode,
+    release_mode: ReleaseMode,
     time: Duration,
 ) {
-    send_order(shared.clone(), &orders, range.clone(), giving).await;
+    send_order(shared.clone(), &slots, range.clone(), release_mode).await;
     sleep(time).await;
     let Some((addr, _)) = pending_order(&shared, &range) else {
         return;
@@ -410,26 +410,26 @@
 /// Orders one engine to hold a range, until the engine confirms it.
 async fn send_order(
     shared: Rc<SharedState>,
-    orders: &Semaphore,
+    slots: &Semaphore,
     range: Assignment,
-    giving: ReleaseMode,
+    release_mode: ReleaseMode,
 ) {
-    let mut before = None;
+    let mut initial = None;
     for attempt in 1..=MAX_ORDER_TRIES {
         // The semaphore is never closed.
-        let place = orders.acquire().await;
+        let slot = slots.acquire().await;
         let Some((addr, held)) = pending_order(&shared, &range) else {
             return;
         };
         // The engine has carried out another box's order meanwhile, which is newer.
-        let first = *before.get_or_insert(held);
-        if held.is_some() && held != first {
+        let initial_layers = *initial.get_or_insert(held);
+        if held.is_some() && held != initial_layers {
             return;
         }
-        let empty = held.is_none();
+        let holds_none = held.is_none();
         // An engine that holds no layers has mostly taken no order yet. Other engines, and
         // those that did not reply to an order, are asked for their number of orders.
-        let orders = match empty && attempt == 1 {
+        let orders = match holds_none && attempt == 1 {
             true => Some(0),
             false => match count_orders(&shared, &range, &addr).await {
                 // The engine carries out an order, which is this one or a later one.
@@ -444,7 +444,7 @@
                 client,
                 &addr,
                 range.layers,
-                giving,
+                release_mode,
                 Some(orders),
                 ORDER_TIMEOUT,
             );
@@ -454,7 +454,7 @@
                 return;
             }
         }
-        drop(place);
+        drop(slot);
         sleep(ORDER_RETRY_DELAY).await;
     }
 }
@@ -479,8 +479,8 @@
 }
 
 fn log_reply(shared: &SharedState, range: &Assignment, attempt: u32, reply: &OrderReply) {
-    let done = matches!(reply, OrderReply::Begun | OrderReply::Holds);
-    let label = if done { "taken" } else { "not taken" };
+    let accepted = matches!(reply, OrderReply::Begun | OrderReply::Holds);
+    let label = if accepted { "taken" } else { "not taken" };
     shared.metrics.orders.with_label_values(&[label]).inc();
     let fields = json!({
         "upstream": &*range.id,
@@ -496,6 +496,6 @@
     let registry = shared.registry.borrow();
     let entry = registry.get(&range.id)?;
     let upstream = &entry.upstream;
-    let shown = upstream.layers == Some(range.layers) || entry.is_leaving();
-    (!shown).then(|| (upstream.addr.clone(), upstream.layers))
+    let announced = upstream.layers == Some(range.layers) || entry.is_leaving();
+    (!announced).then(|| (upstream.addr.clone(), upstream.layers))
 }
--- a/crates/ashgauged/src/relay/probe.rs
+++ b/crates/ashgauged/src/relay/probe.rs
@@ -55,55 +55,55 @@
 /// the event that the request waits for was due.
 pub async fn find_unreachable(
     shared: &Rc<SharedState>,
-    a: &AdmittedRequest,
+    request: &AdmittedRequest,
     stages: &[Stage],
     since: Duration,
 ) -> Vec<UpstreamId> {
     let mut probes = JoinSet::new();
-    for id in engines_to_probe(shared, a, stages, since) {
+    for id in engines_to_probe(shared, request, stages, since) {
         let shared = shared.clone();
         probes.spawn_local(async move {
-            let alive = is_alive(&shared, &id).await;
-            (id, alive)
+            let is_alive = is_alive(&shared, &id).await;
+            (id, is_alive)
         });
     }
-    let mut dead = Vec::new();
+    let mut unreachable = Vec::new();
     while let Some(probed) = probes.join_next().await {
         // A probe neither panics nor is cancelled here.
         if let Ok((id, false)) = probed {
-            dead.push(id);
+            unreachable.push(id);
         }
     }
-    dead
+    unreachable
 }
 
 /// Returns the engines of a chain that are probed because they showed no recent activity.
 fn engines_to_probe(
     shared: &SharedState,
-    a: &AdmittedRequest,
+    request: &AdmittedRequest,
     stages: &[Stage],
     since: Duration,
 ) -> Vec<UpstreamId> {
     let mut ids: Vec<UpstreamId> = stages.iter().map(|s| s.upstream.clone()).collect();
-    if a.class.is_none() {
+    if request.class.is_none() {
         return ids;
     }
     let now = shared.now();
-    let since = match recovery::is_under_pressure(shared, a) {
+    let since = match recovery::is_under_pressure(shared, request) {
         true => since.max(now.saturating_sub(MAX_PROBE_AGE)),
         false => now,
     };
     let registry = shared.registry.borrow();
-    let heard = |id: &UpstreamId| registry.get(id).and_then(UpstreamState::last_activity);
+    let last_activity = |id: &UpstreamId| registry.get(id).and_then(UpstreamState::last_activity);
     ids.retain(|id| {
-        !registry.get(id).is_some_and(|e| e.is_active(now)) && heard(id) <= Some(since)
+        !registry.get(id).is_some_and(|e| e.is_active(now)) && last_activity(id) <= Some(since)
     });
     // A lost engine is among those whose activity is longest ago. Chains that lost the same
     // engine should not probe their other engines in the same order.
-    ids.sort_by_cached_key(|id| (heard(id), shared.rng().random::<u32>()));
+    ids.sort_by_cached_key(|id| (last_activity(id), shared.rng().random::<u32>()));
     drop(registry);
-    let alive = &shared.probes.reachable;
-    ids.retain(|id| may_probe(shared, &a.service.name, alive, id, MAX_PROBE_AGE));
+    let cache = &shared.probes.reachable;
+    ids.retain(|id| may_probe(shared, &request.service.name, cache, id, MAX_PROBE_AGE));
     ids
 }
 
@@ -112,7 +112,7 @@
 fn may_probe<T>(
     shared: &SharedState,
     service: &ServiceId,
-    cached: &ProbeCache<T>,
+    cache: &ProbeCache<T>,
     id: &str,
     max_age: Duration,
 ) -> bool {
@@ -121,61 +121,61 @@
         // That the engine is gone is known without a connection.
         return true;
     };
-    if is_cached(cached, now, &addr, max_age) {
+    if is_cached(cache, now, &addr, max_age) {
         return true;
     }
-    let may = recovery::take_check(shared, service);
-    if may {
-        cached_cell(cached, now, &addr, max_age);
+    let allowed = recovery::take_check(shared, service);
+    if allowed {
+        cached_cell(cache, now, &addr, max_age);
     }
-    may
+    allowed
 }
 
 /// Whether an engine of a chain is asked for its report. Under pressure only the first one
 /// is, which names the engine that stalls the chain.
-fn may_query(shared: &SharedState, a: &AdmittedRequest, n: usize, id: &str) -> bool {
-    if a.class.is_none() {
+fn may_query(shared: &SharedState, request: &AdmittedRequest, index: usize, id: &str) -> bool {
+    if request.class.is_none() {
         return true;
     }
-    if n > 0 && recovery::is_under_pressure(shared, a) {
+    if index > 0 && recovery::is_under_pressure(shared, request) {
         return false;
     }
-    let reports = &shared.probes.reports;
-    may_probe(shared, &a.service.name, reports, id, MAX_REPORT_AGE)
+    let cache = &shared.probes.reports;
+    may_probe(shared, &request.service.name, cache, id, MAX_REPORT_AGE)
 }
 
 /// Queries the engines of a chain for their reports, and records which are slow. Returns
 /// the engine that the first one names as the cause of the request's silence.
 pub async fn query_engines(
     shared: &Rc<SharedState>,
-    a: &AdmittedRequest,
+    request: &AdmittedRequest,
     stages: &[Stage],
 ) -> Option<UpstreamId> {
-    let id = a.client_request.id.as_str();
-    let mut asked = JoinSet::new();
-    for (n, stage) in stages.iter().enumerate() {
-        if !may_query(shared, a, n, &stage.upstream) {
+    let id = request.client_request.id.as_str();
+    let mut queries = JoinSet::new();
+    for (index, stage) in stages.iter().enumerate() {
+        if !may_query(shared, request, index, &stage.upstream) {
             continue;
         }
         let (shared, upstream) = (shared.clone(), stage.upstream.clone());
-        asked.spawn_local(async move { (n, fetch_report(&shared, &upstream).await) });
+        queries.spawn_local(async move { (index, fetch_report(&shared, &upstream).await) });
     }
-    let mut culprit = None;
-    while let Some(answer) = asked.join_next().await {
+    let mut cause = None;
+    while let Some(answer) = queries.join_next().await {
         // A query neither panics nor is cancelled here.
-        let Ok((n, Some(report))) = answer else {
+        let Ok((index, Some(report))) = answer else {
             continue;
         };
-        apply_report(shared, &stages[n].upstream, &report);
-        let mut stalled = report.stalled.iter().filter(|s| n == 0 && s.id == id);
+        apply_report(shared, &stages[index].upstream, &report);
+        let mut stalled = report.stalled.iter().filter(|s| index == 0 && s.id == id);
         if let Some(stalled) = stalled.next() {
             let registry = shared.registry.borrow();
-            culprit = registry
+            cause = registry
                 .by_addr(&stalled.address)
                 .map(|e| e.upstream.id.clone());
         }
     }
-    culprit
+    cause
 }
 
 fn apply_report(shared: &SharedState, id: &str, report: &Report) {
@@ -183,11 +183,11 @@
         notice::note_leaving(shared, id);
     }
     let factor = report.time_factor.unwrap_or(1.0);
-    let news = shared
+    let is_new = shared
         .registry
         .borrow_mut()
         .note_slow(shared.now(), id, factor);
-    if news && factor >= MIN_SLOW_FACTOR {
+    if is_new && factor >= MIN_SLOW_FACTOR {
         let fields = json!({"upstream": id, "factor": factor});
         log::event(Level::Info, "roster", "slow", fields);
     }
@@ -196,11 +196,11 @@
 async fn fetch_report(shared: &SharedState, id: &str) -> Option<Rc<Report>> {
     let addr = address(shared, id)?;
     let cell = cached_cell(&shared.probes.reports, shared.now(), &addr, MAX_REPORT_AGE);
-    let ask = async {
+    let query = async {
         let report = engine::fetch_report(&shared.client, &addr, REPORT_TIMEOUT).await;
         report.ok().map(Rc::new)
     };
-    cell.get_or_init(|| ask).await.clone()
+    cell.get_or_init(|| query).await.clone()
 }
 
 /// Marks an upstream as suspect if it accepts no connection.
@@ -222,9 +222,9 @@
     let service = entry.upstream.service.clone();
     drop(registry);
     let routing = shared.routing();
-    let is_on = |s: &Arc<Service>| shedding::sheds_streams(shared, s);
-    let is_on = routing.services.get(&service).is_some_and(is_on);
-    is_on
+    let sheds = |s: &Arc<Service>| shedding::sheds_streams(shared, s);
+    let sheds = routing.services.get(&service).is_some_and(sheds);
+    sheds
         && !may_probe(
             shared,
             &service,
@@ -272,8 +272,8 @@
 
 /// Whether a connection attempt of this box to an address has just failed.
 pub fn failed_recently(shared: &SharedState, addr: &str) -> bool {
-    let alive = shared.probes.reachable.borrow();
-    let recent = alive.get(addr);
+    let cache = shared.probes.reachable.borrow();
+    let recent = cache.get(addr);
     let recent = recent.filter(|(at, _)| shared.now() < *at + MAX_PROBE_AGE);
     recent.is_some_and(|(_, cell)| cell.get() == Some(&false))
 }
@@ -289,8 +289,8 @@
 
 /// Whether an upstream accepts connections; one that is no longer listed does not.
 async fn is_alive(shared: &SharedState, id: &str) -> bool {
-    let heard = |e: &UpstreamState| e.is_active(shared.now());
-    if shared.registry.borrow().get(id).is_some_and(heard) {
+    let is_active = |e: &UpstreamState| e.is_active(shared.now());
+    if shared.registry.borrow().get(id).is_some_and(is_active) {
         return true;
     }
     accepts_connections(shared, id, MAX_PROBE_AGE).await
--- a/crates/ashgauged/src/relay/record.rs
+++ b/crates/ashgauged/src/relay/record.rs
@@ -41,13 +41,13 @@
     /// Creates the record of a request that arrived at `arrived`.
     pub fn new(
         shared: &Rc<SharedState>,
-        ask: &ClientRequest,
+        client_request: &ClientRequest,
         route: &str,
         arrived: Duration,
     ) -> Self {
         Record {
             shared: shared.clone(),
-            id: ask.id.clone(),
+            id: client_request.id.clone(),
             route: route.into(),
             digest: None,
             class: None,
@@ -67,47 +67,43 @@
     }
 
     /// Records the forecast for a send, if no event arrived before.
-    pub fn note_forecast(&mut self, first: Duration) {
+    pub fn note_forecast(&mut self, first_event: Duration) {
         if self.first_event.is_none() {
-            self.forecast = Some(first);
+            self.forecast = Some(first_event);
         }
     }
 
     /// Logs a step of this request.
-    pub fn log_step(&self, what: &str, mut fields: serde_json::Value) {
+    pub fn log_step(&self, step: &str, mut fields: serde_json::Value) {
         fields["id"] = self.id.as_str().into();
         fields["ms"] = (self.elapsed().as_millis() as u64).into();
-        log::event(Level::Info, "request", what, fields);
+        log::event(Level::Info, "request", step, fields);
     }
 
     /// Records how the request ended.
-    pub fn end(&mut self, what: &str) {
+    pub fn end(&mut self, end: &str) {
         if std::mem::replace(&mut self.ended, true) {
             return;
         }
-        let took = self.elapsed();
-        self.shared
-            .metrics
-            .requests
-            .with_label_values(&[what])
-            .inc();
+        let elapsed = self.elapsed();
+        self.shared.metrics.requests.with_label_values(&[end]).inc();
         self.shared
             .metrics
             .total_seconds
-            .observe(took.as_secs_f64());
+            .observe(elapsed.as_secs_f64());
         let age = self.shared.freshness.borrow().age(self.shared.now());
         let sends: Vec<&str> = self.sends.iter().map(|s| &**s).collect();
         let mut fields = json!({
             "id": self.id,
             "digest": self.digest.map(digest::format_digest),
             "route": self.route,
-            "end": what,
+            "end": end,
             "sends": sends,
             "config": self.shared.routing.borrow().version,
             "config_age_ms": age.map(|a| a.as_millis() as u64),
             "first_ms": self.first_event.map(|f| f.as_millis() as u64),
             "pause_ms": self.longest_pause.as_millis() as u64,
-            "ms": took.as_millis() as u64,
+            "ms": elapsed.as_millis() as u64,
         });
         if let Some(class) = self.class {
             fields["class"] = json!(class);
--- a/crates/ashgauged/src/relay/recovery.rs
+++ b/crates/ashgauged/src/relay/recovery.rs
@@ -29,47 +29,47 @@
 const LOG_INTERVAL: Duration = Duration::from_secs(1);
 
 /// What it means for the caller that its request is sent elsewhere.
-fn purpose_of(a: &AdmittedRequest) -> RecoveryAction {
-    match a.record.first_event.is_some() || a.client_request.last_event.is_some() {
+fn purpose_of(request: &AdmittedRequest) -> RecoveryAction {
+    match request.record.first_event.is_some() || request.client_request.last_event.is_some() {
         true => RecoveryAction::Repair,
         false => RecoveryAction::Resend,
     }
 }
 
 /// Takes budget to continue a stream elsewhere. Returns `false` if none is left.
-pub fn take_budget(shared: &SharedState, a: &AdmittedRequest) -> bool {
-    a.class.is_none() || take_for(shared, &a.service.name, purpose_of(a))
+pub fn take_budget(shared: &SharedState, request: &AdmittedRequest) -> bool {
+    request.class.is_none() || take_for(shared, &request.service.name, purpose_of(request))
 }
 
 /// Whether [`take_budget`] would find budget.
-pub fn has_budget(shared: &SharedState, a: &AdmittedRequest) -> bool {
-    let (now, what) = (shared.now(), purpose_of(a));
-    let service = &a.service.name;
-    a.class.is_none()
+pub fn has_budget(shared: &SharedState, request: &AdmittedRequest) -> bool {
+    let (now, action) = (shared.now(), purpose_of(request));
+    let service = &request.service.name;
+    request.class.is_none()
         || shared
             .admissions
-            .with(service, |s| s.recovery_budget.has_credit(now, what))
+            .with(service, |s| s.recovery_budget.has_credit(now, action))
 }
 
 /// Takes budget for a stream that cannot continue where it is. Returns whether it continues
 /// elsewhere now; without budget it does so at a random moment before `until`.
-pub fn take_or_overdue(shared: &SharedState, a: &AdmittedRequest, until: Duration) -> bool {
-    if take_budget(shared, a) {
+pub fn take_or_overdue(shared: &SharedState, request: &AdmittedRequest, until: Duration) -> bool {
+    if take_budget(shared, request) {
         return true;
     }
     let left = until.saturating_sub(shared.now());
-    let draw = shared.rng().random_range(0.0..1.0);
-    let goes = recovery::stops_waiting(left, POLL_INTERVAL, draw);
-    if goes {
-        count_use(shared, purpose_of(a), "overdue");
+    let sample = shared.rng().random_range(0.0..1.0);
+    let moves = recovery::stops_waiting(left, POLL_INTERVAL, sample);
+    if moves {
+        count_use(shared, purpose_of(request), "overdue");
     }
-    goes
+    moves
 }
 
 /// Waits for budget to send a request again, but not for long.
-pub async fn wait_for_budget(shared: &SharedState, a: &AdmittedRequest) {
+pub async fn wait_for_budget(shared: &SharedState, request: &AdmittedRequest) {
     let until = shared.now() + MAX_RESEND_WAIT;
-    while !take_or_overdue(shared, a, until) {
+    while !take_or_overdue(shared, request, until) {
         sleep(POLL_INTERVAL).await;
     }
 }
@@ -79,19 +79,19 @@
 /// caller comes back.
 pub fn may_resend(
     shared: &SharedState,
-    a: &AdmittedRequest,
-    handoff: &Attempts,
+    request: &AdmittedRequest,
+    attempts: &Attempts,
     avoid: &[UpstreamId],
 ) -> bool {
-    if a.class.is_none() {
+    if request.class.is_none() {
         return true;
     }
-    let is_tight = pressure(shared, a) >= HIGH_PRESSURE;
-    if is_tight && !pick::has_room(shared, a, handoff, avoid) {
-        count_use(shared, purpose_of(a), "no room");
+    let is_high = pressure(shared, request) >= HIGH_PRESSURE;
+    if is_high && !pick::has_capacity(shared, request, attempts, avoid) {
+        count_use(shared, purpose_of(request), "no room");
         return false;
     }
-    take_budget(shared, a) || !is_tight
+    take_budget(shared, request) || !is_high
 }
 
 /// Takes budget for one check of an engine of a service. Returns `false` if none is left.
@@ -100,32 +100,32 @@
 }
 
 /// Whether the engines are so busy that checks which may be in vain are left out.
-pub fn is_under_pressure(shared: &SharedState, a: &AdmittedRequest) -> bool {
-    a.class.is_some() && pressure(shared, a) > LOW_PRESSURE
+pub fn is_under_pressure(shared: &SharedState, request: &AdmittedRequest) -> bool {
+    request.class.is_some() && pressure(shared, request) > LOW_PRESSURE
 }
 
 /// Pressure on the engines of a request's service, as last computed.
-fn pressure(shared: &SharedState, a: &AdmittedRequest) -> f64 {
+fn pressure(shared: &SharedState, request: &AdmittedRequest) -> f64 {
     let now = shared.now();
     shared
         .admissions
-        .with(&a.service.name, |s| s.recovery_budget.pressure(now))
+        .with(&request.service.name, |s| s.recovery_budget.pressure(now))
 }
 
-fn take_for(shared: &SharedState, service: &ServiceId, what: RecoveryAction) -> bool {
+fn take_for(shared: &SharedState, service: &ServiceId, action: RecoveryAction) -> bool {
     let now = shared.now();
     let taken = shared
         .admissions
-        .with(service, |s| s.recovery_budget.withdraw(now, what));
-    count_use(shared, what, if taken { "taken" } else { "refused" });
-    if !taken && what == RecoveryAction::Repair {
+        .with(service, |s| s.recovery_budget.withdraw(now, action));
+    count_use(shared, action, if taken { "taken" } else { "refused" });
+    if !taken && action == RecoveryAction::Repair {
         log_refused_repair(shared, service);
     }
     taken
 }
 
-fn count_use(shared: &SharedState, what: RecoveryAction, result: &str) {
-    let labels = [what.name(), result];
+fn count_use(shared: &SharedState, action: RecoveryAction, result: &str) {
+    let labels = [action.name(), result];
     shared.metrics.recovery.with_label_values(&labels).inc();
 }
 
--- a/crates/ashgauged/src/relay/request.rs
+++ b/crates/ashgauged/src/relay/request.rs
@@ -85,12 +85,12 @@
     /// class, else the rank of its team, else that of its route.
     pub fn rank(&self, shared: &SharedState) -> u32 {
         let routing = shared.routing();
-        let ranks = routing.priorities(&self.service.name);
-        if let (Some(class), Some(ranks)) = (self.class, ranks) {
-            return ranks.priority(class);
+        let priorities = routing.priorities(&self.service.name);
+        if let (Some(class), Some(priorities)) = (self.class, priorities) {
+            return priorities.priority(class);
         }
-        let team = self.team.as_ref().and_then(|t| t.priority);
-        team.unwrap_or(self.route.priority)
+        let team_rank = self.team.as_ref().and_then(|t| t.priority);
+        team_rank.unwrap_or(self.route.priority)
     }
 
     /// Whether the request may be a retry: part of the route's time-out has passed.
@@ -109,8 +109,8 @@
     /// Slack of the request against its target latency, at its arrival.
     pub fn slack(&self) -> Slack {
         let timeout = self.route.timeout;
-        let patience = self.client_request.timeout.unwrap_or(timeout);
-        Slack::before_first_event(patience, timeout, self.route.target_latency)
+        let caller_timeout = self.client_request.timeout.unwrap_or(timeout);
+        Slack::before_first_event(caller_timeout, timeout, self.route.target_latency)
     }
 
     /// Tokens that the request holds at its end.
@@ -130,7 +130,12 @@
 }
 
 /// Records a send that brought no successful answer.
-pub fn note_outcome(shared: &SharedState, a: &AdmittedRequest, id: &str, outcome: SendOutcome) {
+pub fn note_outcome(
+    shared: &SharedState,
+    request: &AdmittedRequest,
+    id: &str,
+    outcome: SendOutcome,
+) {
     let label = match outcome {
         SendOutcome::NotSent => "not sent",
         SendOutcome::NotRun => "not run",
@@ -138,13 +143,14 @@
         SendOutcome::Lost => "lost",
     };
     shared.metrics.sends.with_label_values(&[label]).inc();
-    a.record
+    request
+        .record
         .log_step("not answered", json!({"upstream": id, "outcome": label}));
     match outcome {
         SendOutcome::NotSent => shared.mark_suspect(id, "no connection"),
         SendOutcome::NotRun => {}
         // Which engine of a chain was lost is determined where the loss is seen.
-        SendOutcome::Lost if a.route.stream.is_some() => {}
+        SendOutcome::Lost if request.route.stream.is_some() => {}
         SendOutcome::Failed | SendOutcome::Lost => {
             let now = shared.now();
             shared.registry.borrow_mut().record_failure(now, id);
@@ -153,19 +159,19 @@
 }
 
 /// Whether the request's key is still valid; checked at the moment of sending.
-pub fn is_authorized(shared: &SharedState, a: &AdmittedRequest) -> bool {
-    if a.team.is_none() {
+pub fn is_authorized(shared: &SharedState, request: &AdmittedRequest) -> bool {
+    if request.team.is_none() {
         return true;
     }
     let routing = shared.routing.borrow();
-    let access = routing.authorize(&a.route, a.client_request.key.as_deref());
+    let access = routing.authorize(&request.route, request.client_request.key.as_deref());
     shared.freshness.borrow().is_fresh(shared.now()) && matches!(access, Access::Team(_))
 }
 
 /// Whether the request is quarantined because it crashes the upstreams that run it.
-pub fn is_quarantined(shared: &SharedState, a: &AdmittedRequest) -> bool {
+pub fn is_quarantined(shared: &SharedState, request: &AdmittedRequest) -> bool {
     let quarantine = shared.quarantine.borrow();
-    quarantine.time_left(shared.now(), a.digest).is_some()
+    quarantine.time_left(shared.now(), request.digest).is_some()
 }
 
 /// Learns from a refusal by an upstream, or by an engine that it names. Returns the one
@@ -178,25 +184,25 @@
     upstream: &UpstreamId,
     verdict: Verdict,
 ) -> UpstreamId {
-    let (Verdict::Full(at) | Verdict::Stale(at)) = &verdict else {
+    let (Verdict::Full(addr) | Verdict::Stale(addr)) = &verdict else {
         return upstream.clone();
     };
     let mut registry = shared.registry.borrow_mut();
-    let named = at.as_ref().and_then(|addr| registry.by_addr(addr));
+    let named = addr.as_ref().and_then(|addr| registry.by_addr(addr));
     let id = named.map_or(upstream, |e| &e.upstream.id).clone();
     match &verdict {
         Verdict::Stale(_) => registry.note_stale(shared.now(), &id),
         _ => registry.note_full(shared.now(), &id),
     }
     drop(registry);
-    let fullness = shared.fullness(&id);
-    if let (Verdict::Full(_), Some(fullness)) = (&verdict, fullness) {
-        shared.note_full_refusal(&id, fullness);
+    let utilization = shared.memory_utilization(&id);
+    if let (Verdict::Full(_), Some(utilization)) = (&verdict, utilization) {
+        shared.note_full_refusal(&id, utilization);
     }
     let fields = json!({
         "upstream": &*id,
         "verdict": format!("{verdict:?}"),
-        "fullness": fullness,
+        "fullness": utilization,
         "boxes_heard": shared.fleet_load.borrow().boxes(),
     });
     log::event(Level::Info, "request", "refused", fields);
@@ -215,15 +221,23 @@
 }
 
 /// Ends a request with the box's own response.
-pub fn finish(shared: &SharedState, mut a: AdmittedRequest, end: FailureKind) -> Response<Body> {
-    let sure = is_authorized(shared, &a);
-    let (what, status, after) = match end {
-        FailureKind::NotRun if sure => {
+pub fn finish(
+    shared: &SharedState,
+    mut request: AdmittedRequest,
+    end: FailureKind,
+) -> Response<Body> {
+    let is_authorized = is_authorized(shared, &request);
+    let (reason, status, retry_after) = match end {
+        FailureKind::NotRun if is_authorized => {
             // A caller that returns earlier is refused once more.
-            let after = permit::retry_after(shared, &a.service);
-            let after = after.or_else(|| shared.backoff_left(&a.service));
-            let after = after.unwrap_or(RETRY_AFTER_FULL);
-            ("not run", StatusCode::SERVICE_UNAVAILABLE, Some(after))
+            let retry_after = permit::retry_after(shared, &request.service);
+            let retry_after = retry_after.or_else(|| shared.backoff_left(&request.service));
+            let retry_after = retry_after.unwrap_or(RETRY_AFTER_FULL);
+            (
+                "not run",
+                StatusCode::SERVICE_UNAVAILABLE,
+                Some(retry_after),
+            )
         }
         FailureKind::NotRun => (
             "unsure",
@@ -233,30 +247,31 @@
         FailureKind::Unknown => ("unknown", StatusCode::BAD_GATEWAY, None),
         FailureKind::DeadlineExceeded => ("late", StatusCode::GATEWAY_TIMEOUT, None),
     };
-    a.record.end(what);
-    own_response(status, Some(&a.client_request), after)
+    request.record.end(reason);
+    own_response(status, Some(&request.client_request), retry_after)
 }
 
 /// Refuses a request that the engines have no capacity for, and says when they may have
 /// some.
-pub fn refuse_no_capacity(shared: &SharedState, mut a: AdmittedRequest) -> Response<Body> {
-    let after = permit::retry_after(shared, &a.service);
-    let after = after.unwrap_or_else(|| shared.rng().random_range(RETRY_AFTER_NO_CAPACITY));
-    a.record.end("no room");
+pub fn refuse_no_capacity(shared: &SharedState, mut request: AdmittedRequest) -> Response<Body> {
+    let retry_after = permit::retry_after(shared, &request.service);
+    let retry_after =
+        retry_after.unwrap_or_else(|| shared.rng().random_range(RETRY_AFTER_NO_CAPACITY));
+    request.record.end("no room");
     own_response(
         StatusCode::SERVICE_UNAVAILABLE,
-        Some(&a.client_request),
-        Some(after),
+        Some(&request.client_request),
+        Some(retry_after),
     )
 }
 
 /// Refuses a request that the engines have no time for, and says when they may have some.
-pub fn refuse_overload(mut a: AdmittedRequest, after: Duration) -> Response<Body> {
-    a.record.end("overload");
+pub fn refuse_overload(mut request: AdmittedRequest, retry_after: Duration) -> Response<Body> {
+    request.record.end("overload");
     own_response(
         StatusCode::SERVICE_UNAVAILABLE,
-        Some(&a.client_request),
-        Some(after),
+        Some(&request.client_request),
+        Some(retry_after),
     )
 }
 
@@ -264,29 +279,36 @@
 /// not run and when to try again.
 pub fn refuse_quarantined(
     shared: &SharedState,
-    mut a: AdmittedRequest,
+    mut request: AdmittedRequest,
     may_have_run: bool,
 ) -> Response<Body> {
-    a.record.end("held back");
+    request.record.end("held back");
     if may_have_run {
-        return own_response(StatusCode::BAD_GATEWAY, Some(&a.client_request), None);
+        return own_response(StatusCode::BAD_GATEWAY, Some(&request.client_request), None);
     }
-    let left = shared.quarantine.borrow().time_left(shared.now(), a.digest);
-    let after = left.unwrap_or(RETRY_AFTER_FULL);
+    let left = shared
+        .quarantine
+        .borrow()
+        .time_left(shared.now(), request.digest);
+    let retry_after = left.unwrap_or(RETRY_AFTER_FULL);
     own_response(
         StatusCode::SERVICE_UNAVAILABLE,
-        Some(&a.client_request),
-        Some(after),
+        Some(&request.client_request),
+        Some(retry_after),
     )
 }
 
 /// Builds a response of the box itself.
 pub fn own_response(
     status: StatusCode,
-    ask: Option<&ClientRequest>,
-    after: Option<Duration>,
+    client_request: Option<&ClientRequest>,
+    retry_after: Option<Duration>,
 ) -> Response<Body> {
-    let answer = ingress::local_response(status, ask.map(|a| a.id.as_str()), after);
+    let answer = ingress::local_response(
+        status,
+        client_request.map(|request| request.id.as_str()),
+        retry_after,
+    );
     answer.map(|()| Empty::new().map_err(|e| match e {}).boxed_unsync())
 }
 
@@ -316,8 +338,8 @@
     /// Counts a request of `tokens` tokens on the engines of a chain.
     pub fn for_chain(shared: &Rc<SharedState>, stages: &[Stage], tokens: u32) -> Self {
         let memory = |s: &Stage| u64::from(tokens) * u64::from(s.end - s.first);
-        let parts = stages.iter().map(|s| (s.upstream.clone(), memory(s)));
-        LoadGuard::new(shared, parts.collect())
+        let upstreams = stages.iter().map(|s| (s.upstream.clone(), memory(s)));
+        LoadGuard::new(shared, upstreams.collect())
     }
 
     /// Counts a request on a single upstream.
@@ -325,18 +347,18 @@
         LoadGuard::new(shared, vec![(id.clone(), 0)])
     }
 
-    fn new(shared: &Rc<SharedState>, parts: Vec<(UpstreamId, u64)>) -> Self {
+    fn new(shared: &Rc<SharedState>, upstreams: Vec<(UpstreamId, u64)>) -> Self {
         let mut registry = shared.registry.borrow_mut();
-        parts
+        upstreams
             .iter()
             .for_each(|(id, memory)| registry.begin_request(id, *memory));
-        if let Some((first, _)) = parts.first() {
+        if let Some((first, _)) = upstreams.first() {
             registry.begin_head(first);
         }
         drop(registry);
         LoadGuard {
             shared: shared.clone(),
-            upstreams: parts,
+            upstreams,
         }
     }
 }
--- a/crates/ashgauged/src/relay/select.rs
+++ b/crates/ashgauged/src/relay/select.rs
@@ -48,8 +48,8 @@
         tried: &[UpstreamId],
     ) -> Option<(UpstreamId, String)> {
         let registry = self.registry.borrow();
-        let (pipes, shares) = (self.wan_usage.borrow(), self.fleet_load.borrow());
-        let context = self.selection_context(&registry, &pipes, &shares, service);
+        let (wan_usage, fleet_load) = (self.wan_usage.borrow(), self.fleet_load.borrow());
+        let context = self.selection_context(&registry, &wan_usage, &fleet_load, service);
         let id = selection::select_upstream(&context, tried, &mut *self.rng())?;
         let addr = registry.get(&id)?.upstream.addr.clone();
         Some((id, addr))
@@ -61,86 +61,93 @@
         &self,
         service: &str,
         model: &Model,
-        span: LayerRange,
+        layers: LayerRange,
         avoid: &[UpstreamId],
-        wish: ChainCriteria,
+        criteria: ChainCriteria,
     ) -> Option<Vec<Stage>> {
         let registry = self.registry.borrow();
-        let (pipes, shares) = (self.wan_usage.borrow(), self.fleet_load.borrow());
-        let context = self.selection_context(&registry, &pipes, &shares, service);
-        let together = match wish.slack {
+        let (wan_usage, fleet_load) = (self.wan_usage.borrow(), self.fleet_load.borrow());
+        let context = self.selection_context(&registry, &wan_usage, &fleet_load, service);
+        let simultaneous = match criteria.slack {
             Slack::Streaming => true,
             Slack::Late => selection::local_utilization(&context, model) < MAX_SIMULTANEOUS_FILL,
             Slack::OnTime => false,
         };
         let context = SelectionContext {
-            simultaneous: together,
-            size: wish.size,
+            simultaneous,
+            size: criteria.size,
             ..context
         };
-        selection::select_chain(&context, model, span, avoid, wish.need, &mut *self.rng())
+        selection::select_chain(
+            &context,
+            model,
+            layers,
+            avoid,
+            criteria.need,
+            &mut *self.rng(),
+        )
     }
 
     /// Time until a request of a service can be sent, if only the backoff of upstreams
     /// prevents it.
     pub fn backoff_left(&self, service: &Service) -> Option<Duration> {
         let registry = self.registry.borrow();
-        let (pipes, shares) = (self.wan_usage.borrow(), self.fleet_load.borrow());
-        let context = self.selection_context(&registry, &pipes, &shares, &service.name);
+        let (wan_usage, fleet_load) = (self.wan_usage.borrow(), self.fleet_load.borrow());
+        let context = self.selection_context(&registry, &wan_usage, &fleet_load, &service.name);
         let model = service.model.as_ref().filter(|m| m.layers > 0);
         selection::backoff_left(&context, model, &mut *self.rng())
     }
 
     /// Share of an engine's memory that requests hold, if known.
-    pub fn fullness(&self, id: &str) -> Option<f64> {
+    pub fn memory_utilization(&self, id: &str) -> Option<f64> {
         let (registry, routing) = (self.registry.borrow(), self.routing());
         let entry = registry.get(id)?;
         let service = routing.services.get(&entry.upstream.service)?;
-        let (pipes, shares) = (self.wan_usage.borrow(), self.fleet_load.borrow());
-        let context = self.selection_context(&registry, &pipes, &shares, &service.name);
+        let (wan_usage, fleet_load) = (self.wan_usage.borrow(), self.fleet_load.borrow());
+        let context = self.selection_context(&registry, &wan_usage, &fleet_load, &service.name);
         selection::memory_utilization(&context, service.model.as_ref()?, entry)
     }
 
     /// Number of a service's engines that are filled up to the limit at which they get no
     /// first sends, and number of engines that hold layers.
     pub fn count_full(&self, service: &Service) -> (usize, usize) {
-        let limit = self.with_queue(&service.name, |l| l.fill_limit());
-        let (registry, pipes, shares) = (
+        let fill_limit = self.with_queue(&service.name, |queue| queue.fill_limit());
+        let (registry, wan_usage, fleet_load) = (
             self.registry.borrow(),
             self.wan_usage.borrow(),
             self.fleet_load.borrow(),
         );
-        let context = self.selection_context(&registry, &pipes, &shares, &service.name);
+        let context = self.selection_context(&registry, &wan_usage, &fleet_load, &service.name);
         let model = service.model.as_ref();
-        model.map_or((0, 0), |m| selection::count_full(&context, m, limit))
+        model.map_or((0, 0), |m| selection::count_full(&context, m, fill_limit))
     }
 
     /// Pressure on the engines of a service: how close they are to their capacity.
     pub fn pressure(&self, service: &Service, model: &Model) -> Pressure {
-        let (registry, pipes, shares) = (
+        let (registry, wan_usage, fleet_load) = (
             self.registry.borrow(),
             self.wan_usage.borrow(),
             self.fleet_load.borrow(),
         );
-        let context = self.selection_context(&registry, &pipes, &shares, &service.name);
+        let context = self.selection_context(&registry, &wan_usage, &fleet_load, &service.name);
         Pressure::from_context(&context, model)
     }
 
     /// Demand of all boxes' callers for a service, and its completions per second. Boxes
     /// without a recent report are assumed to match those with one.
     pub fn fleet_demand(&self, service: &str) -> (Demands, f64) {
-        let own = self.admissions.own_traffic(self.now());
-        let shares = self.fleet_load.borrow();
-        let flows = shares.flows(&own);
-        let heard = shares.boxes() as f64 + 1.0;
+        let own_traffic = self.admissions.own_traffic(self.now());
+        let fleet_load = self.fleet_load.borrow();
+        let traffic = fleet_load.flows(&own_traffic);
+        let reporting = fleet_load.boxes() as f64 + 1.0;
         // More boxes are heard from than exist if some are also part of a hub's sum.
-        let factor = shares.present_boxes(f64::from(self.fleet_size())) / heard;
+        let factor = fleet_load.present_boxes(f64::from(self.fleet_size())) / reporting;
         let key = demand::key(service);
-        let mut demands = flows.demands_of(key);
+        let mut demands = traffic.demands_of(key);
         for (_, demand) in &mut demands {
             *demand = demand.scaled(factor);
         }
-        (demands, flows.completion_rate(key) * factor)
+        (demands, traffic.completion_rate(key) * factor)
     }
 
     /// Forecasts the events of a request of `prompt` tokens over a chain.
@@ -152,8 +159,8 @@
         prompt: u32,
     ) -> Forecast {
         let registry = self.registry.borrow();
-        let (pipes, shares) = (self.wan_usage.borrow(), self.fleet_load.borrow());
-        let context = self.selection_context(&registry, &pipes, &shares, service);
+        let (wan_usage, fleet_load) = (self.wan_usage.borrow(), self.fleet_load.borrow());
+        let context = self.selection_context(&registry, &wan_usage, &fleet_load, service);
         forecast::forecast(&context, model, stages, prompt)
     }
 
@@ -161,37 +168,39 @@
     pub fn encode_chain(&self, stages: &[Stage]) -> Option<(String, String)> {
         let registry = self.registry.borrow();
         let addr = |id: &str| registry.get(id).map(|e| e.upstream.addr.as_str());
-        let text = platform::engine::format_chain(stages, addr)?;
-        let first = addr(&stages.first()?.upstream)?;
-        Some((text, first.into()))
+        let encoded = platform::engine::format_chain(stages, addr)?;
+        let first_addr = addr(&stages.first()?.upstream)?;
+        Some((encoded, first_addr.into()))
     }
 
     /// Counts how often a chain changes data centre.
     pub fn count_crossings(&self, stages: &[Stage]) -> usize {
         let registry = self.registry.borrow();
-        let place = |s: &Stage| {
+        let data_centre = |s: &Stage| {
             registry
                 .get(&s.upstream)
                 .map(|e| e.upstream.data_centre.clone())
         };
         let pairs = stages.windows(2);
-        pairs.filter(|p| place(&p[0]) != place(&p[1])).count()
+        pairs
+            .filter(|pair| data_centre(&pair[0]) != data_centre(&pair[1]))
+            .count()
     }
 
     /// Records the traffic between data centres for `tokens` tokens that a chain prefills.
     pub fn note_transfers(&self, model: &Model, stages: &[Stage], tokens: u32) {
         let (registry, now) = (self.registry.borrow(), self.now());
-        let mut pipes = self.wan_usage.borrow_mut();
-        let place = |s: &Stage| {
+        let mut wan_usage = self.wan_usage.borrow_mut();
+        let data_centre = |s: &Stage| {
             registry
                 .get(&s.upstream)
                 .map(|e| e.upstream.data_centre.clone())
         };
         for pair in stages.windows(2) {
-            if let (Some(from), Some(to)) = (place(&pair[0]), place(&pair[1]))
+            if let (Some(from), Some(to)) = (data_centre(&pair[0]), data_centre(&pair[1]))
                 && from != to
             {
-                pipes.note(now, &from, &to, f64::from(tokens) * model.activation_mb);
+                wan_usage.note(now, &from, &to, f64::from(tokens) * model.activation_mb);
             }
         }
     }
@@ -205,10 +214,10 @@
         tokens: u32,
     ) {
         let mut registry = self.registry.borrow_mut();
-        let (pipes, shares) = (self.wan_usage.borrow(), self.fleet_load.borrow());
+        let (wan_usage, fleet_load) = (self.wan_usage.borrow(), self.fleet_load.borrow());
         for stage in stages {
             let layers = stage.end - stage.first;
-            let context = self.selection_context(&registry, &pipes, &shares, service);
+            let context = self.selection_context(&registry, &wan_usage, &fleet_load, service);
             let entry = registry.get(&stage.upstream);
             let seconds = entry.map(|e| cost::prefill_seconds(&context, model, e, layers, tokens));
             if let Some(seconds) = seconds {
@@ -219,21 +228,21 @@
 
     /// Mean number of boxes in one data centre.
     fn mean_local_boxes(&self, registry: &UpstreamRegistry) -> f64 {
-        let places = registry.data_centres().max(1) as f64;
-        (f64::from(self.fleet_size()) / places).max(1.0)
+        let data_centres = registry.data_centres().max(1) as f64;
+        (f64::from(self.fleet_size()) / data_centres).max(1.0)
     }
 
     fn selection_context<'a>(
         &'a self,
         registry: &'a UpstreamRegistry,
-        pipes: &'a WanUsage,
-        shares: &'a FleetLoad,
+        wan_usage: &'a WanUsage,
+        fleet_load: &'a FleetLoad,
         service: &'a str,
     ) -> SelectionContext<'a> {
         SelectionContext {
             registry,
-            wan_usage: pipes,
-            fleet_load: shares,
+            wan_usage,
+            fleet_load,
             service,
             data_centre: &self.data_centre,
             remote_interval: self.report_interval.get(),
--- a/crates/ashgauged/src/relay/serve.rs
+++ b/crates/ashgauged/src/relay/serve.rs
@@ -109,8 +109,8 @@
         };
         let answer = answer.clone();
         let service = service_fn(move |request| {
-            let (status, text) = answer(request);
-            let mut response = Response::new(http::Full::new(Bytes::from(text)));
+            let (status, body) = answer(request);
+            let mut response = Response::new(http::Full::new(Bytes::from(body)));
             *response.status_mut() = status;
             async move { Ok::<_, Infallible>(response) }
         });
@@ -161,11 +161,11 @@
         inner: TokioIo::new(stream),
         activity: activity.clone(),
     };
-    let bounds = shared.routing().client_limits;
-    let (state, active) = (shared.clone(), activity.clone());
+    let limits = shared.routing().client_limits;
+    let (state, shared_activity) = (shared.clone(), activity.clone());
     let service = service_fn(move |request| {
-        active.set(Phase::Busy);
-        let busy = RequestGuard::new(&state, &active);
+        shared_activity.set(Phase::Busy);
+        let guard = RequestGuard::new(&state, &shared_activity);
         let shared = state.clone();
         async move {
             let mut response = forward::handle(shared.clone(), request).await;
@@ -173,12 +173,15 @@
                 let close = HeaderValue::from_static("close");
                 response.headers_mut().insert(CONNECTION, close);
             }
-            let response = response.map(|body| TrackedBody { body, _busy: busy });
+            let response = response.map(|body| TrackedBody {
+                body,
+                _guard: guard,
+            });
             Ok::<_, Infallible>(response)
         }
     });
     let serving = http1::Builder::new()
-        .max_buf_size(bounds.header_bytes.max(MIN_BUFFER_BYTES))
+        .max_buf_size(limits.header_bytes.max(MIN_BUFFER_BYTES))
         .half_close(false)
         .serve_connection(io, service);
     tokio::pin!(serving);
@@ -199,11 +202,11 @@
 
 /// When the time limit of the connection's current phase ends.
 fn deadline(shared: &SharedState, activity: &ConnectionActivity) -> Instant {
-    let bounds = shared.routing().client_limits;
+    let limits = shared.routing().client_limits;
     let since = activity.since.get();
     match activity.phase.get() {
-        Phase::Idle => since + bounds.idle_timeout,
-        Phase::Head => since + bounds.header_timeout,
+        Phase::Idle => since + limits.idle_timeout,
+        Phase::Head => since + limits.header_timeout,
         Phase::Busy => since + MAX_REQUEST_TIME,
     }
 }
@@ -221,8 +224,8 @@
         buf: ReadBufCursor<'_>,
     ) -> Poll<std::io::Result<()>> {
         let polled = Pin::new(&mut self.inner).poll_read(cx, buf);
-        let idle = self.activity.phase.get() == Phase::Idle;
-        if idle && matches!(polled, Poll::Ready(Ok(()))) {
+        let is_idle = self.activity.phase.get() == Phase::Idle;
+        if is_idle && matches!(polled, Poll::Ready(Ok(()))) {
             self.activity.set(Phase::Head);
             self.activity.head_begun.notify_one();
         }
@@ -286,7 +289,7 @@
 /// Body of a response. The connection is idle again once it is dropped.
 struct TrackedBody {
     body: Body,
-    _busy: RequestGuard,
+    _guard: RequestGuard,
 }
 
 impl HttpBody for TrackedBody {
--- a/crates/ashgauged/src/relay/shared_state.rs
+++ b/crates/ashgauged/src/relay/shared_state.rs
@@ -265,9 +265,9 @@
 
     /// Whether the load balancer should send callers here.
     pub fn is_ready(&self) -> bool {
-        let keyed = self.routing.borrow().requires_keys();
-        let sure = !keyed || self.freshness.borrow().is_fresh(self.now());
-        self.is_synced() && sure && !self.is_stopping.get()
+        let needs_keys = self.routing.borrow().requires_keys();
+        let is_current = !needs_keys || self.freshness.borrow().is_fresh(self.now());
+        self.is_synced() && is_current && !self.is_stopping.get()
     }
 
     /// Whether a configuration and the list of upstreams have been read.
@@ -277,17 +277,17 @@
 
     /// Updates whether the box is synced, after something was read.
     pub fn update_synced(&self) {
-        let known = self.is_synced();
+        let is_synced = self.is_synced();
         self.synced
-            .send_if_modified(|k| std::mem::replace(k, known) != known);
+            .send_if_modified(|synced| std::mem::replace(synced, is_synced) != is_synced);
     }
 
     /// Waits until a box that has just started knows enough to serve, but not longer than
     /// `max_wait`.
-    pub async fn wait_synced(&self, most: Duration) {
-        let mut known = self.synced.subscribe();
+    pub async fn wait_synced(&self, max_wait: Duration) {
+        let mut synced = self.synced.subscribe();
         // In either case the request is judged by what is known by then.
-        let _ = timeout(most, known.wait_for(|k| *k)).await;
+        let _ = timeout(max_wait, synced.wait_for(|is_synced| *is_synced)).await;
     }
 
     /// Records how many boxes there are.
@@ -315,19 +315,25 @@
 
     /// Role of this box in the exchange of load reports.
     pub fn role(&self) -> Role {
-        let known = self.peers.borrow().len() + 1;
-        let boxes = known.max(self.counted.get() as usize);
+        let known_boxes = self.peers.borrow().len() + 1;
+        let boxes = known_boxes.max(self.counted.get() as usize);
         hub::role(boxes, &self.readers.borrow())
     }
 
     /// Boxes that this one sends its load reports to.
     pub fn report_targets(&self) -> Vec<(BoxId, Peer)> {
         let peers = self.peers.borrow();
-        let named = |id: &BoxId| Some((id.clone(), peers.get(id)?.clone()));
+        let find_peer = |id: &BoxId| Some((id.clone(), peers.get(id)?.clone()));
         match self.role() {
-            Role::Peer => peers.keys().filter_map(named).collect(),
-            Role::Hub => self.readers.borrow().ids.iter().filter_map(named).collect(),
-            Role::Leaf(hub) => named(&hub).into_iter().collect(),
+            Role::Peer => peers.keys().filter_map(find_peer).collect(),
+            Role::Hub => self
+                .readers
+                .borrow()
+                .ids
+                .iter()
+                .filter_map(find_peer)
+                .collect(),
+            Role::Leaf(hub) => find_peer(&hub).into_iter().collect(),
         }
     }
 
@@ -337,11 +343,11 @@
         if self.role() != Role::Hub {
             return Vec::new();
         }
-        let (peers, shares) = (self.peers.borrow(), self.fleet_load.borrow());
+        let (peers, fleet_load) = (self.peers.borrow(), self.fleet_load.borrow());
         let hubs = &self.readers.borrow().ids;
-        let below = shares.senders().filter(|id| !hubs.contains(id));
-        let named = below.filter_map(|id| Some((id.clone(), peers.get(id)?.clone())));
-        named.collect()
+        let leaves = fleet_load.senders().filter(|id| !hubs.contains(id));
+        let leaves = leaves.filter_map(|id| Some((id.clone(), peers.get(id)?.clone())));
+        leaves.collect()
     }
 
     /// Trusts the last count, as the other boxes have had time to start.
@@ -385,34 +391,37 @@
 
     /// Mean duration of a service's streams.
     pub fn mean_duration(&self, service: &str) -> Duration {
-        let stays = self.durations.borrow();
-        stays.get(service).copied().unwrap_or_default().mean()
+        let durations = self.durations.borrow();
+        durations.get(service).copied().unwrap_or_default().mean()
     }
 
     /// Approximate age of what this box knows of all others. Load reports come once per
     /// interval, those of the own data centre more often.
     pub fn report_age(&self) -> Duration {
-        let heard = self.fleet_load.borrow().boxes() as f64;
+        let reporting = self.fleet_load.borrow().boxes() as f64;
         self.report_interval
             .get()
-            .mul_f64(0.5 * heard / (heard + 1.0))
+            .mul_f64(0.5 * reporting / (reporting + 1.0))
     }
 
     /// Records the duration of a stream that completed.
-    pub fn note_duration(&self, service: &ServiceId, took: Duration) {
-        let mut stays = self.durations.borrow_mut();
-        stays.entry(service.clone()).or_default().record(took);
+    pub fn note_duration(&self, service: &ServiceId, duration: Duration) {
+        let mut durations = self.durations.borrow_mut();
+        durations
+            .entry(service.clone())
+            .or_default()
+            .record(duration);
     }
 
     /// Records that an engine refused a request at a certain utilization of its memory.
-    pub fn note_full_refusal(&self, id: &str, fullness: f64) {
+    pub fn note_full_refusal(&self, id: &str, utilization: f64) {
         let service = self
             .registry
             .borrow()
             .get(id)
             .map(|e| e.upstream.service.clone());
         if let Some(service) = service {
-            self.with_queue(&service, |l| l.note_refused(fullness));
+            self.with_queue(&service, |queue| queue.note_refused(utilization));
         }
     }
 
@@ -425,8 +434,8 @@
     /// The other boxes are notified as well if it has just failed to accept a connection of
     /// this box.
     pub fn mark_suspect(&self, id: &str, why: &str) {
-        let new = self.registry.borrow_mut().mark_suspect(self.now(), id);
-        if new {
+        let is_new = self.registry.borrow_mut().mark_suspect(self.now(), id);
+        if is_new {
             self.metrics.suspects.inc();
             log::event(
                 Level::Warn,
--- a/crates/ashgauged/src/relay/stream.rs
+++ b/crates/ashgauged/src/relay/stream.rs
@@ -28,91 +28,104 @@
 /// Handles a request whose answer is a stream.
 pub async fn handle_stream(
     shared: Rc<SharedState>,
-    mut a: AdmittedRequest,
-    mut handoff: Attempts,
-    rule: StreamPolicy,
+    mut request: AdmittedRequest,
+    mut attempts: Attempts,
+    policy: StreamPolicy,
 ) -> Response<Body> {
-    a.admission = match shedding::admit(&shared, &mut a) {
+    request.admission = match shedding::admit(&shared, &mut request) {
         Ok(admission) => admission,
-        Err(after) => return refuse_overload(a, after),
+        Err(retry_after) => return refuse_overload(request, retry_after),
     };
     let mut avoid = Vec::new();
-    let mut turn = CapacityWait::new(&shared, &a);
+    let mut capacity_wait = CapacityWait::new(&shared, &request);
     let run = loop {
         // A request that may have run cannot be refused as not run, so it continues at
         // once.
-        let may_have_run = handoff.may_have_run();
-        if !may_have_run && !turn.wait(&a).await {
-            return refuse_no_capacity(&shared, a);
+        let may_have_run = attempts.may_have_run();
+        if !may_have_run && !capacity_wait.wait(&request).await {
+            return refuse_no_capacity(&shared, request);
         }
-        let last = a.client_request.last_event;
+        let last_event = request.client_request.last_event;
         let chosen = match may_have_run {
-            true => pick_or_wait(&shared, &a, &handoff, &avoid, last).await,
-            false => pick_with_permit(&shared, &a, &handoff, &avoid, false, last).await,
+            true => pick_or_wait(&shared, &request, &attempts, &avoid, last_event).await,
+            false => {
+                pick_with_permit(&shared, &request, &attempts, &avoid, false, last_event).await
+            }
         };
         let chosen = match chosen {
             Ok(chosen) => chosen,
             Err(PickError::AtLimit(_)) if may_have_run => {
-                let end = handoff.failure(shared.now());
-                return finish(&shared, a, end);
+                let end = attempts.failure(shared.now());
+                return finish(&shared, request, end);
             }
-            Err(PickError::AtLimit(wait)) if !turn.fits_deadline(wait) => {
-                return refuse_no_capacity(&shared, a);
+            Err(PickError::AtLimit(wait)) if !capacity_wait.fits_deadline(wait) => {
+                return refuse_no_capacity(&shared, request);
             }
             Err(PickError::NoCapacity | PickError::AtLimit(_)) => {
-                turn.wait_for_capacity(&a);
+                capacity_wait.wait_for_capacity(&request);
                 continue;
             }
-            Err(PickError::Quarantined) => return refuse_quarantined(&shared, a, may_have_run),
+            Err(PickError::Quarantined) => {
+                return refuse_quarantined(&shared, request, may_have_run);
+            }
             Err(PickError::NoChain | PickError::Denied) => {
-                a.record
+                request
+                    .record
                     .log_step("no chain", json!({"avoided": avoid.len()}));
-                let end = handoff.failure(shared.now());
-                return finish(&shared, a, end);
+                let end = attempts.failure(shared.now());
+                return finish(&shared, request, end);
             }
         };
-        turn.note_admitted();
+        capacity_wait.note_admitted();
         let began = shared.now();
-        let failed = match start_run(&shared, &mut a, &mut handoff, &mut avoid, None, chosen).await
+        let failed = match start_run(
+            &shared,
+            &mut request,
+            &mut attempts,
+            &mut avoid,
+            None,
+            chosen,
+        )
+        .await
         {
             Ok(run) => break run,
             Err(failed) => failed,
         };
-        note_outcome(&shared, &a, &failed.upstream, failed.outcome);
+        note_outcome(&shared, &request, &failed.upstream, failed.outcome);
         if failed.outcome == SendOutcome::Lost {
             let loss = BrokenRun::before_answer(&failed.upstream, began);
-            if loss::check_loss(&shared, &a, loss).await {
-                handoff.record_lost();
+            if loss::check_loss(&shared, &request, loss).await {
+                attempts.record_lost();
             }
         }
         let is_refused = !may_have_run && failed.outcome == SendOutcome::NotRun;
-        if is_refused && !recovery::may_resend(&shared, &a, &handoff, &avoid) {
-            let after = shedding::retry_after(&shared, &a);
-            return refuse_overload(a, after);
+        if is_refused && !recovery::may_resend(&shared, &request, &attempts, &avoid) {
+            let retry_after = shedding::retry_after(&shared, &request);
+            return refuse_overload(request, retry_after);
         }
-        let next = retry::next_step(&shared, &a, &mut handoff, failed.outcome);
+        let next = retry::next_step(&shared, &request, &mut attempts, failed.outcome);
         match (next, failed.answer) {
             (Decision::Resend, _) if is_refused => {}
-            (Decision::Resend, _) => recovery::wait_for_budget(&shared, &a).await,
+            (Decision::Resend, _) => recovery::wait_for_budget(&shared, &request).await,
             (Decision::Forward, Some(answer)) => {
-                a.record.end("failed upstream");
+                request.record.end("failed upstream");
                 return upstream_response(answer);
             }
-            (Decision::Fail(end), _) => return finish(&shared, a, end),
-            (Decision::Forward, None) => return finish(&shared, a, FailureKind::Unknown),
+            (Decision::Fail(end), _) => return finish(&shared, request, end),
+            (Decision::Forward, None) => return finish(&shared, request, FailureKind::Unknown),
         }
     };
-    if let Some(admission) = &a.admission {
+    if let Some(admission) = &request.admission {
         admission.note_started();
     }
     shared
         .metrics
         .first_seconds
-        .observe(a.record.elapsed().as_secs_f64());
+        .observe(request.record.elapsed().as_secs_f64());
     let mut head = Response::new(());
     let parts = response_head(&run.exchange);
     *head.status_mut() = parts.status;
     *head.headers_mut() = engine::answer_headers(&parts);
-    let body = event_forwarder::start(shared, a, handoff, rule, run);
+    let body = event_forwarder::start(shared, request, attempts, policy, run);
     head.map(|()| body.boxed_unsync())
 }
--- a/crates/ashgauged/src/relay/stream_body.rs
+++ b/crates/ashgauged/src/relay/stream_body.rs
@@ -26,8 +26,8 @@
         mut self: Pin<&mut Self>,
         cx: &mut Context<'_>,
     ) -> Poll<Option<Result<Frame<Bytes>, AbortedBody>>> {
-        let piece = self.chunks.poll_recv(cx);
-        piece.map(|p| p.map(|p| p.map(Frame::data)))
+        let chunk = self.chunks.poll_recv(cx);
+        chunk.map(|chunk| chunk.map(|chunk| chunk.map(Frame::data)))
     }
 }
 
