--- a/crates/ashgauged/src/relay/body.rs
+++ b/crates/ashgauged/src/relay/body.rs
@@ -10,7 +10,7 @@
 
 use super::shared_state::SharedState;
 
-/// Time-out for a request's body; today's callers send it at once.
+/// Timeout for a request's body; today's callers send it at once.
 const BODY_TIMEOUT: Duration = Duration::from_secs(5);
 
 /// Bytes of bodies that may be read at the same time, over all callers: part of the least
@@ -54,6 +54,7 @@
 }
 
 impl<'a> BodyReservation<'a> {
+    /// Reserves space for a body; `None` if other bodies use up the space.
     fn reserve(total_bytes: &'a Cell<usize>, bytes: usize) -> Option<Self> {
         let new_total = total_bytes.get() + bytes;
         // One body may always be read, whatever its limit.
--- a/crates/ashgauged/src/relay/capacity_wait.rs
+++ b/crates/ashgauged/src/relay/capacity_wait.rs
@@ -16,8 +16,8 @@
 /// back when there may be capacity.
 const MAX_WAIT: Duration = Duration::from_millis(400);
 
-/// The same for a retry. Most callers try only twice, so another refusal is final. Callers
-/// leave after two seconds.
+/// Longest wait of a retry for capacity. Most callers try only twice, so another refusal is
+/// final. Callers leave after two seconds.
 const MAX_RETRY_WAIT: Duration = Duration::from_millis(1200);
 
 /// Share of the expected wait that must fit before the deadline. The expectation is rough,
@@ -66,6 +66,7 @@
         self.enqueue(request);
     }
 
+    /// Puts the request into the queue, if it is not there yet.
     fn enqueue(&mut self, request: &AdmittedRequest) {
         if self.ticket.is_none() {
             let team = request.team.as_ref().map_or("", |t| t.name.as_str());
@@ -124,6 +125,7 @@
         self.dequeue();
     }
 
+    /// Removes the request from the queue, if it is there.
     fn dequeue(&mut self) {
         if let Some(ticket) = self.ticket.take() {
             self.shared
--- a/crates/ashgauged/src/relay/event_forwarder/mod.rs
+++ b/crates/ashgauged/src/relay/event_forwarder/mod.rs
@@ -23,10 +23,10 @@
 use super::shared_state::SharedState;
 use super::stream_body::StreamBody;
 
-/// Most chunks that are queued for a slow caller.
+/// Maximum number of chunks that are queued for a slow caller.
 const MAX_QUEUED_CHUNKS: usize = 64;
 
-/// Most bytes of an incomplete event.
+/// Maximum number of bytes of an incomplete event.
 const MAX_EVENT_BYTES: usize = 1 << 20;
 
 /// Least time between two records of activity of a chain's engines.
@@ -152,6 +152,7 @@
         }
     }
 
+    /// Waits for data, a change or the next deadline.
     async fn next_input(&mut self) -> StreamInput {
         let silence_deadline = self.silence_deadline();
         let deadline = self.attempts.deadline();
--- a/crates/ashgauged/src/relay/event_forwarder/repair.rs
+++ b/crates/ashgauged/src/relay/event_forwarder/repair.rs
@@ -25,13 +25,13 @@
 use super::super::select::ChainCriteria;
 use super::{EventForwarder, ForwardState};
 
-/// Most repairs of one stream; each one lost an engine.
+/// Maximum number of repairs of one stream; each one lost an engine.
 const MAX_REPAIRS: u32 = 6;
 
 /// Delay before a stream looks again for a way around engines that leave.
 const LEAVE_RETRY_INTERVAL: Duration = Duration::from_millis(500);
 
-/// Time-out of an engine's reply to a change of the chain, which takes milliseconds.
+/// Timeout of an engine's reply to a change of the chain, which takes milliseconds.
 const REPATH_TIMEOUT: Duration = Duration::from_millis(150);
 
 impl EventForwarder {
@@ -117,6 +117,7 @@
         self.shared.now() >= self.overdue_at()
     }
 
+    /// When the stream becomes overdue.
     fn overdue_at(&self) -> Duration {
         self.silence.last_event() + MAX_SILENCE
     }
@@ -129,8 +130,8 @@
         allowed
     }
 
-    /// The same for a stream that cannot continue by itself; it waits until it is overdue
-    /// at most.
+    /// Whether a stream that cannot continue by itself is repaired or moved now. It waits
+    /// for budget until it is overdue at most.
     fn may_repair(&mut self) -> bool {
         let allowed = recovery::take_or_overdue(&self.shared, &self.request, self.overdue_at());
         self.schedule_recheck(allowed);
@@ -323,6 +324,7 @@
         Some((stages, encoded))
     }
 
+    /// Chooses engines for the layers of a lost stage.
     fn fill_range(&self, model: &Model, stage: &Stage, avoid: &[UpstreamId]) -> Option<Vec<Stage>> {
         let layers = LayerRange {
             first: stage.first,
@@ -368,7 +370,8 @@
         self.policy.resumable && (self.last_id.is_some() || !self.has_forwarded)
     }
 
-    /// As [`EventForwarder::resume`], but returns whether the stream continues elsewhere.
+    /// Continues the stream on another chain as [`EventForwarder::resume`] does. Returns
+    /// whether it could.
     async fn try_resume(&mut self, reason: &str) -> bool {
         if !self.can_resume() {
             return false;
@@ -421,6 +424,7 @@
         }
     }
 
+    /// Replaces the broken run by the one that continues the stream.
     fn adopt_run(&mut self, reason: &str, run: Run) {
         let resumed = self.shared.metrics.repairs.with_label_values(&["resumed"]);
         resumed.inc();
--- a/crates/ashgauged/src/relay/forward.rs
+++ b/crates/ashgauged/src/relay/forward.rs
@@ -63,7 +63,7 @@
     };
     shared.wait_synced(startup_wait(shared.uptime())).await;
     let (route, service, team) = match resolve(&shared, &client_request) {
-        Ok(admitted) => admitted,
+        Ok(destination) => destination,
         Err(refusal) => return refuse(&shared, &client_request, refusal, arrived),
     };
     let mut record = Record::new(&shared, &client_request, &route.name, arrived);
@@ -142,8 +142,10 @@
     NoService,
 }
 
+/// Route and service of a request, and the team of its key.
 type Destination = (Arc<Route>, Arc<Service>, Option<Arc<Team>>);
 
+/// Finds the route, service and team of a request, or the reason to refuse it.
 fn resolve(shared: &SharedState, client_request: &ClientRequest) -> Result<Destination, Refusal> {
     let routing = shared.routing();
     if shared.is_stopped.get() {
@@ -175,6 +177,7 @@
     Ok((route.clone(), service.clone(), team))
 }
 
+/// Builds the response to a refused request, and records its end.
 fn refuse(
     shared: &Rc<SharedState>,
     client_request: &ClientRequest,
@@ -205,6 +208,8 @@
     own_response(status, Some(client_request), retry_after)
 }
 
+/// Sends a request whose answer is not a stream, as often as its route and the retry budget
+/// allow.
 async fn send_plain(
     shared: &Rc<SharedState>,
     mut request: AdmittedRequest,
@@ -270,6 +275,7 @@
     None
 }
 
+/// Sends such a request to one upstream and waits for the whole answer.
 async fn send_once(
     shared: &Rc<SharedState>,
     request: &AdmittedRequest,
@@ -332,6 +338,7 @@
         .max(usual_limit)
 }
 
+/// An answer, and the upstream's running and waiting requests if it names them.
 type CollectedAnswer = (FullResponse, Option<(u32, u32)>);
 
 /// Sends the request on a new connection and reads the whole answer.
--- a/crates/ashgauged/src/relay/open.rs
+++ b/crates/ashgauged/src/relay/open.rs
@@ -67,6 +67,7 @@
     pub answer: Option<Response<Bytes>>,
 }
 
+/// Copies the head of a response.
 pub fn response_head(exchange: &OpenResponse) -> response::Parts {
     let mut head = Response::new(());
     *head.status_mut() = exchange.response.status();
@@ -262,6 +263,7 @@
     }
 }
 
+/// Reads an engine's error response; `None` if it breaks off or is too large.
 async fn read_error_response(
     exchange: OpenResponse,
     parts: response::Parts,
@@ -274,6 +276,7 @@
     Some(failure)
 }
 
+/// Returns the upstream with this address.
 pub fn upstream_at(shared: &SharedState, addr: &str) -> Option<UpstreamId> {
     let registry = shared.registry.borrow();
     registry.by_addr(addr).map(|e| e.upstream.id.clone())
--- a/crates/ashgauged/src/relay/pick.rs
+++ b/crates/ashgauged/src/relay/pick.rs
@@ -19,14 +19,14 @@
 
 /// Number of upstreams, or first engines of chains, that are asked for a permit before a
 /// request gives up. Where the issuers are silent, each one takes up to two reply
-/// time-outs.
+/// timeouts.
 pub const MAX_PICKS: u32 = 4;
 
 /// Longest time that a request which may have run waits for an engine that takes one more.
 /// A caller that has part of the answer leaves after two seconds.
 const MAX_PERMIT_WAIT: Duration = Duration::from_millis(1000);
 
-/// Interval at which such a request tries again.
+/// Interval at which a request that waits for such an engine tries again.
 const PERMIT_RETRY_INTERVAL: Duration = Duration::from_millis(20);
 
 /// Memory utilization up to which an engine is filled if its service admits streams by
@@ -101,8 +101,8 @@
     Err(PickError::AtLimit(Duration::ZERO))
 }
 
-/// The same for a request that may have run. It cannot be refused, so it waits while
-/// engines are at their rate limits.
+/// Chooses a chain as [`pick_with_permit`] does, for a request that may have run. Such a
+/// request cannot be refused, so it waits while engines are at their rate limits.
 pub async fn pick_or_wait(
     shared: &SharedState,
     request: &AdmittedRequest,
--- a/crates/ashgauged/src/relay/placer.rs
+++ b/crates/ashgauged/src/relay/placer.rs
@@ -1,5 +1,5 @@
-//! Placement of model layers on engines that hold none: the only task of the fleet that a
-//! single box must do.
+//! Placement of model layers on engines that hold none: the only task that exactly one box
+//! of the fleet must do.
 //!
 //! Any box that sees such engines writes the layer ranges to the store, on the condition
 //! that no other box has written meanwhile, and then sends the orders. The write acts as a
@@ -42,36 +42,38 @@
 /// that start together are placed together.
 const SETTLE_TIME: Duration = Duration::from_millis(800);
 
-/// The same once layers are placed: losses are to be repaired soon.
+/// [`SETTLE_TIME`] once layers are placed; it is shorter, as losses are to be repaired
+/// soon.
 const RESETTLE_TIME: Duration = Duration::from_millis(300);
 
 /// Longest wait for changes to stop once layers are placed; they never stop while a release
 /// is rolled out.
 const MAX_RESETTLE_WAIT: Duration = Duration::from_millis(700);
 
-/// The same before layers are placed, when the fleet starts; entries arrive over some
-/// seconds.
+/// [`MAX_RESETTLE_WAIT`] before any layers are placed: when the fleet starts, entries
+/// arrive over some seconds.
 const MAX_SETTLE_WAIT: Duration = Duration::from_millis(6000);
 
 /// Upper bound of the random time that a box waits before it writes, so that mostly only
 /// one box writes.
 const MAX_STAGGER: Duration = Duration::from_millis(300);
 
-/// Time-out of an engine's reply to an order, which takes milliseconds.
+/// Timeout of an engine's reply to an order, which takes milliseconds.
 const ORDER_TIMEOUT: Duration = Duration::from_millis(700);
 
-/// Most times that an order is sent.
+/// Maximum number of times that an order is sent.
 const MAX_ORDER_TRIES: u32 = 4;
 
-/// Most orders of a box that wait for a reply at the same time; each one has a connection.
+/// Maximum number of a box's orders that wait for a reply at the same time; each one has a
+/// connection.
 const MAX_OPEN_ORDERS: usize = 256;
 
 /// Delay before an order that got no reply is sent again. The engine may have taken it,
 /// which its report then shows.
 const ORDER_RETRY_DELAY: Duration = Duration::from_millis(1200);
 
-/// Most revisions of earlier rounds that are kept. Rounds are seconds apart at their most
-/// frequent, and boxes check as often.
+/// Maximum number of kept revisions of earlier rounds. Rounds are seconds apart at their
+/// most frequent, and boxes check as often.
 const MAX_KEPT_REVISIONS: usize = 16;
 
 /// Longest time by which an engine's announcement may lag behind its loading.
@@ -174,6 +176,8 @@
         }
     }
 
+    /// Whether the engines have stopped changing for long enough, or the longest wait for
+    /// that is over.
     fn has_settled(&mut self) -> bool {
         let now = self.shared.now();
         let registry = self.shared.registry.borrow();
@@ -287,6 +291,7 @@
         unannounced
     }
 
+    /// Adds ordered ranges to the pending assignments, until they should be announced.
     fn note_orders(&mut self, model: &Model, ranges: &[Assignment]) {
         let deadline = load_time(model, ranges) + ANNOUNCE_LAG;
         self.pending.add(self.shared.now(), ranges, deadline);
@@ -309,11 +314,13 @@
         placement::plan(model, &engines)
     }
 
-    /// Whether a complete chain is left.
+    /// Whether a complete chain is left; if none is, engines abort the requests that keep
+    /// them from releasing layers.
     ///
-    /// Without one, no request can complete; yet engines that wait for running requests
+    /// Without a chain no request can complete, yet engines that wait for running requests
     /// might wait until the deadlines of requests whose boxes lost power. A box that
-    /// reaches less than half of the engines may be cut off itself.
+    /// reaches less than half of the engines may be cut off itself, and assumes that a
+    /// chain is left.
     fn has_chain(&self, service: &Service, model: &Model) -> bool {
         let now = self.shared.now();
         let registry = self.shared.registry.borrow();
@@ -327,6 +334,8 @@
         is_cut_off || placement::covers_model(model.layers, ranges)
     }
 
+    /// Converts an engine for the planner; `None` if its accelerator is unknown. An ordered
+    /// range counts as held, and its engine as not movable.
     fn to_placed_engine(&self, entry: &UpstreamState) -> Option<PlacedEngine> {
         let upstream = &entry.upstream;
         let ordered = self.pending.layers(&upstream.id);
@@ -466,6 +475,7 @@
     Unknown,
 }
 
+/// Asks an engine how many orders it has taken.
 async fn count_orders(shared: &SharedState, range: &Assignment, addr: &str) -> OrderCount {
     match engine::fetch_report(&shared.client, addr, ORDER_TIMEOUT).await {
         Ok(report) if report.busy => OrderCount::Busy,
@@ -478,6 +488,7 @@
     }
 }
 
+/// Logs and counts an engine's reply to an order.
 fn log_reply(shared: &SharedState, range: &Assignment, attempt: u32, reply: &OrderReply) {
     let accepted = matches!(reply, OrderReply::Begun | OrderReply::Holds);
     let label = if accepted { "taken" } else { "not taken" };
--- a/crates/ashgauged/src/relay/probe.rs
+++ b/crates/ashgauged/src/relay/probe.rs
@@ -26,7 +26,7 @@
 use super::state::probes::{ProbeCache, cached_cell, is_cached};
 use super::{log, notice, recovery, shedding};
 
-/// Time-out of a connection attempt; a healthy engine accepts it in under 2 ms. A machine
+/// Timeout of a connection attempt; a healthy engine accepts it in under 2 ms. A machine
 /// without power does not answer, so each millisecond here lengthens the pause of every
 /// stream that it served: at 50 ms, only one in ten of 157 resumed streams paused for less
 /// than 243 ms, of the 250 ms that are allowed.
@@ -35,11 +35,11 @@
 /// Longest time for which a probe's result is shared with others that ask.
 const MAX_PROBE_AGE: Duration = Duration::from_millis(200);
 
-/// The same for a probe after a connection broke. Earlier results say nothing then, and
-/// streams that break together share one probe.
+/// [`MAX_PROBE_AGE`] for a probe after a connection broke. Earlier results say nothing
+/// then, and streams that break together share one probe.
 const MAX_RECHECK_AGE: Duration = Duration::from_millis(20);
 
-/// Time-out of a request for an engine's report.
+/// Timeout of a request for an engine's report.
 const REPORT_TIMEOUT: Duration = Duration::from_millis(100);
 
 /// Longest time for which an engine's report is shared with others that ask. Reports are
@@ -107,8 +107,8 @@
     ids
 }
 
-/// Whether there is a result of an engine to share, or the budget allows another query.
-/// That query then serves all that ask meanwhile.
+/// Whether there is a result of an engine to share, or the recovery budget allows another
+/// query. The result of that query is shared with all that ask meanwhile.
 fn may_probe<T>(
     shared: &SharedState,
     service: &ServiceId,
@@ -178,6 +178,7 @@
     cause
 }
 
+/// Records what an engine reports of itself: that it leaves, and how slow it is.
 fn apply_report(shared: &SharedState, id: &str, report: &Report) {
     if report.leaving {
         notice::note_leaving(shared, id);
@@ -193,6 +194,7 @@
     }
 }
 
+/// Returns an engine's report, which may be up to [`MAX_REPORT_AGE`] old.
 async fn fetch_report(shared: &SharedState, id: &str) -> Option<Rc<Report>> {
     let addr = address(shared, id)?;
     let cell = cached_cell(&shared.probes.reports, shared.now(), &addr, MAX_REPORT_AGE);
@@ -245,7 +247,7 @@
 }
 
 /// Whether the recovery budget of a service allows the check of an engine that another box
-/// reported. The connection then serves all that ask meanwhile.
+/// reported. The result of the connection attempt is shared with all that ask meanwhile.
 pub fn may_check_reported(shared: &SharedState, service: &ServiceId, id: &str) -> bool {
     may_probe(
         shared,
@@ -311,6 +313,7 @@
     *cell.get_or_init(|| probe).await
 }
 
+/// Address of an upstream that is still listed.
 fn address(shared: &SharedState, id: &str) -> Option<String> {
     let registry = shared.registry.borrow();
     registry.get(id).map(|e| e.upstream.addr.clone())
--- a/crates/ashgauged/src/relay/recovery.rs
+++ b/crates/ashgauged/src/relay/recovery.rs
@@ -112,6 +112,7 @@
         .with(&request.service.name, |s| s.recovery_budget.pressure(now))
 }
 
+/// Takes budget for an action. Returns `false` if none is left.
 fn take_for(shared: &SharedState, service: &ServiceId, action: RecoveryAction) -> bool {
     let now = shared.now();
     let taken = shared
--- a/crates/ashgauged/src/relay/request.rs
+++ b/crates/ashgauged/src/relay/request.rs
@@ -35,8 +35,8 @@
 /// Retry delay that callers of a box without a current configuration are given.
 pub const RETRY_AFTER_UNSYNCED: Duration = Duration::from_millis(1000);
 
-/// The same for a box that has just started. Where 295 boxes start together, nine in ten
-/// are synced 0.56 s after their start.
+/// Retry delay that callers of a box that has just started are given. Where 295 boxes start
+/// together, nine in ten are synced 0.56 s after their start.
 const RETRY_AFTER_START: Duration = Duration::from_millis(300);
 
 /// Time since its start for which a box counts as just started.
@@ -50,7 +50,7 @@
 const RETRY_AFTER_NO_CAPACITY: Range<Duration> =
     Duration::from_millis(1500)..Duration::from_millis(4500);
 
-/// A request with less than this share of its route's time-out left may be a retry.
+/// A request with less than this share of its route's timeout left may be a retry.
 const FIRST_TRY_SHARE: f64 = 0.97;
 
 /// Complete response of an upstream.
@@ -93,7 +93,7 @@
         team_rank.unwrap_or(self.route.priority)
     }
 
-    /// Whether the request may be a retry: part of the route's time-out has passed.
+    /// Whether the request may be a retry: part of the route's timeout has passed.
     pub fn may_be_retry(&self) -> bool {
         let timeout = self.route.timeout;
         self.client_request.timeout.unwrap_or(timeout) < timeout.mul_f64(FIRST_TRY_SHARE)
--- a/crates/ashgauged/src/relay/serve.rs
+++ b/crates/ashgauged/src/relay/serve.rs
@@ -97,6 +97,7 @@
     .await;
 }
 
+/// Serves responses of plain text as long as the process runs.
 async fn serve_text(
     listener: TcpListener,
     answer: impl Fn(Request<Incoming>) -> (StatusCode, String) + 'static,
@@ -134,6 +135,7 @@
     Busy,
 }
 
+/// Phase of a connection, and when it began.
 struct ConnectionActivity {
     phase: Cell<Phase>,
     since: Cell<Instant>,
@@ -149,6 +151,7 @@
     }
 }
 
+/// Serves one connection until it ends or a phase exceeds its time limit.
 async fn serve_connection(shared: Rc<SharedState>, stream: TcpStream) {
     // Without it small events arrive later, and nothing else changes.
     let _ = stream.set_nodelay(true);
--- a/crates/ashgauged/src/relay/shared_state.rs
+++ b/crates/ashgauged/src/relay/shared_state.rs
@@ -433,7 +433,7 @@
     /// Marks an upstream that does not answer as suspect and notifies the streams on it.
     /// The other boxes are notified as well if it has just failed to accept a connection of
     /// this box.
-    pub fn mark_suspect(&self, id: &str, why: &str) {
+    pub fn mark_suspect(&self, id: &str, reason: &str) {
         let is_new = self.registry.borrow_mut().mark_suspect(self.now(), id);
         if is_new {
             self.metrics.suspects.inc();
@@ -441,7 +441,7 @@
                 Level::Warn,
                 "roster",
                 "suspect",
-                json!({"upstream": id, "why": why}),
+                json!({"upstream": id, "why": reason}),
             );
             self.notify_streams();
             suspicion::note_suspect(self, id);
