--- a/crates/ashgauged/src/relay/event_forwarder/repair.rs
+++ b/crates/ashgauged/src/relay/event_forwarder/repair.rs
@@ -35,8 +35,8 @@
 const REPATH_TIMEOUT: Duration = Duration::from_millis(150);
 
 impl EventForwarder {
-    /// Finds out which engines are lost after an answer broke off, and continues the stream
-    /// elsewhere.
+    /// Marks the engines that are lost as suspect after an answer broke off, and continues
+    /// the stream elsewhere.
     pub(super) async fn handle_break(&mut self, cause: &str) -> ForwardState {
         self.request.record.log_step(
             "stream broke",
@@ -223,8 +223,8 @@
     /// Routes the stream around lost engines, or continues it elsewhere.
     ///
     /// A detour through another data centre sends all tokens so far over the link between
-    /// them, which takes seconds if many streams lose the same engine. A whole chain
-    /// elsewhere prefills them again in a fraction of that time.
+    /// the data centres, which takes seconds if many streams lose the same engine. A whole
+    /// chain elsewhere prefills them again in a fraction of that time.
     async fn repair(&mut self, lost: Vec<UpstreamId>) -> ForwardState {
         if !self.may_repair() {
             return ForwardState::Continue;
--- a/crates/ashgauged/src/relay/forward.rs
+++ b/crates/ashgauged/src/relay/forward.rs
@@ -45,7 +45,7 @@
 
 /// Share of the target latency after which a retryable request is given up on a silent
 /// upstream.
-const SILENCE_AIM_SHARE: f64 = 0.6;
+const SILENCE_TARGET_SHARE: f64 = 0.6;
 
 /// Multiple of an upstream's learned latency after which it counts as silent.
 const SILENCE_FACTOR: f64 = 4.0;
@@ -330,12 +330,12 @@
 fn silence_timeout(shared: &SharedState, request: &AdmittedRequest, id: &str) -> Duration {
     let registry = shared.registry.borrow();
     let latency = registry.get(id).map_or(0.0, |e| e.latency_seconds);
-    let usual_limit = Duration::from_secs_f64(latency * SILENCE_FACTOR);
+    let latency_limit = Duration::from_secs_f64(latency * SILENCE_FACTOR);
     request
         .route
         .target_latency
-        .mul_f64(SILENCE_AIM_SHARE)
-        .max(usual_limit)
+        .mul_f64(SILENCE_TARGET_SHARE)
+        .max(latency_limit)
 }
 
 /// An answer, and the upstream's running and waiting requests if it names them.
--- a/crates/ashgauged/src/relay/loss.rs
+++ b/crates/ashgauged/src/relay/loss.rs
@@ -116,9 +116,11 @@
 }
 
 /// Checks whether the upstream of a run that broke off is lost, and records it if so.
-/// Returns whether it is lost. A lost upstream uses up no attempt: requests that were cut
-/// off twice because another request crashed their engines would fail, though other engines
-/// could continue them.
+/// Returns whether it is lost.
+///
+/// A lost upstream uses up no attempt. Otherwise requests that were cut off twice, as
+/// another request crashed their engines, would fail though other engines could continue
+/// them.
 ///
 /// An upstream that still accepts connections is checked a few more times while the request
 /// continues.
--- a/crates/ashgauged/src/relay/placer.rs
+++ b/crates/ashgauged/src/relay/placer.rs
@@ -168,8 +168,8 @@
                 let Some(model) = service.model.as_ref().filter(|m| m.layers > 0) else {
                     continue;
                 };
-                if let Err(fault) = self.place_unassigned(service, model).await {
-                    let fields = json!({"service": &*service.name, "fault": fault.to_string()});
+                if let Err(error) = self.place_unassigned(service, model).await {
+                    let fields = json!({"service": &*service.name, "fault": error.to_string()});
                     log::event(Level::Warn, "placement", "not written", fields);
                 }
             }
@@ -223,7 +223,7 @@
         let (stored, revision) = match read {
             Ok(object) => (object.value, Some(object.revision)),
             Err(StoreError::NotFound) => (StoredRound::default(), None),
-            Err(fault) => return Err(fault),
+            Err(error) => return Err(error),
         };
         let era = revision.map_or_else(
             || *self.shared.store.subscribe_era().borrow(),
@@ -256,7 +256,7 @@
             Ok(()) => self.issue_orders(service, model, era, next),
             // Another box wrote first; its ranges are adopted at the next check.
             Err(StoreError::Conflict) => {}
-            Err(fault) => return Err(fault),
+            Err(error) => return Err(error),
         }
         Ok(())
     }
@@ -359,7 +359,7 @@
         log::event(Level::Info, "placement", "ordering", fields);
         self.rounds.record(service.name.clone(), era, round.round);
         self.note_orders(model, &round.ranges);
-        let time = load_time(model, &round.ranges) + ANNOUNCE_LAG;
+        let announce_time = load_time(model, &round.ranges) + ANNOUNCE_LAG;
         let release_mode = if round.abort {
             ReleaseMode::Cut
         } else {
@@ -367,7 +367,13 @@
         };
         for range in round.ranges {
             let (shared, slots) = (self.shared.clone(), self.order_slots.clone());
-            tokio::task::spawn_local(order_and_verify(shared, slots, range, release_mode, time));
+            tokio::task::spawn_local(order_and_verify(
+                shared,
+                slots,
+                range,
+                release_mode,
+                announce_time,
+            ));
         }
     }
 }
@@ -384,11 +390,11 @@
 fn load_time(model: &Model, ranges: &[Assignment]) -> Duration {
     let layers: u32 = ranges.iter().map(|r| r.layers.len()).sum();
     let longest = ranges.iter().map(|r| r.layers.len()).max().unwrap_or(0);
-    let per_slot = f64::from(layers) / f64::from(model.parallel_loads);
-    let worst = per_slot.max(f64::from(longest));
+    let layers_per_slot = f64::from(layers) / f64::from(model.parallel_loads);
+    let longest_load = layers_per_slot.max(f64::from(longest));
     model
         .load_time
-        .mul_f64(worst / f64::from(model.layers.max(1)))
+        .mul_f64(longest_load / f64::from(model.layers.max(1)))
 }
 
 /// Orders one engine to hold a range, and logs a warning if the engine does not announce it
@@ -398,10 +404,10 @@
     slots: Rc<Semaphore>,
     range: Assignment,
     release_mode: ReleaseMode,
-    time: Duration,
+    announce_time: Duration,
 ) {
     send_order(shared.clone(), &slots, range.clone(), release_mode).await;
-    sleep(time).await;
+    sleep(announce_time).await;
     let Some((addr, _)) = pending_order(&shared, &range) else {
         return;
     };
--- a/crates/ashgauged/src/relay/recovery.rs
+++ b/crates/ashgauged/src/relay/recovery.rs
@@ -21,7 +21,7 @@
 /// which a first event is due.
 pub const POLL_INTERVAL: Duration = Duration::from_millis(50);
 
-/// Longest wait before a request is sent again whose caller has received nothing: part of
+/// Longest wait before a request whose caller has received nothing is sent again: part of
 /// the 500 ms in which a first event is due.
 const MAX_RESEND_WAIT: Duration = Duration::from_millis(100);
 
@@ -76,7 +76,7 @@
 
 /// Whether a request that an engine refused, and that has not run, is sent again. Under
 /// high pressure that requires a second chain with capacity, and budget; otherwise its
-/// caller comes back.
+/// caller has to come back.
 pub fn may_resend(
     shared: &SharedState,
     request: &AdmittedRequest,
--- a/crates/ashgauged/src/relay/request.rs
+++ b/crates/ashgauged/src/relay/request.rs
@@ -50,7 +50,7 @@
 const RETRY_AFTER_NO_CAPACITY: Range<Duration> =
     Duration::from_millis(1500)..Duration::from_millis(4500);
 
-/// A request with less than this share of its route's timeout left may be a retry.
+/// Share of a route's timeout; a request with less time left may be a retry.
 const FIRST_TRY_SHARE: f64 = 0.97;
 
 /// Complete response of an upstream.
--- a/crates/ashgauged/src/relay/serve.rs
+++ b/crates/ashgauged/src/relay/serve.rs
@@ -153,7 +153,7 @@
 
 /// Serves one connection until it ends or a phase exceeds its time limit.
 async fn serve_connection(shared: Rc<SharedState>, stream: TcpStream) {
-    // Without it small events arrive later, and nothing else changes.
+    // Without `TCP_NODELAY`, small events arrive later; nothing else changes.
     let _ = stream.set_nodelay(true);
     let activity = Rc::new(ConnectionActivity {
         phase: Cell::new(Phase::Idle),
--- a/crates/ashgauged/src/relay/shared_state.rs
+++ b/crates/ashgauged/src/relay/shared_state.rs
@@ -46,7 +46,7 @@
 const COUNT_TRUST_DELAY: Duration = Duration::from_secs(3);
 
 /// Reading of the clock when the process starts. Moments before the start need a time as
-/// well: a proof from another box may be older than the process.
+/// well: a revision check of another box may be older than the process.
 const CLOCK_OFFSET: Duration = Duration::from_secs(60);
 
 /// Another box, as it announced itself.
@@ -164,7 +164,7 @@
     /// Retries that this box may make.
     pub retry_budgets: RetryBudgets,
     fleet_size: Cell<u32>,
-    counted: Cell<u32>,
+    counted_boxes: Cell<u32>,
     rng: RefCell<SmallRng>,
     /// Clock that all times here are measured by.
     pub clock: Clock,
@@ -219,7 +219,7 @@
             data_centre: settings.data_centre.as_str().into(),
             retry_budgets: RetryBudgets::new(settings.retry_allowance(), CLOCK_OFFSET),
             fleet_size: Cell::new(DEFAULT_FLEET_SIZE),
-            counted: Cell::new(0),
+            counted_boxes: Cell::new(0),
             rng: RefCell::new(SmallRng::from_os_rng()),
             clock: Clock::new(boot_time),
             settings: RefCell::new(Rc::new(settings)),
@@ -292,7 +292,7 @@
 
     /// Records how many boxes there are.
     pub fn set_fleet_size(&self, boxes: u32) {
-        self.counted.set(boxes);
+        self.counted_boxes.set(boxes);
         let is_trusted = self.is_count_trusted();
         if is_trusted {
             self.retry_budgets.set_boxes(boxes);
@@ -316,7 +316,7 @@
     /// Role of this box in the exchange of load reports.
     pub fn role(&self) -> Role {
         let known_boxes = self.peers.borrow().len() + 1;
-        let boxes = known_boxes.max(self.counted.get() as usize);
+        let boxes = known_boxes.max(self.counted_boxes.get() as usize);
         hub::role(boxes, &self.readers.borrow())
     }
 
@@ -352,7 +352,7 @@
 
     /// Trusts the last count, as the other boxes have had time to start.
     pub fn trust_count(&self) {
-        match self.counted.get() {
+        match self.counted_boxes.get() {
             0 => {}
             counted => self.set_fleet_size(counted),
         }
@@ -372,7 +372,7 @@
 
     /// Number of boxes at the last count; 0 before the first one.
     pub fn counted_boxes(&self) -> u32 {
-        self.counted.get()
+        self.counted_boxes.get()
     }
 
     /// Size of the fleet, as far as known.
