--- a/crates/ashgauged/src/relay/body.rs
+++ b/crates/ashgauged/src/relay/body.rs
@@ -1,4 +1,4 @@
-//! Reads callers' bodies, within their bounds.
+//! Reads callers' bodies, within limits of size and time.
 
 use std::cell::Cell;
 use std::time::Duration;
@@ -10,29 +10,34 @@
 
 use super::shared_state::SharedState;
 
-/// For a request's body to come; those of today's callers come at once.
+/// Timeout for a request's body; today's callers send it at once.
 const BODY_TIMEOUT: Duration = Duration::from_secs(5);
 
-/// Bytes of bodies that may be read at one time, over all callers: a part of
-/// the least memory that the users give a box (160 MB).
+/// Bytes of bodies that may be read at the same time, over all callers: part of the least
+/// memory that users give a box (160 MB).
 const MAX_BUFFERED_BYTES: usize = 48 << 20;
 
-/// Reads a request's body, or tells the status and end of the refusal.
+/// Reads a request's body. On failure returns the response's status, and how the request
+/// ended.
 pub async fn read(
     shared: &SharedState,
     body: Incoming,
-    held: Duration,
+    timeout: Duration,
 ) -> Result<Bytes, (StatusCode, &'static str)> {
-    let most = shared.routing().client_limits.body_bytes;
-    let told = body.size_hint().upper().map_or(most, |n| n as usize);
-    if told > most {
+    let max_bytes = shared.routing().client_limits.body_bytes;
+    let declared_bytes = body.size_hint().upper().map_or(max_bytes, |n| n as usize);
+    if declared_bytes > max_bytes {
         return Err((StatusCode::PAYLOAD_TOO_LARGE, "body too long"));
     }
-    let Some(_room) = BodyReservation::reserve(&shared.body_bytes, told) else {
+    let Some(_reservation) = BodyReservation::reserve(&shared.body_bytes, declared_bytes) else {
         return Err((StatusCode::SERVICE_UNAVAILABLE, "no room for the body"));
     };
-    let reading = Limited::new(body, most).collect();
-    match shared.clock.within(held.min(BODY_TIMEOUT), reading).await {
+    let reading = Limited::new(body, max_bytes).collect();
+    match shared
+        .clock
+        .within(timeout.min(BODY_TIMEOUT), reading)
+        .await
+    {
         Some(Ok(body)) => Ok(body.to_bytes()),
         Some(Err(e)) if e.is::<LengthLimitError>() => {
             Err((StatusCode::PAYLOAD_TOO_LARGE, "body too long"))
@@ -42,24 +47,22 @@
     }
 }
 
-/// A part of the room for bodies, given back when dropped.
+/// Part of the buffer space for bodies, released when dropped.
 struct BodyReservation<'a> {
     total_bytes: &'a Cell<usize>,
     bytes: usize,
 }
 
 impl<'a> BodyReservation<'a> {
-    fn reserve(bodies: &'a Cell<usize>, bytes: usize) -> Option<Self> {
-        let taken = bodies.get() + bytes;
-        // One body may always be read, whatever its bound.
-        if taken > MAX_BUFFERED_BYTES && bodies.get() > 0 {
+    /// Reserves space for a body; `None` if other bodies use up the space.
+    fn reserve(total_bytes: &'a Cell<usize>, bytes: usize) -> Option<Self> {
+        let new_total = total_bytes.get() + bytes;
+        // One body may always be read, whatever its limit.
+        if new_total > MAX_BUFFERED_BYTES && total_bytes.get() > 0 {
             return None;
         }
-        bodies.set(taken);
-        Some(BodyReservation {
-            total_bytes: bodies,
-            bytes,
-        })
+        total_bytes.set(new_total);
+        Some(BodyReservation { total_bytes, bytes })
     }
 }
 
--- a/crates/ashgauged/src/relay/capacity_wait.rs
+++ b/crates/ashgauged/src/relay/capacity_wait.rs
@@ -1,4 +1,4 @@
-//! A request's wait for room on the engines.
+//! A request's wait for capacity on the engines.
 
 use std::rc::Rc;
 use std::sync::Arc;
@@ -12,83 +12,87 @@
 use super::request::AdmittedRequest;
 use super::shared_state::SharedState;
 
-/// Longest wait for room. A request that would wait longer is refused at once
-/// and comes back when there may be room.
+/// Longest wait for capacity. A request that would wait longer is refused at once and comes
+/// back when there may be capacity.
 const MAX_WAIT: Duration = Duration::from_millis(400);
 
-/// The same for a request that comes back: most callers ask twice only, so
-/// another refusal is the last word. Callers leave after two seconds.
+/// Longest wait of a retry for capacity. Most callers try only twice, so another refusal is
+/// final. Callers leave after two seconds.
 const MAX_RETRY_WAIT: Duration = Duration::from_millis(1200);
 
-/// Part of the expected wait that must fit: the expectation is rough, and one
-/// that is refused may have been let in.
+/// Share of the expected wait that must fit before the deadline. The expectation is rough,
+/// and a request that is refused might have been admitted.
 const MIN_WAIT_SHARE: f64 = 0.5;
 
-/// Time between two looks of the request that is next; some five requests end
+/// Interval at which the first request of the queue checks again; about five requests end
 /// meanwhile over the users' fleets.
 const POLL_INTERVAL: Duration = Duration::from_millis(20);
 
-/// A request that is to be let in; leaves the line when it is dropped.
+/// A request that waits to be admitted. Dropping it removes it from the queue.
 pub struct CapacityWait {
     shared: Rc<SharedState>,
     service: ServiceId,
     ticket: Option<Ticket>,
-    /// Whether it is made for the first time.
+    /// Whether this is the first try of the request.
     is_first: bool,
     deadline: Duration,
 }
 
 impl CapacityWait {
-    /// A request that does not wait yet.
-    pub fn new(shared: &Rc<SharedState>, a: &AdmittedRequest) -> Self {
-        let first = !a.may_be_retry();
-        let most = if first { MAX_WAIT } else { MAX_RETRY_WAIT };
+    /// Creates the wait of a request that is not in the queue yet.
+    pub fn new(shared: &Rc<SharedState>, request: &AdmittedRequest) -> Self {
+        let is_first = !request.may_be_retry();
+        let max_wait = if is_first { MAX_WAIT } else { MAX_RETRY_WAIT };
         CapacityWait {
             shared: shared.clone(),
-            service: a.service.name.clone(),
+            service: request.service.name.clone(),
             ticket: None,
-            is_first: first,
-            deadline: shared.now() + most,
+            is_first,
+            deadline: shared.now() + max_wait,
         }
     }
 
-    /// Puts the request into the line, if it is not there, as no chain has room.
-    pub fn wait_for_capacity(&mut self, a: &AdmittedRequest) {
+    /// Puts the request into the queue, if it is not there yet, because no chain has the
+    /// capacity.
+    pub fn wait_for_capacity(&mut self, request: &AdmittedRequest) {
         if self.ticket.is_none() {
             let fields = json!({
-                "full": self.shared.count_full(&a.service),
-                "limit": self.shared.with_queue(&self.service, |l| l.fill_limit()),
+                "full": self.shared.count_full(&request.service),
+                "limit": self.shared.with_queue(&self.service, |queue| queue.fill_limit()),
                 "boxes_heard": self.shared.fleet_load.borrow().boxes(),
             });
-            a.record.log_step("waits for room", fields);
+            request.record.log_step("waits for room", fields);
         }
-        self.enqueue(a);
+        self.enqueue(request);
     }
 
-    fn enqueue(&mut self, a: &AdmittedRequest) {
+    /// Puts the request into the queue, if it is not there yet.
+    fn enqueue(&mut self, request: &AdmittedRequest) {
         if self.ticket.is_none() {
-            let team = a.team.as_ref().map_or("", |t| t.name.as_str());
-            let rank = a.rank(&self.shared);
-            let ticket = self.shared.with_queue(&self.service, |l| {
-                l.enqueue(rank, self.is_first, &Arc::from(team))
+            let team = request.team.as_ref().map_or("", |t| t.name.as_str());
+            let rank = request.rank(&self.shared);
+            let ticket = self.shared.with_queue(&self.service, |queue| {
+                queue.enqueue(rank, self.is_first, &Arc::from(team))
             });
             self.ticket = Some(ticket);
         }
     }
 
-    /// Waits until the request may look for a chain; returns false if it would
-    /// take too long.
-    pub async fn wait(&mut self, a: &AdmittedRequest) -> bool {
-        let rank = a.rank(&self.shared);
-        let line_ahead = |l: &mut AdmissionQueue| l.ahead_of_new(rank);
-        if self.ticket.is_none() && self.shared.with_queue(&self.service, line_ahead) > 0 {
-            self.enqueue(a);
+    /// Waits until the request may choose a chain. Returns `false` if that would take too
+    /// long.
+    pub async fn wait(&mut self, request: &AdmittedRequest) -> bool {
+        let rank = request.rank(&self.shared);
+        let queue_ahead = |queue: &mut AdmissionQueue| queue.ahead_of_new(rank);
+        if self.ticket.is_none() && self.shared.with_queue(&self.service, queue_ahead) > 0 {
+            self.enqueue(request);
         }
         let Some(ticket) = &self.ticket else {
             return true;
         };
         loop {
-            let ahead = self.shared.with_queue(&self.service, |l| l.ahead(ticket));
+            let ahead = self
+                .shared
+                .with_queue(&self.service, |queue| queue.ahead(ticket));
             if self.exceeds_deadline(ahead) {
                 return false;
             }
@@ -99,31 +103,33 @@
         }
     }
 
-    /// Whether the request may wait for so long.
+    /// Whether a wait of this length ends before the deadline.
     pub fn fits_deadline(&self, wait: Duration) -> bool {
         self.shared.now() + wait <= self.deadline
     }
 
-    /// Whether a request with so many ahead is better refused now.
+    /// Whether a request with `ahead` others before it is better refused now.
     fn exceeds_deadline(&self, ahead: usize) -> bool {
         let wait = self
             .shared
-            .with_queue(&self.service, |l| l.expected_wait(ahead));
+            .with_queue(&self.service, |queue| queue.expected_wait(ahead));
         let now = self.shared.now();
         now >= self.deadline || now + wait.mul_f64(MIN_WAIT_SHARE) > self.deadline
     }
 
-    /// Notes that the request was let in.
+    /// Records that the request was admitted.
     pub fn note_admitted(&mut self) {
         let now = self.shared.now();
         self.shared
-            .with_queue(&self.service, |l| l.note_admitted(now));
+            .with_queue(&self.service, |queue| queue.note_admitted(now));
         self.dequeue();
     }
 
+    /// Removes the request from the queue, if it is there.
     fn dequeue(&mut self) {
         if let Some(ticket) = self.ticket.take() {
-            self.shared.with_queue(&self.service, |l| l.remove(&ticket));
+            self.shared
+                .with_queue(&self.service, |queue| queue.remove(&ticket));
         }
     }
 }
--- a/crates/ashgauged/src/relay/event_forwarder/repair.rs
+++ b/crates/ashgauged/src/relay/event_forwarder/repair.rs
@@ -1,5 +1,5 @@
-//! Repairs a stream: finds out what holds it up, leads it around engines that are
-//! lost or leave, or lets it go on over another chain.
+//! Repair of a stream: finds what stalls it, routes it around engines that are lost or
+//! leave, or continues it on another chain.
 
 use std::time::Duration;
 
@@ -25,61 +25,66 @@
 use super::super::select::ChainCriteria;
 use super::{EventForwarder, ForwardState};
 
-/// Repairs of one stream at most; each one lost an engine.
+/// Maximum number of repairs of one stream; each one lost an engine.
 const MAX_REPAIRS: u32 = 6;
 
-/// Pause before a stream looks again for a way around engines that leave.
+/// Delay before a stream looks again for a way around engines that leave.
 const LEAVE_RETRY_INTERVAL: Duration = Duration::from_millis(500);
 
-/// For an engine's answer to a change of the chain, which takes milliseconds.
+/// Timeout of an engine's reply to a change of the chain, which takes milliseconds.
 const REPATH_TIMEOUT: Duration = Duration::from_millis(150);
 
 impl EventForwarder {
-    /// Notes which engines are lost after an answer broke off, and lets the stream
-    /// go on elsewhere.
+    /// Marks the engines that are lost as suspect after an answer broke off, and continues
+    /// the stream elsewhere.
     pub(super) async fn handle_break(&mut self, cause: &str) -> ForwardState {
         self.request.record.log_step(
             "stream broke",
             json!({"cause": cause, "last": self.last_id}),
         );
-        // What was heard longer ago than a moment before it broke says nothing.
+        // Activity from before the break says nothing.
         let since = self.shared.now();
-        let dead = find_unreachable(&self.shared, &self.request, &self.run.stages, since).await;
-        dead.iter()
+        let unreachable =
+            find_unreachable(&self.shared, &self.request, &self.run.stages, since).await;
+        unreachable
+            .iter()
             .for_each(|id| self.shared.mark_suspect(id, "no connection"));
         if loss::check_loss(&self.shared, &self.request, self.broken_run()).await {
-            self.handoff.record_lost();
+            self.attempts.record_lost();
         }
         self.resume("broken", false).await
     }
 
-    /// An answer that ends is whole, unless it brought nothing and its engine is lost:
-    /// without a length, one that was cut off ends in the same way.
+    /// Handles the end of an answer. It is complete unless it brought no event and its
+    /// engine is lost: without a length, an answer that was cut off ends in the same way.
     pub(super) async fn handle_end(&mut self) -> ForwardState {
         if self.run.event_count > 0
             || !loss::check_loss(&self.shared, &self.request, self.broken_run()).await
         {
             return ForwardState::Done;
         }
-        self.handoff.record_lost();
+        self.attempts.record_lost();
         self.resume("ended without an event", false).await
     }
 
     /// Looks for the cause of a silence.
     pub(super) async fn handle_silence(&mut self) -> ForwardState {
         self.silence.record_check();
-        let due = self.silence.last_event() + Duration::from_secs_f64(self.silence.event_gap());
-        let dead = find_unreachable(&self.shared, &self.request, &self.run.stages, due).await;
-        if !dead.is_empty() {
-            dead.iter()
+        let due_at = self.silence.last_event() + Duration::from_secs_f64(self.silence.event_gap());
+        let unreachable =
+            find_unreachable(&self.shared, &self.request, &self.run.stages, due_at).await;
+        if !unreachable.is_empty() {
+            unreachable
+                .iter()
                 .for_each(|id| self.shared.mark_suspect(id, "no connection"));
-            return self.repair(dead).await;
+            return self.repair(unreachable).await;
         }
         if self.is_overdue() && self.may_move() {
             return self.resume("silent", true).await;
         }
         match query_engines(&self.shared, &self.request, &self.run.stages).await {
-            // A report lags; it may name an engine that was led around already.
+            // A report lags; it may name an engine that the stream was already routed
+            // around.
             Some(id) if self.run.stages.iter().any(|s| s.upstream == id) => {
                 self.shared.mark_suspect(&id, "reported as stalled");
                 self.repair(vec![id]).await
@@ -88,15 +93,15 @@
         }
     }
 
-    /// Repairs the chain if another stream found one of its engines lost, or
-    /// leads it away from engines that will soon be.
+    /// Repairs the chain if another stream found one of its engines lost, or routes the
+    /// stream around engines that are about to leave.
     pub(super) async fn handle_upstream_change(&mut self) -> ForwardState {
         let now = self.shared.now();
         let lost = self.engines_where(|e, _| e.is_suspect(now));
         if !lost.is_empty() {
             return self.repair(lost).await;
         }
-        // One that had no turn yet to leave its silent engines.
+        // The stream had no budget yet to leave its silent engines.
         if self.request.class.is_some() && self.is_overdue() {
             return match self.may_move() {
                 true => self.resume("silent", true).await,
@@ -107,44 +112,45 @@
         ForwardState::Continue
     }
 
-    /// Whether nothing has come for so long that the stream goes on elsewhere.
+    /// Whether nothing has arrived for so long that the stream continues elsewhere.
     fn is_overdue(&self) -> bool {
         self.shared.now() >= self.overdue_at()
     }
 
+    /// When the stream becomes overdue.
     fn overdue_at(&self) -> Duration {
         self.silence.last_event() + MAX_SILENCE
     }
 
-    /// Whether a stream whose engines all answer is led elsewhere now. It may go on by
-    /// itself, so it waits for its turn as long as it takes.
+    /// Whether a stream whose engines all answer is moved elsewhere now. It may continue by
+    /// itself, so it waits for budget as long as that takes.
     fn may_move(&mut self) -> bool {
-        let may = recovery::take_budget(&self.shared, &self.request);
-        self.schedule_recheck(may);
-        may
+        let allowed = recovery::take_budget(&self.shared, &self.request);
+        self.schedule_recheck(allowed);
+        allowed
     }
 
-    /// The same for a stream that cannot go on by itself, which waits until it is late
-    /// at most.
+    /// Whether a stream that cannot continue by itself is repaired or moved now. It waits
+    /// for budget until it is overdue at most.
     fn may_repair(&mut self) -> bool {
-        let may = recovery::take_or_overdue(&self.shared, &self.request, self.overdue_at());
-        self.schedule_recheck(may);
-        may
+        let allowed = recovery::take_or_overdue(&self.shared, &self.request, self.overdue_at());
+        self.schedule_recheck(allowed);
+        allowed
     }
 
-    /// Has the stream looked at soon that has no turn.
-    fn schedule_recheck(&mut self, may: bool) {
+    /// Schedules an early check of a stream that got no budget.
+    fn schedule_recheck(&mut self, allowed: bool) {
         if self.request.class.is_none() {
             return;
         }
         let now = self.shared.now();
-        self.recheck_at = match may {
+        self.recheck_at = match allowed {
             true => self.recheck_at.map(|at| at.max(now + LEAVE_RETRY_INTERVAL)),
             false => Some(now + recovery::POLL_INTERVAL),
         };
     }
 
-    /// Waits for the turn of a stream whose answer has ended; returns false if its caller
+    /// Waits for budget for a stream whose answer has ended. Returns `false` if its caller
     /// leaves.
     async fn wait_for_budget(&mut self) -> bool {
         while !self.may_repair() {
@@ -156,32 +162,32 @@
         true
     }
 
-    /// Leads the stream away from engines that leave or give up their part,
-    /// while they still work: a stream that waits for their end breaks off, and
-    /// holds up their new orders until then.
+    /// Routes the stream around engines that leave or release layers that it uses, while
+    /// they still work. A stream that waits for their end breaks off, and delays their new
+    /// orders until then.
     ///
-    /// The first engine cannot be changed without another run. A stream that
-    /// will have ended before an engine leaves stays; one that gives up its part
-    /// waits for what passes.
+    /// The first engine cannot be changed without another run. A stream that ends before an
+    /// engine leaves stays on it; an engine that releases layers waits for the requests
+    /// that use them.
     async fn avoid_leaving(&mut self) {
         self.recheck_at = None;
         if self.ends_soon() {
             return;
         }
-        let mut ends = self.engines_where(|e, stage| {
+        let mut leaving = self.engines_where(|e, stage| {
             let held = e.upstream.layers.unwrap_or(LayerRange { first: 0, end: 0 });
-            let gives_up = held.first > stage.first || held.end < stage.end;
-            gives_up || e.is_leaving()
+            let releases = held.first > stage.first || held.end < stage.end;
+            releases || e.is_leaving()
         });
-        let first = self.run.stages[0].upstream.clone();
-        ends.retain(|id| *id != first && !self.left_engines.contains(id));
-        if ends.is_empty() || self.repairs >= MAX_REPAIRS {
+        let first_engine = self.run.stages[0].upstream.clone();
+        leaving.retain(|id| *id != first_engine && !self.left_engines.contains(id));
+        if leaving.is_empty() || self.repairs >= MAX_REPAIRS {
             return;
         }
-        let before = self.shared.count_crossings(&self.run.stages);
-        let detour = self.detour(&ends);
-        let detour = detour.filter(|(stages, _)| self.shared.count_crossings(stages) <= before);
-        let Some((stages, text)) = detour else {
+        let crossings = self.shared.count_crossings(&self.run.stages);
+        let detour = self.detour(&leaving);
+        let detour = detour.filter(|(stages, _)| self.shared.count_crossings(stages) <= crossings);
+        let Some((stages, encoded)) = detour else {
             self.recheck_at = Some(self.shared.now() + LEAVE_RETRY_INTERVAL);
             return;
         };
@@ -189,11 +195,12 @@
             self.recheck_at = Some(self.shared.now() + LEAVE_RETRY_INTERVAL);
             return;
         }
-        self.left_engines.extend(ends.iter().cloned());
-        self.repath(&ends, stages, &text).await;
+        self.left_engines.extend(leaving.iter().cloned());
+        self.repath(&leaving, stages, &encoded).await;
     }
 
-    /// Engines of the chain, but for those that are gone, for which `is_so`.
+    /// Engines of the chain for which `is_so` holds, without those that are no longer
+    /// listed.
     fn engines_where(&self, is_so: impl Fn(&UpstreamState, &Stage) -> bool) -> Vec<UpstreamId> {
         let registry = self.shared.registry.borrow();
         let stages = self.run.stages.iter();
@@ -213,48 +220,52 @@
         progress.ends_within(event_tokens, self.shared.settings().drain_bound())
     }
 
-    /// Leads the stream around lost engines, or lets it go on elsewhere.
+    /// Routes the stream around lost engines, or continues it elsewhere.
     ///
-    /// A detour through another data centre sends all tokens so far over its
-    /// pipe, which takes seconds if many streams lose the same engine; a whole
-    /// chain elsewhere reads them anew in a fraction of that.
+    /// A detour through another data centre sends all tokens so far over the link between
+    /// the data centres, which takes seconds if many streams lose the same engine. A whole
+    /// chain elsewhere prefills them again in a fraction of that time.
     async fn repair(&mut self, lost: Vec<UpstreamId>) -> ForwardState {
         if !self.may_repair() {
             return ForwardState::Continue;
         }
-        let first = &self.run.stages[0].upstream;
-        if lost.contains(first) {
-            self.handoff.record_lost();
+        let first_engine = &self.run.stages[0].upstream;
+        if lost.contains(first_engine) {
+            self.attempts.record_lost();
             loss::check_loss(&self.shared, &self.request, self.broken_run()).await;
             return self.resume("first engine lost", true).await;
         }
         if self.repairs >= MAX_REPAIRS {
             return self.resume("repaired too often", true).await;
         }
-        let Some((stages, text)) = self.detour(&lost) else {
+        let Some((stages, encoded)) = self.detour(&lost) else {
             return self.resume("no detour", true).await;
         };
-        let before = self.shared.count_crossings(&self.run.stages);
-        let crosses = self.shared.count_crossings(&stages) > before;
+        let crossings = self.shared.count_crossings(&self.run.stages);
+        let crosses = self.shared.count_crossings(&stages) > crossings;
         if crosses && self.try_resume("the detour crosses").await {
             return ForwardState::Continue;
         }
         self.repairs += 1;
-        if self.repath(&lost, stages, &text).await {
+        if self.repath(&lost, stages, &encoded).await {
             return ForwardState::Continue;
         }
         self.resume("not led around", true).await
     }
 
-    /// Orders the first engine to lead the stream over another chain; returns
-    /// whether it does.
-    async fn repath(&mut self, lost: &[UpstreamId], stages: Vec<Stage>, text: &str) -> bool {
-        let silent = self.silent_ms();
+    /// Orders the first engine to route the stream over another chain. Returns whether it
+    /// does.
+    async fn repath(&mut self, lost: &[UpstreamId], stages: Vec<Stage>, encoded: &str) -> bool {
+        let silent_ms = self.silent_ms();
         let (client, id) = (&self.shared.client, &self.request.client_request.id);
         let reply =
-            engine::order_repath(client, &self.run.first_addr, id, text, REPATH_TIMEOUT).await;
-        let done = matches!(reply, OrderReply::Begun | OrderReply::Holds);
-        let label = if done { "led around" } else { "not led around" };
+            engine::order_repath(client, &self.run.first_addr, id, encoded, REPATH_TIMEOUT).await;
+        let accepted = matches!(reply, OrderReply::Begun | OrderReply::Holds);
+        let label = if accepted {
+            "led around"
+        } else {
+            "not led around"
+        };
         self.shared
             .metrics
             .repairs
@@ -262,10 +273,10 @@
             .inc();
         let fields = json!({
             "lost": lost.iter().map(|l| &**l).collect::<Vec<_>>(),
-            "chain": text,
+            "chain": encoded,
             "reply": format!("{reply:?}"),
             "last": self.last_id,
-            "silent_ms": silent,
+            "silent_ms": silent_ms,
         });
         self.request.record.log_step("repath", fields);
         if let OrderReply::Unfit(Some(addr)) = &reply
@@ -274,7 +285,7 @@
             let now = self.shared.now();
             self.shared.registry.borrow_mut().note_full(now, &id);
         }
-        if !done {
+        if !accepted {
             return false;
         }
         if let Some(model) = &self.request.service.model {
@@ -291,7 +302,7 @@
         true
     }
 
-    /// The chain with the lost engines' ranges given to others.
+    /// The chain with the lost engines' layers given to other engines.
     fn detour(&self, lost: &[UpstreamId]) -> Option<(Vec<Stage>, String)> {
         let model = self.request.service.model.as_ref()?;
         let mut stages: Vec<Stage> = Vec::new();
@@ -301,7 +312,7 @@
                 continue;
             }
             let mut avoid = lost.to_vec();
-            // An engine may be named only once in a chain.
+            // An engine may appear only once in a chain.
             avoid.extend(self.run.stages.iter().map(|s| s.upstream.clone()));
             avoid.extend(stages.iter().map(|s| s.upstream.clone()));
             stages.extend(self.fill_range(model, stage, &avoid)?);
@@ -309,41 +320,42 @@
         if !chain::covers(0, model.layers, &stages) {
             return None;
         }
-        let (text, _) = self.shared.encode_chain(&stages)?;
-        Some((stages, text))
+        let (encoded, _) = self.shared.encode_chain(&stages)?;
+        Some((stages, encoded))
     }
 
+    /// Chooses engines for the layers of a lost stage.
     fn fill_range(&self, model: &Model, stage: &Stage, avoid: &[UpstreamId]) -> Option<Vec<Stage>> {
-        let span = LayerRange {
+        let layers = LayerRange {
             first: stage.first,
             end: stage.end,
         };
-        // Without ids there was no other run, so this one brought all events.
-        let last = self.last_id.unwrap_or(self.run.event_count);
-        let wish = ChainCriteria {
+        // Without event ids there was no other run, so this one brought all events.
+        let last_event = self.last_id.unwrap_or(self.run.event_count);
+        let criteria = ChainCriteria {
             need: None,
             slack: Slack::Streaming,
-            size: pick::request_size(&self.request, model, Some(last)),
+            size: pick::request_size(&self.request, model, Some(last_event)),
         };
         self.shared
-            .choose_chain(&self.request.service.name, model, span, avoid, wish)
+            .choose_chain(&self.request.service.name, model, layers, avoid, criteria)
     }
 
-    /// Lets another chain go on behind the last event that was passed on.
+    /// Continues the stream on another chain, after the last event that was forwarded.
     ///
-    /// If that cannot be and `alive` says that the present answer may still
-    /// go on, it is waited for.
-    pub(super) async fn resume(&mut self, why: &'static str, alive: bool) -> ForwardState {
+    /// If that is not possible and `alive` says that the present answer may still continue,
+    /// the stream waits for it.
+    pub(super) async fn resume(&mut self, reason: &'static str, alive: bool) -> ForwardState {
         if !alive && self.can_resume() && !self.wait_for_budget().await {
             return ForwardState::Abort("caller left");
         }
-        match self.try_resume(why).await || alive {
+        match self.try_resume(reason).await || alive {
             true => ForwardState::Continue,
             false => ForwardState::Abort("broken"),
         }
     }
 
-    /// The run as it stands, if its first engine is lost.
+    /// The present run as a broken one, whose first engine may be lost.
     fn broken_run(&self) -> BrokenRun {
         BrokenRun {
             upstream: self.run.stages[0].upstream.clone(),
@@ -353,33 +365,35 @@
         }
     }
 
-    /// Whether another run may go on where this one stands.
+    /// Whether another run may continue where this one stands.
     fn can_resume(&self) -> bool {
-        self.rule.resumable && (self.last_id.is_some() || !self.has_forwarded)
+        self.policy.resumable && (self.last_id.is_some() || !self.has_forwarded)
     }
 
-    /// As [`EventForwarder::resume`]; returns whether it goes on elsewhere.
-    async fn try_resume(&mut self, why: &str) -> bool {
+    /// Continues the stream on another chain as [`EventForwarder::resume`] does. Returns
+    /// whether it could.
+    async fn try_resume(&mut self, reason: &str) -> bool {
         if !self.can_resume() {
             return false;
         }
         let mut avoid = vec![self.run.stages[0].upstream.clone()];
         let mut outcome = SendOutcome::Lost;
         loop {
-            let next = retry::next_step(&self.shared, &self.request, &mut self.handoff, outcome);
+            let next = retry::next_step(&self.shared, &self.request, &mut self.attempts, outcome);
             if next != Decision::Resend {
                 return false;
             }
-            let (shared, a) = (&self.shared, &mut self.request);
+            let (shared, request) = (&self.shared, &mut self.request);
             let began = shared.now();
-            let Ok(chosen) = pick_or_wait(shared, a, &self.handoff, &avoid, self.last_id).await
+            let Ok(chosen) =
+                pick_or_wait(shared, request, &self.attempts, &avoid, self.last_id).await
             else {
                 return false;
             };
             match start_run(
                 shared,
-                a,
-                &mut self.handoff,
+                request,
+                &mut self.attempts,
                 &mut avoid,
                 self.last_id,
                 chosen,
@@ -387,7 +401,7 @@
             .await
             {
                 Ok(run) => {
-                    self.adopt_run(why, run);
+                    self.adopt_run(reason, run);
                     return true;
                 }
                 Err(failed) => {
@@ -401,7 +415,7 @@
                     if outcome == SendOutcome::Lost {
                         let loss = BrokenRun::before_answer(&failed.upstream, began);
                         if loss::check_loss(&self.shared, &self.request, loss).await {
-                            self.handoff.record_lost();
+                            self.attempts.record_lost();
                         }
                     }
                     recovery::wait_for_budget(&self.shared, &self.request).await;
@@ -410,11 +424,12 @@
         }
     }
 
-    fn adopt_run(&mut self, why: &str, run: Run) {
+    /// Replaces the broken run by the one that continues the stream.
+    fn adopt_run(&mut self, reason: &str, run: Run) {
         let resumed = self.shared.metrics.repairs.with_label_values(&["resumed"]);
         resumed.inc();
         let fields = json!({
-            "why": why,
+            "why": reason,
             "last": self.last_id,
             "first": run.first_addr,
             "silent_ms": self.silent_ms(),
@@ -425,12 +440,12 @@
         self.restart_silence();
     }
 
-    /// Milliseconds since something came, or since the last repair.
+    /// Milliseconds since something arrived, or since the last repair.
     fn silent_ms(&self) -> u64 {
         (self.shared.now() - self.silence.last_event()).as_millis() as u64
     }
 
-    /// Counts the silence of the stream from now on.
+    /// Measures the stream's silence from now on.
     fn restart_silence(&mut self) {
         self.broke_at.get_or_insert(self.silence.last_event());
         self.silence.reset(self.shared.now());
--- a/crates/ashgauged/src/relay/forecast.rs
+++ b/crates/ashgauged/src/relay/forecast.rs
@@ -1,5 +1,5 @@
-//! Forecasts of first events: made for a chosen chain, used to tell engines that are busy
-//! from lost ones, and compared with what came.
+//! Forecasts of first events. They are made for a chosen chain, tell busy engines from lost
+//! ones, and are compared with the actual times.
 
 use std::time::Duration;
 
@@ -12,48 +12,52 @@
 use super::request::AdmittedRequest;
 use super::shared_state::SharedState;
 
-/// What is expected of a stream on its chain.
+/// Forecast for a stream on its chain.
 #[derive(Clone, Copy)]
 pub struct Estimate {
-    /// What follows from the load of the engines.
+    /// Forecast from the load of the engines.
     forecast: Forecast,
-    /// Time to the first event, corrected by what was learned of the service.
-    pub first: Duration,
+    /// Time to the first event, corrected by the service's calibration.
+    pub first_event: Duration,
     /// When the chain was chosen.
     made_at: Duration,
 }
 
 impl Estimate {
-    /// Silence before the first event after which the engines are checked, `least` at the
-    /// least.
-    pub fn silence_limit(&self, least: Duration) -> Duration {
-        forecast::check_delay(self.first, least, MAX_SILENCE)
+    /// Silence before the first event after which the engines are checked; at least
+    /// `min_wait`.
+    pub fn silence_limit(&self, min_wait: Duration) -> Duration {
+        forecast::check_delay(self.first_event, min_wait, MAX_SILENCE)
     }
 }
 
-/// Forecasts a request on a chain that it is not counted on yet, if its service lets
-/// streams in by their class.
-pub fn estimate(shared: &SharedState, a: &AdmittedRequest, stages: &[Stage]) -> Option<Estimate> {
-    a.class?;
-    let (service, prompt) = (&a.service.name, a.client_request.prompt_tokens);
-    let model = a.service.model.as_ref()?;
+/// Forecasts a request on a chain that it is not counted on yet, if its service admits
+/// streams by class.
+pub fn estimate(
+    shared: &SharedState,
+    request: &AdmittedRequest,
+    stages: &[Stage],
+) -> Option<Estimate> {
+    request.class?;
+    let (service, prompt) = (&request.service.name, request.client_request.prompt_tokens);
+    let model = request.service.model.as_ref()?;
     let forecast = shared.forecast(service, model, stages, prompt);
     let calibrations = shared.calibrations.borrow();
     let calibration = calibrations.get(service).copied().unwrap_or_default();
-    let first = calibration.apply(forecast.first_event);
+    let first_event = calibration.apply(forecast.first_event);
     if prompt == 0 || forecast.is_capped() {
-        let fields = json!({"prompt": prompt, "forecast_ms": first.as_millis() as u64});
-        a.record.log_step("rough forecast", fields);
+        let fields = json!({"prompt": prompt, "forecast_ms": first_event.as_millis() as u64});
+        request.record.log_step("rough forecast", fields);
     }
     Some(Estimate {
         forecast,
-        first,
+        first_event,
         made_at: shared.now(),
     })
 }
 
-/// Learns from the first event of a stream of which nothing but the load of its chain
-/// decided when it came.
+/// Calibrates the forecasts of a service with the first event of a stream whose time
+/// depended only on the load of its chain.
 pub fn calibrate(shared: &SharedState, service: &ServiceId, estimate: &Estimate, now: Duration) {
     let actual = now.saturating_sub(estimate.made_at);
     let Some(ratio) = estimate.forecast.ratio(actual) else {
--- a/crates/ashgauged/src/relay/request.rs
+++ b/crates/ashgauged/src/relay/request.rs
@@ -1,5 +1,5 @@
-//! A request that was let in, and what the modules that serve it share: how it
-//! counts on its upstreams, what came of its sends, the box's own answers.
+//! Requests that were accepted, and what the modules that handle them share: their load on
+//! upstreams, the outcomes of their sends, and the box's own responses.
 
 use std::ops::Range;
 use std::rc::Rc;
@@ -32,84 +32,85 @@
 use super::shared_state::SharedState;
 use super::shedding::Admission;
 
-/// When to come back to a box that does not know its configuration.
+/// Retry delay that callers of a box without a current configuration are given.
 pub const RETRY_AFTER_UNSYNCED: Duration = Duration::from_millis(1000);
 
-/// The same for a box that has just started: nine of ten are informed 0.56 s
-/// after their start where 295 start together.
+/// Retry delay that callers of a box that has just started are given. Where 295 boxes start
+/// together, nine in ten are synced 0.56 s after their start.
 const RETRY_AFTER_START: Duration = Duration::from_millis(300);
 
-/// How long after its start a box counts as just started.
+/// Time since its start for which a box counts as just started.
 const START_PERIOD: Duration = Duration::from_millis(1500);
 
-/// When to come back if no upstream can take the request.
+/// Retry delay if no upstream can take the request.
 pub const RETRY_AFTER_FULL: Duration = Duration::from_millis(400);
 
-/// When to come back if the engines have no room, at random so that callers do
-/// not return together: about as long as requests stay on the engines.
+/// Retry delay if the engines have no capacity: about as long as requests run on the
+/// engines, and random, so that callers do not return together.
 const RETRY_AFTER_NO_CAPACITY: Range<Duration> =
     Duration::from_millis(1500)..Duration::from_millis(4500);
 
-/// A request with less than this part of its route's time left may have been made before.
+/// Share of a route's timeout; a request with less time left may be a retry.
 const FIRST_TRY_SHARE: f64 = 0.97;
 
-/// An upstream's whole answer.
+/// Complete response of an upstream.
 pub type FullResponse = Response<Bytes>;
 
-/// A request that was let in.
+/// A request with its route, service and team.
 pub struct AdmittedRequest {
-    /// The request's head, as the caller sent it.
+    /// Head of the request, as the caller sent it.
     pub head: request::Parts,
-    /// What the head says.
+    /// Fields that were parsed from the head.
     pub client_request: ClientRequest,
-    /// Its body.
+    /// Body of the request.
     pub body: Bytes,
-    /// Tells repeats of it from other requests.
+    /// Digest that tells repeats of the request from other requests.
     pub digest: Digest,
-    /// Its route.
+    /// Route that the request matched.
     pub route: Arc<Route>,
-    /// The service that it goes to.
+    /// Service that the request goes to.
     pub service: Arc<Service>,
-    /// The key's team.
+    /// Team that the key belongs to.
     pub team: Option<Arc<Team>>,
-    /// Its priority class, if the service lets requests in by those.
+    /// Priority class, if the service admits requests by class.
     pub class: Option<Class>,
-    /// Counts it among what was let in, if so.
+    /// Counts the request among the admitted ones, if it was admitted by class.
     pub admission: Option<Admission>,
-    /// What it came to.
+    /// Log lines and metrics of the request.
     pub record: Record,
 }
 
 impl AdmittedRequest {
-    /// The request's rank: the team's, else the route's; where requests are let in by
-    /// their class, the order of that.
+    /// Rank of the request: the priority of its class if the service admits requests by
+    /// class, else the rank of its team, else that of its route.
     pub fn rank(&self, shared: &SharedState) -> u32 {
         let routing = shared.routing();
-        let ranks = routing.priorities(&self.service.name);
-        if let (Some(class), Some(ranks)) = (self.class, ranks) {
-            return ranks.priority(class);
+        let priorities = routing.priorities(&self.service.name);
+        if let (Some(class), Some(priorities)) = (self.class, priorities) {
+            return priorities.priority(class);
         }
-        let team = self.team.as_ref().and_then(|t| t.priority);
-        team.unwrap_or(self.route.priority)
+        let team_rank = self.team.as_ref().and_then(|t| t.priority);
+        team_rank.unwrap_or(self.route.priority)
     }
 
-    /// Whether its caller may come back: a part of the route's time is gone.
+    /// Whether the request may be a retry: part of the route's timeout has passed.
     pub fn may_be_retry(&self) -> bool {
         let timeout = self.route.timeout;
         self.client_request.timeout.unwrap_or(timeout) < timeout.mul_f64(FIRST_TRY_SHARE)
     }
 
-    /// Whether its caller made it before: more time is gone than callers' own limits take.
+    /// Whether the request is a retry: more time has passed than callers' own limits
+    /// account for.
     pub fn is_retry(&self) -> bool {
         let timeout = self.route.timeout;
         slack::is_retry(self.client_request.timeout.unwrap_or(timeout), timeout)
     }
 
-    /// How the request stands against its aim, at its arrival.
+    /// Slack of the request against its target latency, at its arrival.
     pub fn slack(&self) -> Slack {
         let timeout = self.route.timeout;
-        let patience = self.client_request.timeout.unwrap_or(timeout);
-        Slack::before_first_event(patience, timeout, self.route.target_latency)
+        let caller_timeout = self.client_request.timeout.unwrap_or(timeout);
+        Slack::before_first_event(caller_timeout, timeout, self.route.target_latency)
     }
 
     /// Tokens that the request holds at its end.
@@ -119,8 +120,8 @@
             .saturating_add(self.client_request.answer_tokens)
     }
 
-    /// Tokens that the request holds on the average of its time: its prompt and
-    /// half of its answer.
+    /// Mean number of tokens that the request holds while it runs: its prompt and half of
+    /// its answer.
     pub fn mean_tokens(&self) -> u32 {
         self.client_request
             .prompt_tokens
@@ -128,8 +129,13 @@
     }
 }
 
-/// Notes a send that brought no good answer.
-pub fn note_outcome(shared: &SharedState, a: &AdmittedRequest, id: &str, outcome: SendOutcome) {
+/// Records a send that brought no successful answer.
+pub fn note_outcome(
+    shared: &SharedState,
+    request: &AdmittedRequest,
+    id: &str,
+    outcome: SendOutcome,
+) {
     let label = match outcome {
         SendOutcome::NotSent => "not sent",
         SendOutcome::NotRun => "not run",
@@ -137,13 +143,14 @@
         SendOutcome::Lost => "lost",
     };
     shared.metrics.sends.with_label_values(&[label]).inc();
-    a.record
+    request
+        .record
         .log_step("not answered", json!({"upstream": id, "outcome": label}));
     match outcome {
         SendOutcome::NotSent => shared.mark_suspect(id, "no connection"),
         SendOutcome::NotRun => {}
-        // Which engine of a chain was lost is looked into where it is seen.
-        SendOutcome::Lost if a.route.stream.is_some() => {}
+        // Which engine of a chain was lost is determined where the loss is seen.
+        SendOutcome::Lost if request.route.stream.is_some() => {}
         SendOutcome::Failed | SendOutcome::Lost => {
             let now = shared.now();
             shared.registry.borrow_mut().record_failure(now, id);
@@ -151,51 +158,51 @@
     }
 }
 
-/// Whether the request's key still counts, checked in the moment of sending.
-pub fn is_authorized(shared: &SharedState, a: &AdmittedRequest) -> bool {
-    if a.team.is_none() {
+/// Whether the request's key is still valid; checked at the moment of sending.
+pub fn is_authorized(shared: &SharedState, request: &AdmittedRequest) -> bool {
+    if request.team.is_none() {
         return true;
     }
     let routing = shared.routing.borrow();
-    let access = routing.authorize(&a.route, a.client_request.key.as_deref());
+    let access = routing.authorize(&request.route, request.client_request.key.as_deref());
     shared.freshness.borrow().is_fresh(shared.now()) && matches!(access, Access::Team(_))
 }
 
-/// Whether the request is held back, as it ends the upstreams that run it.
-pub fn is_quarantined(shared: &SharedState, a: &AdmittedRequest) -> bool {
+/// Whether the request is quarantined because it crashes the upstreams that run it.
+pub fn is_quarantined(shared: &SharedState, request: &AdmittedRequest) -> bool {
     let quarantine = shared.quarantine.borrow();
-    quarantine.time_left(shared.now(), a.digest).is_some()
+    quarantine.time_left(shared.now(), request.digest).is_some()
 }
 
-/// Learns from a refusal of an upstream, or of an engine that it names;
-/// returns whose it was.
+/// Learns from a refusal by an upstream, or by an engine that it names. Returns the one
+/// that refused.
 ///
-/// An engine of a chain that is dead is named in the same way as one that has
-/// no room, so one that another engine names is checked.
+/// A dead engine of a chain is named in the same way as one without capacity, so an engine
+/// that another one names is checked.
 pub fn apply_refusal(
     shared: &Rc<SharedState>,
     upstream: &UpstreamId,
     verdict: Verdict,
 ) -> UpstreamId {
-    let (Verdict::Full(at) | Verdict::Stale(at)) = &verdict else {
+    let (Verdict::Full(addr) | Verdict::Stale(addr)) = &verdict else {
         return upstream.clone();
     };
     let mut registry = shared.registry.borrow_mut();
-    let named = at.as_ref().and_then(|addr| registry.by_addr(addr));
+    let named = addr.as_ref().and_then(|addr| registry.by_addr(addr));
     let id = named.map_or(upstream, |e| &e.upstream.id).clone();
     match &verdict {
         Verdict::Stale(_) => registry.note_stale(shared.now(), &id),
         _ => registry.note_full(shared.now(), &id),
     }
     drop(registry);
-    let fullness = shared.fullness(&id);
-    if let (Verdict::Full(_), Some(fullness)) = (&verdict, fullness) {
-        shared.note_full_refusal(&id, fullness);
+    let utilization = shared.memory_utilization(&id);
+    if let (Verdict::Full(_), Some(utilization)) = (&verdict, utilization) {
+        shared.note_full_refusal(&id, utilization);
     }
     let fields = json!({
         "upstream": &*id,
         "verdict": format!("{verdict:?}"),
-        "fullness": fullness,
+        "fullness": utilization,
         "boxes_heard": shared.fleet_load.borrow().boxes(),
     });
     log::event(Level::Info, "request", "refused", fields);
@@ -213,16 +220,24 @@
     }
 }
 
-/// Ends a request with the box's own answer.
-pub fn finish(shared: &SharedState, mut a: AdmittedRequest, end: FailureKind) -> Response<Body> {
-    let sure = is_authorized(shared, &a);
-    let (what, status, after) = match end {
-        FailureKind::NotRun if sure => {
-            // Whoever comes back earlier is refused once more.
-            let after = permit::retry_after(shared, &a.service);
-            let after = after.or_else(|| shared.backoff_left(&a.service));
-            let after = after.unwrap_or(RETRY_AFTER_FULL);
-            ("not run", StatusCode::SERVICE_UNAVAILABLE, Some(after))
+/// Ends a request with the box's own response.
+pub fn finish(
+    shared: &SharedState,
+    mut request: AdmittedRequest,
+    end: FailureKind,
+) -> Response<Body> {
+    let is_authorized = is_authorized(shared, &request);
+    let (reason, status, retry_after) = match end {
+        FailureKind::NotRun if is_authorized => {
+            // A caller that returns earlier is refused once more.
+            let retry_after = permit::retry_after(shared, &request.service);
+            let retry_after = retry_after.or_else(|| shared.backoff_left(&request.service));
+            let retry_after = retry_after.unwrap_or(RETRY_AFTER_FULL);
+            (
+                "not run",
+                StatusCode::SERVICE_UNAVAILABLE,
+                Some(retry_after),
+            )
         }
         FailureKind::NotRun => (
             "unsure",
@@ -232,69 +247,77 @@
         FailureKind::Unknown => ("unknown", StatusCode::BAD_GATEWAY, None),
         FailureKind::DeadlineExceeded => ("late", StatusCode::GATEWAY_TIMEOUT, None),
     };
-    a.record.end(what);
-    own_response(status, Some(&a.client_request), after)
+    request.record.end(reason);
+    own_response(status, Some(&request.client_request), retry_after)
 }
 
-/// Ends a request for which the engines have no room, and says when they may
-/// have some.
-pub fn refuse_no_capacity(shared: &SharedState, mut a: AdmittedRequest) -> Response<Body> {
-    let after = permit::retry_after(shared, &a.service);
-    let after = after.unwrap_or_else(|| shared.rng().random_range(RETRY_AFTER_NO_CAPACITY));
-    a.record.end("no room");
+/// Refuses a request that the engines have no capacity for, and says when they may have
+/// some.
+pub fn refuse_no_capacity(shared: &SharedState, mut request: AdmittedRequest) -> Response<Body> {
+    let retry_after = permit::retry_after(shared, &request.service);
+    let retry_after =
+        retry_after.unwrap_or_else(|| shared.rng().random_range(RETRY_AFTER_NO_CAPACITY));
+    request.record.end("no room");
     own_response(
         StatusCode::SERVICE_UNAVAILABLE,
-        Some(&a.client_request),
-        Some(after),
+        Some(&request.client_request),
+        Some(retry_after),
     )
 }
 
-/// Ends a request for which there is no time at the engines, and says when there may be.
-pub fn refuse_overload(mut a: AdmittedRequest, after: Duration) -> Response<Body> {
-    a.record.end("overload");
+/// Refuses a request that the engines have no time for, and says when they may have some.
+pub fn refuse_overload(mut request: AdmittedRequest, retry_after: Duration) -> Response<Body> {
+    request.record.end("overload");
     own_response(
         StatusCode::SERVICE_UNAVAILABLE,
-        Some(&a.client_request),
-        Some(after),
+        Some(&request.client_request),
+        Some(retry_after),
     )
 }
 
-/// Ends a request that is held back. Its caller is told that it has not run, and
-/// when it is tried again, unless it may have run.
+/// Refuses a quarantined request. Unless it may have run, its caller is told that it has
+/// not run and when to try again.
 pub fn refuse_quarantined(
     shared: &SharedState,
-    mut a: AdmittedRequest,
+    mut request: AdmittedRequest,
     may_have_run: bool,
 ) -> Response<Body> {
-    a.record.end("held back");
+    request.record.end("held back");
     if may_have_run {
-        return own_response(StatusCode::BAD_GATEWAY, Some(&a.client_request), None);
+        return own_response(StatusCode::BAD_GATEWAY, Some(&request.client_request), None);
     }
-    let left = shared.quarantine.borrow().time_left(shared.now(), a.digest);
-    let after = left.unwrap_or(RETRY_AFTER_FULL);
+    let left = shared
+        .quarantine
+        .borrow()
+        .time_left(shared.now(), request.digest);
+    let retry_after = left.unwrap_or(RETRY_AFTER_FULL);
     own_response(
         StatusCode::SERVICE_UNAVAILABLE,
-        Some(&a.client_request),
-        Some(after),
+        Some(&request.client_request),
+        Some(retry_after),
     )
 }
 
-/// The box's own answer.
+/// Builds a response of the box itself.
 pub fn own_response(
     status: StatusCode,
-    ask: Option<&ClientRequest>,
-    after: Option<Duration>,
+    client_request: Option<&ClientRequest>,
+    retry_after: Option<Duration>,
 ) -> Response<Body> {
-    let answer = ingress::local_response(status, ask.map(|a| a.id.as_str()), after);
+    let answer = ingress::local_response(
+        status,
+        client_request.map(|request| request.id.as_str()),
+        retry_after,
+    );
     answer.map(|()| Empty::new().map_err(|e| match e {}).boxed_unsync())
 }
 
-/// An upstream's whole answer for the caller.
+/// Builds the response for the caller from an upstream's complete response.
 pub fn upstream_response(answer: FullResponse) -> Response<Body> {
     answer.map(|body| Full::new(body).map_err(|e| match e {}).boxed_unsync())
 }
 
-/// When to come back to a box that does not know enough.
+/// Retry delay of a box that does not know enough to serve.
 pub fn unsynced_retry_after(shared: &SharedState) -> Duration {
     match shared.uptime() < START_PERIOD {
         true => RETRY_AFTER_START,
@@ -302,40 +325,40 @@
     }
 }
 
-/// Counts a request on its upstreams, the first of which it was sent to, until
-/// it is dropped.
+/// Counts a request as load on its upstreams until it is dropped. The first upstream is the
+/// one that the request was sent to.
 pub struct LoadGuard {
     shared: Rc<SharedState>,
-    /// Upstreams, with the memory that the request holds on each, in tokens
-    /// times layers.
+    /// Upstreams, with the memory that the request holds on each one, in tokens times
+    /// layers.
     upstreams: Vec<(UpstreamId, u64)>,
 }
 
 impl LoadGuard {
-    /// Counts a request of so many tokens on the engines of a chain.
+    /// Counts a request of `tokens` tokens on the engines of a chain.
     pub fn for_chain(shared: &Rc<SharedState>, stages: &[Stage], tokens: u32) -> Self {
         let memory = |s: &Stage| u64::from(tokens) * u64::from(s.end - s.first);
-        let parts = stages.iter().map(|s| (s.upstream.clone(), memory(s)));
-        LoadGuard::new(shared, parts.collect())
+        let upstreams = stages.iter().map(|s| (s.upstream.clone(), memory(s)));
+        LoadGuard::new(shared, upstreams.collect())
     }
 
-    /// Counts a request on a plain service's upstream.
+    /// Counts a request on a single upstream.
     pub fn for_upstream(shared: &Rc<SharedState>, id: &UpstreamId) -> Self {
         LoadGuard::new(shared, vec![(id.clone(), 0)])
     }
 
-    fn new(shared: &Rc<SharedState>, parts: Vec<(UpstreamId, u64)>) -> Self {
+    fn new(shared: &Rc<SharedState>, upstreams: Vec<(UpstreamId, u64)>) -> Self {
         let mut registry = shared.registry.borrow_mut();
-        parts
+        upstreams
             .iter()
             .for_each(|(id, memory)| registry.begin_request(id, *memory));
-        if let Some((first, _)) = parts.first() {
+        if let Some((first, _)) = upstreams.first() {
             registry.begin_head(first);
         }
         drop(registry);
         LoadGuard {
             shared: shared.clone(),
-            upstreams: parts,
+            upstreams,
         }
     }
 }
--- a/crates/ashgauged/src/relay/serve.rs
+++ b/crates/ashgauged/src/relay/serve.rs
@@ -1,4 +1,4 @@
-//! Connections from callers.
+//! Servers of the box: callers' connections, readiness and metrics.
 
 use std::cell::Cell;
 use std::convert::Infallible;
@@ -25,25 +25,25 @@
 use super::shared_state::SharedState;
 use super::{forward, levels, log, status};
 
-/// Pause after a connection could not be accepted, which mostly means that
-/// the descriptors are used up.
+/// Delay after a connection could not be accepted, mostly because the process has run out
+/// of file descriptors.
 const ACCEPT_RETRY_DELAY: Duration = Duration::from_millis(20);
 
-/// Longest time for one request on a connection. Requests have limits of their
-/// own, far below; this ends connections whose callers never read.
+/// Longest time for one request on a connection. Requests have their own limits, far below
+/// this one; it closes the connections of callers that never read.
 const MAX_REQUEST_TIME: Duration = Duration::from_secs(600);
 
-/// Path of the box's view of the fleet, on the metrics' port.
+/// Path of the box's status, on the metrics port.
 const STATUS_PATH: &str = "/status";
 
-/// Least size of hyper's buffer for a head.
+/// Smallest size of hyper's buffer for a head.
 const MIN_BUFFER_BYTES: usize = 8192;
 
-/// Body of an answer.
+/// Body of a response.
 pub type Body = UnsyncBoxBody<Bytes, AbortedBody>;
 
-/// The answer cannot be brought to its end; the connection must break so that
-/// it does not look whole.
+/// Error of a response body that cannot be completed. It breaks the connection, so that the
+/// response does not look complete.
 #[derive(Debug)]
 pub struct AbortedBody;
 
@@ -71,7 +71,7 @@
     }
 }
 
-/// Answers the balancer's question on a port of its own.
+/// Answers the load balancer's readiness checks on a port of their own.
 pub async fn serve_readiness(shared: Rc<SharedState>, listener: TcpListener) {
     serve_text(listener, move |_| {
         let status = match shared.is_ready() {
@@ -83,7 +83,7 @@
     .await;
 }
 
-/// Serves the metrics, and the box's view of the fleet under `/status`.
+/// Serves the metrics, and the box's status under `/status`.
 pub async fn serve_metrics(shared: Rc<SharedState>, listener: TcpListener) {
     serve_text(listener, move |request| {
         if request.uri().path() == STATUS_PATH {
@@ -97,6 +97,7 @@
     .await;
 }
 
+/// Serves responses of plain text as long as the process runs.
 async fn serve_text(
     listener: TcpListener,
     answer: impl Fn(Request<Incoming>) -> (StatusCode, String) + 'static,
@@ -109,13 +110,13 @@
         };
         let answer = answer.clone();
         let service = service_fn(move |request| {
-            let (status, text) = answer(request);
-            let mut response = Response::new(http::Full::new(Bytes::from(text)));
+            let (status, body) = answer(request);
+            let mut response = Response::new(http::Full::new(Bytes::from(body)));
             *response.status_mut() = status;
             async move { Ok::<_, Infallible>(response) }
         });
         tokio::task::spawn_local(async move {
-            // Whoever asked may be gone; it asks again.
+            // The client may be gone; it asks again.
             let _ = http1::Builder::new()
                 .serve_connection(TokioIo::new(stream), service)
                 .await;
@@ -123,21 +124,23 @@
     }
 }
 
-/// What a connection is doing, for its time limits.
+/// Phase of a connection; each one has its own time limit.
 #[derive(Clone, Copy, PartialEq)]
 enum Phase {
     /// No request has begun.
     Idle,
-    /// A part of a head has come.
+    /// Part of a head has arrived.
     Head,
-    /// A request is being answered.
+    /// A request is being handled.
     Busy,
 }
 
+/// Phase of a connection, and when it began.
 struct ConnectionActivity {
     phase: Cell<Phase>,
     since: Cell<Instant>,
-    /// Tells that a head has begun, which may take less time than a rest.
+    /// Notifies that a head has begun, whose time limit may be shorter than that of an idle
+    /// connection.
     head_begun: Notify,
 }
 
@@ -148,8 +151,9 @@
     }
 }
 
+/// Serves one connection until it ends or a phase exceeds its time limit.
 async fn serve_connection(shared: Rc<SharedState>, stream: TcpStream) {
-    // Without it small events come later, and nothing else changes.
+    // Without `TCP_NODELAY`, small events arrive later; nothing else changes.
     let _ = stream.set_nodelay(true);
     let activity = Rc::new(ConnectionActivity {
         phase: Cell::new(Phase::Idle),
@@ -160,11 +164,11 @@
         inner: TokioIo::new(stream),
         activity: activity.clone(),
     };
-    let bounds = shared.routing().client_limits;
-    let (state, active) = (shared.clone(), activity.clone());
+    let limits = shared.routing().client_limits;
+    let (state, shared_activity) = (shared.clone(), activity.clone());
     let service = service_fn(move |request| {
-        active.set(Phase::Busy);
-        let busy = RequestGuard::new(&state, &active);
+        shared_activity.set(Phase::Busy);
+        let guard = RequestGuard::new(&state, &shared_activity);
         let shared = state.clone();
         async move {
             let mut response = forward::handle(shared.clone(), request).await;
@@ -172,19 +176,22 @@
                 let close = HeaderValue::from_static("close");
                 response.headers_mut().insert(CONNECTION, close);
             }
-            let response = response.map(|body| TrackedBody { body, _busy: busy });
+            let response = response.map(|body| TrackedBody {
+                body,
+                _guard: guard,
+            });
             Ok::<_, Infallible>(response)
         }
     });
     let serving = http1::Builder::new()
-        .max_buf_size(bounds.header_bytes.max(MIN_BUFFER_BYTES))
+        .max_buf_size(limits.header_bytes.max(MIN_BUFFER_BYTES))
         .half_close(false)
         .serve_connection(io, service);
     tokio::pin!(serving);
     loop {
         let until = deadline(&shared, &activity);
         tokio::select! {
-            // The caller sees its connection end; there is nobody to tell.
+            // The caller sees its connection end; nobody else has to be told.
             _ = serving.as_mut() => return,
             () = activity.head_begun.notified() => {}
             () = sleep_until(until) => {
@@ -196,13 +203,13 @@
     }
 }
 
-/// When the connection has used up the time for what it is doing.
+/// When the time limit of the connection's current phase ends.
 fn deadline(shared: &SharedState, activity: &ConnectionActivity) -> Instant {
-    let bounds = shared.routing().client_limits;
+    let limits = shared.routing().client_limits;
     let since = activity.since.get();
     match activity.phase.get() {
-        Phase::Idle => since + bounds.idle_timeout,
-        Phase::Head => since + bounds.header_timeout,
+        Phase::Idle => since + limits.idle_timeout,
+        Phase::Head => since + limits.header_timeout,
         Phase::Busy => since + MAX_REQUEST_TIME,
     }
 }
@@ -220,8 +227,8 @@
         buf: ReadBufCursor<'_>,
     ) -> Poll<std::io::Result<()>> {
         let polled = Pin::new(&mut self.inner).poll_read(cx, buf);
-        let idle = self.activity.phase.get() == Phase::Idle;
-        if idle && matches!(polled, Poll::Ready(Ok(()))) {
+        let is_idle = self.activity.phase.get() == Phase::Idle;
+        if is_idle && matches!(polled, Poll::Ready(Ok(()))) {
             self.activity.set(Phase::Head);
             self.activity.head_begun.notify_one();
         }
@@ -259,7 +266,7 @@
     }
 }
 
-/// Counts a request from its head until its whole answer is in hyper's hands.
+/// Counts a request as in flight from its head until hyper has its whole response.
 struct RequestGuard {
     shared: Rc<SharedState>,
     activity: Rc<ConnectionActivity>,
@@ -282,10 +289,10 @@
     }
 }
 
-/// An answer's body; the connection rests once it is dropped.
+/// Body of a response. The connection is idle again once it is dropped.
 struct TrackedBody {
     body: Body,
-    _busy: RequestGuard,
+    _guard: RequestGuard,
 }
 
 impl HttpBody for TrackedBody {
