--- a/crates/ashgauge/src/node/admit.rs
+++ b/crates/ashgauge/src/node/admit.rs
@@ -1,4 +1,4 @@
-//! A request's way in: checks, claim, queue, and its way out.
+//! Admission of requests (checks, queue, deadlines) and their end.
 
 use std::time::Duration;
 
@@ -7,20 +7,22 @@
 use crate::queue::Job;
 use crate::upstream_stats::DurationEstimate;
 
-/// Time to come back after, when nothing better is known.
+/// Default `retry_after` of refusals.
 const RETRY_AFTER: Duration = Duration::from_secs(1);
 
-/// How long a key's home box may take before the asker turns elsewhere.
+/// Time that the box that owns a key may take to answer before the claim is made on this
+/// box.
 const HOME_TIMEOUT: Duration = Duration::from_millis(400);
 
-/// Longest key that is stored, in bytes.
+/// Maximum length of an idempotency key, in bytes.
 const MAX_KEY_BYTES: usize = 128;
 
-/// Factor on an expected wait, which is only an estimate, before a request is
-/// taken in: one that would be given up later is better refused at once.
+/// Factor on the expected wait of a request when it is checked against its deadline on
+/// arrival. The wait is only an estimate, and a request that would be given up later is
+/// better refused at once.
 const WAIT_MARGIN: f64 = 2.0;
 
-/// Cost of a service call in the queue, in tokens.
+/// Cost of a service call in queues and rate limits, in tokens.
 const CALL_COST_TOKENS: f64 = 100.0;
 
 impl Node {
@@ -49,7 +51,8 @@
         self.close_request(id, outcome, "gone");
     }
 
-    /// Ends requests whose deadline has passed, and turns from a slow home.
+    /// Refuses requests whose deadline has passed or cannot be met, and makes a claim on
+    /// this box if the box that owns the key is slow to answer.
     pub(super) fn expire_requests(&mut self) {
         let now = self.now;
         let late = self.requests.iter().filter(|(_, r)| r.deadline <= now);
@@ -69,7 +72,7 @@
         }
     }
 
-    /// Refuses what still waits and could no longer end in time.
+    /// Refuses waiting requests that could no longer end before their deadline.
     fn refuse_late(&mut self) {
         let hopeless = |r: &Request| {
             let waits = matches!(r.phase, Phase::Waiting) && !r.maybe_ran;
@@ -83,7 +86,7 @@
         }
     }
 
-    /// Gives a request its final answer without a result.
+    /// Ends a request with a refusal. The outcome depends on whether it may have run.
     pub(super) fn refuse(
         &mut self,
         id: RequestId,
@@ -98,7 +101,7 @@
         self.refuse_with(id, kind, outcome, message, retry_after);
     }
 
-    /// As [`Node::refuse`], with the outcome given.
+    /// Ends a request with a refusal and the given outcome.
     pub(super) fn refuse_with(
         &mut self,
         id: RequestId,
@@ -112,7 +115,7 @@
         self.close_request(id, outcome, &format!("{kind:?}"));
     }
 
-    /// Forgets a request and gives back all it held.
+    /// Removes a request and releases its upstreams, place in the queue and claim.
     pub(super) fn close_request(&mut self, id: RequestId, outcome: Outcome, kind: &str) {
         let Some(mut request) = self.requests.remove(&id) else {
             return;
@@ -228,7 +231,8 @@
         Ok(request)
     }
 
-    /// Refuses a request that would wait in vain.
+    /// Refuses a request that no upstream can serve, whose team's queue is full, or whose
+    /// wait would pass its deadline.
     fn check_capacity(&mut self, request: &Request) -> std::result::Result<(), Refusal> {
         let no = |kind, message: &str, after| refusal(kind, Outcome::NotRun, message, Some(after));
         if !self.is_servable(&request.route) {
@@ -237,7 +241,7 @@
         }
         let team = &request.team;
         if team.token_rate.is_some() {
-            // Refused requests are demand too, else loans would shrink with
+            // Refused requests count as demand too; otherwise loans would shrink with
             // every refusal.
             self.set_share(&team.id);
             self.rate_limits
@@ -277,7 +281,8 @@
         Ok(())
     }
 
-    /// Time that a request will run, as far as others of its route tell.
+    /// Returns the expected run time of a request, from earlier requests of its route;
+    /// zero if there were none.
     pub(super) fn expected_run(&self, request: &Request) -> Duration {
         let pace = self
             .token_times
@@ -286,7 +291,7 @@
         Duration::from_secs_f64(pace * f64::from(request.tokens_left()))
     }
 
-    /// Learns from a request that ran to its end.
+    /// Updates the route's time per token from a request that ran to its end.
     pub(super) fn learn_token_time(&mut self, id: RequestId) {
         let Some(request) = self.requests.get(&id) else {
             return;
@@ -334,7 +339,8 @@
         }
     }
 
-    /// Corrects queue and limit once the true number of tokens is known.
+    /// Corrects the cost charged to the queue and the team's rate once the actual number
+    /// of tokens is known.
     fn settle_cost(&mut self, request: &Request) {
         let Work::Generate { prompt, .. } = &request.incoming.work else {
             return;
--- a/crates/ashgauge/src/node/call.rs
+++ b/crates/ashgauge/src/node/call.rs
@@ -1,4 +1,4 @@
-//! One request's call of a plain service.
+//! Calls of services: choice of the upstream, answers, failures and retries.
 
 use std::time::Duration;
 
@@ -6,11 +6,12 @@
 use super::*;
 use crate::member::UpstreamId;
 
-/// Time to come back after a call that failed.
+/// `retry_after` of refusals after a failed call.
 const RETRY_AFTER: Duration = Duration::from_secs(1);
 
 impl Node {
-    /// Chooses the service with the least held work, if one has room.
+    /// Chooses the upstream of a service with the fewest requests of this box in flight,
+    /// if any has room. Upstreams with equal numbers are chosen in rotation.
     pub(super) fn choose_service(&mut self, route: &str) -> Option<UpstreamId> {
         let now = self.now;
         let open = |u: &&crate::member::UpstreamEntry| {
@@ -108,7 +109,8 @@
         self.retry_call(id, ran);
     }
 
-    /// Sends a failed call elsewhere if that is allowed; else ends it.
+    /// Retries a failed call if that is allowed; otherwise ends the request. `ran` tells
+    /// whether the failed call may have run.
     fn retry_call(&mut self, id: RequestId, ran: bool) {
         let Some(request) = self.requests.get_mut(&id) else {
             return;
--- a/crates/ashgauge/src/node/claims.rs
+++ b/crates/ashgauge/src/node/claims.rs
@@ -1,4 +1,4 @@
-//! Requests with a key that may not be repeated: their claims.
+//! Claims on idempotency keys, for requests that may not be repeated.
 
 use std::time::Duration;
 
@@ -6,11 +6,12 @@
 use crate::claim::{ClaimResult, ClaimState};
 use crate::message::Message;
 
-/// Time to come back after a claim that could not be made.
+/// `retry_after` of refusals after a claim that could not be made.
 const RETRY_AFTER: Duration = Duration::from_secs(1);
 
 impl Node {
-    /// Takes a claim's verdict, from this box's shards or the key's home.
+    /// Handles the result of a claim, from this box's shards or from the box that owns
+    /// the key.
     pub(super) fn on_verdict(&mut self, claim: &str, verdict: ClaimResult) {
         let Some(id) = self.pending_claims.remove(claim) else {
             return self.free_abandoned(claim, &verdict);
@@ -40,7 +41,7 @@
         }
     }
 
-    /// Asks this box's own claims, after the key's home failed.
+    /// Makes a claim on this box, after the box that owns the key failed.
     pub(super) fn claim_locally(&mut self, id: RequestId) {
         let Some(request) = self.requests.get_mut(&id) else {
             return;
@@ -49,7 +50,8 @@
         else {
             return;
         };
-        // A new name: the home may yet release what was asked under the old.
+        // The claim gets a new id, as the owner may still release a claim under the old
+        // one.
         let new = format!("{}+", claim.id);
         let old = std::mem::replace(&mut claim.id, new);
         let (name, key) = (claim.id.clone(), key.clone());
@@ -87,7 +89,7 @@
             let message = "the time in the idempotency key is still to come";
             return self.refuse(id, RefusalKind::BadKey, message, None);
         }
-        // Keys of different teams never meet.
+        // The team's id keeps keys of different teams apart.
         let key = format!("{}/{key}", request.team.id);
         let name = format!("{}.{id}", self.config.instance_id());
         let home = self
@@ -124,7 +126,8 @@
         let claim = request.claim.as_ref();
         let own = claim.is_some_and(|c| c.abandoned_ids.iter().any(|d| d == other));
         if own {
-            // This box gave that name up unsent, so the key can be set free.
+            // This box abandoned that claim before it sent a call, so the key can be
+            // released.
             let message = "the key's home box failed in the middle of the claim";
             return self.refuse(id, RefusalKind::PlatformDown, message, Some(RETRY_AFTER));
         }
@@ -139,7 +142,7 @@
         self.refuse_with(id, RefusalKind::KeyTaken, outcome, message, None);
     }
 
-    /// Sets a key free whose claim was granted after it was given up.
+    /// Releases a key whose claim was granted after it had been abandoned.
     pub(super) fn free_abandoned(&mut self, claim: &str, verdict: &ClaimResult) {
         if let Some((key, _)) = self.abandoned_claims.remove(claim)
             && *verdict == ClaimResult::Granted
--- a/crates/ashgauge/src/node/dispatch.rs
+++ b/crates/ashgauge/src/node/dispatch.rs
@@ -1,4 +1,4 @@
-//! Which waiting request starts next, and on which upstreams.
+//! Dispatch of waiting requests: which one starts next, and on which upstreams.
 
 use std::time::Duration;
 
@@ -7,15 +7,16 @@
 use crate::member::MemberState;
 use crate::policy::Target;
 
-/// Factor on the expected run time of a request before it is started: one that
-/// is cut by its deadline has cost its engines' time for nothing.
+/// Factor on the expected run time of a request when it is checked against its deadline
+/// before the start. A request that its deadline cuts off has used engine time for
+/// nothing.
 const RUN_MARGIN: f64 = 1.3;
 
-/// Time to come back after, when no upstream is there.
+/// `retry_after` of refusals when no upstream can serve a route or the route has changed.
 const RETRY_AFTER: Duration = Duration::from_secs(1);
 
 impl Node {
-    /// Starts waiting requests of every queue while there is room.
+    /// Starts waiting requests of all routes while upstreams have room.
     pub(super) fn dispatch_all(&mut self) {
         let busy = self.queues.iter().filter(|(_, q)| !q.is_empty());
         let routes: Vec<String> = busy.map(|(r, _)| r.clone()).collect();
@@ -24,7 +25,7 @@
         }
     }
 
-    /// Starts waiting requests of one route while there is room.
+    /// Starts waiting requests of one route while upstreams have room.
     pub(super) fn dispatch(&mut self, route: &str) {
         let Some(target) = self.policy.routes.get(route).map(|r| r.target.clone()) else {
             return self.refuse_unserved(route);
@@ -57,7 +58,7 @@
         }
     }
 
-    /// Refuses what waits for a route that no upstream serves any more.
+    /// Refuses the waiting requests of a route that no upstream can serve any more.
     pub(super) fn refuse_unserved(&mut self, route: &str) {
         if self.is_servable(route) {
             return;
@@ -71,13 +72,14 @@
         }
     }
 
-    /// Refuses a request whose route leads to something else by now.
+    /// Refuses a request whose route was changed to another kind of target while it
+    /// waited.
     pub(super) fn refuse_rerouted(&mut self, id: RequestId) {
         let message = "the route was changed while the request waited";
         self.refuse(id, RefusalKind::UnknownRoute, message, Some(RETRY_AFTER));
     }
 
-    /// Returns true if live upstreams could serve the route, busy or not.
+    /// Returns true if upstreams that are not leaving could serve the route, busy or not.
     pub(super) fn is_servable(&self, route: &str) -> bool {
         let now = self.now;
         match self.policy.routes.get(route).map(|r| &r.target) {
@@ -95,8 +97,9 @@
         }
     }
 
-    /// Takes the next request that may go, and that would end in time if each
-    /// token takes `pace` seconds; others wait for a quicker chain.
+    /// Pops the next request that its team's rate permits and that would end before its
+    /// deadline if each token takes `token_time` seconds. Others stay queued for a faster
+    /// chain. Requests that may have run are not checked against the deadline.
     pub(super) fn pop_request(&mut self, route: &str, pace: f64) -> Option<RequestId> {
         let queue = self.queues.get_mut(route)?;
         let (policy, limits) = (&self.policy, &mut self.rate_limits);
@@ -117,7 +120,8 @@
         Some(job.id)
     }
 
-    /// Puts a request back to the head of its queue, its cost unspent.
+    /// Puts a request back at the head of its queue and returns its cost to the team's
+    /// rate.
     pub(super) fn requeue(&mut self, id: RequestId) {
         let Some(request) = self.requests.get(&id) else {
             return;
@@ -130,9 +134,10 @@
         self.queues.entry(route).or_default().push_front(job);
     }
 
-    /// Chooses engines for `first..end` of a model.
+    /// Chooses a chain of engines for the layers `first..end` of a model.
     ///
-    /// `urgent` passes over the windows, for requests that already run.
+    /// `urgent` is for requests that already run: it ignores the windows of the engines
+    /// and leaves out the engine `lost`.
     pub(super) fn choose_stages(
         &mut self,
         model: &str,
@@ -172,8 +177,9 @@
     }
 }
 
-/// The plain baseline: of the engines that hold the next layer, take each in
-/// turn, and all that it holds.
+/// Chooses a chain round-robin, the baseline for [`Strategy::cheapest`]: of the engines
+/// that hold the next layer, it takes the one at index `turn` (modulo their number) and
+/// all following layers that it holds.
 fn round_robin(first: Layer, end: Layer, edges: &[Edge], turn: usize) -> Option<Vec<Stage>> {
     let mut stages = Vec::new();
     let mut at = first;
--- a/crates/ashgauge/src/node/mod.rs
+++ b/crates/ashgauge/src/node/mod.rs
@@ -1,4 +1,5 @@
-//! One box: takes events, keeps the parts in step, returns actions.
+//! State machine of one box. It takes events, updates its parts (queues, claims, table,
+//! lease and others) and returns the actions to perform. It does no I/O itself.
 
 mod admit;
 mod call;
@@ -40,59 +41,65 @@
 pub use status::{Stats, Status, UpstreamStatus};
 pub use types::*;
 
-/// Settings of one node.
+/// Settings of a [`Node`].
 #[derive(Clone, Debug)]
 pub struct Config {
     /// Name of the box.
     pub id: BoxId,
-    /// Differs with every start of the process.
+    /// Number that differs with every start of the process.
     pub incarnation: u64,
     /// Data centre of the box.
     pub data_centre: String,
-    /// Address of the box-to-box port, told to peers.
+    /// Address of the box-to-box port, as sent to peers.
     pub peer_addr: String,
-    /// Box-to-box addresses asked for the table if the platform is down.
+    /// Box-to-box addresses of peers that are asked for the table if the platform is down
+    /// at start.
     pub seeds: Vec<String>,
-    /// Milliseconds since 1970 at node time zero.
+    /// Unix time in milliseconds at the node's time zero.
     pub epoch_ms: u64,
-    /// Seed of all random choices.
+    /// Seed of the random number generator.
     pub seed: u64,
-    /// Most requests at one time, waiting ones included.
+    /// Maximum number of requests at one time, including waiting ones.
     pub max_requests: usize,
     /// Time between heartbeats.
     pub heartbeat_interval: Duration,
-    /// Boxes that each heartbeat goes to.
+    /// Number of boxes that each heartbeat is sent to.
     pub fanout: usize,
-    /// Least time before a silent stage counts as lost.
+    /// Minimum time without an answer before a stage counts as lost.
     pub stage_timeout: Duration,
-    /// Time before a silent service counts as lost, if a second try is allowed.
+    /// Time without an answer before a service call counts as lost. Applies only to
+    /// repeatable requests.
     pub call_timeout: Duration,
-    /// Stage inputs kept for one request, over all its stages.
+    /// Maximum number of stage inputs kept for one request, over all its stages. Beyond
+    /// it, inputs that only a replay would need are dropped.
     pub max_inputs: usize,
-    /// Second tries per first try, 0 to 1.
+    /// Retries per first attempt, 0 to 1.
     pub retry_share: f64,
-    /// How long a box may hear neither the platform nor a peer.
+    /// Time without contact to the platform and to any peer after which the box is not
+    /// ready.
     pub isolation_timeout: Duration,
-    /// Time to live of the lease for orders.
+    /// Time to live of the lease that permits a box to send orders to upstreams.
     pub lease_ttl: Duration,
-    /// Settings of the claims.
+    /// Settings of the claims on idempotency keys.
     pub claims: claim::Config,
-    /// Ways of deciding, for comparison with plain baselines.
+    /// Strategy for choice, queueing and recovery; for comparison with simple baselines.
     pub strategy: Strategy,
 }
 
-/// Ways of deciding. The default is what a fleet should run; the others are
-/// plain baselines to measure against.
+/// Strategy for choice, queueing, rate limits and recovery.
+///
+/// The default is for production. The alternatives are simple baselines to measure
+/// against.
 #[derive(Clone, Copy, Debug, Serialize, Deserialize)]
 #[serde(default, deny_unknown_fields)]
 pub struct Strategy {
-    /// Choose the cheapest chain; else take engines in turn.
+    /// Choose the cheapest chain of engines; otherwise choose engines round-robin.
     pub cheapest: bool,
-    /// Weighted fair order; else first come, first served.
+    /// Use weighted fair queueing; otherwise first come, first served.
     pub fair: bool,
-    /// Borrow rate from other boxes; else use the own share only.
+    /// Borrow token rate from other boxes; otherwise use only this box's share.
     pub loans: bool,
-    /// Replay a lost stage; else start the whole request anew.
+    /// Replace a lost stage and replay its inputs; otherwise restart the whole request.
     pub replay: bool,
 }
 
@@ -108,12 +115,13 @@
 }
 
 impl Config {
-    /// The box with its incarnation, unique over all boxes and starts.
+    /// Returns the box name with its incarnation, unique over all boxes and process
+    /// starts.
     pub fn instance_id(&self) -> String {
         format!("{}.{:x}", self.id, self.incarnation)
     }
 
-    /// Makes settings with the defaults of the daemon.
+    /// Creates settings with the daemon's defaults.
     pub fn new(id: &str, incarnation: u64) -> Self {
         Config {
             id: id.into(),
@@ -143,7 +151,7 @@
     }
 }
 
-/// The decisions of one box.
+/// State of one box, driven by [`Node::handle`].
 pub struct Node {
     config: Config,
     now: Duration,
@@ -156,12 +164,12 @@
     members: Members,
     loads: UpstreamStatsMap,
     queues: BTreeMap<String, Queue>,
-    /// Seconds that a running request takes for each token it generates, by
-    /// route.
+    /// Seconds per generated token of running requests, by route.
     token_times: HashMap<String, DurationEstimate>,
     requests: BTreeMap<RequestId, Request>,
     pending_claims: HashMap<ClaimId, RequestId>,
-    /// Claims asked for and never to be sent under, with their keys.
+    /// Claims that were requested and then abandoned, with their keys and the time. No
+    /// call is sent to an upstream under them.
     abandoned_claims: HashMap<ClaimId, (String, Duration)>,
     retry_budget: RetryBudget,
     rate_limits: TeamLimits,
@@ -176,7 +184,7 @@
     stats: Stats,
 }
 
-/// What the node remembers of its contact with platform and peers.
+/// State of the contact with the platform and the peers.
 #[derive(Debug, Default)]
 struct ControlState {
     draining: bool,
@@ -190,7 +198,7 @@
     next_loans: Duration,
 }
 
-/// One request of a caller.
+/// An admitted request of a caller.
 struct Request {
     incoming: IncomingRequest,
     team: Arc<Team>,
@@ -199,9 +207,9 @@
     deadline: Duration,
     cost: f64,
     attempt: u32,
-    /// Whether some upstream may have run a part of it.
+    /// Whether an upstream may have run part of the request.
     maybe_ran: bool,
-    /// The same, before the current call went out.
+    /// Value of `maybe_ran` before the current service call was sent.
     ran_before: bool,
     claim: Option<Claim>,
     tokens: Vec<StageValue>,
@@ -209,12 +217,12 @@
     phase: Phase,
 }
 
-/// A request's claim on its key.
+/// A request's claim on its idempotency key.
 struct Claim {
     id: ClaimId,
-    /// Ids given up for this one; they are never sent under.
+    /// Earlier claim ids of this request that were abandoned. No call is sent under them.
     abandoned_ids: Vec<ClaimId>,
-    /// The box that was asked, if not this one.
+    /// Name and address of the box that owns the key, if it is another one and was asked.
     home: Option<(BoxId, String)>,
     asked_at: Duration,
 }
@@ -227,7 +235,7 @@
 }
 
 impl Request {
-    /// Tokens that are still to be generated.
+    /// Returns the maximum number of tokens still to be generated.
     fn tokens_left(&self) -> u32 {
         match &self.incoming.work {
             Work::Generate {
@@ -237,7 +245,7 @@
         }
     }
 
-    /// What a caller must be told if no result comes.
+    /// Returns the outcome to report to the caller if the request ends without a result.
     fn outcome(&self) -> Outcome {
         if self.maybe_ran {
             Outcome::Unknown
@@ -248,7 +256,7 @@
 }
 
 impl Node {
-    /// Makes a node that knows nothing yet.
+    /// Creates a node that has no table and no member list yet.
     pub fn new(config: Config) -> Self {
         Node {
             now: Duration::ZERO,
@@ -280,7 +288,8 @@
         }
     }
 
-    /// Takes one event that happened at `now`, counted from the node's start.
+    /// Handles one event that happened at `now`, counted from the node's start, and
+    /// returns the actions to perform.
     ///
     /// `now` must not go back.
     pub fn handle(&mut self, now: Duration, event: Event) -> Vec<Action> {
@@ -312,7 +321,9 @@
         std::mem::take(&mut self.actions)
     }
 
-    /// Returns true if the balancer may send requests to this box.
+    /// Returns true if the load balancer may send requests to this box: its table is up
+    /// to date, the peers that it asked at start have answered or failed, it has contact
+    /// to the platform or to a peer, and it is not draining.
     pub fn is_ready(&self, now: Duration) -> bool {
         let f = &self.control;
         let knows = self.policy.version > 0 && self.policy.version >= f.newest_version;
@@ -323,12 +334,12 @@
         knows && greeted && !alone && !f.draining
     }
 
-    /// Returns true once a draining node has nothing left to do.
+    /// Returns true if the node is draining and has no requests left.
     pub fn is_drained(&self) -> bool {
         self.control.draining && self.requests.is_empty()
     }
 
-    /// Requests in flight or waiting.
+    /// Returns the number of requests in flight or waiting.
     pub fn inflight(&self) -> usize {
         self.requests.len()
     }
--- a/crates/ashgauge/src/node/peers.rs
+++ b/crates/ashgauge/src/node/peers.rs
@@ -1,4 +1,5 @@
-//! What boxes tell each other: heartbeats, rumours, loans, claims, state.
+//! Messages between boxes: heartbeats, leaving upstreams, loans, claims and table state.
+//! Also the member list and the orders to upstreams.
 
 use std::time::Duration;
 
@@ -10,16 +11,16 @@
 use crate::order::{Command, Reply as OrderReply};
 use crate::policy::TeamId;
 
-/// Peers that a fresh box asks for their table version before it is ready.
+/// Number of peers that a starting box asks for their table version before it is ready.
 const STARTUP_PEERS: usize = 5;
 
-/// Time between two looks at the loans that are due.
+/// Time between two checks for loans that are due.
 const LOAN_INTERVAL: Duration = Duration::from_millis(50);
 
-/// Boxes that one ask for loans goes to at most.
+/// Maximum number of boxes that are asked for loans at once.
 const MAX_LENDERS: usize = 16;
 
-/// How long a claim given up is remembered.
+/// How long an abandoned claim is remembered.
 const ABANDONED_TTL: Duration = Duration::from_secs(60);
 
 impl Node {
@@ -148,7 +149,7 @@
         }
     }
 
-    /// Keeps a box that did not answer out of the live set for a while.
+    /// Marks a box that did not answer as suspect. It does not count as live for a while.
     pub(super) fn suspect_box(&mut self, id: &str) {
         if self.members.mark_suspect(self.now, id) {
             self.record(None, RecordKind::Suspected { box_id: id.into() });
@@ -171,7 +172,8 @@
         found.map(|b| b.peer_addr.clone())
     }
 
-    /// Notes that an upstream is leaving and wants no new work.
+    /// Marks an upstream as leaving, so that it gets no new work, and tells the peers
+    /// soon.
     pub(super) fn mark_leaving(&mut self, id: &UpstreamId, source: &str) {
         if self.members.mark_leaving(self.now, id) {
             self.expedite_heartbeat();
@@ -183,7 +185,7 @@
         }
     }
 
-    /// Stops taking requests, and gives the lease back.
+    /// Stops admitting requests and releases the lease.
     pub(super) fn drain(&mut self) {
         if std::mem::replace(&mut self.control.draining, true) {
             return;
@@ -195,7 +197,8 @@
         }
     }
 
-    /// Sets this box's own share of a team's rate, if the team has one.
+    /// Sets this box's share of a team's token rate: the rate divided by the number of
+    /// boxes, or 0 if the team has none.
     pub(super) fn set_share(&mut self, team: &TeamId) {
         let rate = self
             .policy
@@ -203,7 +206,8 @@
             .and_then(|t| t.token_rate)
             .unwrap_or(0.0);
         let boxes = self.members.boxes().count().max(1) as f64;
-        // An earlier process of this box may have lent the share.
+        // Shortly after the start the share is 0, as an earlier process of this box may
+        // have lent it out.
         let opens = self.config.strategy.loans && self.now < limit::settle_time();
         let share = if opens { 0.0 } else { rate / boxes };
         self.rate_limits.set_share(self.now, team, share);
@@ -267,7 +271,7 @@
         }
     }
 
-    /// Sends heartbeats soon, as there is something new to tell.
+    /// Moves the next heartbeats forward, as there is news for the peers.
     pub(super) fn expedite_heartbeat(&mut self) {
         let soon = self.now + store::NEWS_DELAY;
         self.control.next_heartbeat = self.control.next_heartbeat.min(soon);
@@ -284,9 +288,10 @@
         }
     }
 
-    /// Asks some peers for their version, once, when the first list arrives.
+    /// Asks some peers for their table version, once, when the first list with boxes
+    /// arrives.
     fn ask_versions(&mut self) {
-        // An empty list is one that the platform has not made yet.
+        // An empty list means that the platform has not made one yet.
         if self.listing.boxes.is_empty() {
             return;
         }
@@ -304,7 +309,8 @@
         }
     }
 
-    /// Sends what is newer than `since`: the edits if they are still held.
+    /// Sends a peer what is newer than version `since`: the edits if the table still
+    /// holds them, otherwise the whole table.
     fn send_state(&mut self, to: BoxId, addr: String, since: Version) {
         let version = self.policy.version;
         if version <= since {
@@ -332,7 +338,7 @@
         self.send(to, addr, state);
     }
 
-    /// Asks other boxes for what teams want beyond this box's share.
+    /// Asks other boxes for the token rate that teams need beyond this box's share.
     fn ask_loans(&mut self) {
         for team in self.rate_limits.teams() {
             self.set_share(&team);
--- a/crates/ashgauge/src/node/pipeline.rs
+++ b/crates/ashgauge/src/node/pipeline.rs
@@ -1,4 +1,4 @@
-//! One request's way through its stages, position by position.
+//! Runs one request through its stages, position by position.
 
 use std::time::Duration;
 
@@ -7,29 +7,29 @@
 use crate::member::UpstreamId;
 use crate::upstream_stats::OrderTiming;
 
-/// The stages of one running request.
+/// Stages and progress of one running request.
 pub(super) struct Pipeline {
     pub(super) model: String,
     pub(super) stages: Vec<ActiveStage>,
     pub(super) current: usize,
     pub(super) last_session: SessionId,
     pub(super) replacements: u32,
-    /// When its stages were last chosen.
+    /// Time at which stages were last chosen.
     pub(super) placed_at: Duration,
-    /// Whether the request may have run before the current order went out.
+    /// Value of the request's `maybe_ran` before the current stage run was sent.
     pub(super) ran_before: bool,
     pub(super) stalled: bool,
     pub(super) abandoned: Vec<AbandonedStage>,
 }
 
-/// A stage that was given up while its order was out.
+/// A stage that was given up while a run was in flight.
 pub(super) struct AbandonedStage {
     pub(super) session: SessionId,
     pub(super) stage: Stage,
     pub(super) sent_at: Duration,
 }
 
-/// One stage with the inputs it was given.
+/// One stage with the inputs passed to it.
 pub(super) struct ActiveStage {
     pub(super) stage: Stage,
     pub(super) addr: String,
@@ -37,9 +37,10 @@
     /// Position of the first kept input.
     pub(super) kept_from: u32,
     pub(super) kept_inputs: Vec<StageValue>,
-    /// Positions whose outputs were passed on.
+    /// Number of positions whose outputs were forwarded.
     pub(super) positions_done: u32,
-    /// Positions that an earlier stage in this place had passed on.
+    /// Number of positions that a replaced stage had forwarded. Running them again only
+    /// rebuilds its state.
     pub(super) rebuild: u32,
     pub(super) sent_at: Option<Duration>,
     pub(super) resends: u32,
@@ -69,7 +70,7 @@
         }
     }
 
-    /// Drops inputs that only a replay would need.
+    /// Drops the inputs that were run already, which only a replay would need.
     fn trim_inputs(&mut self) {
         for s in &mut self.stages {
             let old = (s.positions_done - s.kept_from) as usize;
@@ -120,8 +121,8 @@
         self.forward_result(ran);
     }
 
-    /// An answer of a stage that was given up is dropped, but it tells how
-    /// slow the upstream is.
+    /// Drops the late answer of an abandoned stage, but records its timing, which tells
+    /// how slow the upstream is.
     fn on_late_result(&mut self, ran: &StageResult) {
         self.stats.dropped += 1;
         let Some(request) = self.requests.get(&ran.id) else {
@@ -139,7 +140,7 @@
         self.record(Some(ran.id), RecordKind::Dropped { upstream });
     }
 
-    /// Gives back the places a flow held and ends its sessions.
+    /// Releases the upstreams of a pipeline and cancels its sessions.
     pub(super) fn release_pipeline(&mut self, id: RequestId, flow: &Pipeline) {
         for live in &flow.stages {
             self.loads.release(&live.stage.upstream);
@@ -164,7 +165,7 @@
             model: model.clone(),
             stages: Vec::new(),
             current: 0,
-            // Sessions of an earlier try must not be met again.
+            // Session ids of earlier attempts must not be used again.
             last_session: request.attempt << 16,
             replacements: 0,
             placed_at: self.now,
@@ -218,7 +219,7 @@
         self.actions.push(Action::Run(run));
     }
 
-    /// Takes a stage's outputs to the next stage, or the token to the caller.
+    /// Forwards a stage's outputs to the next stage, or the token to the caller.
     fn forward_result(&mut self, ran: StageResult) {
         let id = ran.id;
         let Some(request) = self.requests.get_mut(&id) else {
@@ -247,7 +248,7 @@
         self.send_run(id);
     }
 
-    /// Gives the caller a token; returns true if it was the last.
+    /// Sends the caller a token; returns true if it was the last.
     fn emit_token(&mut self, id: RequestId, token: Token) -> bool {
         let Some(request) = self.requests.get_mut(&id) else {
             return true;
--- a/crates/ashgauge/src/node/quarantined.rs
+++ b/crates/ashgauge/src/node/quarantined.rs
@@ -1,21 +1,25 @@
-//! Requests that end the engines that run them.
+//! Quarantine of requests that crash the engines that run them.
 //!
-//! A box holds back by what it saw itself and what other boxes tell in their
-//! heartbeats.
+//! A box quarantines a request for the losses that it saw itself and those that other
+//! boxes report in their heartbeats.
 
 use super::*;
 use crate::digest;
 use crate::quarantine::{Audience, InstanceLoss, Report, instance_key, is_safe_run};
 
 impl Node {
-    /// For how much longer a request of a team is held back, if it is.
+    /// Returns how much longer a team's request stays in quarantine, if it is in
+    /// quarantine.
     pub(super) fn quarantine_left(&self, team: &Team, work: &Work) -> Option<Duration> {
         let digest = work_digest(team, work);
         self.quarantine.time_left(self.now, digest)
     }
 
-    /// Lays the loss of the current stage's engine to the request, unless that had run
-    /// well on it; returns whether the request is held back from now on.
+    /// Records the loss of the current stage's engine against the request, and returns
+    /// true if the request is in quarantine from now on.
+    ///
+    /// The loss does not count if the stage had returned results and the request had run
+    /// on its engines for long enough to be safe.
     pub(super) fn record_loss(&mut self, id: RequestId) -> bool {
         let Some(request) = self.requests.get_mut(&id) else {
             return false;
@@ -39,7 +43,7 @@
         holds
     }
 
-    /// Ends a request that is held back from now on.
+    /// Refuses a request that is in quarantine from now on.
     pub(super) fn refuse_quarantined(&mut self, id: RequestId) {
         let Some(request) = self.requests.get(&id) else {
             return;
@@ -49,7 +53,7 @@
         self.refuse(id, RefusalKind::Held, "engines were lost under it", left);
     }
 
-    /// Forgets losses under a request that ran to its end.
+    /// Removes the losses recorded against a request that ran to its end.
     pub(super) fn clear_losses(&mut self, id: RequestId) {
         if let Some(request) = self.requests.get(&id) {
             let digest = work_digest(&request.team, &request.incoming.work);
@@ -57,7 +61,8 @@
         }
     }
 
-    /// What the other boxes are to know, in turns if it is much.
+    /// Returns the report of losses and quarantined requests for the other boxes. If
+    /// there are too many for one report, successive reports take turns.
     pub(super) fn loss_report(&self) -> Report {
         self.quarantine
             .report(self.now, self.stats.arrived, Audience::All)
@@ -71,7 +76,8 @@
     }
 }
 
-/// The digest of a request's work; a team's keys count as one caller.
+/// Returns the digest of a request's content and team. All API keys of a team count as
+/// one caller.
 fn work_digest(team: &Team, work: &Work) -> digest::Digest {
     match work {
         Work::Generate { model, prompt, .. } => {
--- a/crates/ashgauge/src/node/recover.rs
+++ b/crates/ashgauge/src/node/recover.rs
@@ -1,4 +1,4 @@
-//! Stages that are lost: noticing it, replacing them, starting anew.
+//! Recovery from lost stages: detection, replacement and restart.
 
 use std::time::Duration;
 
@@ -6,18 +6,18 @@
 use super::*;
 use crate::chain::Layer;
 
-/// Stages that may be replaced for one request.
+/// Maximum number of stage replacements for one request.
 const MAX_REPLACEMENTS: u32 = 16;
 
-/// A silent stage counts as lost after this many times the time that its
-/// orders seldom take.
+/// A silent stage counts as lost after this multiple of the time that its runs seldom
+/// exceed.
 const SILENCE_FACTOR: u32 = 2;
 
-/// As long as nothing was learned of an upstream, silence may last this many
-/// times the setting.
+/// While an upstream has no statistics, a silent stage counts as lost after this multiple
+/// of [`Config::stage_timeout`].
 const INITIAL_SILENCE_FACTOR: u32 = 6;
 
-/// Time to come back after, when no stage can be replaced.
+/// `retry_after` of refusals when a lost stage cannot be replaced.
 const RETRY_AFTER: Duration = Duration::from_secs(1);
 
 impl Node {
@@ -40,8 +40,8 @@
         }
         let upstream = live.stage.upstream.clone();
         match fault {
-            // The engine keeps the last output of a session, so the same order
-            // runs nothing again if it got through.
+            // The engine keeps the last output of a session, so sending the same run
+            // again computes nothing twice if the first one arrived.
             UpstreamError::Lost(_) if live.resends == 0 => {
                 live.resends = 1;
                 let position = live.positions_done;
@@ -49,8 +49,8 @@
                 self.send_run(id);
             }
             UpstreamError::Lost(cause) => self.lose_stage(id, &cause, true),
-            // A connection broke and no other comes up: the engine is lost. Replacing
-            // it alone sends a request that ends engines on to the next one.
+            // The connection broke and no new one can be opened: the engine is lost. Only
+            // replacing it would send a request that crashes engines on to the next one.
             UpstreamError::NotSent(_) if live.resends == 1 && self.record_loss(id) => {
                 self.refuse_quarantined(id)
             }
@@ -66,7 +66,7 @@
         }
     }
 
-    /// Learns from an upstream's refusal.
+    /// Updates the state of an upstream after a refusal.
     pub(super) fn record_refusal(
         &mut self,
         upstream: &UpstreamId,
@@ -83,7 +83,8 @@
         }
     }
 
-    /// Finds silent stages and services, and tries stalled requests again.
+    /// Handles silent stages and services as lost, and tries to replace the stages of
+    /// stalled requests again.
     pub(super) fn tick_requests(&mut self) {
         let mut silent = Vec::new();
         let mut stalled = Vec::new();
@@ -126,7 +127,9 @@
         }
     }
 
-    /// The current stage is lost; `failed` if its upstream is to blame.
+    /// Handles the loss of the current stage: replaces it, or refuses the request if it
+    /// may not be repeated. `failed` tells whether the loss counts as a failure of the
+    /// upstream.
     pub(super) fn lose_stage(&mut self, id: RequestId, cause: &str, failed: bool) {
         let Some(request) = self.requests.get_mut(&id) else {
             return;
@@ -162,7 +165,8 @@
         self.replace_stage(id, Some(upstream));
     }
 
-    /// Notes that the current order did not run, if it went out only once.
+    /// Restores `maybe_ran` after a stage run that did not run, unless it was sent more
+    /// than once.
     pub(super) fn reset_ran(&mut self, id: RequestId) {
         if let Some(request) = self.requests.get_mut(&id)
             && let Phase::Running(flow) = &mut request.phase
@@ -172,7 +176,9 @@
         }
     }
 
-    /// Finds another way through the layers of the current stage.
+    /// Replaces the current stage by other stages for its layers, or restarts the request
+    /// if its inputs are not kept any more. Without suitable engines the request is
+    /// stalled.
     pub(super) fn replace_stage(&mut self, id: RequestId, lost: Option<UpstreamId>) {
         let replay = self.config.strategy.replay;
         let Some(request) = self.requests.get_mut(&id) else {
@@ -244,7 +250,7 @@
         }
     }
 
-    /// Starts the whole request anew, behind the tokens already given out.
+    /// Restarts the whole request after the tokens already sent to the caller.
     pub(super) fn restart_request(&mut self, id: RequestId) {
         if !self.retry_budget.withdraw() {
             let message = "a stage was lost and the retry budget is used up";
--- a/crates/ashgauge/src/node/status.rs
+++ b/crates/ashgauge/src/node/status.rs
@@ -1,4 +1,4 @@
-//! Counts and states that operators and metrics read.
+//! Counters and state for operators and metrics.
 
 use std::collections::BTreeMap;
 use std::time::Duration;
@@ -8,27 +8,27 @@
 use super::*;
 use crate::member::MemberState;
 
-/// Counts since the process started.
+/// Counters since the process started.
 #[derive(Clone, Debug, Default, PartialEq, Serialize, Deserialize)]
 pub struct Stats {
     /// Requests that callers sent.
     pub arrived: u64,
-    /// Requests of which a first try was made.
+    /// Requests whose first attempt was started.
     pub started: u64,
-    /// Whole second tries.
+    /// Restarts of whole requests.
     pub restarted: u64,
     /// Stages replaced in the middle of a request.
     pub replaced: u64,
-    /// Orders that brought no answer.
+    /// Stage runs and service calls that had no answer.
     pub lost: u64,
-    /// Frames that matched no order.
+    /// Answers that matched no stage run or service call in flight.
     pub dropped: u64,
-    /// Stage orders answered.
+    /// Stage runs that were answered.
     #[serde(rename = "orders")]
     pub stage_runs: u64,
-    /// Tokens given to callers.
+    /// Tokens sent to callers.
     pub tokens: u64,
-    /// Messages to other boxes.
+    /// Messages sent to other boxes.
     pub sent: u64,
     /// Reads of the platform's store.
     pub reads: u64,
@@ -40,36 +40,36 @@
     pub ended: BTreeMap<String, u64>,
 }
 
-/// One upstream as a box sees it.
+/// State of an upstream as one box sees it.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub struct UpstreamStatus {
-    /// Name.
+    /// Id of the upstream.
     pub id: UpstreamId,
-    /// Whether it takes new work.
+    /// Whether the upstream takes new work.
     pub state: MemberState,
-    /// Whether its last order failed.
+    /// Whether the upstream's last request failed.
     pub suspect: bool,
-    /// Requests of this box on it.
+    /// Requests of this box in flight on the upstream.
     pub held: u32,
-    /// Requests this box may hold on it.
+    /// Requests that this box may have in flight on the upstream.
     pub window: u32,
-    /// Learned link time both ways, in microseconds.
+    /// Estimated round-trip time of the network, in microseconds.
     #[serde(rename = "link")]
     pub link_us: u64,
-    /// Layers it holds, as `model:first-end`.
+    /// Layers that the upstream holds, as `model:first-end`.
     pub holds: Vec<String>,
 }
 
-/// One box as it sees itself.
+/// State of one box.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub struct Status {
-    /// Name.
+    /// Name of the box.
     pub id: BoxId,
-    /// Data centre.
+    /// Data centre of the box.
     pub data_centre: String,
-    /// Whether the balancer may send requests here.
+    /// Whether the load balancer may send requests to the box.
     pub ready: bool,
-    /// Whether it is stopping.
+    /// Whether the box is draining.
     pub draining: bool,
     /// Table version in force.
     pub version: Version,
@@ -77,14 +77,14 @@
     pub inflight: usize,
     /// Waiting requests by route.
     pub waiting: BTreeMap<String, usize>,
-    /// Term of the lease for orders, if held here.
+    /// Term of the lease for orders, if this box holds it.
     #[serde(rename = "lease")]
     pub lease_term: Option<u64>,
-    /// Upstreams.
+    /// Upstreams in the member list.
     pub upstreams: Vec<UpstreamStatus>,
-    /// Boxes it would ask now.
+    /// Boxes that count as live.
     pub live: Vec<BoxId>,
-    /// Counts.
+    /// Counters.
     pub stats: Stats,
 }
 
@@ -99,27 +99,27 @@
 }
 
 impl Node {
-    /// The table in force.
+    /// Returns the table in force with its version.
     pub fn table(&self) -> (Version, &Arc<Table>) {
         (self.policy.version, &self.table)
     }
 
-    /// Counts since the node was made.
+    /// Returns the counters since the node was created.
     pub fn stats(&self) -> &Stats {
         &self.stats
     }
 
-    /// Tokens a second of a limited team that this box may spend now.
+    /// Returns the tokens per second that this box may spend now for a rate-limited team.
     pub fn team_rate(&self, team: &str) -> f64 {
         self.rate_limits.rate(self.now, team)
     }
 
-    /// All boxes of the platform's list.
+    /// Returns all boxes of the platform's member list.
     pub fn boxes(&self) -> &[crate::member::BoxEntry] {
         &self.listing.boxes
     }
 
-    /// The node's state as operators see it.
+    /// Returns the node's state for operators.
     pub fn status(&mut self, now: Duration) -> Status {
         self.now = self.now.max(now);
         let queues = self.queues.iter();
--- a/crates/ashgauge/src/node/store.rs
+++ b/crates/ashgauge/src/node/store.rs
@@ -1,4 +1,4 @@
-//! What a node reads from and writes to the platform's store.
+//! Reads and writes of the platform's store: table, claims and lease.
 
 use std::time::Duration;
 
@@ -9,14 +9,14 @@
 use crate::message::Message;
 use crate::table::Edit;
 
-/// Pause between tries to read the table while the box is behind.
+/// Time between attempts to read the table while the box has an old version.
 const TABLE_READ_INTERVAL: Duration = Duration::from_millis(500);
 
-/// Time in which peers may bring a newer table, which costs less than the
-/// platform's whole one.
+/// Time in which peers may send a newer table before it is read from the platform. A
+/// peer's edits cost less than the platform's whole table.
 const PEER_GRACE: Duration = Duration::from_millis(500);
 
-/// Time after news in which they are told to peers.
+/// Delay after which news is sent to peers.
 pub(super) const NEWS_DELAY: Duration = Duration::from_millis(50);
 
 impl Node {
@@ -91,7 +91,7 @@
         }
     }
 
-    /// Puts a table in force, unless it is older than the one that is.
+    /// Puts a table in force if it is newer than the present one.
     pub(super) fn install_table(&mut self, version: Version, table: Arc<Table>, source: &str) {
         self.control.newest_version = self.control.newest_version.max(version);
         if version <= self.policy.version {
@@ -108,13 +108,13 @@
         self.dispatch_all();
     }
 
-    /// Notes a version that the platform has.
+    /// Handles a table version that the platform's watch returned.
     pub(super) fn on_table_version(&mut self, version: Version) {
         self.control.last_contact = Some(self.now);
         self.expect_version(version);
     }
 
-    /// Notes a version that a peer has in force, and asks it for the edits.
+    /// Handles the table version of a peer: asks the peer for the edits if it is newer.
     pub(super) fn on_peer_version(&mut self, version: Version, from: &BoxId, addr: &str) {
         if version <= self.policy.version {
             return;
@@ -128,7 +128,7 @@
         );
     }
 
-    /// Takes over the edits that a peer sent.
+    /// Applies the edits that a peer sent.
     pub(super) fn apply_edits(&mut self, version: Version, edits: &[Edit], hash: u64, from: &str) {
         let known = self.policy.version;
         let missing = version.saturating_sub(known) as usize;
@@ -142,8 +142,8 @@
                 Err(_) => return,
             }
         }
-        // A version that no edit made, such as one restored by hand, shows
-        // here; the whole table is then read from the platform.
+        // The hash differs if a version was not made by an edit, such as one restored by
+        // hand. The whole table is then read from the platform.
         if table.hash() == hash {
             self.install_table(version, Arc::new(table), from);
         }
@@ -225,7 +225,8 @@
         }
     }
 
-    /// Only the lease's home box asks for it, so that the others cost nothing.
+    /// Acquires or renews the lease. Only the box that owns the key `lease` does this, so
+    /// that the other boxes make no calls.
     fn tick_lease(&mut self) {
         let home = self.members.owner_of(self.now, "lease");
         let wanted = !self.policy.goals.is_empty() && !self.control.draining;
@@ -277,7 +278,8 @@
         self.run_edit_steps(steps);
     }
 
-    /// Asks the boxes named in the settings, for a start during an outage.
+    /// Asks the seed boxes of the settings for the table, so that a box can start while
+    /// the platform is down.
     fn fetch_from_seeds(&mut self) {
         for addr in self.config.seeds.clone() {
             self.send("".into(), addr, Message::FetchState { after: 0 });
--- a/crates/ashgauge/src/node/types.rs
+++ b/crates/ashgauge/src/node/types.rs
@@ -1,4 +1,4 @@
-//! What goes into a node and what comes out of it.
+//! Events that a node takes, actions that it returns, and the types in them.
 
 use std::sync::Arc;
 use std::time::Duration;
@@ -16,48 +16,48 @@
 use crate::record::Record;
 use crate::table::{Edit, Table, Version};
 
-/// What a stage passes to the next for one position: token or activation.
+/// Value that a stage passes to the next for one position: a token or an activation.
 ///
-/// A node keeps and hands on these values and never looks into them.
+/// A node stores and forwards these values without interpreting them.
 pub type StageValue = u64;
 
-/// Number of a stage's session, unique within its request.
+/// Number of a stage's session on its engine, unique within the request.
 pub type SessionId = u32;
 
-/// A caller's request.
+/// A caller's request as it arrives.
 #[derive(Clone, Debug, Serialize, Deserialize)]
 pub struct IncomingRequest {
-    /// Unique while this process lives.
+    /// Id of the request, unique within this process.
     pub id: RequestId,
     /// SHA-256 of the bearer key.
     pub key_hash: KeyHash,
-    /// What it asks for.
+    /// What the caller asks for.
     pub work: Work,
-    /// Value of `Idempotency-Key`.
+    /// Value of the `Idempotency-Key` header.
     #[serde(rename = "key")]
     pub idempotency_key: Option<String>,
-    /// Whether the caller allows a second try.
+    /// Whether the caller allows the request to be run more than once.
     pub repeatable: bool,
-    /// Longest time, if the caller gave one.
+    /// Time limit set by the caller, if any.
     pub timeout: Option<Duration>,
 }
 
 /// What a caller asks for.
 #[derive(Clone, Debug, Serialize, Deserialize)]
 pub enum Work {
-    /// Generate from a model.
+    /// Generate tokens with a model.
     Generate {
-        /// Route of the model.
+        /// Name of the model's route.
         model: String,
         /// The prompt's tokens.
         prompt: Vec<StageValue>,
-        /// Most tokens to generate.
+        /// Maximum number of tokens to generate.
         #[serde(rename = "most")]
         max_tokens: u32,
     },
-    /// Call a plain service.
+    /// Call a service that is not a model.
     Call {
-        /// Method.
+        /// HTTP method.
         method: String,
         /// Path and query.
         path: String,
@@ -72,28 +72,28 @@
 /// A generated token.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub struct Token {
-    /// Its value, the next position's input.
+    /// Value of the token, which is the next position's input.
     pub id: StageValue,
-    /// Its text.
+    /// Text of the token.
     pub text: String,
-    /// Whether the model ends here.
+    /// Whether the model ends its output with this token.
     pub end: bool,
 }
 
-/// Order to one stage: run these positions through these layers.
+/// Request to one stage to run these positions through these layers.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub struct StageRun {
-    /// The request.
+    /// Id of the caller's request.
     pub id: RequestId,
-    /// Number of the try.
+    /// Number of the attempt, from 1.
     pub attempt: u32,
-    /// The stage's session; a replacement has another one.
+    /// Session of the stage. A replacement stage has another session.
     pub session: SessionId,
-    /// The engine.
+    /// Id of the engine.
     pub upstream: UpstreamId,
-    /// Its address.
+    /// Address of the upstream.
     pub addr: String,
-    /// Model.
+    /// Name of the model.
     pub model: String,
     /// First layer.
     pub first: Layer,
@@ -101,90 +101,92 @@
     pub end: Layer,
     /// Position of the first input.
     pub start: u32,
-    /// Inputs, one a position.
+    /// Inputs, one for each position.
     pub inputs: Vec<StageValue>,
-    /// How many of them only rebuild a lost stage's state.
+    /// Number of leading inputs that a lost stage had already run. They only rebuild its
+    /// state.
     pub rebuild: u32,
 }
 
 /// A stage's answer to a [`StageRun`].
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub struct StageResult {
-    /// The request.
+    /// Id of the caller's request.
     pub id: RequestId,
-    /// The session that the engine names.
+    /// Session that the engine named in its answer.
     pub session: SessionId,
     /// Position of the first output.
     pub start: u32,
-    /// Outputs, one a position.
+    /// Outputs, one for each position.
     pub outputs: Vec<StageValue>,
-    /// Token sampled after the last position, by the stage with the last layer.
+    /// Token sampled after the last position. Only the stage with the last layer returns
+    /// one.
     pub token: Option<Token>,
-    /// Time in the engine before it ran.
+    /// Time in the engine before the run began.
     pub queued: Duration,
-    /// Time that it ran.
+    /// Duration of the run.
     pub ran: Duration,
 }
 
-/// Why an order brought no answer.
+/// Why a stage run or a service call had no answer.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub enum UpstreamError {
-    /// No byte of it left this box.
+    /// No byte of the request left this box.
     NotSent(String),
-    /// The upstream refused before running, in its protocol's words.
+    /// The upstream refused before it ran anything.
     Refused {
-        /// Why.
+        /// Reason that the upstream gave.
         reason: RefusalReason,
-        /// How long it wants no new work from this box, if it says so.
+        /// Time for which the upstream wants no new work from this box, if it names one.
         rest: Option<Duration>,
     },
-    /// It was sent and no whole answer came.
+    /// The request was sent and no complete answer was received.
     Lost(String),
 }
 
-/// An upstream's own word for a refusal.
+/// Reason of a refusal, as the upstream gives it.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(rename_all = "snake_case")]
 pub enum RefusalReason {
-    /// It is leaving.
+    /// The upstream is leaving the fleet.
     Leaving,
-    /// It has no place for another session.
+    /// The upstream has no room for another session.
     Busy,
-    /// It does not hold the session, or holds it at another position.
+    /// The upstream does not have the session, or has it at another position.
     NoSession,
-    /// It does not hold the layers.
+    /// The upstream does not hold the layers.
     NoLayers,
 }
 
-/// Order to a plain service.
+/// Call of a service.
 #[derive(Clone, Debug, Serialize, Deserialize)]
 pub struct ServiceCall {
-    /// The request.
+    /// Id of the caller's request.
     pub id: RequestId,
-    /// Number of the try.
+    /// Number of the attempt, from 1.
     pub attempt: u32,
-    /// The service.
+    /// Id of the service's upstream.
     pub upstream: UpstreamId,
-    /// Its address.
+    /// Address of the upstream.
     pub addr: String,
-    /// Method.
+    /// HTTP method.
     pub method: String,
     /// Path and query.
     pub path: String,
     /// Content type.
     #[serde(rename = "content")]
     pub content_type: String,
-    /// Value of `Idempotency-Key`, passed on.
+    /// Value of the `Idempotency-Key` header to send.
     #[serde(rename = "key")]
     pub idempotency_key: Option<String>,
     /// Body.
     pub body: Arc<[u8]>,
 }
 
-/// A service's answer.
+/// A service's response.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub struct ServiceResponse {
-    /// Status code.
+    /// HTTP status code.
     pub status: u16,
     /// Content type.
     #[serde(rename = "content")]
@@ -193,19 +195,19 @@
     pub body: Vec<u8>,
 }
 
-/// Whether a request ran, as its caller is told.
+/// Whether a request ran, as reported to its caller.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(rename_all = "snake_case")]
 pub enum Outcome {
-    /// It ran to its end.
+    /// The request ran to its end.
     Done,
-    /// It did not run and will not; sending it again is safe.
+    /// The request did not run and will not run; it is safe to send again.
     NotRun,
-    /// It may have run.
+    /// The request may have run, wholly or in part.
     Unknown,
 }
 
-/// Kinds of refusals and failures.
+/// Kind of a refusal or failure.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash, Serialize, Deserialize)]
 #[serde(rename_all = "snake_case")]
 #[allow(missing_docs)]
@@ -227,40 +229,40 @@
     Stopped,
 }
 
-/// A request's final answer when it brought no result.
+/// Final answer to a request that has no result.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub struct Refusal {
-    /// Kind.
+    /// Kind of the refusal.
     pub kind: RefusalKind,
-    /// Whether it ran.
+    /// Whether the request ran.
     pub outcome: Outcome,
     /// What happened.
     pub message: String,
     /// What the caller can do.
     pub remedy: String,
-    /// When to come back, if that may help.
+    /// Time after which a retry may succeed, if one may.
     pub retry_after: Option<Duration>,
 }
 
-/// Parts of the answer to a caller.
+/// One part of the answer to a caller.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub enum ReplyPart {
-    /// A piece of generated text.
+    /// A generated token.
     Token(Token),
-    /// The whole answer was given; counts of prompt and generated tokens.
+    /// End of a complete answer, with the numbers of tokens.
     End {
-        /// Prompt tokens.
+        /// Number of prompt tokens.
         prompt: u32,
-        /// Generated tokens.
+        /// Number of generated tokens.
         generated: u32,
     },
-    /// A service's answer.
+    /// A service's response.
     Called(ServiceResponse),
-    /// No result.
+    /// Final answer without a result.
     Refused(Refusal),
 }
 
-/// Names of the objects that a node keeps in the platform's store.
+/// Key of an object that a node keeps in the platform's store.
 #[derive(Clone, Debug, PartialEq, Eq, Hash, Serialize, Deserialize)]
 pub enum ObjectKey {
     /// The table; see [`Table`].
@@ -271,7 +273,7 @@
     Lease,
 }
 
-/// A typed value of an [`ObjectKey`].
+/// Value of the object with an [`ObjectKey`].
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub enum ObjectValue {
     /// Of [`ObjectKey::Table`].
@@ -282,7 +284,7 @@
     Lease(lease::StoredLease),
 }
 
-/// What a node is told. Each event comes with the time it happened.
+/// Input of a node. Each event comes with the time at which it happened.
 #[derive(Clone, Debug, Serialize, Deserialize)]
 pub enum Event {
     /// A caller sent a request.
@@ -294,65 +296,66 @@
     /// A stage answered.
     #[serde(rename = "Ran")]
     StageDone(StageResult),
-    /// A stage's order failed; names the request, session and position.
+    /// A stage run failed: request, session, start position and error.
     #[serde(rename = "RunFailed")]
     StageFailed(RequestId, SessionId, u32, UpstreamError),
-    /// A service answered.
+    /// A service answered: request, attempt and response.
     #[serde(rename = "Called")]
     ServiceDone(RequestId, u32, ServiceResponse),
-    /// A service call failed.
+    /// A service call failed: request, attempt and error.
     #[serde(rename = "CallFailed")]
     ServiceFailed(RequestId, u32, UpstreamError),
-    /// An object was read; version 0 if it is not there, `None` if no answer.
+    /// A read of an object ended: its version and value. The version is 0 if there is no
+    /// such object; `None` means that there was no answer.
     Read(ObjectKey, Option<(Version, Option<ObjectValue>)>),
-    /// A conditional write of this content ended.
+    /// A conditional write of this value ended.
     Written(ObjectKey, ObjectValue, WriteResult),
-    /// The table's watch showed a version.
+    /// The watch of the table returned a new version.
     #[serde(rename = "Watched")]
     TableVersion(Version),
-    /// The platform's list was read and has changed.
+    /// The platform's list of members has changed.
     Listed(MemberList),
-    /// A watch ended without a change; the platform is there.
+    /// A watch ended without a change, which shows that the platform is reachable.
     Unchanged,
-    /// Another box's message.
+    /// A message from another box.
     #[serde(rename = "Heard")]
     MessageReceived(Envelope),
     /// A message to another box could not be delivered.
     SendFailed(crate::member::BoxId, Message),
-    /// An operator edits the table.
+    /// An operator requested an edit of the table.
     Edit(WaiterId, Edit),
-    /// An upstream answered a fenced order.
+    /// An upstream answered a fenced order that was sent under this term of the lease.
     #[serde(rename = "Obeyed")]
     OrderAnswered(UpstreamId, u64, crate::order::Reply),
-    /// The process is asked to stop.
+    /// The process was asked to stop.
     Drain,
-    /// Time has passed; sent every few milliseconds.
+    /// Periodic tick, every few milliseconds.
     Tick,
 }
 
-/// What a node wants done.
+/// Output of a node: an action to perform.
 #[derive(Clone, Debug, Serialize, Deserialize)]
 pub enum Action {
-    /// Give a caller a part of its answer.
+    /// Send a caller a part of its answer.
     Reply(RequestId, ReplyPart),
-    /// Send an order to a stage.
+    /// Run positions through a stage.
     Run(StageRun),
     /// Tell an engine that a session is over.
     Cancel {
-        /// The request.
+        /// Id of the caller's request.
         id: RequestId,
-        /// The session.
+        /// Session to end.
         session: SessionId,
-        /// The engine.
+        /// Id of the engine.
         upstream: UpstreamId,
-        /// Its address.
+        /// Address of the upstream.
         addr: String,
     },
     /// Call a service.
     Call(ServiceCall),
     /// Read an object.
     Read(ObjectKey),
-    /// Write an object if it has this version; 0 creates it.
+    /// Write an object if it still has this version; version 0 creates it.
     Write(ObjectKey, Version, ObjectValue),
     /// Send a message to another box at this address.
     Send(crate::member::BoxId, String, Envelope),
@@ -361,7 +364,7 @@
     EditAnswer(WaiterId, EditResult),
     /// Send a fenced order to an upstream.
     Command(crate::order::Command),
-    /// Write a record to the time line.
+    /// Append a record to the timeline.
     #[serde(rename = "Note")]
     Record(Record),
 }
--- a/crates/ashgauged/src/actor.rs
+++ b/crates/ashgauged/src/actor.rs
@@ -1,4 +1,4 @@
-//! The actor that owns the node: carries events to it and actions away.
+//! Actor that owns the node: passes it events and performs its actions.
 
 use std::collections::HashMap;
 use std::sync::Arc;
@@ -20,48 +20,49 @@
 /// Time between ticks of the node.
 const TICK_INTERVAL: Duration = Duration::from_millis(10);
 
-/// What the node's actor is asked.
+/// Messages to the node's actor.
 pub enum Msg {
     /// An event for the node.
     Event(Event),
-    /// A caller's request; its parts go to the sender, its id to the other.
+    /// A caller's request. The parts of the answer go to the first channel, the request's
+    /// id to the second.
     Request(
         IncomingRequest,
         mpsc::UnboundedSender<ReplyPart>,
         oneshot::Sender<RequestId>,
     ),
-    /// An operator's edit.
+    /// An operator's edit of the table.
     Edit(Edit, oneshot::Sender<EditResult>),
-    /// The node's state.
+    /// Asks for the node's state.
     Status(oneshot::Sender<Status>),
-    /// The table in force.
+    /// Asks for the table in force.
     Table(oneshot::Sender<TableResponse>),
-    /// The boxes of the list.
+    /// Asks for the boxes of the member list.
     Boxes(oneshot::Sender<BoxesResponse>),
-    /// Whether the balancer may send requests.
+    /// Asks whether the load balancer may send requests.
     Ready(oneshot::Sender<bool>),
-    /// Whether a draining node is empty.
+    /// Asks whether a draining node has no requests left.
     Drained(oneshot::Sender<bool>),
-    /// Whether a drain was asked for on the operators' port.
+    /// Asks for an answer when a drain is requested.
     DrainAsked(oneshot::Sender<()>),
 }
 
-/// The actor.
+/// Actor that owns the node.
 pub struct NodeActor;
 
-/// What the actor starts from.
+/// Arguments of the actor.
 pub struct NodeArgs {
     /// Settings of the node.
     pub config: Config,
     /// Settings of the daemon.
     pub settings: Settings,
-    /// Sender to the other boxes.
+    /// Client for messages to other boxes.
     pub peers: peer::PeerClient,
-    /// The time line.
+    /// Timeline of the box.
     pub timeline: Arc<Timeline>,
 }
 
-/// The actor's state.
+/// State of the actor.
 pub struct State {
     node: Node,
     started: Instant,
@@ -112,7 +113,7 @@
 impl State {
     fn handle_message(&mut self, message: Msg) {
         let now = self.started.elapsed();
-        // Whoever asked may be gone; then nobody misses the answer.
+        // A send fails only if the asker is gone and needs no answer.
         match message {
             Msg::Event(event) => self.handle_event(event),
             Msg::Request(order, parts, id) => self.start_request(order, parts, id),
--- a/crates/ashgauged/src/handle.rs
+++ b/crates/ashgauged/src/handle.rs
@@ -1,4 +1,4 @@
-//! What the callers', operators' and peers' ports ask of the node's actor.
+//! Handle through which the callers', operators' and peers' ports reach the node's actor.
 
 use std::sync::{Arc, OnceLock};
 
@@ -18,35 +18,37 @@
 use crate::metrics;
 use crate::timeline::Timeline;
 
-/// The node's actor as the ports see it.
+/// Handle of the node's actor for the ports.
 pub struct NodeHandle {
     node: ActorRef<Msg>,
     instance_id: String,
     timeline: Arc<Timeline>,
 }
 
-/// Takes peers' messages; those before the node's start are thrown away.
+/// Passes messages from peers to the node. Messages before the node is connected are
+/// dropped.
 #[derive(Clone)]
 pub struct PeerInbox(Arc<OnceLock<ActorRef<Msg>>>);
 
 /// Connects the node to a [`PeerInbox`].
 pub struct InboxConnector(Arc<OnceLock<ActorRef<Msg>>>);
 
-/// Makes a gate, which the peers' port needs before the node exists.
+/// Creates an inbox, which the peers' port needs before the node exists, and its
+/// connector.
 pub fn peer_inbox() -> (InboxConnector, PeerInbox) {
     let cell = Arc::new(OnceLock::new());
     (InboxConnector(cell.clone()), PeerInbox(cell))
 }
 
 impl InboxConnector {
-    /// Opens the gate.
+    /// Connects the node, so that it gets the messages from now on.
     pub fn connect(self, node: ActorRef<Msg>) {
         let _ = self.0.set(node);
     }
 }
 
 impl PeerInbox {
-    /// Hands a message to the node.
+    /// Passes a message to the node, if one is connected.
     pub fn deliver(&self, envelope: Envelope) {
         if let Some(node) = self.0.get() {
             let _ = node.cast(Msg::Event(Event::MessageReceived(envelope)));
@@ -54,7 +56,7 @@
     }
 }
 
-/// Waits for SIGTERM, SIGINT or an operator's drain.
+/// Waits for SIGTERM, SIGINT or an operator's request to drain.
 pub async fn wait_for_signal(node: &ActorRef<Msg>) {
     let asked = ask(node, Msg::DrainAsked);
     let (Ok(mut term), Ok(mut int)) = (
@@ -71,20 +73,20 @@
     }
 }
 
-/// Whether a draining node is empty.
+/// Returns true if a draining node has no requests left, or if its actor has ended.
 pub async fn is_drained(node: &ActorRef<Msg>) -> bool {
     ask(node, Msg::Drained).await.unwrap_or(true)
 }
 
-/// Requests in flight.
+/// Returns the number of requests in flight or waiting; 0 if the actor has ended.
 pub async fn inflight(node: &ActorRef<Msg>) -> usize {
     ask(node, Msg::Status).await.map_or(0, |s| s.inflight)
 }
 
 impl NodeHandle {
-    /// Makes the ports' view of an actor.
+    /// Creates a handle of an actor.
     ///
-    /// `owner` is the box with its incarnation.
+    /// `instance_id` is the box name with its incarnation.
     pub fn new(node: ActorRef<Msg>, owner: String, timeline: Arc<Timeline>) -> Self {
         NodeHandle {
             node,
@@ -94,7 +96,7 @@
     }
 }
 
-/// Tells the node that a caller is gone, when dropped.
+/// Tells the node, when dropped, that the caller's connection is closed.
 struct CallerGuard {
     node: ActorRef<Msg>,
     id: RequestId,
--- a/crates/ashgauged/src/io.rs
+++ b/crates/ashgauged/src/io.rs
@@ -11,7 +11,7 @@
 
 use crate::actor::{Msg, NodeArgs};
 
-/// Longest time of a stage order or a service call; the node gives up sooner.
+/// Maximum time of a stage run or a service call; the node gives up sooner.
 const CALL_TIMEOUT: Duration = Duration::from_secs(120);
 
 const CONNECT_TIMEOUT: Duration = Duration::from_secs(1);
@@ -20,7 +20,7 @@
 const MIN_BACKOFF: Duration = Duration::from_millis(100);
 const MAX_BACKOFF: Duration = Duration::from_secs(2);
 
-/// Connections to everything outside.
+/// Clients of the platform, the peers and the upstreams.
 pub struct Io {
     node: ActorRef<Msg>,
     platform: PlatformClient,
@@ -31,7 +31,7 @@
 }
 
 impl Io {
-    /// Makes the connections' clients.
+    /// Creates the clients.
     pub fn new(node: ActorRef<Msg>, start: &NodeArgs) -> Self {
         let settings = &start.settings;
         let contact = Duration::from_millis(settings.timing.isolation_ms);
@@ -45,8 +45,7 @@
         }
     }
 
-    /// Follows the table's watch and the list of members, as long as the node
-    /// lives.
+    /// Starts tasks that watch the table and the member list until the node's actor ends.
     pub fn watch_platform(&self) {
         let (node, platform) = (self.node.clone(), self.platform.clone());
         tokio::spawn(watch_table(node, platform));
@@ -170,14 +169,16 @@
     }
 }
 
-/// Sleeps after a watch that brought no answer; returns the next pause.
+/// Sleeps after a watch without an answer and returns the next delay, at most
+/// [`MAX_BACKOFF`].
 async fn back_off(what: &str, pause: Duration) -> Duration {
     warn!("platform: no answer to the watch of the {what}, trying again");
     tokio::time::sleep(jittered(pause)).await;
     (pause * 2).min(MAX_BACKOFF)
 }
 
-/// The pause, give or take a quarter, so that boxes do not fall into step.
+/// Returns the delay with a jitter of a quarter either way, so that boxes do not act in
+/// step.
 fn jittered(pause: Duration) -> Duration {
     pause.mul_f64(rand::random_range(0.75..1.25))
 }
--- a/crates/ashgauged/src/main.rs
+++ b/crates/ashgauged/src/main.rs
@@ -1,4 +1,4 @@
-//! `ashgauged`: the ashgauge daemon. One box of the fleet.
+//! `ashgauged`: the ashgauge daemon, which runs one box of the fleet.
 
 mod actor;
 mod handle;
@@ -119,7 +119,7 @@
         ActorStatus::Stopping | ActorStatus::Stopped
     );
     let _ = stop.send(true);
-    // Answers that are ready still have to get out.
+    // Gives answers that are ready time to be sent.
     let _ = tokio::time::timeout(Duration::from_secs(2), serving).await;
     desk.abort();
     let _ = server.stop();
@@ -132,7 +132,7 @@
     Ok(())
 }
 
-/// Sends logs to standard error; standard output has the addresses only.
+/// Sends logs to standard error, as standard output carries only the addresses.
 fn log_to_stderr(settings: &Settings) -> Result<()> {
     let sink = StdStreamSink::builder()
         .std_stream(StdStream::Stderr)
@@ -146,7 +146,7 @@
     Ok(())
 }
 
-/// Waits for the signal, then until the node is drained or the bound is over.
+/// Waits for the stop signal, then drains the node for at most `timeout`.
 async fn drain_on_stop(node: &ractor::ActorRef<Msg>, bound: Duration) {
     handle::wait_for_signal(node).await;
     info!("box: draining");
@@ -167,7 +167,7 @@
     bound.wrap_err_with(|| format!("cannot listen on {addr}; free the port or set another"))
 }
 
-/// Prints the bound addresses as one JSON line, for whoever started the box.
+/// Prints the bound addresses as one JSON line, for the process that started the box.
 fn print_addresses(
     settings: &Settings,
     callers: &TcpListener,
--- a/crates/ashgauged/src/metrics.rs
+++ b/crates/ashgauged/src/metrics.rs
@@ -1,9 +1,9 @@
-//! Metrics in the text format of prometheus.
+//! Metrics in the Prometheus text format.
 
 use ashgauge::node::Status;
 use prometheus::{Encoder, Gauge, GaugeVec, Opts, Registry, TextEncoder};
 
-/// Writes a box's state as metrics.
+/// Returns a box's state as metrics.
 pub fn render(status: &Status) -> String {
     let registry = Registry::new();
     register_all(&registry, status);
--- a/crates/ashgauged/src/settings.rs
+++ b/crates/ashgauged/src/settings.rs
@@ -1,4 +1,4 @@
-//! Settings of the daemon: JSON, checked whole before anything starts.
+//! Settings of the daemon, read from JSON and validated before anything starts.
 
 use std::path::{Path, PathBuf};
 use std::time::{Duration, SystemTime, UNIX_EPOCH};
@@ -11,19 +11,19 @@
 use http::Limits;
 use serde::Deserialize;
 
-/// All settings. Times end in `_ms` or `_s`, sizes in `_bytes`.
+/// All settings. Names of times end in `_ms` or `_s`, names of sizes in `_bytes`.
 #[derive(Clone, Debug, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct Settings {
     /// Name of the box, unique in the fleet.
     pub id: String,
-    /// Its data centre.
+    /// Data centre of the box.
     pub data_centre: String,
-    /// Address of the callers' port.
+    /// Listen address of the callers' port.
     pub caller: String,
-    /// Address of the box-to-box port.
+    /// Listen address of the box-to-box port.
     pub peer: String,
-    /// Address of the operators' port.
+    /// Listen address of the operators' port.
     pub operator: String,
     /// Address of the platform's object API.
     pub platform: String,
@@ -31,104 +31,106 @@
     pub peer_credential: Credential,
     /// Credential of the operators' port.
     pub operator_credential: Credential,
-    /// Box-to-box addresses asked for the table if the platform is down.
+    /// Box-to-box addresses of peers that are asked for the table if the platform is down
+    /// at start.
     #[serde(default)]
     pub seeds: Vec<String>,
-    /// Bounds.
+    /// Resource limits.
     #[serde(default)]
     pub limits: ResourceLimits,
-    /// Times.
+    /// Intervals and time-outs.
     #[serde(default)]
     pub timing: Timing,
-    /// Claims of keyed requests.
+    /// Claims on idempotency keys.
     #[serde(default)]
     pub claims: ClaimSettings,
-    /// Calls a second to the platform.
+    /// Maximum number of calls per second to the platform.
     #[serde(default = "default_calls")]
     pub platform_calls: f64,
-    /// Second tries per first try, 0 to 1.
+    /// Retries per first attempt, 0 to 1.
     #[serde(default = "default_retries")]
     pub retry_share: f64,
     /// Log level: error, warn, info or debug.
     #[serde(default = "default_log")]
     pub log: String,
-    /// File to which the time line is written as JSON lines, if any.
+    /// File to which the timeline is written as JSON lines, if any.
     #[serde(default)]
     pub events: Option<PathBuf>,
-    /// Ways of deciding, for comparison with plain baselines.
+    /// Strategy for choice, queueing and recovery; for comparison with simple baselines.
     #[serde(default)]
     #[serde(rename = "tactics")]
     pub strategy: Strategy,
-    /// Threads.
+    /// Number of worker threads.
     #[serde(default = "default_threads")]
     pub threads: usize,
 }
 
-/// Where a credential is read from; never the credential itself.
+/// Source of a credential. The settings never hold the credential itself.
 #[derive(Clone, Debug, Deserialize)]
 #[serde(rename_all = "snake_case", deny_unknown_fields)]
 pub enum Credential {
-    /// A file.
+    /// Path of a file.
     File(PathBuf),
-    /// An environment variable.
+    /// Name of an environment variable.
     Env(String),
 }
 
-/// Bounds of connections, bodies and queues.
+/// Limits on connections, bodies, requests and memory.
 #[derive(Clone, Debug, Deserialize)]
 #[serde(default, deny_unknown_fields)]
 pub struct ResourceLimits {
-    /// Callers' connections.
+    /// Maximum number of callers' connections.
     pub connections: usize,
-    /// Bytes of a request's head.
+    /// Maximum size of a request's head in bytes.
     pub head_bytes: usize,
-    /// Time for a request's head.
+    /// Time limit for receiving a request's head.
     pub head_ms: u64,
-    /// Bytes of a request's body.
+    /// Maximum size of a request's body in bytes.
     pub body_bytes: usize,
-    /// Time for a request's body.
+    /// Time limit for receiving a request's body.
     pub body_ms: u64,
-    /// Tokens that one request may ask for.
+    /// Maximum number of tokens that one request may ask for.
     pub tokens: u32,
-    /// Requests at one time, waiting ones included.
+    /// Maximum number of requests at one time, including waiting ones.
     pub requests: usize,
-    /// Stage inputs kept for one request.
+    /// Maximum number of stage inputs kept for one request.
     pub keep_inputs: usize,
-    /// Records of the time line kept in memory.
+    /// Maximum number of timeline records kept in memory.
     pub records: usize,
 }
 
-/// Times.
+/// Intervals and time-outs.
 #[derive(Clone, Debug, Deserialize)]
 #[serde(default, deny_unknown_fields)]
 pub struct Timing {
-    /// Between heartbeats.
+    /// Time between heartbeats.
     pub heartbeat_ms: u64,
-    /// Least silence after which a stage counts as lost.
+    /// Minimum time without an answer before a stage counts as lost.
     pub silence_ms: u64,
-    /// Silence after which a repeatable service call counts as lost.
+    /// Time without an answer before a repeatable service call counts as lost.
     pub call_silence_ms: u64,
-    /// How long a box may hear neither the platform nor a peer.
+    /// Time without contact to the platform and to any peer after which the box is not
+    /// ready.
     pub isolation_ms: u64,
-    /// Time to live of the lease for orders.
+    /// Time to live of the lease that permits a box to send orders to upstreams.
     pub lease_ms: u64,
-    /// Least time between two reads of the platform's list.
+    /// Minimum time between two reads of the platform's member list.
     pub list_ms: u64,
-    /// How long a planned stop may take.
+    /// Maximum time of a planned stop.
     pub drain_ms: u64,
 }
 
-/// Claims of keyed requests; the same on every box.
+/// Claims on idempotency keys; must be the same on every box.
 #[derive(Clone, Debug, Deserialize)]
 #[serde(default, deny_unknown_fields)]
 pub struct ClaimSettings {
-    /// Objects that the keys are spread over.
+    /// Number of stored objects over which the keys are sharded.
     pub shards: u32,
-    /// How long a key is kept.
+    /// Time for which a key is kept.
     pub keep_s: u64,
-    /// Least time between two writes of one object.
+    /// Minimum time between two writes of one object.
     pub interval_ms: u64,
-    /// How long a claim may wait for the platform.
+    /// Maximum time that a claim waits for the platform.
     pub patience_ms: u64,
 }
 
@@ -190,7 +192,7 @@
 }
 
 impl Settings {
-    /// Reads and checks a file.
+    /// Reads and validates a settings file.
     pub fn load(path: &Path) -> Result<Self> {
         let place = path.display();
         let text = std::fs::read_to_string(path)
@@ -203,7 +205,7 @@
         Ok(settings)
     }
 
-    /// One line for `--check`, without credentials.
+    /// Returns a one-line summary for `--check`, without credentials.
     pub fn summary(&self) -> String {
         format!(
             "box {} in {}, callers {}, peers {}, operators {}",
@@ -211,7 +213,7 @@
         )
     }
 
-    /// The log level as a filter.
+    /// Returns the log level as a filter.
     pub fn log_level(&self) -> Result<spdlog::LevelFilter> {
         use spdlog::{Level, LevelFilter};
         let level = match self.log.as_str() {
@@ -224,7 +226,8 @@
         Ok(LevelFilter::MoreSevereEqual(level))
     }
 
-    /// Settings of the node.
+    /// Returns the settings of the node. `peer_addr` is the address of the box-to-box
+    /// port.
     pub fn node_config(&self, peer: &str) -> Config {
         let since = SystemTime::now()
             .duration_since(UNIX_EPOCH)
@@ -254,7 +257,7 @@
         config
     }
 
-    /// Bounds of the callers' port.
+    /// Returns the limits of the callers' port.
     pub fn caller_bounds(&self) -> PortLimits {
         let l = &self.limits;
         PortLimits {
@@ -353,7 +356,7 @@
 }
 
 impl Credential {
-    /// Reads the credential; `place` names the setting in errors.
+    /// Reads the credential; `setting` is the setting's name for errors.
     pub fn load(&self, place: &str) -> Result<String> {
         let text = match self {
             Credential::File(path) => std::fs::read_to_string(path).wrap_err_with(|| {
--- a/crates/ashgauged/src/timeline.rs
+++ b/crates/ashgauged/src/timeline.rs
@@ -1,4 +1,4 @@
-//! The box's own part of the time line.
+//! Timeline of what happened on this box.
 
 use std::collections::VecDeque;
 use std::fs::File;
@@ -11,7 +11,7 @@
 
 use crate::settings::Settings;
 
-/// Keeps the newest records, and writes all of them to a file if one is set.
+/// Keeps the newest records in memory, and writes all records to a file if one is set.
 pub struct Timeline {
     capacity: usize,
     inner: Mutex<Inner>,
@@ -24,7 +24,7 @@
 }
 
 impl Timeline {
-    /// Makes an empty time line.
+    /// Creates an empty timeline and opens the file, if one is set.
     pub fn new(settings: &Settings) -> Result<Self> {
         let open = |path| {
             let mut options = File::options();
@@ -58,7 +58,7 @@
         inner.records.push_back(record);
     }
 
-    /// The records that are kept.
+    /// Returns the records in memory and the number of evicted ones.
     pub fn read(&self) -> EventsResponse {
         let inner = self.inner.lock().unwrap_or_else(|e| e.into_inner());
         EventsResponse {
