--- a/crates/ashgauge/src/node/admit.rs
+++ b/crates/ashgauge/src/node/admit.rs
@@ -12,7 +12,7 @@
 
 /// Time that the box that owns a key may take to answer before the claim is made on this
 /// box.
-const HOME_TIMEOUT: Duration = Duration::from_millis(400);
+const OWNER_TIMEOUT: Duration = Duration::from_millis(400);
 
 /// Maximum length of an idempotency key, in bytes.
 const MAX_KEY_BYTES: usize = 128;
@@ -26,16 +26,16 @@
 const CALL_COST_TOKENS: f64 = 100.0;
 
 impl Node {
-    pub(super) fn on_request(&mut self, order: IncomingRequest) {
-        let id = order.id;
+    pub(super) fn on_request(&mut self, incoming: IncomingRequest) {
+        let id = incoming.id;
         self.stats.arrived += 1;
-        match self.admit(order) {
+        match self.admit(incoming) {
             Ok(request) => {
-                let what = RecordKind::Arrived {
+                let record_kind = RecordKind::Arrived {
                     team: request.team.id.to_string(),
                     route: request.route.clone(),
                 };
-                self.record(Some(id), what);
+                self.record(Some(id), record_kind);
                 self.requests.insert(id, request);
                 self.claim_or_queue(id);
             }
@@ -62,8 +62,9 @@
         }
         self.refuse_late();
         let slow = |r: &Request| {
-            let c = r.claim.as_ref().filter(|c| c.home.is_some());
-            matches!(r.phase, Phase::Claiming) && c.is_some_and(|c| now > c.asked_at + HOME_TIMEOUT)
+            let c = r.claim.as_ref().filter(|c| c.owner.is_some());
+            matches!(r.phase, Phase::Claiming)
+                && c.is_some_and(|c| now > c.asked_at + OWNER_TIMEOUT)
         };
         let slow = self.requests.iter().filter(|(_, r)| slow(r));
         let slow: Vec<RequestId> = slow.map(|(id, _)| *id).collect();
@@ -74,11 +75,11 @@
 
     /// Refuses waiting requests that could no longer end before their deadline.
     fn refuse_late(&mut self) {
-        let hopeless = |r: &Request| {
+        let is_too_late = |r: &Request| {
             let waits = matches!(r.phase, Phase::Waiting) && !r.maybe_ran;
             waits && self.now + self.expected_run(r) > r.deadline
         };
-        let late = self.requests.iter().filter(|(_, r)| hopeless(r));
+        let late = self.requests.iter().filter(|(_, r)| is_too_late(r));
         let late: Vec<RequestId> = late.map(|(id, _)| *id).collect();
         for id in late {
             let message = "the deadline would pass before the end";
@@ -122,12 +123,12 @@
         };
         let tokens = request.tokens.len() as u32;
         match std::mem::replace(&mut request.phase, Phase::Waiting) {
-            Phase::Running(flow) => {
-                self.release_pipeline(id, &flow);
+            Phase::Running(pipeline) => {
+                self.release_pipeline(id, &pipeline);
                 self.settle_cost(&request);
             }
             Phase::Calling(upstream, _) => {
-                self.loads.release(&upstream);
+                self.upstream_stats.release(&upstream);
                 self.settle_cost(&request);
             }
             Phase::Waiting => {
@@ -139,12 +140,12 @@
         }
         self.end_claim(&request, outcome);
         self.stats.count_end(outcome);
-        let what = RecordKind::Ended {
+        let record_kind = RecordKind::Ended {
             outcome: format!("{outcome:?}"),
             kind: kind.into(),
             tokens,
         };
-        self.record(Some(id), what);
+        self.record(Some(id), record_kind);
     }
 
     pub(super) fn reply(&mut self, id: RequestId, reply: ReplyPart) {
@@ -170,52 +171,64 @@
         }
     }
 
-    fn admit(&mut self, order: IncomingRequest) -> std::result::Result<Request, Refusal> {
-        let no = |kind, message: &str, after| refusal(kind, Outcome::NotRun, message, after);
+    fn admit(&mut self, incoming: IncomingRequest) -> std::result::Result<Request, Refusal> {
+        let reject =
+            |kind, message: &str, retry_after| refusal(kind, Outcome::NotRun, message, retry_after);
         if self.control.draining {
-            return Err(no(
+            return Err(reject(
                 RefusalKind::Draining,
                 "this box is stopping",
                 Some(Duration::ZERO),
             ));
         }
         if self.policy.version == 0 {
-            return Err(no(
+            return Err(reject(
                 RefusalKind::NotReady,
                 "this box has no table yet",
                 Some(RETRY_AFTER),
             ));
         }
-        let Some(team) = self.policy.find_team(&order.key_hash).cloned() else {
-            return Err(no(RefusalKind::Unauthorized, "no team has this key", None));
+        let Some(team) = self.policy.find_team(&incoming.key_hash).cloned() else {
+            return Err(reject(
+                RefusalKind::Unauthorized,
+                "no team has this key",
+                None,
+            ));
         };
-        let Some(name) = self.route_name(&order.work) else {
-            return Err(no(RefusalKind::UnknownRoute, "no route leads there", None));
+        let Some(name) = self.route_name(&incoming.work) else {
+            return Err(reject(
+                RefusalKind::UnknownRoute,
+                "no route leads there",
+                None,
+            ));
         };
-        if order
+        if incoming
             .idempotency_key
             .as_ref()
             .is_some_and(|k| k.len() > MAX_KEY_BYTES || k.is_empty())
         {
-            return Err(no(
+            return Err(reject(
                 RefusalKind::BadKey,
                 "the idempotency key has a bad length",
                 None,
             ));
         }
-        if let Some(left) = self.quarantine_left(&team, &order.work) {
-            return Err(no(
+        if let Some(left) = self.quarantine_left(&team, &incoming.work) {
+            return Err(reject(
                 RefusalKind::Held,
                 "engines were lost under it",
                 Some(left),
             ));
         }
         let route = &self.policy.routes[&name];
-        let timeout = order.timeout.unwrap_or(route.deadline).min(route.deadline);
+        let timeout = incoming
+            .timeout
+            .unwrap_or(route.deadline)
+            .min(route.deadline);
         let request = Request {
-            repeatable: route.repeatable && order.repeatable,
+            repeatable: route.repeatable && incoming.repeatable,
             deadline: self.now + timeout,
-            cost: cost(&order.work),
+            cost: cost(&incoming.work),
             attempt: 0,
             maybe_ran: false,
             ran_before: false,
@@ -225,7 +238,7 @@
             phase: Phase::Waiting,
             route: name,
             team,
-            incoming: order,
+            incoming,
         };
         self.check_capacity(&request)?;
         Ok(request)
@@ -234,10 +247,12 @@
     /// Refuses a request that no upstream can serve, whose team's queue is full, or whose
     /// wait would pass its deadline.
     fn check_capacity(&mut self, request: &Request) -> std::result::Result<(), Refusal> {
-        let no = |kind, message: &str, after| refusal(kind, Outcome::NotRun, message, Some(after));
+        let reject = |kind, message: &str, retry_after| {
+            refusal(kind, Outcome::NotRun, message, Some(retry_after))
+        };
         if !self.is_servable(&request.route) {
             let message = "no live upstream can serve this now";
-            return Err(no(RefusalKind::NoUpstream, message, RETRY_AFTER));
+            return Err(reject(RefusalKind::NoUpstream, message, RETRY_AFTER));
         }
         let team = &request.team;
         if team.token_rate.is_some() {
@@ -253,29 +268,29 @@
             queue.team_len(team.rank, &team.id),
         );
         if len >= team.queue_limit || self.requests.len() >= self.config.max_requests {
-            let after = wait.max(RETRY_AFTER);
-            return Err(no(
+            let retry_after = wait.max(RETRY_AFTER);
+            return Err(reject(
                 RefusalKind::QueueFull,
                 "the team's queue is full",
-                after,
+                retry_after,
             ));
         }
-        let patience = (request.deadline - self.now).saturating_sub(self.expected_run(request));
-        if wait.mul_f64(WAIT_MARGIN) > patience {
-            let after = (wait - patience / 2).max(RETRY_AFTER / 10);
-            return Err(no(
+        let max_wait = (request.deadline - self.now).saturating_sub(self.expected_run(request));
+        if wait.mul_f64(WAIT_MARGIN) > max_wait {
+            let retry_after = (wait - max_wait / 2).max(RETRY_AFTER / 10);
+            return Err(reject(
                 RefusalKind::Overloaded,
                 "the wait would pass the deadline",
-                after,
+                retry_after,
             ));
         }
-        let limited = self.rate_wait(team, len as f64 * request.cost);
-        if limited.is_some_and(|w| w > patience) {
-            let after = limited.unwrap_or(RETRY_AFTER);
-            return Err(no(
+        let rate_wait = self.rate_wait(team, len as f64 * request.cost);
+        if rate_wait.is_some_and(|w| w > max_wait) {
+            let retry_after = rate_wait.unwrap_or(RETRY_AFTER);
+            return Err(reject(
                 RefusalKind::RateLimited,
                 "the team's rate is used up",
-                after,
+                retry_after,
             ));
         }
         Ok(())
@@ -284,11 +299,11 @@
     /// Returns the expected run time of a request, from earlier requests of its route;
     /// zero if there were none.
     pub(super) fn expected_run(&self, request: &Request) -> Duration {
-        let pace = self
+        let token_time = self
             .token_times
             .get(&request.route)
             .map_or(0.0, DurationEstimate::mean);
-        Duration::from_secs_f64(pace * f64::from(request.tokens_left()))
+        Duration::from_secs_f64(token_time * f64::from(request.tokens_left()))
     }
 
     /// Updates the route's time per token from a request that ran to its end.
@@ -297,18 +312,18 @@
             return;
         };
         let ran = self.now.saturating_sub(request.started_at).as_secs_f64();
-        let pace = ran / request.tokens.len().max(1) as f64;
+        let token_time = ran / request.tokens.len().max(1) as f64;
         self.token_times
             .entry(request.route.clone())
             .or_default()
-            .record(pace);
+            .record(token_time);
     }
 
-    fn rate_wait(&mut self, team: &Team, ahead: f64) -> Option<Duration> {
+    fn rate_wait(&mut self, team: &Team, cost_ahead: f64) -> Option<Duration> {
         team.token_rate?;
-        let own = self.rate_limits.time_to_room(self.now, &team.id)?;
+        let own_wait = self.rate_limits.time_to_room(self.now, &team.id)?;
         let rate = self.rate_limits.rate(self.now, &team.id);
-        Some(own + Duration::from_secs_f64(ahead / rate.max(1e-3)))
+        Some(own_wait + Duration::from_secs_f64(cost_ahead / rate.max(1e-3)))
     }
 
     fn route_name(&self, work: &Work) -> Option<String> {
@@ -360,10 +375,8 @@
 fn cost(work: &Work) -> f64 {
     match work {
         Work::Generate {
-            prompt,
-            max_tokens: most,
-            ..
-        } => (prompt.len() + *most as usize) as f64,
+            prompt, max_tokens, ..
+        } => (prompt.len() + *max_tokens as usize) as f64,
         Work::Call { .. } => CALL_COST_TOKENS,
     }
 }
--- a/crates/ashgauge/src/node/call.rs
+++ b/crates/ashgauge/src/node/call.rs
@@ -14,15 +14,15 @@
     /// if any has room. Upstreams with equal numbers are chosen in rotation.
     pub(super) fn choose_service(&mut self, route: &str) -> Option<UpstreamId> {
         let now = self.now;
-        let open = |u: &&crate::member::UpstreamEntry| {
+        let has_room = |u: &&crate::member::UpstreamEntry| {
             u.service.as_deref() == Some(route)
-                && self.loads.has_capacity(now, &u.id)
+                && self.upstream_stats.has_capacity(now, &u.id)
                 && !self.members.is_leaving(now, &u.id)
         };
         let mut ids: Vec<UpstreamId> = self
             .members
             .upstreams()
-            .filter(open)
+            .filter(has_room)
             .map(|u| u.id.clone())
             .collect();
         if ids.is_empty() {
@@ -32,7 +32,7 @@
         let turn = self.rotation % ids.len();
         ids.rotate_left(turn);
         ids.into_iter()
-            .min_by_key(|id| self.loads.get_mut(id).inflight)
+            .min_by_key(|id| self.upstream_stats.get_mut(id).inflight)
     }
 
     pub(super) fn start_call(&mut self, id: RequestId, upstream: UpstreamId) {
@@ -42,7 +42,7 @@
         let Work::Call {
             method,
             path,
-            content_type: content,
+            content_type,
             body,
         } = &request.incoming.work
         else {
@@ -61,19 +61,24 @@
             addr: upstream_addr(&self.members, &upstream),
             method: method.clone(),
             path: path.clone(),
-            content_type: content.clone(),
+            content_type: content_type.clone(),
             idempotency_key: request.incoming.idempotency_key.clone(),
             body: body.clone(),
         };
         request.phase = Phase::Calling(upstream.clone(), self.now);
-        let before = std::mem::replace(&mut request.maybe_ran, true);
-        request.ran_before = before;
-        self.loads.acquire(&upstream);
+        let ran_before = std::mem::replace(&mut request.maybe_ran, true);
+        request.ran_before = ran_before;
+        self.upstream_stats.acquire(&upstream);
         self.actions.push(Action::Call(call));
         self.record(Some(id), RecordKind::Called { attempt, upstream });
     }
 
-    pub(super) fn on_service_done(&mut self, id: RequestId, attempt: u32, called: ServiceResponse) {
+    pub(super) fn on_service_done(
+        &mut self,
+        id: RequestId,
+        attempt: u32,
+        response: ServiceResponse,
+    ) {
         let Some((upstream, since)) = self.find_call(id, attempt) else {
             self.stats.dropped += 1;
             return;
@@ -85,24 +90,24 @@
             positions: 1,
             ..Default::default()
         };
-        self.loads.record(self.now, &upstream, &timing);
-        self.reply(id, ReplyPart::Called(called));
+        self.upstream_stats.record(self.now, &upstream, &timing);
+        self.reply(id, ReplyPart::Called(response));
         self.close_request(id, Outcome::Done, "done");
         self.dispatch_all();
     }
 
-    pub(super) fn on_service_failed(&mut self, id: RequestId, attempt: u32, fault: UpstreamError) {
+    pub(super) fn on_service_failed(&mut self, id: RequestId, attempt: u32, error: UpstreamError) {
         let Some((upstream, _)) = self.find_call(id, attempt) else {
             return;
         };
-        let (cause, ran) = match &fault {
+        let (cause, ran) = match &error {
             UpstreamError::NotSent(cause) => (cause.clone(), false),
             UpstreamError::Refused { reason, .. } => (format!("{reason:?}"), false),
             UpstreamError::Lost(cause) => (cause.clone(), true),
         };
-        match fault {
+        match error {
             UpstreamError::Refused { reason, rest } => self.record_refusal(&upstream, reason, rest),
-            _ => self.loads.record_failure(self.now, &upstream),
+            _ => self.upstream_stats.record_failure(self.now, &upstream),
         }
         self.stats.lost += 1;
         self.record(Some(id), RecordKind::Lost { upstream, cause });
@@ -129,7 +134,7 @@
         let route = request.route.clone();
         let phase = std::mem::replace(&mut request.phase, Phase::Waiting);
         if let Phase::Calling(upstream, _) = phase {
-            self.loads.release(&upstream);
+            self.upstream_stats.release(&upstream);
         }
         self.stats.restarted += 1;
         self.requeue(id);
--- a/crates/ashgauge/src/node/claims.rs
+++ b/crates/ashgauge/src/node/claims.rs
@@ -12,27 +12,27 @@
 impl Node {
     /// Handles the result of a claim, from this box's shards or from the box that owns
     /// the key.
-    pub(super) fn on_verdict(&mut self, claim: &str, verdict: ClaimResult) {
+    pub(super) fn on_claim_result(&mut self, claim: &str, result: ClaimResult) {
         let Some(id) = self.pending_claims.remove(claim) else {
-            return self.free_abandoned(claim, &verdict);
+            return self.free_abandoned(claim, &result);
         };
         let Some(request) = self.requests.get(&id) else {
             return;
         };
         let key = request.incoming.idempotency_key.clone().unwrap_or_default();
-        let text = match &verdict {
+        let label = match &result {
             ClaimResult::Granted => "granted",
             ClaimResult::Held(..) => "held",
             ClaimResult::Unavailable => "unavailable",
         };
-        let what = RecordKind::Claimed {
+        let record_kind = RecordKind::Claimed {
             key,
-            result: text.into(),
+            result: label.into(),
         };
-        self.record(Some(id), what);
-        match verdict {
+        self.record(Some(id), record_kind);
+        match result {
             ClaimResult::Granted => self.enqueue(id),
-            ClaimResult::Held(other, stage) => self.refuse_taken(id, &other, stage),
+            ClaimResult::Held(other_id, state) => self.refuse_taken(id, &other_id, state),
             ClaimResult::Unavailable => {
                 self.requests.get_mut(&id).and_then(|r| r.claim.take());
                 let message = "the platform does not answer, so the key cannot be claimed";
@@ -54,19 +54,19 @@
         // one.
         let new = format!("{}+", claim.id);
         let old = std::mem::replace(&mut claim.id, new);
-        let (name, key) = (claim.id.clone(), key.clone());
+        let (claim_id, key) = (claim.id.clone(), key.clone());
         claim.abandoned_ids.push(old.clone());
-        let home = claim.home.take();
+        let owner = claim.owner.take();
         self.pending_claims.remove(&old);
         self.abandoned_claims.insert(old, (key.clone(), self.now));
-        self.pending_claims.insert(name.clone(), id);
-        if let Some((home, _)) = home {
-            self.suspect_box(&home);
+        self.pending_claims.insert(claim_id.clone(), id);
+        if let Some((owner, _)) = owner {
+            self.suspect_box(&owner);
         }
-        let steps = self
+        let actions = self
             .claims
-            .claim(self.now, self.wall_ms() / 1000, &key, &name);
-        self.run_claim_steps(steps);
+            .claim(self.now, self.wall_ms() / 1000, &key, &claim_id);
+        self.run_claim_actions(actions);
     }
 
     pub(super) fn claim_or_queue(&mut self, id: RequestId) {
@@ -91,40 +91,40 @@
         }
         // The team's id keeps keys of different teams apart.
         let key = format!("{}/{key}", request.team.id);
-        let name = format!("{}.{id}", self.config.instance_id());
-        let home = self
+        let claim_id = format!("{}.{id}", self.config.instance_id());
+        let owner = self
             .members
             .owner_of(self.now, &self.claims.shard_of(&key).to_string());
-        let home = home.filter(|h| *h != self.config.id);
-        let home = home.and_then(|h| self.peer_addr(&h).map(|a| (h, a)));
+        let owner = owner.filter(|h| *h != self.config.id);
+        let owner = owner.and_then(|h| self.peer_addr(&h).map(|a| (h, a)));
         if let Some(request) = self.requests.get_mut(&id) {
             request.incoming.idempotency_key = Some(key.clone());
             request.phase = Phase::Claiming;
             request.claim = Some(Claim {
-                id: name.clone(),
+                id: claim_id.clone(),
                 abandoned_ids: Vec::new(),
-                home: home.clone(),
+                owner: owner.clone(),
                 asked_at: self.now,
             });
         }
-        self.pending_claims.insert(name.clone(), id);
-        match home {
-            Some((to, addr)) => self.send(to, addr, Message::RequestClaim { key, id: name }),
+        self.pending_claims.insert(claim_id.clone(), id);
+        match owner {
+            Some((to, addr)) => self.send(to, addr, Message::RequestClaim { key, id: claim_id }),
             None => {
-                let steps = self
+                let actions = self
                     .claims
-                    .claim(self.now, self.wall_ms() / 1000, &key, &name);
-                self.run_claim_steps(steps);
+                    .claim(self.now, self.wall_ms() / 1000, &key, &claim_id);
+                self.run_claim_actions(actions);
             }
         }
     }
 
-    pub(super) fn refuse_taken(&mut self, id: RequestId, other: &str, stage: ClaimState) {
+    pub(super) fn refuse_taken(&mut self, id: RequestId, other_id: &str, state: ClaimState) {
         let Some(request) = self.requests.get_mut(&id) else {
             return;
         };
         let claim = request.claim.as_ref();
-        let own = claim.is_some_and(|c| c.abandoned_ids.iter().any(|d| d == other));
+        let own = claim.is_some_and(|c| c.abandoned_ids.iter().any(|d| d == other_id));
         if own {
             // This box abandoned that claim before it sent a call, so the key can be
             // released.
@@ -132,7 +132,7 @@
             return self.refuse(id, RefusalKind::PlatformDown, message, Some(RETRY_AFTER));
         }
         request.claim = None;
-        let (outcome, message) = match stage {
+        let (outcome, message) = match state {
             ClaimState::Done => (Outcome::Done, "a request with this key has already run"),
             _ => (
                 Outcome::Unknown,
@@ -143,9 +143,9 @@
     }
 
     /// Releases a key whose claim was granted after it had been abandoned.
-    pub(super) fn free_abandoned(&mut self, claim: &str, verdict: &ClaimResult) {
+    pub(super) fn free_abandoned(&mut self, claim: &str, result: &ClaimResult) {
         if let Some((key, _)) = self.abandoned_claims.remove(claim)
-            && *verdict == ClaimResult::Granted
+            && *result == ClaimResult::Granted
         {
             self.claims.update_state(&key, claim, ClaimState::NotRun);
         }
@@ -159,40 +159,32 @@
             let value = (key.clone(), self.now);
             self.abandoned_claims.insert(claim.id.clone(), value);
         }
-        let stage = match outcome {
+        let state = match outcome {
             Outcome::Done => ClaimState::Done,
             Outcome::NotRun => ClaimState::NotRun,
             Outcome::Unknown => ClaimState::Claimed,
         };
         if outcome != Outcome::Unknown {
-            self.end_claim_at(claim.home.clone(), key, &claim.id, stage);
+            self.end_claim_at(claim.owner.clone(), key, &claim.id, state);
         }
-        for name in &claim.abandoned_ids {
-            self.end_claim_at(None, key, name, ClaimState::NotRun);
+        for claim_id in &claim.abandoned_ids {
+            self.end_claim_at(None, key, claim_id, ClaimState::NotRun);
         }
     }
 
     pub(super) fn end_claim_at(
         &mut self,
-        at: Option<(BoxId, String)>,
+        owner: Option<(BoxId, String)>,
         key: &str,
         id: &str,
-        stage: ClaimState,
+        state: ClaimState,
     ) {
-        match at {
+        match owner {
             Some((to, addr)) => {
                 let (key, id) = (key.into(), id.into());
-                self.send(
-                    to,
-                    addr,
-                    Message::UpdateClaim {
-                        key,
-                        id,
-                        state: stage,
-                    },
-                );
+                self.send(to, addr, Message::UpdateClaim { key, id, state });
             }
-            None => self.claims.update_state(key, id, stage),
+            None => self.claims.update_state(key, id, state),
         }
     }
 }
--- a/crates/ashgauge/src/node/dispatch.rs
+++ b/crates/ashgauge/src/node/dispatch.rs
@@ -18,8 +18,8 @@
 impl Node {
     /// Starts waiting requests of all routes while upstreams have room.
     pub(super) fn dispatch_all(&mut self) {
-        let busy = self.queues.iter().filter(|(_, q)| !q.is_empty());
-        let routes: Vec<String> = busy.map(|(r, _)| r.clone()).collect();
+        let queued = self.queues.iter().filter(|(_, q)| !q.is_empty());
+        let routes: Vec<String> = queued.map(|(r, _)| r.clone()).collect();
         for route in routes {
             self.dispatch(&route);
         }
@@ -36,11 +36,11 @@
                     let Some(stages) = self.choose_stages(route, 0, layers, None, false) else {
                         return self.refuse_unserved(route);
                     };
-                    let pace = stages
+                    let token_time = stages
                         .iter()
-                        .map(|s| self.loads.order_seconds(&s.upstream))
+                        .map(|s| self.upstream_stats.order_seconds(&s.upstream))
                         .sum();
-                    let Some(id) = self.pop_request(route, pace) else {
+                    let Some(id) = self.pop_request(route, token_time) else {
                         return;
                     };
                     self.start_stages(id, stages);
@@ -100,17 +100,17 @@
     /// Pops the next request that its team's rate permits and that would end before its
     /// deadline if each token takes `token_time` seconds. Others stay queued for a faster
     /// chain. Requests that may have run are not checked against the deadline.
-    pub(super) fn pop_request(&mut self, route: &str, pace: f64) -> Option<RequestId> {
+    pub(super) fn pop_request(&mut self, route: &str, token_time: f64) -> Option<RequestId> {
         let queue = self.queues.get_mut(route)?;
-        let (policy, limits) = (&self.policy, &mut self.rate_limits);
+        let (policy, rate_limits) = (&self.policy, &mut self.rate_limits);
         let (now, requests) = (self.now, &self.requests);
         let job = queue.pop(now, &policy.tier_floors, |job| {
             let Some(r) = requests.get(&job.id) else {
                 return true;
             };
-            let run = Duration::from_secs_f64(pace * RUN_MARGIN * f64::from(r.tokens_left()));
-            let fits = r.maybe_ran || now + run <= job.deadline;
-            fits && (r.team.token_rate.is_none() || limits.has_room(now, &r.team.id))
+            let run = Duration::from_secs_f64(token_time * RUN_MARGIN * f64::from(r.tokens_left()));
+            let in_time = r.maybe_ran || now + run <= job.deadline;
+            in_time && (r.team.token_rate.is_none() || rate_limits.has_room(now, &r.team.id))
         })?;
         let request = self.requests.get(&job.id)?;
         if request.team.token_rate.is_some() {
@@ -148,13 +148,14 @@
     ) -> Option<Vec<Stage>> {
         let now = self.now;
         let edges = self.usable_edges(model, |id| {
-            let fine = if urgent {
-                let shut = self.loads.is_suspect(now, id) || self.loads.is_backing_off(now, id);
-                !shut && lost.is_none_or(|l| &**l != id)
+            let usable = if urgent {
+                let unavailable = self.upstream_stats.is_suspect(now, id)
+                    || self.upstream_stats.is_backing_off(now, id);
+                !unavailable && lost.is_none_or(|l| &**l != id)
             } else {
-                self.loads.has_capacity(now, id)
+                self.upstream_stats.has_capacity(now, id)
             };
-            fine && !self.members.is_leaving(now, id)
+            usable && !self.members.is_leaving(now, id)
         });
         if self.config.strategy.cheapest {
             return cheapest_chain(first, end, &edges);
@@ -170,7 +171,7 @@
                 continue;
             }
             for h in u.holds.iter().filter(|h| h.model == model) {
-                edges.push(self.loads.edge(self.now, &u.id, h.first, h.end));
+                edges.push(self.upstream_stats.edge(self.now, &u.id, h.first, h.end));
             }
         }
         edges
--- a/crates/ashgauge/src/node/mod.rs
+++ b/crates/ashgauge/src/node/mod.rs
@@ -160,9 +160,9 @@
     actions: Vec<Action>,
     table: Arc<Table>,
     policy: Policy,
-    listing: MemberList,
+    member_list: MemberList,
     members: Members,
-    loads: UpstreamStatsMap,
+    upstream_stats: UpstreamStatsMap,
     queues: BTreeMap<String, Queue>,
     /// Seconds per generated token of running requests, by route.
     token_times: HashMap<String, DurationEstimate>,
@@ -223,7 +223,7 @@
     /// Earlier claim ids of this request that were abandoned. No call is sent under them.
     abandoned_ids: Vec<ClaimId>,
     /// Name and address of the box that owns the key, if it is another one and was asked.
-    home: Option<(BoxId, String)>,
+    owner: Option<(BoxId, String)>,
     asked_at: Duration,
 }
 
@@ -238,9 +238,9 @@
     /// Returns the maximum number of tokens still to be generated.
     fn tokens_left(&self) -> u32 {
         match &self.incoming.work {
-            Work::Generate {
-                max_tokens: most, ..
-            } => most.saturating_sub(self.tokens.len() as u32),
+            Work::Generate { max_tokens, .. } => {
+                max_tokens.saturating_sub(self.tokens.len() as u32)
+            }
             Work::Call { .. } => 0,
         }
     }
@@ -265,9 +265,9 @@
             actions: Vec::new(),
             table: Arc::default(),
             policy: Policy::default(),
-            listing: MemberList::default(),
+            member_list: MemberList::default(),
             members: Members::default(),
-            loads: UpstreamStatsMap::default(),
+            upstream_stats: UpstreamStatsMap::default(),
             queues: BTreeMap::new(),
             token_times: HashMap::new(),
             requests: BTreeMap::new(),
@@ -295,24 +295,26 @@
     pub fn handle(&mut self, now: Duration, event: Event) -> Vec<Action> {
         self.now = self.now.max(now);
         match event {
-            Event::RequestArrived(order) => self.on_request(order),
+            Event::RequestArrived(incoming) => self.on_request(incoming),
             Event::CallerGone(id) => self.on_caller_gone(id),
-            Event::StageDone(ran) => self.on_stage_done(ran),
-            Event::StageFailed(id, session, start, fault) => {
-                self.on_stage_failed(id, session, start, fault)
+            Event::StageDone(result) => self.on_stage_done(result),
+            Event::StageFailed(id, session, start, error) => {
+                self.on_stage_failed(id, session, start, error)
+            }
+            Event::ServiceDone(id, attempt, response) => {
+                self.on_service_done(id, attempt, response)
             }
-            Event::ServiceDone(id, attempt, called) => self.on_service_done(id, attempt, called),
-            Event::ServiceFailed(id, attempt, fault) => self.on_service_failed(id, attempt, fault),
-            Event::Read(object, answer) => self.on_read(object, answer),
-            Event::Written(object, content, result) => self.on_written(object, content, result),
+            Event::ServiceFailed(id, attempt, error) => self.on_service_failed(id, attempt, error),
+            Event::Read(key, answer) => self.on_read(key, answer),
+            Event::Written(key, value, result) => self.on_written(key, value, result),
             Event::TableVersion(version) => self.on_table_version(version),
             Event::Listed(listing) => self.on_listing(listing),
             Event::Unchanged => self.control.last_contact = Some(self.now),
             Event::MessageReceived(envelope) => self.on_message(envelope),
             Event::SendFailed(to, message) => self.on_send_failed(&to, message),
-            Event::Edit(ticket, edit) => {
-                let steps = self.editor.push(self.now, ticket, edit);
-                self.run_edit_steps(steps);
+            Event::Edit(waiter, edit) => {
+                let actions = self.editor.push(self.now, waiter, edit);
+                self.run_edit_actions(actions);
             }
             Event::OrderAnswered(id, term, reply) => self.on_order_reply(&id, term, reply),
             Event::Drain => self.drain(),
@@ -325,13 +327,14 @@
     /// to date, the peers that it asked at start have answered or failed, it has contact
     /// to the platform or to a peer, and it is not draining.
     pub fn is_ready(&self, now: Duration) -> bool {
-        let f = &self.control;
-        let knows = self.policy.version > 0 && self.policy.version >= f.newest_version;
-        let greeted = f.peers_asked && f.awaited_peers.is_empty();
-        let alone = f
+        let control = &self.control;
+        let table_current =
+            self.policy.version > 0 && self.policy.version >= control.newest_version;
+        let peers_answered = control.peers_asked && control.awaited_peers.is_empty();
+        let isolated = control
             .last_contact
             .is_none_or(|t| now > t + self.config.isolation_timeout);
-        knows && greeted && !alone && !f.draining
+        table_current && peers_answered && !isolated && !control.draining
     }
 
     /// Returns true if the node is draining and has no requests left.
@@ -356,12 +359,12 @@
         self.config.epoch_ms + self.now.as_millis() as u64
     }
 
-    fn record(&mut self, request: Option<RequestId>, what: RecordKind) {
+    fn record(&mut self, request: Option<RequestId>, kind: RecordKind) {
         let record = Record {
             at: self.clock.tick(self.wall_ms()),
             box_id: self.config.id.clone(),
             request,
-            kind: what,
+            kind,
         };
         self.actions.push(Action::Record(record));
     }
--- a/crates/ashgauge/src/node/peers.rs
+++ b/crates/ashgauge/src/node/peers.rs
@@ -39,14 +39,15 @@
     }
 
     pub(super) fn on_listing(&mut self, listing: MemberList) {
-        let before: Vec<UpstreamId> = self.leaving_ids();
+        let leaving_before: Vec<UpstreamId> = self.leaving_ids();
         self.control.last_contact = Some(self.now);
-        self.listing = listing.clone();
+        self.member_list = listing.clone();
         self.members.update(listing);
         let members = &self.members;
-        self.loads.retain(|id| members.upstream(id).is_some());
+        self.upstream_stats
+            .retain(|id| members.upstream(id).is_some());
         for id in self.leaving_ids() {
-            if !before.contains(&id) {
+            if !leaving_before.contains(&id) {
                 let source = "platform".into();
                 self.record(
                     None,
@@ -75,7 +76,7 @@
             Message::Heartbeat {
                 version,
                 leaving,
-                wants_reply: answer,
+                wants_reply,
                 losses,
             } => {
                 self.merge_losses(&losses);
@@ -84,36 +85,23 @@
                     self.mark_leaving(&id, &from);
                 }
                 self.on_peer_version(version, &from, &addr);
-                if answer {
+                if wants_reply {
                     let heartbeat = self.make_heartbeat(false);
                     self.send(from, addr, heartbeat);
                 }
             }
-            Message::RequestLoans {
-                wants,
-                asked_us: asked,
-            } => self.lend(from, addr, wants, asked),
-            Message::GrantLoans {
-                rates,
-                asked_us: asked,
-            } => self.borrow(&from, rates, asked),
+            Message::RequestLoans { wants, asked_us } => self.lend(from, addr, wants, asked_us),
+            Message::GrantLoans { rates, asked_us } => self.borrow(&from, rates, asked_us),
             Message::RequestClaim { key, id } => {
                 self.claim_askers.insert(id.clone(), (from, addr));
-                let steps = self
+                let actions = self
                     .claims
                     .claim(self.now, self.wall_ms() / 1000, &key, &id);
-                self.run_claim_steps(steps);
+                self.run_claim_actions(actions);
             }
-            Message::ClaimReply {
-                id,
-                result: verdict,
-            } => self.on_verdict(&id, verdict),
-            Message::UpdateClaim {
-                key,
-                id,
-                state: stage,
-            } => self.claims.update_state(&key, &id, stage),
-            Message::FetchState { after: since } => self.send_state(from, addr, since),
+            Message::ClaimReply { id, result } => self.on_claim_result(&id, result),
+            Message::UpdateClaim { key, id, state } => self.claims.update_state(&key, &id, state),
+            Message::FetchState { after } => self.send_state(from, addr, after),
             Message::Edits {
                 version,
                 edits,
@@ -124,7 +112,7 @@
                 table,
                 listing,
             } => {
-                if self.listing.boxes.is_empty() {
+                if self.member_list.boxes.is_empty() {
                     self.on_listing(listing);
                 }
                 self.install_table(version, Arc::from(table), &from);
@@ -140,11 +128,7 @@
                 let request = self.pending_claims.get(&id).copied();
                 request.into_iter().for_each(|r| self.claim_locally(r));
             }
-            Message::UpdateClaim {
-                key,
-                id,
-                state: stage,
-            } => self.claims.update_state(&key, &id, stage),
+            Message::UpdateClaim { key, id, state } => self.claims.update_state(&key, &id, state),
             _ => {}
         }
     }
@@ -177,11 +161,11 @@
     pub(super) fn mark_leaving(&mut self, id: &UpstreamId, source: &str) {
         if self.members.mark_leaving(self.now, id) {
             self.expedite_heartbeat();
-            let what = RecordKind::Leaving {
+            let record_kind = RecordKind::Leaving {
                 upstream: id.clone(),
                 source: source.into(),
             };
-            self.record(None, what);
+            self.record(None, record_kind);
         }
     }
 
@@ -192,8 +176,8 @@
         }
         let inflight = self.requests.len();
         self.record(None, RecordKind::Draining { inflight });
-        if let Some(step) = self.lease.release() {
-            self.run_lease_step(step);
+        if let Some(action) = self.lease.release() {
+            self.run_lease_action(action);
         }
     }
 
@@ -208,8 +192,8 @@
         let boxes = self.members.boxes().count().max(1) as f64;
         // Shortly after the start the share is 0, as an earlier process of this box may
         // have lent it out.
-        let opens = self.config.strategy.loans && self.now < limit::settle_time();
-        let share = if opens { 0.0 } else { rate / boxes };
+        let starting = self.config.strategy.loans && self.now < limit::settle_time();
+        let share = if starting { 0.0 } else { rate / boxes };
         self.rate_limits.set_share(self.now, team, share);
     }
 
@@ -223,7 +207,7 @@
         let due = self
             .orders
             .due_orders(self.now, term, &self.policy.goals, fenced);
-        for (upstream, goal) in due {
+        for (upstream, desired) in due {
             let addr = pipeline::upstream_addr(&self.members, &upstream);
             if addr.is_empty() {
                 continue;
@@ -232,14 +216,14 @@
                 upstream,
                 addr,
                 term,
-                desired: goal,
+                desired,
             }));
         }
     }
 
     pub(super) fn on_order_reply(&mut self, id: &UpstreamId, term: u64, reply: OrderReply) {
         self.orders.on_reply(self.now, id, term, &reply);
-        let what = RecordKind::Ordered {
+        let record_kind = RecordKind::Ordered {
             upstream: id.clone(),
             term,
             order: self
@@ -249,24 +233,24 @@
                 .map_or(String::new(), |g| format!("{:x}", g.hash)),
             result: format!("{reply:?}"),
         };
-        self.record(None, what);
+        self.record(None, record_kind);
     }
 
     fn leaving_ids(&self) -> Vec<UpstreamId> {
-        let gone =
+        let is_leaving =
             |u: &&crate::member::UpstreamEntry| u.state == crate::member::MemberState::Leaving;
         self.members
             .upstreams()
-            .filter(gone)
+            .filter(is_leaving)
             .map(|u| u.id.clone())
             .collect()
     }
 
-    fn make_heartbeat(&self, answer: bool) -> Message {
+    fn make_heartbeat(&self, wants_reply: bool) -> Message {
         Message::Heartbeat {
             version: self.policy.version,
             leaving: self.members.leaving_ids(self.now),
-            wants_reply: answer,
+            wants_reply,
             losses: self.loss_report(),
         }
     }
@@ -281,8 +265,8 @@
         let me = self.config.id.clone();
         let others = self.members.boxes().filter(|b| b.id != me);
         let others = others.map(|b| (b.id.clone(), b.peer_addr.clone()));
-        let some = others.choose_multiple(&mut self.rng, self.config.fanout);
-        for (id, addr) in some {
+        let chosen = others.choose_multiple(&mut self.rng, self.config.fanout);
+        for (id, addr) in chosen {
             let heartbeat = self.make_heartbeat(false);
             self.send(id, addr, heartbeat);
         }
@@ -292,7 +276,7 @@
     /// arrives.
     fn ask_versions(&mut self) {
         // An empty list means that the platform has not made one yet.
-        if self.listing.boxes.is_empty() {
+        if self.member_list.boxes.is_empty() {
             return;
         }
         if std::mem::replace(&mut self.control.peers_asked, true) {
@@ -301,23 +285,23 @@
         let me = self.config.id.clone();
         let others = self.members.boxes().filter(|b| b.id != me);
         let others = others.map(|b| (b.id.clone(), b.peer_addr.clone()));
-        let some = others.choose_multiple(&mut self.rng, STARTUP_PEERS);
-        for (id, addr) in some {
+        let chosen = others.choose_multiple(&mut self.rng, STARTUP_PEERS);
+        for (id, addr) in chosen {
             self.control.awaited_peers.push(id.clone());
             let heartbeat = self.make_heartbeat(true);
             self.send(id, addr, heartbeat);
         }
     }
 
-    /// Sends a peer what is newer than version `since`: the edits if the table still
+    /// Sends a peer what is newer than version `after`: the edits if the table still
     /// holds them, otherwise the whole table.
-    fn send_state(&mut self, to: BoxId, addr: String, since: Version) {
+    fn send_state(&mut self, to: BoxId, addr: String, after: Version) {
         let version = self.policy.version;
-        if version <= since {
+        if version <= after {
             return;
         }
-        if since > 0
-            && let Some(edits) = self.table.last_edits(version - since)
+        if after > 0
+            && let Some(edits) = self.table.last_edits(version - after)
         {
             let (edits, hash) = (edits.to_vec(), self.table.hash());
             return self.send(
@@ -333,7 +317,7 @@
         let state = Message::State {
             version: self.policy.version,
             table: Box::new(Table::clone(&self.table)),
-            listing: self.listing.clone(),
+            listing: self.member_list.clone(),
         };
         self.send(to, addr, state);
     }
@@ -355,7 +339,7 @@
         let others = self.members.live_boxes(self.now).filter(|b| b.id != *me);
         let others = others.map(|b| (b.id.clone(), b.peer_addr.clone()));
         let lenders = others.choose_multiple(&mut self.rng, MAX_LENDERS);
-        let asked = self.now.as_micros() as u64;
+        let asked_us = self.now.as_micros() as u64;
         for (id, addr) in &lenders {
             let want = |t: &TeamId| self.rate_limits.wanted_rate(self.now, t, id, lenders.len());
             let wants = due.iter().map(|t| (t.clone(), want(t)));
@@ -364,37 +348,27 @@
                 self.send(
                     id.clone(),
                     addr.clone(),
-                    Message::RequestLoans {
-                        wants,
-                        asked_us: asked,
-                    },
+                    Message::RequestLoans { wants, asked_us },
                 );
             }
         }
     }
 
-    fn lend(&mut self, to: BoxId, addr: String, wants: Vec<(TeamId, f64)>, asked: u64) {
+    fn lend(&mut self, to: BoxId, addr: String, wants: Vec<(TeamId, f64)>, asked_us: u64) {
         let mut rates = Vec::with_capacity(wants.len());
         for (team, want) in wants {
             self.set_share(&team);
             let rate = self.rate_limits.lend(self.now, &team, &to, want);
             rates.push((team, rate));
         }
-        self.send(
-            to,
-            addr,
-            Message::GrantLoans {
-                rates,
-                asked_us: asked,
-            },
-        );
+        self.send(to, addr, Message::GrantLoans { rates, asked_us });
     }
 
-    fn borrow(&mut self, from: &BoxId, rates: Vec<(TeamId, f64)>, asked: u64) {
-        let asked = Duration::from_micros(asked);
+    fn borrow(&mut self, from: &BoxId, rates: Vec<(TeamId, f64)>, asked_us: u64) {
+        let asked_at = Duration::from_micros(asked_us);
         for (team, rate) in rates {
             self.rate_limits
-                .record_loan(self.now, &team, from, rate, asked);
+                .record_loan(self.now, &team, from, rate, asked_at);
         }
         self.dispatch_all();
     }
--- a/crates/ashgauge/src/node/pipeline.rs
+++ b/crates/ashgauge/src/node/pipeline.rs
@@ -91,60 +91,64 @@
 }
 
 impl Node {
-    pub(super) fn on_stage_done(&mut self, ran: StageResult) {
-        let Some(request) = self.requests.get_mut(&ran.id) else {
+    pub(super) fn on_stage_done(&mut self, result: StageResult) {
+        let Some(request) = self.requests.get_mut(&result.id) else {
             self.stats.dropped += 1;
             return;
         };
-        let Phase::Running(flow) = &mut request.phase else {
+        let Phase::Running(pipeline) = &mut request.phase else {
             self.stats.dropped += 1;
             return;
         };
-        let live = flow.active();
-        if live.session != ran.session {
-            return self.on_late_result(&ran);
+        let active = pipeline.active();
+        if active.session != result.session {
+            return self.on_late_result(&result);
         }
-        let expected = live.sent_at.is_some()
-            && live.positions_done == ran.start
-            && live.pending_inputs().len() == ran.outputs.len();
+        let expected = active.sent_at.is_some()
+            && active.positions_done == result.start
+            && active.pending_inputs().len() == result.outputs.len();
         if !expected {
             self.stats.dropped += 1;
-            let upstream = live.stage.upstream.clone();
-            self.record(Some(ran.id), RecordKind::Dropped { upstream });
+            let upstream = active.stage.upstream.clone();
+            self.record(Some(result.id), RecordKind::Dropped { upstream });
             return;
         }
-        let sent = live.sent_at.take().unwrap_or(self.now);
-        let timing = stage_timing(self.now - sent, &live.stage, &ran);
-        let upstream = live.stage.upstream.clone();
-        self.loads.record(self.now, &upstream, &timing);
+        let sent_at = active.sent_at.take().unwrap_or(self.now);
+        let timing = stage_timing(self.now - sent_at, &active.stage, &result);
+        let upstream = active.stage.upstream.clone();
+        self.upstream_stats.record(self.now, &upstream, &timing);
         self.stats.stage_runs += 1;
-        self.forward_result(ran);
+        self.forward_result(result);
     }
 
     /// Drops the late answer of an abandoned stage, but records its timing, which tells
     /// how slow the upstream is.
-    fn on_late_result(&mut self, ran: &StageResult) {
+    fn on_late_result(&mut self, result: &StageResult) {
         self.stats.dropped += 1;
-        let Some(request) = self.requests.get(&ran.id) else {
+        let Some(request) = self.requests.get(&result.id) else {
             return;
         };
-        let Phase::Running(flow) = &request.phase else {
+        let Phase::Running(pipeline) = &request.phase else {
             return;
         };
-        let Some(past) = flow.abandoned.iter().find(|p| p.session == ran.session) else {
+        let Some(abandoned) = pipeline
+            .abandoned
+            .iter()
+            .find(|p| p.session == result.session)
+        else {
             return;
         };
-        let timing = stage_timing(self.now - past.sent_at, &past.stage, ran);
-        let upstream = past.stage.upstream.clone();
-        self.loads.record(self.now, &upstream, &timing);
-        self.record(Some(ran.id), RecordKind::Dropped { upstream });
+        let timing = stage_timing(self.now - abandoned.sent_at, &abandoned.stage, result);
+        let upstream = abandoned.stage.upstream.clone();
+        self.upstream_stats.record(self.now, &upstream, &timing);
+        self.record(Some(result.id), RecordKind::Dropped { upstream });
     }
 
     /// Releases the upstreams of a pipeline and cancels its sessions.
-    pub(super) fn release_pipeline(&mut self, id: RequestId, flow: &Pipeline) {
-        for live in &flow.stages {
-            self.loads.release(&live.stage.upstream);
-            self.cancel_session(id, live.session, &live.stage.upstream, &live.addr);
+    pub(super) fn release_pipeline(&mut self, id: RequestId, pipeline: &Pipeline) {
+        for active in &pipeline.stages {
+            self.upstream_stats.release(&active.stage.upstream);
+            self.cancel_session(id, active.session, &active.stage.upstream, &active.addr);
         }
     }
 
@@ -161,7 +165,7 @@
             request.started_at = self.now;
         }
         request.attempt += 1;
-        let mut flow = Pipeline {
+        let mut pipeline = Pipeline {
             model: model.clone(),
             stages: Vec::new(),
             current: 0,
@@ -173,16 +177,16 @@
             stalled: false,
             abandoned: Vec::new(),
         };
-        let mut first = prompt.clone();
-        first.extend(&request.tokens);
+        let mut inputs = prompt.clone();
+        inputs.extend(&request.tokens);
         for stage in &stages {
             let addr = upstream_addr(&self.members, &stage.upstream);
-            let live = flow.new_stage(stage.clone(), addr);
-            flow.stages.push(live);
-            self.loads.acquire(&stage.upstream);
+            let active = pipeline.new_stage(stage.clone(), addr);
+            pipeline.stages.push(active);
+            self.upstream_stats.acquire(&stage.upstream);
         }
-        flow.stages[0].kept_inputs = first;
-        request.phase = Phase::Running(flow);
+        pipeline.stages[0].kept_inputs = inputs;
+        request.phase = Phase::Running(pipeline);
         let attempt = request.attempt;
         self.record(Some(id), RecordKind::Chosen { attempt, stages });
         self.send_run(id);
@@ -195,49 +199,50 @@
             return;
         };
         let attempt = request.attempt;
-        let Phase::Running(flow) = &mut request.phase else {
+        let Phase::Running(pipeline) = &mut request.phase else {
             return;
         };
-        flow.ran_before = std::mem::replace(&mut request.maybe_ran, true);
-        let model = flow.model.clone();
-        let live = flow.active();
-        live.sent_at = Some(now);
-        let inputs = live.pending_inputs().to_vec();
+        pipeline.ran_before = std::mem::replace(&mut request.maybe_ran, true);
+        let model = pipeline.model.clone();
+        let active = pipeline.active();
+        active.sent_at = Some(now);
+        let inputs = active.pending_inputs().to_vec();
         let run = StageRun {
             id,
             attempt,
-            session: live.session,
-            upstream: live.stage.upstream.clone(),
-            addr: live.addr.clone(),
+            session: active.session,
+            upstream: active.stage.upstream.clone(),
+            addr: active.addr.clone(),
             model,
-            first: live.stage.first,
-            end: live.stage.end,
-            start: live.positions_done,
-            rebuild: (inputs.len() as u32).min(live.rebuild.saturating_sub(live.positions_done)),
+            first: active.stage.first,
+            end: active.stage.end,
+            start: active.positions_done,
+            rebuild: (inputs.len() as u32)
+                .min(active.rebuild.saturating_sub(active.positions_done)),
             inputs,
         };
         self.actions.push(Action::Run(run));
     }
 
     /// Forwards a stage's outputs to the next stage, or the token to the caller.
-    fn forward_result(&mut self, ran: StageResult) {
-        let id = ran.id;
+    fn forward_result(&mut self, result: StageResult) {
+        let id = result.id;
         let Some(request) = self.requests.get_mut(&id) else {
             return;
         };
-        let Phase::Running(flow) = &mut request.phase else {
+        let Phase::Running(pipeline) = &mut request.phase else {
             return;
         };
-        let live = flow.active();
-        live.positions_done = live.input_end();
-        live.resends = 0;
-        if flow.current + 1 < flow.stages.len() {
-            flow.current += 1;
-            let next = flow.active();
-            let known = (next.input_end() - ran.start) as usize;
-            next.kept_inputs.extend(&ran.outputs[known..]);
+        let active = pipeline.active();
+        active.positions_done = active.input_end();
+        active.resends = 0;
+        if pipeline.current + 1 < pipeline.stages.len() {
+            pipeline.current += 1;
+            let next = pipeline.active();
+            let known_inputs = (next.input_end() - result.start) as usize;
+            next.kept_inputs.extend(&result.outputs[known_inputs..]);
         } else {
-            let Some(token) = ran.token else {
+            let Some(token) = result.token else {
                 return self.lose_stage(id, "no token from the last stage", false);
             };
             if self.emit_token(id, token) {
@@ -254,20 +259,18 @@
             return true;
         };
         let Work::Generate {
-            prompt,
-            max_tokens: most,
-            ..
+            prompt, max_tokens, ..
         } = &request.incoming.work
         else {
             return true;
         };
-        let (prompt, most) = (prompt.len() as u32, *most);
+        let (prompt, max_tokens) = (prompt.len() as u32, *max_tokens);
         request.tokens.push(token.id);
         let generated = request.tokens.len() as u32;
-        let last = token.end || generated >= most;
-        if let Phase::Running(flow) = &mut request.phase {
-            flow.current = 0;
-            flow.stages[0].kept_inputs.push(token.id);
+        let last = token.end || generated >= max_tokens;
+        if let Phase::Running(pipeline) = &mut request.phase {
+            pipeline.current = 0;
+            pipeline.stages[0].kept_inputs.push(token.id);
         }
         self.stats.tokens += 1;
         self.reply(id, ReplyPart::Token(token));
@@ -282,12 +285,12 @@
     }
 
     fn limit_kept(&mut self, id: RequestId) {
-        let most = self.config.max_inputs;
+        let max_inputs = self.config.max_inputs;
         if let Some(request) = self.requests.get_mut(&id)
-            && let Phase::Running(flow) = &mut request.phase
-            && flow.kept_count() > most
+            && let Phase::Running(pipeline) = &mut request.phase
+            && pipeline.kept_count() > max_inputs
         {
-            flow.trim_inputs();
+            pipeline.trim_inputs();
         }
     }
 
@@ -307,13 +310,13 @@
     }
 }
 
-fn stage_timing(total: Duration, stage: &Stage, ran: &StageResult) -> OrderTiming {
+fn stage_timing(round_trip: Duration, stage: &Stage, result: &StageResult) -> OrderTiming {
     OrderTiming {
-        round_trip: total,
-        queued: ran.queued,
-        ran: ran.ran,
+        round_trip,
+        queued: result.queued,
+        ran: result.ran,
         layers: stage.end - stage.first,
-        positions: ran.outputs.len() as u32,
+        positions: result.outputs.len() as u32,
     }
 }
 
--- a/crates/ashgauge/src/node/quarantined.rs
+++ b/crates/ashgauge/src/node/quarantined.rs
@@ -24,23 +24,19 @@
         let Some(request) = self.requests.get_mut(&id) else {
             return false;
         };
-        let Phase::Running(flow) = &mut request.phase else {
+        let Phase::Running(pipeline) = &mut request.phase else {
             return false;
         };
-        if flow.active().positions_done > 0 && is_safe_run(flow.placed_at, self.now) {
+        if pipeline.active().positions_done > 0 && is_safe_run(pipeline.placed_at, self.now) {
             return false;
         }
-        let start = instance_key(&flow.active().stage.upstream, None);
+        let instance = instance_key(&pipeline.active().stage.upstream, None);
         let digest = work_digest(&request.team, &request.incoming.work);
-        let holds = self.quarantine.record_loss(
-            self.now,
-            InstanceLoss {
-                digest,
-                instance: start,
-            },
-        );
+        let quarantined = self
+            .quarantine
+            .record_loss(self.now, InstanceLoss { digest, instance });
         self.expedite_heartbeat();
-        holds
+        quarantined
     }
 
     /// Refuses a request that is in quarantine from now on.
--- a/crates/ashgauge/src/node/recover.rs
+++ b/crates/ashgauge/src/node/recover.rs
@@ -26,32 +26,32 @@
         id: RequestId,
         session: SessionId,
         start: u32,
-        fault: UpstreamError,
+        error: UpstreamError,
     ) {
         let Some(request) = self.requests.get_mut(&id) else {
             return;
         };
-        let Phase::Running(flow) = &mut request.phase else {
+        let Phase::Running(pipeline) = &mut request.phase else {
             return;
         };
-        let live = flow.active();
-        if live.session != session || live.positions_done != start || live.sent_at.is_none() {
+        let active = pipeline.active();
+        if active.session != session || active.positions_done != start || active.sent_at.is_none() {
             return;
         }
-        let upstream = live.stage.upstream.clone();
-        match fault {
+        let upstream = active.stage.upstream.clone();
+        match error {
             // The engine keeps the last output of a session, so sending the same run
             // again computes nothing twice if the first one arrived.
-            UpstreamError::Lost(_) if live.resends == 0 => {
-                live.resends = 1;
-                let position = live.positions_done;
+            UpstreamError::Lost(_) if active.resends == 0 => {
+                active.resends = 1;
+                let position = active.positions_done;
                 self.record(Some(id), RecordKind::Resumed { upstream, position });
                 self.send_run(id);
             }
             UpstreamError::Lost(cause) => self.lose_stage(id, &cause, true),
             // The connection broke and no new one can be opened: the engine is lost. Only
             // replacing it would send a request that crashes engines on to the next one.
-            UpstreamError::NotSent(_) if live.resends == 1 && self.record_loss(id) => {
+            UpstreamError::NotSent(_) if active.resends == 1 && self.record_loss(id) => {
                 self.refuse_quarantined(id)
             }
             UpstreamError::NotSent(cause) => {
@@ -75,11 +75,11 @@
     ) {
         match reason {
             RefusalReason::Leaving => self.mark_leaving(upstream, "upstream"),
-            RefusalReason::Busy => self.loads.record_failure(self.now, upstream),
+            RefusalReason::Busy => self.upstream_stats.record_failure(self.now, upstream),
             RefusalReason::NoSession | RefusalReason::NoLayers => {}
         }
         if let Some(rest) = rest {
-            self.loads.note_backoff(self.now, upstream, rest);
+            self.upstream_stats.note_backoff(self.now, upstream, rest);
         }
     }
 
@@ -90,8 +90,8 @@
         let mut stalled = Vec::new();
         let mut calls = Vec::new();
         for (id, request) in &mut self.requests {
-            let flow = match &mut request.phase {
-                Phase::Running(flow) => flow,
+            let pipeline = match &mut request.phase {
+                Phase::Running(pipeline) => pipeline,
                 Phase::Calling(_, since) => {
                     if request.repeatable && self.now > *since + self.config.call_timeout {
                         calls.push((*id, request.attempt));
@@ -100,19 +100,21 @@
                 }
                 _ => continue,
             };
-            if flow.stalled {
+            if pipeline.stalled {
                 stalled.push(*id);
                 continue;
             }
-            let live = flow.active();
-            let positions = live.pending_inputs().len() as u32;
-            let late = self.loads.late_after(&live.stage.upstream, positions);
-            let silence = self.config.stage_timeout;
+            let active = pipeline.active();
+            let positions = active.pending_inputs().len() as u32;
+            let late = self
+                .upstream_stats
+                .late_after(&active.stage.upstream, positions);
+            let stage_timeout = self.config.stage_timeout;
             let limit = match late {
-                Some(late) => silence.max(late * SILENCE_FACTOR),
-                None => silence * INITIAL_SILENCE_FACTOR,
+                Some(late) => stage_timeout.max(late * SILENCE_FACTOR),
+                None => stage_timeout * INITIAL_SILENCE_FACTOR,
             };
-            if live.sent_at.is_some_and(|t| self.now > t + limit) {
+            if active.sent_at.is_some_and(|t| self.now > t + limit) {
                 silent.push(*id);
             }
         }
@@ -134,31 +136,31 @@
         let Some(request) = self.requests.get_mut(&id) else {
             return;
         };
-        let stays = request.repeatable || !request.maybe_ran;
-        let Phase::Running(flow) = &mut request.phase else {
+        let may_repeat = request.repeatable || !request.maybe_ran;
+        let Phase::Running(pipeline) = &mut request.phase else {
             return;
         };
-        let live = flow.active();
-        let sent = live.sent_at.take();
-        let upstream = live.stage.upstream.clone();
-        if let Some(sent) = sent {
-            let (session, stage) = (live.session, live.stage.clone());
-            flow.abandoned.push(AbandonedStage {
+        let active = pipeline.active();
+        let sent_at = active.sent_at.take();
+        let upstream = active.stage.upstream.clone();
+        if let Some(sent_at) = sent_at {
+            let (session, stage) = (active.session, active.stage.clone());
+            pipeline.abandoned.push(AbandonedStage {
                 session,
                 stage,
-                sent_at: sent,
+                sent_at,
             });
         }
         if failed {
-            self.loads.record_failure(self.now, &upstream);
+            self.upstream_stats.record_failure(self.now, &upstream);
         }
         self.stats.lost += 1;
-        let what = RecordKind::Lost {
+        let record_kind = RecordKind::Lost {
             upstream: upstream.clone(),
             cause: cause.into(),
         };
-        self.record(Some(id), what);
-        if !stays {
+        self.record(Some(id), record_kind);
+        if !may_repeat {
             let message = "a stage was lost and the request may not be repeated";
             return self.refuse(id, RefusalKind::Broken, message, None);
         }
@@ -169,10 +171,10 @@
     /// than once.
     pub(super) fn reset_ran(&mut self, id: RequestId) {
         if let Some(request) = self.requests.get_mut(&id)
-            && let Phase::Running(flow) = &mut request.phase
-            && flow.active().resends == 0
+            && let Phase::Running(pipeline) = &mut request.phase
+            && pipeline.active().resends == 0
         {
-            request.maybe_ran = flow.ran_before;
+            request.maybe_ran = pipeline.ran_before;
         }
     }
 
@@ -184,19 +186,19 @@
         let Some(request) = self.requests.get_mut(&id) else {
             return;
         };
-        let Phase::Running(flow) = &mut request.phase else {
+        let Phase::Running(pipeline) = &mut request.phase else {
             return;
         };
-        let live = &flow.stages[flow.current];
-        let (first, end) = (live.stage.first, live.stage.end);
-        if live.kept_from > 0 || !replay {
+        let active = &pipeline.stages[pipeline.current];
+        let (first, end) = (active.stage.first, active.stage.end);
+        if active.kept_from > 0 || !replay {
             return self.restart_request(id);
         }
-        if flow.replacements >= MAX_REPLACEMENTS {
+        if pipeline.replacements >= MAX_REPLACEMENTS {
             let message = "too many stages were lost";
             return self.refuse(id, RefusalKind::Broken, message, Some(RETRY_AFTER));
         }
-        let model = flow.model.clone();
+        let model = pipeline.model.clone();
         let chosen = self.choose_stages(&model, first, end, lost.as_ref(), true);
         let Some(stages) = chosen else {
             return self.mark_stalled(id, first, end);
@@ -204,48 +206,48 @@
         let Some(request) = self.requests.get_mut(&id) else {
             return;
         };
-        let Phase::Running(flow) = &mut request.phase else {
+        let Phase::Running(pipeline) = &mut request.phase else {
             return;
         };
-        flow.replacements += 1;
-        flow.placed_at = self.now;
-        flow.stalled = false;
-        let mut news = Vec::new();
+        pipeline.replacements += 1;
+        pipeline.placed_at = self.now;
+        pipeline.stalled = false;
+        let mut new_stages = Vec::new();
         for stage in &stages {
             let addr = upstream_addr(&self.members, &stage.upstream);
-            news.push(flow.new_stage(stage.clone(), addr));
+            new_stages.push(pipeline.new_stage(stage.clone(), addr));
         }
-        let at = flow.current;
-        let old = flow.stages.remove(at);
-        for live in &mut news {
-            live.rebuild = old.positions_done.max(old.rebuild);
+        let index = pipeline.current;
+        let old = pipeline.stages.remove(index);
+        for active in &mut new_stages {
+            active.rebuild = old.positions_done.max(old.rebuild);
         }
-        news[0].kept_inputs = old.kept_inputs.clone();
-        flow.stages.splice(at..at, news);
+        new_stages[0].kept_inputs = old.kept_inputs.clone();
+        pipeline.stages.splice(index..index, new_stages);
         for stage in &stages {
-            self.loads.acquire(&stage.upstream);
+            self.upstream_stats.acquire(&stage.upstream);
         }
-        self.loads.release(&old.stage.upstream);
+        self.upstream_stats.release(&old.stage.upstream);
         self.cancel_session(id, old.session, &old.stage.upstream, &old.addr);
         self.stats.replaced += 1;
-        let what = RecordKind::Replaced {
+        let record_kind = RecordKind::Replaced {
             first,
             end,
             stages,
             replayed: old.positions_done as usize,
         };
-        self.record(Some(id), what);
+        self.record(Some(id), record_kind);
         self.send_run(id);
     }
 
     pub(super) fn mark_stalled(&mut self, id: RequestId, first: Layer, end: Layer) {
-        let mut news = false;
+        let mut newly_stalled = false;
         if let Some(request) = self.requests.get_mut(&id)
-            && let Phase::Running(flow) = &mut request.phase
+            && let Phase::Running(pipeline) = &mut request.phase
         {
-            news = !std::mem::replace(&mut flow.stalled, true);
+            newly_stalled = !std::mem::replace(&mut pipeline.stalled, true);
         }
-        if news {
+        if newly_stalled {
             self.record(Some(id), RecordKind::Stalled { first, end });
         }
     }
@@ -260,8 +262,8 @@
             return;
         };
         let route = request.route.clone();
-        if let Phase::Running(flow) = std::mem::replace(&mut request.phase, Phase::Waiting) {
-            self.release_pipeline(id, &flow);
+        if let Phase::Running(pipeline) = std::mem::replace(&mut request.phase, Phase::Waiting) {
+            self.release_pipeline(id, &pipeline);
         }
         self.stats.restarted += 1;
         self.requeue(id);
--- a/crates/ashgauge/src/node/status.rs
+++ b/crates/ashgauge/src/node/status.rs
@@ -116,7 +116,7 @@
 
     /// Returns all boxes of the platform's member list.
     pub fn boxes(&self) -> &[crate::member::BoxEntry] {
-        &self.listing.boxes
+        &self.member_list.boxes
     }
 
     /// Returns the node's state for operators.
@@ -147,8 +147,8 @@
         let mut all = Vec::new();
         for u in self.members.upstreams() {
             let leaving = self.members.is_leaving(now, &u.id);
-            let suspect = self.loads.is_suspect(now, &u.id);
-            let load = self.loads.get_mut(&u.id);
+            let suspect = self.upstream_stats.is_suspect(now, &u.id);
+            let load = self.upstream_stats.get_mut(&u.id);
             let holds = u.holds.iter();
             let holds = holds.map(|h| format!("{}:{}-{}", h.model, h.first, h.end));
             all.push(UpstreamStatus {
--- a/crates/ashgauge/src/node/store.rs
+++ b/crates/ashgauge/src/node/store.rs
@@ -24,32 +24,32 @@
         if self.is_behind() && self.now >= self.control.next_read {
             self.read_table();
         }
-        let steps = self.claims.tick(self.now, self.wall_ms() / 1000);
-        self.run_claim_steps(steps);
-        let steps = self.editor.advance(self.now);
-        self.run_edit_steps(steps);
+        let actions = self.claims.tick(self.now, self.wall_ms() / 1000);
+        self.run_claim_actions(actions);
+        let actions = self.editor.advance(self.now);
+        self.run_edit_actions(actions);
         self.tick_lease();
         self.send_orders();
     }
 
     pub(super) fn on_read(
         &mut self,
-        object: ObjectKey,
+        key: ObjectKey,
         answer: Option<(Version, Option<ObjectValue>)>,
     ) {
         if answer.is_some() {
             self.control.last_contact = Some(self.now);
         }
-        match object {
+        match key {
             ObjectKey::Table => self.on_table_read(answer),
             ObjectKey::Claims(shard) => {
                 let answer = answer.map(|(v, c)| match c {
                     Some(ObjectValue::Claims(entries)) => (v, entries),
                     _ => (v, StoredShard::default()),
                 });
-                let wall = self.wall_ms() / 1000;
-                let steps = self.claims.on_read(self.now, wall, shard, answer);
-                self.run_claim_steps(steps);
+                let wall_secs = self.wall_ms() / 1000;
+                let actions = self.claims.on_read(self.now, wall_secs, shard, answer);
+                self.run_claim_actions(actions);
             }
             ObjectKey::Lease => {
                 let answer = answer.map(|(v, c)| match c {
@@ -61,30 +61,25 @@
         }
     }
 
-    pub(super) fn on_written(
-        &mut self,
-        object: ObjectKey,
-        content: ObjectValue,
-        result: WriteResult,
-    ) {
+    pub(super) fn on_written(&mut self, key: ObjectKey, value: ObjectValue, result: WriteResult) {
         if let WriteResult::Done(_) = result {
             self.control.last_contact = Some(self.now);
         }
-        match (object, content) {
+        match (key, value) {
             (ObjectKey::Table, ObjectValue::Table(table)) => {
                 if let WriteResult::Done(version) = result {
                     self.install_table(version, table.clone(), "edit");
                 }
                 let table = Table::clone(&table);
-                let steps = self.editor.on_written(self.now, table, result);
-                self.run_edit_steps(steps);
+                let actions = self.editor.on_written(self.now, table, result);
+                self.run_edit_actions(actions);
             }
             (ObjectKey::Claims(shard), ObjectValue::Claims(entries)) => {
-                let wall = self.wall_ms() / 1000;
-                let steps = self
+                let wall_secs = self.wall_ms() / 1000;
+                let actions = self
                     .claims
-                    .on_written(self.now, wall, shard, entries, result);
-                self.run_claim_steps(steps);
+                    .on_written(self.now, wall_secs, shard, entries, result);
+                self.run_claim_actions(actions);
             }
             (ObjectKey::Lease, ObjectValue::Lease(stored)) => self.on_lease_written(stored, result),
             _ => {}
@@ -99,11 +94,11 @@
         }
         self.policy = Policy::new(version, &table);
         self.table = table;
-        let what = RecordKind::Table {
+        let record_kind = RecordKind::Table {
             version,
             source: source.into(),
         };
-        self.record(None, what);
+        self.record(None, record_kind);
         self.expedite_heartbeat();
         self.dispatch_all();
     }
@@ -160,67 +155,60 @@
         self.policy.version == 0 || self.policy.version < self.control.newest_version
     }
 
-    pub(super) fn run_claim_steps(&mut self, steps: Vec<claim::ClaimAction>) {
-        for step in steps {
-            match step {
+    pub(super) fn run_claim_actions(&mut self, actions: Vec<claim::ClaimAction>) {
+        for action in actions {
+            match action {
                 claim::ClaimAction::Read(shard) => {
                     self.stats.reads += 1;
                     self.actions.push(Action::Read(ObjectKey::Claims(shard)));
                 }
                 claim::ClaimAction::Write(shard, version, entries) => {
                     self.stats.writes += 1;
-                    let content = ObjectValue::Claims(entries);
+                    let value = ObjectValue::Claims(entries);
                     self.actions
-                        .push(Action::Write(ObjectKey::Claims(shard), version, content));
+                        .push(Action::Write(ObjectKey::Claims(shard), version, value));
                 }
-                claim::ClaimAction::Respond(id, verdict) => match self.claim_askers.remove(&id) {
-                    Some((to, addr)) => self.send(
-                        to,
-                        addr,
-                        Message::ClaimReply {
-                            id,
-                            result: verdict,
-                        },
-                    ),
-                    None => self.on_verdict(&id, verdict),
+                claim::ClaimAction::Respond(id, result) => match self.claim_askers.remove(&id) {
+                    Some((to, addr)) => self.send(to, addr, Message::ClaimReply { id, result }),
+                    None => self.on_claim_result(&id, result),
                 },
             }
         }
     }
 
-    pub(super) fn run_edit_steps(&mut self, steps: Vec<editor::EditAction>) {
-        for step in steps {
-            match step {
+    pub(super) fn run_edit_actions(&mut self, actions: Vec<editor::EditAction>) {
+        for action in actions {
+            match action {
                 editor::EditAction::Read => self.read_table(),
                 editor::EditAction::Write(version, table) => {
                     self.stats.writes += 1;
-                    let content = ObjectValue::Table(Arc::new(table));
+                    let value = ObjectValue::Table(Arc::new(table));
                     self.actions
-                        .push(Action::Write(ObjectKey::Table, version, content));
+                        .push(Action::Write(ObjectKey::Table, version, value));
                 }
-                editor::EditAction::Respond(ticket, edit, answer) => {
-                    let what = RecordKind::Edit {
+                editor::EditAction::Respond(waiter, edit, answer) => {
+                    let record_kind = RecordKind::Edit {
                         id: edit.id,
                         result: format!("{answer:?}"),
                     };
-                    self.record(None, what);
-                    self.actions.push(Action::EditAnswer(ticket, answer));
+                    self.record(None, record_kind);
+                    self.actions.push(Action::EditAnswer(waiter, answer));
                 }
             }
         }
     }
 
-    pub(super) fn run_lease_step(&mut self, step: lease::LeaseAction) {
-        match step {
+    pub(super) fn run_lease_action(&mut self, action: lease::LeaseAction) {
+        match action {
             lease::LeaseAction::Read => {
                 self.stats.reads += 1;
                 self.actions.push(Action::Read(ObjectKey::Lease));
             }
             lease::LeaseAction::Write(version, stored) => {
                 self.stats.writes += 1;
-                let content = ObjectValue::Lease(stored);
+                let value = ObjectValue::Lease(stored);
                 self.actions
-                    .push(Action::Write(ObjectKey::Lease, version, content));
+                    .push(Action::Write(ObjectKey::Lease, version, value));
             }
         }
     }
@@ -228,13 +216,13 @@
     /// Acquires or renews the lease. Only the box that owns the key `lease` does this, so
     /// that the other boxes make no calls.
     fn tick_lease(&mut self) {
-        let home = self.members.owner_of(self.now, "lease");
+        let owner = self.members.owner_of(self.now, "lease");
         let wanted = !self.policy.goals.is_empty() && !self.control.draining;
-        if !wanted || home.as_ref() != Some(&self.config.id) {
+        if !wanted || owner.as_ref() != Some(&self.config.id) {
             return;
         }
-        if let Some(step) = self.lease.tick(self.now) {
-            self.run_lease_step(step);
+        if let Some(action) = self.lease.tick(self.now) {
+            self.run_lease_action(action);
         }
     }
 
@@ -243,12 +231,12 @@
         self.lease.on_written(self.now, result);
         let after = self.lease.term(self.now);
         if before != after {
-            let what = RecordKind::Lease {
+            let record_kind = RecordKind::Lease {
                 name: "orders".into(),
                 term: stored.term,
                 held: after.is_some(),
             };
-            self.record(None, what);
+            self.record(None, record_kind);
         }
     }
 
@@ -263,7 +251,7 @@
 
     fn on_table_read(&mut self, answer: Option<(Version, Option<ObjectValue>)>) {
         self.control.reading_table = false;
-        let answer = answer.map(|(version, content)| match content {
+        let answer = answer.map(|(version, value)| match value {
             Some(ObjectValue::Table(table)) => (version, table),
             _ => (version, Arc::default()),
         });
@@ -274,8 +262,8 @@
             self.fetch_from_seeds();
         }
         let answer = answer.map(|(v, t)| (v, Table::clone(&t)));
-        let steps = self.editor.on_read(self.now, self.policy.version, answer);
-        self.run_edit_steps(steps);
+        let actions = self.editor.on_read(self.now, self.policy.version, answer);
+        self.run_edit_actions(actions);
     }
 
     /// Asks the seed boxes of the settings for the table, so that a box can start while
--- a/crates/ashgauged/src/actor.rs
+++ b/crates/ashgauged/src/actor.rs
@@ -82,20 +82,20 @@
     async fn pre_start(
         &self,
         myself: ActorRef<Msg>,
-        start: NodeArgs,
+        args: NodeArgs,
     ) -> Result<State, ActorProcessingErr> {
-        let io = Io::new(myself.clone(), &start);
+        let io = Io::new(myself.clone(), &args);
         io.watch_platform();
         myself.send_interval(TICK_INTERVAL, || Msg::Event(Event::Tick));
         Ok(State {
-            node: Node::new(start.config),
+            node: Node::new(args.config),
             started: Instant::now(),
             io,
             callers: HashMap::new(),
             pending_edits: HashMap::new(),
             drain_waiters: Vec::new(),
             last_id: 1,
-            timeline: start.timeline,
+            timeline: args.timeline,
         })
     }
 
@@ -116,11 +116,11 @@
         // A send fails only if the asker is gone and needs no answer.
         match message {
             Msg::Event(event) => self.handle_event(event),
-            Msg::Request(order, parts, id) => self.start_request(order, parts, id),
+            Msg::Request(request, parts, id) => self.start_request(request, parts, id),
             Msg::Edit(edit, answer) => {
-                let ticket = self.allocate_id();
-                self.pending_edits.insert(ticket, answer);
-                self.handle_event(Event::Edit(ticket, edit));
+                let waiter_id = self.allocate_id();
+                self.pending_edits.insert(waiter_id, answer);
+                self.handle_event(Event::Edit(waiter_id, edit));
             }
             Msg::Status(answer) => drop(answer.send(self.node.status(now))),
             Msg::Table(answer) => {
@@ -140,17 +140,17 @@
 
     fn start_request(
         &mut self,
-        mut order: IncomingRequest,
+        mut request: IncomingRequest,
         parts: mpsc::UnboundedSender<ReplyPart>,
         id: oneshot::Sender<RequestId>,
     ) {
-        order.id = self.allocate_id();
-        self.callers.insert(order.id, parts);
-        if id.send(order.id).is_err() {
-            self.callers.remove(&order.id);
+        request.id = self.allocate_id();
+        self.callers.insert(request.id, parts);
+        if id.send(request.id).is_err() {
+            self.callers.remove(&request.id);
             return;
         }
-        self.handle_event(Event::RequestArrived(order));
+        self.handle_event(Event::RequestArrived(request));
     }
 
     fn handle_event(&mut self, event: Event) {
@@ -158,8 +158,8 @@
             self.callers.remove(id);
         }
         if let Event::Drain = &event {
-            for waiting in self.drain_waiters.drain(..) {
-                let _ = waiting.send(());
+            for waiter in self.drain_waiters.drain(..) {
+                let _ = waiter.send(());
             }
         }
         let actions = self.node.handle(self.started.elapsed(), event);
@@ -171,9 +171,9 @@
     fn perform(&mut self, action: Action) {
         match action {
             Action::Reply(id, reply) => self.reply(id, reply),
-            Action::EditAnswer(ticket, answer) => {
-                if let Some(waiting) = self.pending_edits.remove(&ticket) {
-                    let _ = waiting.send(answer);
+            Action::EditAnswer(waiter_id, answer) => {
+                if let Some(waiter) = self.pending_edits.remove(&waiter_id) {
+                    let _ = waiter.send(answer);
                 }
             }
             Action::Record(record) => self.timeline.add(record),
--- a/crates/ashgauged/src/handle.rs
+++ b/crates/ashgauged/src/handle.rs
@@ -87,10 +87,10 @@
     /// Creates a handle of an actor.
     ///
     /// `instance_id` is the box name with its incarnation.
-    pub fn new(node: ActorRef<Msg>, owner: String, timeline: Arc<Timeline>) -> Self {
+    pub fn new(node: ActorRef<Msg>, instance_id: String, timeline: Arc<Timeline>) -> Self {
         NodeHandle {
             node,
-            instance_id: owner,
+            instance_id,
             timeline,
         }
     }
@@ -109,9 +109,9 @@
 }
 
 impl Router for NodeHandle {
-    async fn start(&self, order: IncomingRequest) -> Option<Answer> {
+    async fn start(&self, request: IncomingRequest) -> Option<Answer> {
         let (sender, parts) = mpsc::unbounded_channel();
-        let id = ask(&self.node, |id| Msg::Request(order, sender, id)).await?;
+        let id = ask(&self.node, |id| Msg::Request(request, sender, id)).await?;
         let guard = CallerGuard {
             node: self.node.clone(),
             id,
--- a/crates/ashgauged/src/io.rs
+++ b/crates/ashgauged/src/io.rs
@@ -32,15 +32,15 @@
 
 impl Io {
     /// Creates the clients.
-    pub fn new(node: ActorRef<Msg>, start: &NodeArgs) -> Self {
-        let settings = &start.settings;
+    pub fn new(node: ActorRef<Msg>, args: &NodeArgs) -> Self {
+        let settings = &args.settings;
         let contact = Duration::from_millis(settings.timing.isolation_ms);
         Io {
             node,
             platform: PlatformClient::new(&settings.platform, settings.platform_calls, contact),
-            peers: start.peers.clone(),
+            peers: args.peers.clone(),
             client: Client::new(CONNECT_TIMEOUT),
-            instance_id: start.config.instance_id().into(),
+            instance_id: args.config.instance_id().into(),
             list_interval: Duration::from_millis(settings.timing.list_ms),
         }
     }
@@ -56,29 +56,29 @@
     /// Performs one action.
     pub fn perform(&self, action: Action) {
         let node = self.node.clone();
-        let (client, owner) = (self.client.clone(), self.instance_id.clone());
+        let (client, instance_id) = (self.client.clone(), self.instance_id.clone());
         let platform = self.platform.clone();
         match action {
             Action::Run(run) => spawn_event(node, async move {
-                let done = upstream::run(&client, &owner, &run, CALL_TIMEOUT).await;
-                match done {
-                    Ok(ran) => Event::StageDone(ran),
-                    Err(fault) => {
-                        debug!("upstream: order to {} failed: {fault:?}", run.upstream);
-                        Event::StageFailed(run.id, run.session, run.start, fault)
+                let outcome = upstream::run(&client, &instance_id, &run, CALL_TIMEOUT).await;
+                match outcome {
+                    Ok(result) => Event::StageDone(result),
+                    Err(error) => {
+                        debug!("upstream: order to {} failed: {error:?}", run.upstream);
+                        Event::StageFailed(run.id, run.session, run.start, error)
                     }
                 }
             }),
             Action::Call(call) => spawn_event(node, async move {
                 match upstream::call(&client, &call, CALL_TIMEOUT).await {
-                    Ok(called) => Event::ServiceDone(call.id, call.attempt, called),
-                    Err(fault) => Event::ServiceFailed(call.id, call.attempt, fault),
+                    Ok(response) => Event::ServiceDone(call.id, call.attempt, response),
+                    Err(error) => Event::ServiceFailed(call.id, call.attempt, error),
                 }
             }),
             Action::Cancel {
                 id, session, addr, ..
             } => {
-                let session = upstream::session_name(&owner, id, session);
+                let session = upstream::session_name(&instance_id, id, session);
                 tokio::spawn(async move {
                     upstream::cancel(&client, &addr, session, CANCEL_TIMEOUT).await;
                 });
@@ -87,13 +87,13 @@
                 let reply = upstream::send_order(&client, &order, ORDER_TIMEOUT).await;
                 Event::OrderAnswered(order.upstream, order.term, reply)
             }),
-            Action::Read(object) => spawn_event(node, async move {
-                let answer = platform.read(&object).await;
-                Event::Read(object, answer)
+            Action::Read(key) => spawn_event(node, async move {
+                let answer = platform.read(&key).await;
+                Event::Read(key, answer)
             }),
-            Action::Write(object, version, content) => spawn_event(node, async move {
-                let result = platform.write(&object, version, &content).await;
-                Event::Written(object, content, result)
+            Action::Write(key, version, value) => spawn_event(node, async move {
+                let result = platform.write(&key, version, &value).await;
+                Event::Written(key, value, result)
             }),
             Action::Send(to, addr, envelope) => self.deliver(to, addr, envelope),
             Action::Reply(..) | Action::EditAnswer(..) | Action::Record(_) => {}
@@ -125,7 +125,7 @@
 
 async fn watch_table(node: ActorRef<Msg>, platform: PlatformClient) {
     let mut version = 0;
-    let mut pause = MIN_BACKOFF;
+    let mut delay = MIN_BACKOFF;
     loop {
         let event = match platform.watch_table(version).await {
             Ok(Some(newer)) => {
@@ -135,20 +135,20 @@
             }
             Ok(None) => Event::Unchanged,
             Err(_) => {
-                pause = back_off("table", pause).await;
+                delay = back_off("table", delay).await;
                 continue;
             }
         };
-        pause = MIN_BACKOFF;
+        delay = MIN_BACKOFF;
         if node.cast(Msg::Event(event)).is_err() {
             return;
         }
     }
 }
 
-async fn watch_list(node: ActorRef<Msg>, platform: PlatformClient, every: Duration) {
+async fn watch_list(node: ActorRef<Msg>, platform: PlatformClient, interval: Duration) {
     let mut version = 0;
-    let mut pause = MIN_BACKOFF;
+    let mut delay = MIN_BACKOFF;
     loop {
         let event = match platform.watch_list(version).await {
             Ok(Some(listing)) => {
@@ -157,28 +157,28 @@
             }
             Ok(None) => Event::Unchanged,
             Err(_) => {
-                pause = back_off("list", pause).await;
+                delay = back_off("list", delay).await;
                 continue;
             }
         };
-        pause = MIN_BACKOFF;
+        delay = MIN_BACKOFF;
         if node.cast(Msg::Event(event)).is_err() {
             return;
         }
-        tokio::time::sleep(jittered(every)).await;
+        tokio::time::sleep(jittered(interval)).await;
     }
 }
 
 /// Sleeps after a watch without an answer and returns the next delay, at most
 /// [`MAX_BACKOFF`].
-async fn back_off(what: &str, pause: Duration) -> Duration {
+async fn back_off(what: &str, delay: Duration) -> Duration {
     warn!("platform: no answer to the watch of the {what}, trying again");
-    tokio::time::sleep(jittered(pause)).await;
-    (pause * 2).min(MAX_BACKOFF)
+    tokio::time::sleep(jittered(delay)).await;
+    (delay * 2).min(MAX_BACKOFF)
 }
 
 /// Returns the delay with a jitter of a quarter either way, so that boxes do not act in
 /// step.
-fn jittered(pause: Duration) -> Duration {
-    pause.mul_f64(rand::random_range(0.75..1.25))
+fn jittered(delay: Duration) -> Duration {
+    delay.mul_f64(rand::random_range(0.75..1.25))
 }
--- a/crates/ashgauged/src/main.rs
+++ b/crates/ashgauged/src/main.rs
@@ -86,33 +86,33 @@
     let operator_credential = settings.operator_credential.load("operator_credential")?;
     let peer_credential = settings.peer_credential.load("peer_credential")?;
     let timeline = Arc::new(Timeline::new(&settings)?);
-    let (mailbox, gate) = handle::peer_inbox();
-    let taker = gate.clone();
-    let take = move |envelope| taker.deliver(envelope);
-    let served = peer::serve(&settings.peer, &peer_credential, take).await;
+    let (connector, inbox) = handle::peer_inbox();
+    let peer_inbox = inbox.clone();
+    let deliver = move |envelope| peer_inbox.deliver(envelope);
+    let served = peer::serve(&settings.peer, &peer_credential, deliver).await;
     let (peer_addr, server) = served.map_err(|e| eyre!("{e}"))?;
     let config = settings.node_config(&peer_addr.to_string());
-    let owner = config.instance_id();
-    let start = NodeArgs {
+    let instance_id = config.instance_id();
+    let args = NodeArgs {
         config,
         settings: settings.clone(),
         peers: peer::PeerClient::new(&peer_credential),
         timeline: timeline.clone(),
     };
-    let (node, task) = Actor::spawn(None, NodeActor, start).await?;
-    mailbox.connect(node.clone());
-    let ports = Arc::new(NodeHandle::new(node.clone(), owner, timeline));
+    let (node, task) = Actor::spawn(None, NodeActor, args).await?;
+    connector.connect(node.clone());
+    let node_handle = Arc::new(NodeHandle::new(node.clone(), instance_id, timeline));
     let (stop, stopped) = watch::channel(false);
     print_addresses(&settings, &callers, &operators, &peer_addr.to_string())?;
-    let bounds = settings.caller_bounds();
-    let serving = tokio::spawn(caller::listen(
+    let limits = settings.caller_limits();
+    let caller_server = tokio::spawn(caller::listen(
         callers,
-        bounds,
+        limits,
         stopped.clone(),
-        ports.clone(),
+        node_handle.clone(),
     ));
-    let desk = operator::listen(operators, operator_credential, stopped, ports);
-    let desk = tokio::spawn(desk);
+    let operator_server = operator::listen(operators, operator_credential, stopped, node_handle);
+    let operator_server = tokio::spawn(operator_server);
     drain_on_stop(&node, Duration::from_millis(settings.timing.drain_ms)).await;
     let failed = matches!(
         node.get_status(),
@@ -120,8 +120,8 @@
     );
     let _ = stop.send(true);
     // Gives answers that are ready time to be sent.
-    let _ = tokio::time::timeout(Duration::from_secs(2), serving).await;
-    desk.abort();
+    let _ = tokio::time::timeout(Duration::from_secs(2), caller_server).await;
+    operator_server.abort();
     let _ = server.stop();
     node.stop(None);
     let _ = task.await;
@@ -147,7 +147,7 @@
 }
 
 /// Waits for the stop signal, then drains the node for at most `timeout`.
-async fn drain_on_stop(node: &ractor::ActorRef<Msg>, bound: Duration) {
+async fn drain_on_stop(node: &ractor::ActorRef<Msg>, timeout: Duration) {
     handle::wait_for_signal(node).await;
     info!("box: draining");
     let _ = node.cast(Msg::Event(ashgauge::Event::Drain));
@@ -156,15 +156,15 @@
             tokio::time::sleep(Duration::from_millis(20)).await;
         }
     };
-    if tokio::time::timeout(bound, drained).await.is_err() {
-        let cut = handle::inflight(node).await;
-        warn!("box: stopped hard, {cut} requests cut");
+    if tokio::time::timeout(timeout, drained).await.is_err() {
+        let remaining = handle::inflight(node).await;
+        warn!("box: stopped hard, {remaining} requests cut");
     }
 }
 
 async fn bind(addr: &str) -> Result<TcpListener> {
-    let bound = TcpListener::bind(addr).await;
-    bound.wrap_err_with(|| format!("cannot listen on {addr}; free the port or set another"))
+    let listener = TcpListener::bind(addr).await;
+    listener.wrap_err_with(|| format!("cannot listen on {addr}; free the port or set another"))
 }
 
 /// Prints the bound addresses as one JSON line, for the process that started the box.
--- a/crates/ashgauged/src/metrics.rs
+++ b/crates/ashgauged/src/metrics.rs
@@ -14,7 +14,7 @@
 
 fn register_all(registry: &Registry, status: &Status) {
     let s = &status.stats;
-    let singles = [
+    let gauges = [
         (
             "ready",
             "1 if the balancer may send requests",
@@ -66,7 +66,7 @@
         ("platform_reads_total", "reads of the store", s.reads),
         ("platform_writes_total", "writes to the store", s.writes),
     ];
-    for (name, help, value) in singles {
+    for (name, help, value) in gauges {
         register_gauge(registry, name, help, value as f64);
     }
     let refused = s.refused.iter().map(|(k, n)| (k.as_str(), *n as f64));
--- a/crates/ashgauged/src/settings.rs
+++ b/crates/ashgauged/src/settings.rs
@@ -194,14 +194,14 @@
 impl Settings {
     /// Reads and validates a settings file.
     pub fn load(path: &Path) -> Result<Self> {
-        let place = path.display();
+        let file = path.display();
         let text = std::fs::read_to_string(path)
-            .wrap_err_with(|| format!("cannot read {place}; name a settings file"))?;
+            .wrap_err_with(|| format!("cannot read {file}; name a settings file"))?;
         let settings: Settings = serde_json::from_str(&text)
-            .map_err(|e| eyre!("{place}: {e}; docs/OPERATIONS.md lists the settings"))?;
+            .map_err(|e| eyre!("{file}: {e}; docs/OPERATIONS.md lists the settings"))?;
         settings
             .check()
-            .wrap_err_with(|| format!("{place} is not valid"))?;
+            .wrap_err_with(|| format!("{file} is not valid"))?;
         Ok(settings)
     }
 
@@ -228,17 +228,17 @@
 
     /// Returns the settings of the node. `peer_addr` is the address of the box-to-box
     /// port.
-    pub fn node_config(&self, peer: &str) -> Config {
-        let since = SystemTime::now()
+    pub fn node_config(&self, peer_addr: &str) -> Config {
+        let unix_time = SystemTime::now()
             .duration_since(UNIX_EPOCH)
             .unwrap_or_default();
         let ms = Duration::from_millis;
         let t = &self.timing;
         let mut config = Config::new(&self.id, rand::random::<u64>() >> 16);
         config.data_centre = self.data_centre.clone();
-        config.peer_addr = peer.into();
+        config.peer_addr = peer_addr.into();
         config.seeds = self.seeds.clone();
-        config.epoch_ms = since.as_millis() as u64;
+        config.epoch_ms = unix_time.as_millis() as u64;
         config.max_requests = self.limits.requests;
         config.heartbeat_interval = ms(t.heartbeat_ms);
         config.stage_timeout = ms(t.silence_ms);
@@ -258,7 +258,7 @@
     }
 
     /// Returns the limits of the callers' port.
-    pub fn caller_bounds(&self) -> PortLimits {
+    pub fn caller_limits(&self) -> PortLimits {
         let l = &self.limits;
         PortLimits {
             server: Limits {
@@ -289,9 +289,9 @@
             ("claims.patience_ms", self.claims.patience_ms),
             ("threads", self.threads as u64),
         ];
-        for (place, value) in positive {
+        for (setting, value) in positive {
             if value == 0 {
-                bail!("{place}: 0 is not possible; use at least 1");
+                bail!("{setting}: 0 is not possible; use at least 1");
             }
         }
         if self.id.is_empty() || self.id.contains(['.', '/', '+']) {
@@ -345,8 +345,8 @@
             let port = parsed
                 .map_err(|_| eyre!("{name}: `{addr}` is no IP:PORT"))?
                 .port();
-            for (other, same) in &ports[i + 1..] {
-                if port != 0 && addr == same {
+            for (other, other_addr) in &ports[i + 1..] {
+                if port != 0 && addr == other_addr {
                     bail!("{name} and {other} are both {addr}; give each a port of its own");
                 }
             }
@@ -357,20 +357,20 @@
 
 impl Credential {
     /// Reads the credential; `setting` is the setting's name for errors.
-    pub fn load(&self, place: &str) -> Result<String> {
+    pub fn load(&self, setting: &str) -> Result<String> {
         let text = match self {
             Credential::File(path) => std::fs::read_to_string(path).wrap_err_with(|| {
                 format!(
-                    "{place}: cannot read {}; name a file with it",
+                    "{setting}: cannot read {}; name a file with it",
                     path.display()
                 )
             })?,
             Credential::Env(name) => std::env::var(name)
-                .map_err(|_| eyre!("{place}: variable {name} is not set; set it"))?,
+                .map_err(|_| eyre!("{setting}: variable {name} is not set; set it"))?,
         };
         let text = text.trim().to_string();
         if text.len() < 8 {
-            bail!("{place}: it is shorter than 8 characters; use a longer one");
+            bail!("{setting}: it is shorter than 8 characters; use a longer one");
         }
         Ok(text)
     }
