--- a/crates/ashgauge/src/node/mod.rs
+++ b/crates/ashgauge/src/node/mod.rs
@@ -55,7 +55,7 @@
     /// Box-to-box addresses of peers that are asked for the table if the platform is down
     /// at start.
     pub seeds: Vec<String>,
-    /// Unix time in milliseconds at the node's time zero.
+    /// Unix time at the node's time zero, in milliseconds since 1970.
     pub epoch_ms: u64,
     /// Seed of the random number generator.
     pub seed: u64,
@@ -154,19 +154,24 @@
 /// State of one box, driven by [`Node::handle`].
 pub struct Node {
     config: Config,
+    /// Time of the last event, counted from the start.
     now: Duration,
     clock: Clock,
     rng: SmallRng,
+    /// Actions of the event that is being handled.
     actions: Vec<Action>,
     table: Arc<Table>,
     policy: Policy,
+    /// Member list as the platform sent it.
     member_list: MemberList,
     members: Members,
     upstream_stats: UpstreamStatsMap,
+    /// Waiting requests by route.
     queues: BTreeMap<String, Queue>,
     /// Seconds per generated token of running requests, by route.
     token_times: HashMap<String, DurationEstimate>,
     requests: BTreeMap<RequestId, Request>,
+    /// Requests by the claim whose result they wait for.
     pending_claims: HashMap<ClaimId, RequestId>,
     /// Claims that were requested and then abandoned, with their keys and the time. No
     /// call is sent to an upstream under them.
@@ -174,12 +179,14 @@
     retry_budget: RetryBudget,
     rate_limits: TeamLimits,
     claims: Claims,
+    /// Peers, with their addresses, that wait for the result of a claim made here.
     claim_askers: HashMap<ClaimId, (BoxId, String)>,
     editor: Editor,
     lease: Lease,
     orders: Orders,
     quarantine: Quarantine,
     control: ControlState,
+    /// Counter for round-robin choices.
     rotation: usize,
     stats: Stats,
 }
@@ -188,13 +195,21 @@
 #[derive(Debug, Default)]
 struct ControlState {
     draining: bool,
+    /// Time of the next heartbeats.
     next_heartbeat: Duration,
+    /// Time of the last contact to the platform or a peer.
     last_contact: Option<Duration>,
+    /// Whether a read of the table is in flight.
     reading_table: bool,
+    /// Earliest time of the next read of the table.
     next_read: Duration,
+    /// Newest table version that is known to exist.
     newest_version: Version,
+    /// Whether peers were asked for their table version at start.
     peers_asked: bool,
+    /// Peers that have not answered this question yet.
     awaited_peers: Vec<BoxId>,
+    /// Time of the next check for loans that are due.
     next_loans: Duration,
 }
 
@@ -203,16 +218,22 @@
     incoming: IncomingRequest,
     team: Arc<Team>,
     route: String,
+    /// Whether route and caller allow the request to run more than once.
     repeatable: bool,
+    /// Time at which the request is refused unless it has ended.
     deadline: Duration,
+    /// Estimated cost in tokens.
     cost: f64,
+    /// Number of attempts started.
     attempt: u32,
     /// Whether an upstream may have run part of the request.
     maybe_ran: bool,
     /// Value of `maybe_ran` before the current service call was sent.
     ran_before: bool,
     claim: Option<Claim>,
+    /// Generated tokens.
     tokens: Vec<StageValue>,
+    /// Start of the first attempt.
     started_at: Duration,
     phase: Phase,
 }
@@ -224,13 +245,19 @@
     abandoned_ids: Vec<ClaimId>,
     /// Name and address of the box that owns the key, if it is another one and was asked.
     owner: Option<(BoxId, String)>,
+    /// Time at which the claim was requested.
     asked_at: Duration,
 }
 
+/// Phase of a request.
 enum Phase {
+    /// Waits for the result of its claim.
     Claiming,
+    /// Waits in the queue of its route.
     Waiting,
+    /// Runs through the stages of a model.
     Running(Pipeline),
+    /// Waits for a service that was called at this time.
     Calling(UpstreamId, Duration),
 }
 
--- a/crates/ashgauge/src/node/pipeline.rs
+++ b/crates/ashgauge/src/node/pipeline.rs
@@ -11,14 +11,19 @@
 pub(super) struct Pipeline {
     pub(super) model: String,
     pub(super) stages: Vec<ActiveStage>,
+    /// Index of the stage that runs now.
     pub(super) current: usize,
+    /// Last session id given to a stage.
     pub(super) last_session: SessionId,
+    /// Number of stage replacements so far.
     pub(super) replacements: u32,
     /// Time at which stages were last chosen.
     pub(super) placed_at: Duration,
     /// Value of the request's `maybe_ran` before the current stage run was sent.
     pub(super) ran_before: bool,
+    /// Whether no engines were found to replace the current stage.
     pub(super) stalled: bool,
+    /// Stages whose late answers may still arrive.
     pub(super) abandoned: Vec<AbandonedStage>,
 }
 
@@ -36,25 +41,31 @@
     pub(super) session: SessionId,
     /// Position of the first kept input.
     pub(super) kept_from: u32,
+    /// Inputs that are kept, those already run included.
     pub(super) kept_inputs: Vec<StageValue>,
     /// Number of positions whose outputs were forwarded.
     pub(super) positions_done: u32,
     /// Number of positions that a replaced stage had forwarded. Running them again only
     /// rebuilds its state.
     pub(super) rebuild: u32,
+    /// Time at which the run in flight was sent, if there is one.
     pub(super) sent_at: Option<Duration>,
+    /// Number of times that the run was sent again, 0 or 1.
     pub(super) resends: u32,
 }
 
 impl Pipeline {
+    /// Returns the stage that runs now.
     pub(super) fn active(&mut self) -> &mut ActiveStage {
         &mut self.stages[self.current]
     }
 
+    /// Returns the number of inputs kept over all stages.
     pub(super) fn kept_count(&self) -> usize {
         self.stages.iter().map(|s| s.kept_inputs.len()).sum()
     }
 
+    /// Creates a stage with a new session, without adding it to the pipeline.
     pub(super) fn new_stage(&mut self, stage: Stage, addr: String) -> ActiveStage {
         self.last_session += 1;
         ActiveStage {
@@ -81,10 +92,12 @@
 }
 
 impl ActiveStage {
+    /// Returns the inputs that have not been run.
     pub(super) fn pending_inputs(&self) -> &[StageValue] {
         &self.kept_inputs[(self.positions_done - self.kept_from) as usize..]
     }
 
+    /// Returns the position after the last input.
     pub(super) fn input_end(&self) -> u32 {
         self.kept_from + self.kept_inputs.len() as u32
     }
@@ -284,6 +297,7 @@
         last
     }
 
+    /// Drops inputs that only a replay would need once too many are kept.
     fn limit_kept(&mut self, id: RequestId) {
         let max_inputs = self.config.max_inputs;
         if let Some(request) = self.requests.get_mut(&id)
--- a/crates/ashgauge/src/node/types.rs
+++ b/crates/ashgauge/src/node/types.rs
@@ -269,7 +269,7 @@
     Table,
     /// A shard of claims; see [`StoredShard`].
     Claims(u32),
-    /// A lease; see [`lease::Stored`].
+    /// A lease; see [`lease::StoredLease`].
     Lease,
 }
 
@@ -278,7 +278,7 @@
 pub enum ObjectValue {
     /// Of [`ObjectKey::Table`].
     Table(Arc<Table>),
-    /// Of [`ObjectKey::ClaimSettings`].
+    /// Of [`ObjectKey::Claims`].
     Claims(StoredShard),
     /// Of [`ObjectKey::Lease`].
     Lease(lease::StoredLease),
--- a/crates/ashgauged/src/actor.rs
+++ b/crates/ashgauged/src/actor.rs
@@ -65,11 +65,16 @@
 /// State of the actor.
 pub struct State {
     node: Node,
+    /// Start of the node, from which its time is counted.
     started: Instant,
     io: Io,
+    /// Channels to callers that wait for their answers.
     callers: HashMap<RequestId, mpsc::UnboundedSender<ReplyPart>>,
+    /// Operators that wait for the result of an edit.
     pending_edits: HashMap<WaiterId, oneshot::Sender<EditResult>>,
+    /// Channels that are notified when a drain is requested.
     drain_waiters: Vec<oneshot::Sender<()>>,
+    /// Last id given to a request or an edit.
     last_id: u64,
     timeline: Arc<Timeline>,
 }
--- a/crates/ashgauged/src/io.rs
+++ b/crates/ashgauged/src/io.rs
@@ -14,10 +14,15 @@
 /// Maximum time of a stage run or a service call; the node gives up sooner.
 const CALL_TIMEOUT: Duration = Duration::from_secs(120);
 
+/// Time limit for a new connection to an upstream.
 const CONNECT_TIMEOUT: Duration = Duration::from_secs(1);
+/// Time limit for telling an engine that a session is over.
 const CANCEL_TIMEOUT: Duration = Duration::from_secs(2);
+/// Time limit of a fenced order to an upstream.
 const ORDER_TIMEOUT: Duration = Duration::from_secs(4);
+/// First delay after a watch without an answer; doubles with each further one.
 const MIN_BACKOFF: Duration = Duration::from_millis(100);
+/// Maximum delay after a watch without an answer.
 const MAX_BACKOFF: Duration = Duration::from_secs(2);
 
 /// Clients of the platform, the peers and the upstreams.
@@ -64,7 +69,7 @@
                 match outcome {
                     Ok(result) => Event::StageDone(result),
                     Err(error) => {
-                        debug!("upstream: order to {} failed: {error:?}", run.upstream);
+                        debug!("upstream: stage run on {} failed: {error:?}", run.upstream);
                         Event::StageFailed(run.id, run.session, run.start, error)
                     }
                 }
@@ -172,7 +177,7 @@
 /// Sleeps after a watch without an answer and returns the next delay, at most
 /// [`MAX_BACKOFF`].
 async fn back_off(what: &str, delay: Duration) -> Duration {
-    warn!("platform: no answer to the watch of the {what}, trying again");
+    warn!("platform: watch of the {what} got no usable answer; retrying");
     tokio::time::sleep(jittered(delay)).await;
     (delay * 2).min(MAX_BACKOFF)
 }
--- a/crates/ashgauged/src/main.rs
+++ b/crates/ashgauged/src/main.rs
@@ -28,13 +28,13 @@
 const HELP: &str = "\
 usage: ashgauged [relay] --settings FILE [--check]
 
-  relay            hand requests on whole, on the users' platform; without it
-                   the box drives each stage itself
+  relay            forward whole requests, on the users' platform; without it
+                   the box runs each stage itself
   --settings FILE  settings in JSON; docs/OPERATIONS.md lists them
-  --check          check the settings and exit: 0 if they are fine, 2 if not
+  --check          check the settings and exit: 0 if they are valid, 2 if not
   --version        print the version
 
-On SIGTERM the box takes no more requests, ends those in flight and exits.";
+On SIGTERM the box admits no more requests, completes those in flight and exits.";
 
 struct Args {
     relay: bool,
@@ -126,7 +126,7 @@
     node.stop(None);
     let _ = task.await;
     if failed {
-        bail!("the node's task ended by itself; start the box again and report the log");
+        bail!("the node's task ended unexpectedly; restart the box and report the log");
     }
     info!("box: stopped");
     Ok(())
@@ -158,7 +158,7 @@
     };
     if tokio::time::timeout(timeout, drained).await.is_err() {
         let remaining = handle::inflight(node).await;
-        warn!("box: stopped hard, {remaining} requests cut");
+        warn!("box: drain timed out; {remaining} requests cut off");
     }
 }
 
--- a/crates/ashgauged/src/timeline.rs
+++ b/crates/ashgauged/src/timeline.rs
@@ -13,12 +13,14 @@
 
 /// Keeps the newest records in memory, and writes all records to a file if one is set.
 pub struct Timeline {
+    /// Maximum number of records in memory.
     capacity: usize,
     inner: Mutex<Inner>,
 }
 
 struct Inner {
     records: VecDeque<Record>,
+    /// Number of records dropped from memory.
     evicted: u64,
     file: Option<File>,
 }
