--- a/crates/ashgauge/src/node/dispatch.rs
+++ b/crates/ashgauge/src/node/dispatch.rs
@@ -1,4 +1,4 @@
-//! Which waiting request starts next, and on which upstreams.
+//! Dispatch of waiting requests: which one starts next, and on which upstreams.
 
 use std::time::Duration;
 
@@ -7,24 +7,25 @@
 use crate::member::MemberState;
 use crate::policy::Target;
 
-/// Factor on the expected run time of a request before it is started: one that
-/// is cut by its deadline has cost its engines' time for nothing.
+/// Factor on the expected run time of a request when it is checked against its deadline
+/// before the start. A request that its deadline cuts off has used engine time for
+/// nothing.
 const RUN_MARGIN: f64 = 1.3;
 
-/// Time to come back after, when no upstream is there.
+/// `retry_after` of refusals when no upstream can serve a route or the route has changed.
 const RETRY_AFTER: Duration = Duration::from_secs(1);
 
 impl Node {
-    /// Starts waiting requests of every queue while there is room.
+    /// Starts waiting requests of all routes while upstreams have room.
     pub(super) fn dispatch_all(&mut self) {
-        let busy = self.queues.iter().filter(|(_, q)| !q.is_empty());
-        let routes: Vec<String> = busy.map(|(r, _)| r.clone()).collect();
+        let queued = self.queues.iter().filter(|(_, q)| !q.is_empty());
+        let routes: Vec<String> = queued.map(|(r, _)| r.clone()).collect();
         for route in routes {
             self.dispatch(&route);
         }
     }
 
-    /// Starts waiting requests of one route while there is room.
+    /// Starts waiting requests of one route while upstreams have room.
     pub(super) fn dispatch(&mut self, route: &str) {
         let Some(target) = self.policy.routes.get(route).map(|r| r.target.clone()) else {
             return self.refuse_unserved(route);
@@ -35,11 +36,11 @@
                     let Some(stages) = self.choose_stages(route, 0, layers, None, false) else {
                         return self.refuse_unserved(route);
                     };
-                    let pace = stages
+                    let token_time = stages
                         .iter()
-                        .map(|s| self.loads.order_seconds(&s.upstream))
+                        .map(|s| self.upstream_stats.order_seconds(&s.upstream))
                         .sum();
-                    let Some(id) = self.pop_request(route, pace) else {
+                    let Some(id) = self.pop_request(route, token_time) else {
                         return;
                     };
                     self.start_stages(id, stages);
@@ -57,7 +58,7 @@
         }
     }
 
-    /// Refuses what waits for a route that no upstream serves any more.
+    /// Refuses the waiting requests of a route that no upstream can serve any more.
     pub(super) fn refuse_unserved(&mut self, route: &str) {
         if self.is_servable(route) {
             return;
@@ -71,13 +72,14 @@
         }
     }
 
-    /// Refuses a request whose route leads to something else by now.
+    /// Refuses a request whose route was changed to another kind of target while it
+    /// waited.
     pub(super) fn refuse_rerouted(&mut self, id: RequestId) {
         let message = "the route was changed while the request waited";
         self.refuse(id, RefusalKind::UnknownRoute, message, Some(RETRY_AFTER));
     }
 
-    /// Returns true if live upstreams could serve the route, busy or not.
+    /// Returns true if upstreams that are not leaving could serve the route, busy or not.
     pub(super) fn is_servable(&self, route: &str) -> bool {
         let now = self.now;
         match self.policy.routes.get(route).map(|r| &r.target) {
@@ -95,19 +97,20 @@
         }
     }
 
-    /// Takes the next request that may go, and that would end in time if each
-    /// token takes `pace` seconds; others wait for a quicker chain.
-    pub(super) fn pop_request(&mut self, route: &str, pace: f64) -> Option<RequestId> {
+    /// Pops the next request that its team's rate permits and that would end before its
+    /// deadline if each token takes `token_time` seconds. Others stay queued for a faster
+    /// chain. Requests that may have run are not checked against the deadline.
+    pub(super) fn pop_request(&mut self, route: &str, token_time: f64) -> Option<RequestId> {
         let queue = self.queues.get_mut(route)?;
-        let (policy, limits) = (&self.policy, &mut self.rate_limits);
+        let (policy, rate_limits) = (&self.policy, &mut self.rate_limits);
         let (now, requests) = (self.now, &self.requests);
         let job = queue.pop(now, &policy.tier_floors, |job| {
             let Some(r) = requests.get(&job.id) else {
                 return true;
             };
-            let run = Duration::from_secs_f64(pace * RUN_MARGIN * f64::from(r.tokens_left()));
-            let fits = r.maybe_ran || now + run <= job.deadline;
-            fits && (r.team.token_rate.is_none() || limits.has_room(now, &r.team.id))
+            let run = Duration::from_secs_f64(token_time * RUN_MARGIN * f64::from(r.tokens_left()));
+            let in_time = r.maybe_ran || now + run <= job.deadline;
+            in_time && (r.team.token_rate.is_none() || rate_limits.has_room(now, &r.team.id))
         })?;
         let request = self.requests.get(&job.id)?;
         if request.team.token_rate.is_some() {
@@ -117,7 +120,8 @@
         Some(job.id)
     }
 
-    /// Puts a request back to the head of its queue, its cost unspent.
+    /// Puts a request back at the head of its queue and returns its cost to the team's
+    /// rate.
     pub(super) fn requeue(&mut self, id: RequestId) {
         let Some(request) = self.requests.get(&id) else {
             return;
@@ -130,9 +134,10 @@
         self.queues.entry(route).or_default().push_front(job);
     }
 
-    /// Chooses engines for `first..end` of a model.
+    /// Chooses a chain of engines for the layers `first..end` of a model.
     ///
-    /// `urgent` passes over the windows, for requests that already run.
+    /// `urgent` is for requests that already run: it ignores the windows of the engines
+    /// and leaves out the engine `lost`.
     pub(super) fn choose_stages(
         &mut self,
         model: &str,
@@ -143,13 +148,14 @@
     ) -> Option<Vec<Stage>> {
         let now = self.now;
         let edges = self.usable_edges(model, |id| {
-            let fine = if urgent {
-                let shut = self.loads.is_suspect(now, id) || self.loads.is_backing_off(now, id);
-                !shut && lost.is_none_or(|l| &**l != id)
+            let usable = if urgent {
+                let unavailable = self.upstream_stats.is_suspect(now, id)
+                    || self.upstream_stats.is_backing_off(now, id);
+                !unavailable && lost.is_none_or(|l| &**l != id)
             } else {
-                self.loads.has_capacity(now, id)
+                self.upstream_stats.has_capacity(now, id)
             };
-            fine && !self.members.is_leaving(now, id)
+            usable && !self.members.is_leaving(now, id)
         });
         if self.config.strategy.cheapest {
             return cheapest_chain(first, end, &edges);
@@ -165,15 +171,16 @@
                 continue;
             }
             for h in u.holds.iter().filter(|h| h.model == model) {
-                edges.push(self.loads.edge(self.now, &u.id, h.first, h.end));
+                edges.push(self.upstream_stats.edge(self.now, &u.id, h.first, h.end));
             }
         }
         edges
     }
 }
 
-/// The plain baseline: of the engines that hold the next layer, take each in
-/// turn, and all that it holds.
+/// Chooses a chain round-robin, the baseline for [`Strategy::cheapest`]: of the engines
+/// that hold the next layer, it takes the one at index `turn` (modulo their number) and
+/// all following layers that it holds.
 fn round_robin(first: Layer, end: Layer, edges: &[Edge], turn: usize) -> Option<Vec<Stage>> {
     let mut stages = Vec::new();
     let mut at = first;
--- a/crates/ashgauge/src/node/mod.rs
+++ b/crates/ashgauge/src/node/mod.rs
@@ -1,4 +1,5 @@
-//! One box: takes events, keeps the parts in step, returns actions.
+//! State machine of one box. It takes events, updates its parts (queues, claims, table,
+//! lease and others) and returns the actions to perform. It does no I/O itself.
 
 mod admit;
 mod call;
@@ -40,59 +41,65 @@
 pub use status::{Stats, Status, UpstreamStatus};
 pub use types::*;
 
-/// Settings of one node.
+/// Settings of a [`Node`].
 #[derive(Clone, Debug)]
 pub struct Config {
     /// Name of the box.
     pub id: BoxId,
-    /// Differs with every start of the process.
+    /// Number that differs with every start of the process.
     pub incarnation: u64,
     /// Data centre of the box.
     pub data_centre: String,
-    /// Address of the box-to-box port, told to peers.
+    /// Address of the box-to-box port, as sent to peers.
     pub peer_addr: String,
-    /// Box-to-box addresses asked for the table if the platform is down.
+    /// Box-to-box addresses of peers that are asked for the table if the platform is down
+    /// at start.
     pub seeds: Vec<String>,
-    /// Milliseconds since 1970 at node time zero.
+    /// Unix time at the node's time zero, in milliseconds since 1970.
     pub epoch_ms: u64,
-    /// Seed of all random choices.
+    /// Seed of the random number generator.
     pub seed: u64,
-    /// Most requests at one time, waiting ones included.
+    /// Maximum number of requests at one time, including waiting ones.
     pub max_requests: usize,
     /// Time between heartbeats.
     pub heartbeat_interval: Duration,
-    /// Boxes that each heartbeat goes to.
+    /// Number of boxes that each heartbeat is sent to.
     pub fanout: usize,
-    /// Least time before a silent stage counts as lost.
+    /// Minimum time without an answer before a stage counts as lost.
     pub stage_timeout: Duration,
-    /// Time before a silent service counts as lost, if a second try is allowed.
+    /// Time without an answer before a service call counts as lost. Applies only to
+    /// repeatable requests.
     pub call_timeout: Duration,
-    /// Stage inputs kept for one request, over all its stages.
+    /// Maximum number of stage inputs kept for one request, over all its stages. Beyond
+    /// it, inputs that only a replay would need are dropped.
     pub max_inputs: usize,
-    /// Second tries per first try, 0 to 1.
+    /// Retries per first attempt, 0 to 1.
     pub retry_share: f64,
-    /// How long a box may hear neither the platform nor a peer.
+    /// Time without contact to the platform and to any peer after which the box is not
+    /// ready.
     pub isolation_timeout: Duration,
-    /// Time to live of the lease for orders.
+    /// Time to live of the lease that permits a box to send orders to upstreams.
     pub lease_ttl: Duration,
-    /// Settings of the claims.
+    /// Settings of the claims on idempotency keys.
     pub claims: claim::Config,
-    /// Ways of deciding, for comparison with plain baselines.
+    /// Strategy for choice, queueing and recovery; for comparison with simple baselines.
     pub strategy: Strategy,
 }
 
-/// Ways of deciding. The default is what a fleet should run; the others are
-/// plain baselines to measure against.
+/// Strategy for choice, queueing, rate limits and recovery.
+///
+/// The default is for production. The alternatives are simple baselines to measure
+/// against.
 #[derive(Clone, Copy, Debug, Serialize, Deserialize)]
 #[serde(default, deny_unknown_fields)]
 pub struct Strategy {
-    /// Choose the cheapest chain; else take engines in turn.
+    /// Choose the cheapest chain of engines; otherwise choose engines round-robin.
     pub cheapest: bool,
-    /// Weighted fair order; else first come, first served.
+    /// Use weighted fair queueing; otherwise first come, first served.
     pub fair: bool,
-    /// Borrow rate from other boxes; else use the own share only.
+    /// Borrow token rate from other boxes; otherwise use only this box's share.
     pub loans: bool,
-    /// Replay a lost stage; else start the whole request anew.
+    /// Replace a lost stage and replay its inputs; otherwise restart the whole request.
     pub replay: bool,
 }
 
@@ -108,12 +115,13 @@
 }
 
 impl Config {
-    /// The box with its incarnation, unique over all boxes and starts.
+    /// Returns the box name with its incarnation, unique over all boxes and process
+    /// starts.
     pub fn instance_id(&self) -> String {
         format!("{}.{:x}", self.id, self.incarnation)
     }
 
-    /// Makes settings with the defaults of the daemon.
+    /// Creates settings with the daemon's defaults.
     pub fn new(id: &str, incarnation: u64) -> Self {
         Config {
             id: id.into(),
@@ -143,101 +151,128 @@
     }
 }
 
-/// The decisions of one box.
+/// State of one box, driven by [`Node::handle`].
 pub struct Node {
     config: Config,
+    /// Time of the last event, counted from the start.
     now: Duration,
     clock: Clock,
     rng: SmallRng,
+    /// Actions of the event that is being handled.
     actions: Vec<Action>,
     table: Arc<Table>,
     policy: Policy,
-    listing: MemberList,
+    /// Member list as the platform sent it.
+    member_list: MemberList,
     members: Members,
-    loads: UpstreamStatsMap,
+    upstream_stats: UpstreamStatsMap,
+    /// Waiting requests by route.
     queues: BTreeMap<String, Queue>,
-    /// Seconds that a running request takes for each token it generates, by
-    /// route.
+    /// Seconds per generated token of running requests, by route.
     token_times: HashMap<String, DurationEstimate>,
     requests: BTreeMap<RequestId, Request>,
+    /// Requests by the claim whose result they wait for.
     pending_claims: HashMap<ClaimId, RequestId>,
-    /// Claims asked for and never to be sent under, with their keys.
+    /// Claims that were requested and then abandoned, with their keys and the time. No
+    /// call is sent to an upstream under them.
     abandoned_claims: HashMap<ClaimId, (String, Duration)>,
     retry_budget: RetryBudget,
     rate_limits: TeamLimits,
     claims: Claims,
+    /// Peers, with their addresses, that wait for the result of a claim made here.
     claim_askers: HashMap<ClaimId, (BoxId, String)>,
     editor: Editor,
     lease: Lease,
     orders: Orders,
     quarantine: Quarantine,
     control: ControlState,
+    /// Counter for round-robin choices.
     rotation: usize,
     stats: Stats,
 }
 
-/// What the node remembers of its contact with platform and peers.
+/// State of the contact with the platform and the peers.
 #[derive(Debug, Default)]
 struct ControlState {
     draining: bool,
+    /// Time of the next heartbeats.
     next_heartbeat: Duration,
+    /// Time of the last contact to the platform or a peer.
     last_contact: Option<Duration>,
+    /// Whether a read of the table is in flight.
     reading_table: bool,
+    /// Earliest time of the next read of the table.
     next_read: Duration,
+    /// Newest table version that is known to exist.
     newest_version: Version,
+    /// Whether peers were asked for their table version at start.
     peers_asked: bool,
+    /// Peers that have not answered this question yet.
     awaited_peers: Vec<BoxId>,
+    /// Time of the next check for loans that are due.
     next_loans: Duration,
 }
 
-/// One request of a caller.
+/// An admitted request of a caller.
 struct Request {
     incoming: IncomingRequest,
     team: Arc<Team>,
     route: String,
+    /// Whether route and caller allow the request to run more than once.
     repeatable: bool,
+    /// Time at which the request is refused unless it has ended.
     deadline: Duration,
+    /// Estimated cost in tokens.
     cost: f64,
+    /// Number of attempts started.
     attempt: u32,
-    /// Whether some upstream may have run a part of it.
+    /// Whether an upstream may have run part of the request.
     maybe_ran: bool,
-    /// The same, before the current call went out.
+    /// Value of `maybe_ran` before the current service call was sent.
     ran_before: bool,
     claim: Option<Claim>,
+    /// Generated tokens.
     tokens: Vec<StageValue>,
+    /// Start of the first attempt.
     started_at: Duration,
     phase: Phase,
 }
 
-/// A request's claim on its key.
+/// A request's claim on its idempotency key.
 struct Claim {
     id: ClaimId,
-    /// Ids given up for this one; they are never sent under.
+    /// Earlier claim ids of this request that were abandoned. No call is sent under them.
     abandoned_ids: Vec<ClaimId>,
-    /// The box that was asked, if not this one.
-    home: Option<(BoxId, String)>,
+    /// Name and address of the box that owns the key, if it is another one and was asked.
+    owner: Option<(BoxId, String)>,
+    /// Time at which the claim was requested.
     asked_at: Duration,
 }
 
+/// Phase of a request.
 enum Phase {
+    /// Waits for the result of its claim.
     Claiming,
+    /// Waits in the queue of its route.
     Waiting,
+    /// Runs through the stages of a model.
     Running(Pipeline),
+    /// Waits for a service that was called at this time.
     Calling(UpstreamId, Duration),
 }
 
 impl Request {
-    /// Tokens that are still to be generated.
+    /// Returns the maximum number of tokens still to be generated.
     fn tokens_left(&self) -> u32 {
         match &self.incoming.work {
-            Work::Generate {
-                max_tokens: most, ..
-            } => most.saturating_sub(self.tokens.len() as u32),
+            Work::Generate { max_tokens, .. } => {
+                max_tokens.saturating_sub(self.tokens.len() as u32)
+            }
             Work::Call { .. } => 0,
         }
     }
 
-    /// What a caller must be told if no result comes.
+    /// Returns the outcome to report to the caller if the request ends without a result.
     fn outcome(&self) -> Outcome {
         if self.maybe_ran {
             Outcome::Unknown
@@ -248,7 +283,7 @@
 }
 
 impl Node {
-    /// Makes a node that knows nothing yet.
+    /// Creates a node that has no table and no member list yet.
     pub fn new(config: Config) -> Self {
         Node {
             now: Duration::ZERO,
@@ -257,9 +292,9 @@
             actions: Vec::new(),
             table: Arc::default(),
             policy: Policy::default(),
-            listing: MemberList::default(),
+            member_list: MemberList::default(),
             members: Members::default(),
-            loads: UpstreamStatsMap::default(),
+            upstream_stats: UpstreamStatsMap::default(),
             queues: BTreeMap::new(),
             token_times: HashMap::new(),
             requests: BTreeMap::new(),
@@ -280,30 +315,33 @@
         }
     }
 
-    /// Takes one event that happened at `now`, counted from the node's start.
+    /// Handles one event that happened at `now`, counted from the node's start, and
+    /// returns the actions to perform.
     ///
     /// `now` must not go back.
     pub fn handle(&mut self, now: Duration, event: Event) -> Vec<Action> {
         self.now = self.now.max(now);
         match event {
-            Event::RequestArrived(order) => self.on_request(order),
+            Event::RequestArrived(incoming) => self.on_request(incoming),
             Event::CallerGone(id) => self.on_caller_gone(id),
-            Event::StageDone(ran) => self.on_stage_done(ran),
-            Event::StageFailed(id, session, start, fault) => {
-                self.on_stage_failed(id, session, start, fault)
+            Event::StageDone(result) => self.on_stage_done(result),
+            Event::StageFailed(id, session, start, error) => {
+                self.on_stage_failed(id, session, start, error)
+            }
+            Event::ServiceDone(id, attempt, response) => {
+                self.on_service_done(id, attempt, response)
             }
-            Event::ServiceDone(id, attempt, called) => self.on_service_done(id, attempt, called),
-            Event::ServiceFailed(id, attempt, fault) => self.on_service_failed(id, attempt, fault),
-            Event::Read(object, answer) => self.on_read(object, answer),
-            Event::Written(object, content, result) => self.on_written(object, content, result),
+            Event::ServiceFailed(id, attempt, error) => self.on_service_failed(id, attempt, error),
+            Event::Read(key, answer) => self.on_read(key, answer),
+            Event::Written(key, value, result) => self.on_written(key, value, result),
             Event::TableVersion(version) => self.on_table_version(version),
             Event::Listed(listing) => self.on_listing(listing),
             Event::Unchanged => self.control.last_contact = Some(self.now),
             Event::MessageReceived(envelope) => self.on_message(envelope),
             Event::SendFailed(to, message) => self.on_send_failed(&to, message),
-            Event::Edit(ticket, edit) => {
-                let steps = self.editor.push(self.now, ticket, edit);
-                self.run_edit_steps(steps);
+            Event::Edit(waiter, edit) => {
+                let actions = self.editor.push(self.now, waiter, edit);
+                self.run_edit_actions(actions);
             }
             Event::OrderAnswered(id, term, reply) => self.on_order_reply(&id, term, reply),
             Event::Drain => self.drain(),
@@ -312,23 +350,26 @@
         std::mem::take(&mut self.actions)
     }
 
-    /// Returns true if the balancer may send requests to this box.
+    /// Returns true if the load balancer may send requests to this box: its table is up
+    /// to date, the peers that it asked at start have answered or failed, it has contact
+    /// to the platform or to a peer, and it is not draining.
     pub fn is_ready(&self, now: Duration) -> bool {
-        let f = &self.control;
-        let knows = self.policy.version > 0 && self.policy.version >= f.newest_version;
-        let greeted = f.peers_asked && f.awaited_peers.is_empty();
-        let alone = f
+        let control = &self.control;
+        let table_current =
+            self.policy.version > 0 && self.policy.version >= control.newest_version;
+        let peers_answered = control.peers_asked && control.awaited_peers.is_empty();
+        let isolated = control
             .last_contact
             .is_none_or(|t| now > t + self.config.isolation_timeout);
-        knows && greeted && !alone && !f.draining
+        table_current && peers_answered && !isolated && !control.draining
     }
 
-    /// Returns true once a draining node has nothing left to do.
+    /// Returns true if the node is draining and has no requests left.
     pub fn is_drained(&self) -> bool {
         self.control.draining && self.requests.is_empty()
     }
 
-    /// Requests in flight or waiting.
+    /// Returns the number of requests in flight or waiting.
     pub fn inflight(&self) -> usize {
         self.requests.len()
     }
@@ -345,12 +386,12 @@
         self.config.epoch_ms + self.now.as_millis() as u64
     }
 
-    fn record(&mut self, request: Option<RequestId>, what: RecordKind) {
+    fn record(&mut self, request: Option<RequestId>, kind: RecordKind) {
         let record = Record {
             at: self.clock.tick(self.wall_ms()),
             box_id: self.config.id.clone(),
             request,
-            kind: what,
+            kind,
         };
         self.actions.push(Action::Record(record));
     }
--- a/crates/ashgauge/src/node/peers.rs
+++ b/crates/ashgauge/src/node/peers.rs
@@ -1,4 +1,5 @@
-//! What boxes tell each other: heartbeats, rumours, loans, claims, state.
+//! Messages between boxes: heartbeats, leaving upstreams, loans, claims and table state.
+//! Also the member list and the orders to upstreams.
 
 use std::time::Duration;
 
@@ -10,16 +11,16 @@
 use crate::order::{Command, Reply as OrderReply};
 use crate::policy::TeamId;
 
-/// Peers that a fresh box asks for their table version before it is ready.
+/// Number of peers that a starting box asks for their table version before it is ready.
 const STARTUP_PEERS: usize = 5;
 
-/// Time between two looks at the loans that are due.
+/// Time between two checks for loans that are due.
 const LOAN_INTERVAL: Duration = Duration::from_millis(50);
 
-/// Boxes that one ask for loans goes to at most.
+/// Maximum number of boxes that are asked for loans at once.
 const MAX_LENDERS: usize = 16;
 
-/// How long a claim given up is remembered.
+/// How long an abandoned claim is remembered.
 const ABANDONED_TTL: Duration = Duration::from_secs(60);
 
 impl Node {
@@ -38,14 +39,15 @@
     }
 
     pub(super) fn on_listing(&mut self, listing: MemberList) {
-        let before: Vec<UpstreamId> = self.leaving_ids();
+        let leaving_before: Vec<UpstreamId> = self.leaving_ids();
         self.control.last_contact = Some(self.now);
-        self.listing = listing.clone();
+        self.member_list = listing.clone();
         self.members.update(listing);
         let members = &self.members;
-        self.loads.retain(|id| members.upstream(id).is_some());
+        self.upstream_stats
+            .retain(|id| members.upstream(id).is_some());
         for id in self.leaving_ids() {
-            if !before.contains(&id) {
+            if !leaving_before.contains(&id) {
                 let source = "platform".into();
                 self.record(
                     None,
@@ -74,7 +76,7 @@
             Message::Heartbeat {
                 version,
                 leaving,
-                wants_reply: answer,
+                wants_reply,
                 losses,
             } => {
                 self.merge_losses(&losses);
@@ -83,36 +85,23 @@
                     self.mark_leaving(&id, &from);
                 }
                 self.on_peer_version(version, &from, &addr);
-                if answer {
+                if wants_reply {
                     let heartbeat = self.make_heartbeat(false);
                     self.send(from, addr, heartbeat);
                 }
             }
-            Message::RequestLoans {
-                wants,
-                asked_us: asked,
-            } => self.lend(from, addr, wants, asked),
-            Message::GrantLoans {
-                rates,
-                asked_us: asked,
-            } => self.borrow(&from, rates, asked),
+            Message::RequestLoans { wants, asked_us } => self.lend(from, addr, wants, asked_us),
+            Message::GrantLoans { rates, asked_us } => self.borrow(&from, rates, asked_us),
             Message::RequestClaim { key, id } => {
                 self.claim_askers.insert(id.clone(), (from, addr));
-                let steps = self
+                let actions = self
                     .claims
                     .claim(self.now, self.wall_ms() / 1000, &key, &id);
-                self.run_claim_steps(steps);
+                self.run_claim_actions(actions);
             }
-            Message::ClaimReply {
-                id,
-                result: verdict,
-            } => self.on_verdict(&id, verdict),
-            Message::UpdateClaim {
-                key,
-                id,
-                state: stage,
-            } => self.claims.update_state(&key, &id, stage),
-            Message::FetchState { after: since } => self.send_state(from, addr, since),
+            Message::ClaimReply { id, result } => self.on_claim_result(&id, result),
+            Message::UpdateClaim { key, id, state } => self.claims.update_state(&key, &id, state),
+            Message::FetchState { after } => self.send_state(from, addr, after),
             Message::Edits {
                 version,
                 edits,
@@ -123,7 +112,7 @@
                 table,
                 listing,
             } => {
-                if self.listing.boxes.is_empty() {
+                if self.member_list.boxes.is_empty() {
                     self.on_listing(listing);
                 }
                 self.install_table(version, Arc::from(table), &from);
@@ -139,16 +128,12 @@
                 let request = self.pending_claims.get(&id).copied();
                 request.into_iter().for_each(|r| self.claim_locally(r));
             }
-            Message::UpdateClaim {
-                key,
-                id,
-                state: stage,
-            } => self.claims.update_state(&key, &id, stage),
+            Message::UpdateClaim { key, id, state } => self.claims.update_state(&key, &id, state),
             _ => {}
         }
     }
 
-    /// Keeps a box that did not answer out of the live set for a while.
+    /// Marks a box that did not answer as suspect. It does not count as live for a while.
     pub(super) fn suspect_box(&mut self, id: &str) {
         if self.members.mark_suspect(self.now, id) {
             self.record(None, RecordKind::Suspected { box_id: id.into() });
@@ -171,31 +156,33 @@
         found.map(|b| b.peer_addr.clone())
     }
 
-    /// Notes that an upstream is leaving and wants no new work.
+    /// Marks an upstream as leaving, so that it gets no new work, and tells the peers
+    /// soon.
     pub(super) fn mark_leaving(&mut self, id: &UpstreamId, source: &str) {
         if self.members.mark_leaving(self.now, id) {
             self.expedite_heartbeat();
-            let what = RecordKind::Leaving {
+            let record_kind = RecordKind::Leaving {
                 upstream: id.clone(),
                 source: source.into(),
             };
-            self.record(None, what);
+            self.record(None, record_kind);
         }
     }
 
-    /// Stops taking requests, and gives the lease back.
+    /// Stops admitting requests and releases the lease.
     pub(super) fn drain(&mut self) {
         if std::mem::replace(&mut self.control.draining, true) {
             return;
         }
         let inflight = self.requests.len();
         self.record(None, RecordKind::Draining { inflight });
-        if let Some(step) = self.lease.release() {
-            self.run_lease_step(step);
+        if let Some(action) = self.lease.release() {
+            self.run_lease_action(action);
         }
     }
 
-    /// Sets this box's own share of a team's rate, if the team has one.
+    /// Sets this box's share of a team's token rate: the rate divided by the number of
+    /// boxes, or 0 if the team has none.
     pub(super) fn set_share(&mut self, team: &TeamId) {
         let rate = self
             .policy
@@ -203,9 +190,10 @@
             .and_then(|t| t.token_rate)
             .unwrap_or(0.0);
         let boxes = self.members.boxes().count().max(1) as f64;
-        // An earlier process of this box may have lent the share.
-        let opens = self.config.strategy.loans && self.now < limit::settle_time();
-        let share = if opens { 0.0 } else { rate / boxes };
+        // Shortly after the start the share is 0, as an earlier process of this box may
+        // have lent it out.
+        let starting = self.config.strategy.loans && self.now < limit::settle_time();
+        let share = if starting { 0.0 } else { rate / boxes };
         self.rate_limits.set_share(self.now, team, share);
     }
 
@@ -219,7 +207,7 @@
         let due = self
             .orders
             .due_orders(self.now, term, &self.policy.goals, fenced);
-        for (upstream, goal) in due {
+        for (upstream, desired) in due {
             let addr = pipeline::upstream_addr(&self.members, &upstream);
             if addr.is_empty() {
                 continue;
@@ -228,14 +216,14 @@
                 upstream,
                 addr,
                 term,
-                desired: goal,
+                desired,
             }));
         }
     }
 
     pub(super) fn on_order_reply(&mut self, id: &UpstreamId, term: u64, reply: OrderReply) {
         self.orders.on_reply(self.now, id, term, &reply);
-        let what = RecordKind::Ordered {
+        let record_kind = RecordKind::Ordered {
             upstream: id.clone(),
             term,
             order: self
@@ -245,29 +233,29 @@
                 .map_or(String::new(), |g| format!("{:x}", g.hash)),
             result: format!("{reply:?}"),
         };
-        self.record(None, what);
+        self.record(None, record_kind);
     }
 
     fn leaving_ids(&self) -> Vec<UpstreamId> {
-        let gone =
+        let is_leaving =
             |u: &&crate::member::UpstreamEntry| u.state == crate::member::MemberState::Leaving;
         self.members
             .upstreams()
-            .filter(gone)
+            .filter(is_leaving)
             .map(|u| u.id.clone())
             .collect()
     }
 
-    fn make_heartbeat(&self, answer: bool) -> Message {
+    fn make_heartbeat(&self, wants_reply: bool) -> Message {
         Message::Heartbeat {
             version: self.policy.version,
             leaving: self.members.leaving_ids(self.now),
-            wants_reply: answer,
+            wants_reply,
             losses: self.loss_report(),
         }
     }
 
-    /// Sends heartbeats soon, as there is something new to tell.
+    /// Moves the next heartbeats forward, as there is news for the peers.
     pub(super) fn expedite_heartbeat(&mut self) {
         let soon = self.now + store::NEWS_DELAY;
         self.control.next_heartbeat = self.control.next_heartbeat.min(soon);
@@ -277,17 +265,18 @@
         let me = self.config.id.clone();
         let others = self.members.boxes().filter(|b| b.id != me);
         let others = others.map(|b| (b.id.clone(), b.peer_addr.clone()));
-        let some = others.choose_multiple(&mut self.rng, self.config.fanout);
-        for (id, addr) in some {
+        let chosen = others.choose_multiple(&mut self.rng, self.config.fanout);
+        for (id, addr) in chosen {
             let heartbeat = self.make_heartbeat(false);
             self.send(id, addr, heartbeat);
         }
     }
 
-    /// Asks some peers for their version, once, when the first list arrives.
+    /// Asks some peers for their table version, once, when the first list with boxes
+    /// arrives.
     fn ask_versions(&mut self) {
-        // An empty list is one that the platform has not made yet.
-        if self.listing.boxes.is_empty() {
+        // An empty list means that the platform has not made one yet.
+        if self.member_list.boxes.is_empty() {
             return;
         }
         if std::mem::replace(&mut self.control.peers_asked, true) {
@@ -296,22 +285,23 @@
         let me = self.config.id.clone();
         let others = self.members.boxes().filter(|b| b.id != me);
         let others = others.map(|b| (b.id.clone(), b.peer_addr.clone()));
-        let some = others.choose_multiple(&mut self.rng, STARTUP_PEERS);
-        for (id, addr) in some {
+        let chosen = others.choose_multiple(&mut self.rng, STARTUP_PEERS);
+        for (id, addr) in chosen {
             self.control.awaited_peers.push(id.clone());
             let heartbeat = self.make_heartbeat(true);
             self.send(id, addr, heartbeat);
         }
     }
 
-    /// Sends what is newer than `since`: the edits if they are still held.
-    fn send_state(&mut self, to: BoxId, addr: String, since: Version) {
+    /// Sends a peer what is newer than version `after`: the edits if the table still
+    /// holds them, otherwise the whole table.
+    fn send_state(&mut self, to: BoxId, addr: String, after: Version) {
         let version = self.policy.version;
-        if version <= since {
+        if version <= after {
             return;
         }
-        if since > 0
-            && let Some(edits) = self.table.last_edits(version - since)
+        if after > 0
+            && let Some(edits) = self.table.last_edits(version - after)
         {
             let (edits, hash) = (edits.to_vec(), self.table.hash());
             return self.send(
@@ -327,12 +317,12 @@
         let state = Message::State {
             version: self.policy.version,
             table: Box::new(Table::clone(&self.table)),
-            listing: self.listing.clone(),
+            listing: self.member_list.clone(),
         };
         self.send(to, addr, state);
     }
 
-    /// Asks other boxes for what teams want beyond this box's share.
+    /// Asks other boxes for the token rate that teams need beyond this box's share.
     fn ask_loans(&mut self) {
         for team in self.rate_limits.teams() {
             self.set_share(&team);
@@ -349,7 +339,7 @@
         let others = self.members.live_boxes(self.now).filter(|b| b.id != *me);
         let others = others.map(|b| (b.id.clone(), b.peer_addr.clone()));
         let lenders = others.choose_multiple(&mut self.rng, MAX_LENDERS);
-        let asked = self.now.as_micros() as u64;
+        let asked_us = self.now.as_micros() as u64;
         for (id, addr) in &lenders {
             let want = |t: &TeamId| self.rate_limits.wanted_rate(self.now, t, id, lenders.len());
             let wants = due.iter().map(|t| (t.clone(), want(t)));
@@ -358,37 +348,27 @@
                 self.send(
                     id.clone(),
                     addr.clone(),
-                    Message::RequestLoans {
-                        wants,
-                        asked_us: asked,
-                    },
+                    Message::RequestLoans { wants, asked_us },
                 );
             }
         }
     }
 
-    fn lend(&mut self, to: BoxId, addr: String, wants: Vec<(TeamId, f64)>, asked: u64) {
+    fn lend(&mut self, to: BoxId, addr: String, wants: Vec<(TeamId, f64)>, asked_us: u64) {
         let mut rates = Vec::with_capacity(wants.len());
         for (team, want) in wants {
             self.set_share(&team);
             let rate = self.rate_limits.lend(self.now, &team, &to, want);
             rates.push((team, rate));
         }
-        self.send(
-            to,
-            addr,
-            Message::GrantLoans {
-                rates,
-                asked_us: asked,
-            },
-        );
+        self.send(to, addr, Message::GrantLoans { rates, asked_us });
     }
 
-    fn borrow(&mut self, from: &BoxId, rates: Vec<(TeamId, f64)>, asked: u64) {
-        let asked = Duration::from_micros(asked);
+    fn borrow(&mut self, from: &BoxId, rates: Vec<(TeamId, f64)>, asked_us: u64) {
+        let asked_at = Duration::from_micros(asked_us);
         for (team, rate) in rates {
             self.rate_limits
-                .record_loan(self.now, &team, from, rate, asked);
+                .record_loan(self.now, &team, from, rate, asked_at);
         }
         self.dispatch_all();
     }
--- a/crates/ashgauged/src/actor.rs
+++ b/crates/ashgauged/src/actor.rs
@@ -1,4 +1,4 @@
-//! The actor that owns the node: carries events to it and actions away.
+//! Actor that owns the node: passes it events and performs its actions.
 
 use std::collections::HashMap;
 use std::sync::Arc;
@@ -20,55 +20,61 @@
 /// Time between ticks of the node.
 const TICK_INTERVAL: Duration = Duration::from_millis(10);
 
-/// What the node's actor is asked.
+/// Messages to the node's actor.
 pub enum Msg {
     /// An event for the node.
     Event(Event),
-    /// A caller's request; its parts go to the sender, its id to the other.
+    /// A caller's request. The parts of the answer go to the first channel, the request's
+    /// id to the second.
     Request(
         IncomingRequest,
         mpsc::UnboundedSender<ReplyPart>,
         oneshot::Sender<RequestId>,
     ),
-    /// An operator's edit.
+    /// An operator's edit of the table.
     Edit(Edit, oneshot::Sender<EditResult>),
-    /// The node's state.
+    /// Asks for the node's state.
     Status(oneshot::Sender<Status>),
-    /// The table in force.
+    /// Asks for the table in force.
     Table(oneshot::Sender<TableResponse>),
-    /// The boxes of the list.
+    /// Asks for the boxes of the member list.
     Boxes(oneshot::Sender<BoxesResponse>),
-    /// Whether the balancer may send requests.
+    /// Asks whether the load balancer may send requests.
     Ready(oneshot::Sender<bool>),
-    /// Whether a draining node is empty.
+    /// Asks whether a draining node has no requests left.
     Drained(oneshot::Sender<bool>),
-    /// Whether a drain was asked for on the operators' port.
+    /// Asks for an answer when a drain is requested.
     DrainAsked(oneshot::Sender<()>),
 }
 
-/// The actor.
+/// Actor that owns the node.
 pub struct NodeActor;
 
-/// What the actor starts from.
+/// Arguments of the actor.
 pub struct NodeArgs {
     /// Settings of the node.
     pub config: Config,
     /// Settings of the daemon.
     pub settings: Settings,
-    /// Sender to the other boxes.
+    /// Client for messages to other boxes.
     pub peers: peer::PeerClient,
-    /// The time line.
+    /// Timeline of the box.
     pub timeline: Arc<Timeline>,
 }
 
-/// The actor's state.
+/// State of the actor.
 pub struct State {
     node: Node,
+    /// Start of the node, from which its time is counted.
     started: Instant,
     io: Io,
+    /// Channels to callers that wait for their answers.
     callers: HashMap<RequestId, mpsc::UnboundedSender<ReplyPart>>,
+    /// Operators that wait for the result of an edit.
     pending_edits: HashMap<WaiterId, oneshot::Sender<EditResult>>,
+    /// Channels that are notified when a drain is requested.
     drain_waiters: Vec<oneshot::Sender<()>>,
+    /// Last id given to a request or an edit.
     last_id: u64,
     timeline: Arc<Timeline>,
 }
@@ -81,20 +87,20 @@
     async fn pre_start(
         &self,
         myself: ActorRef<Msg>,
-        start: NodeArgs,
+        args: NodeArgs,
     ) -> Result<State, ActorProcessingErr> {
-        let io = Io::new(myself.clone(), &start);
+        let io = Io::new(myself.clone(), &args);
         io.watch_platform();
         myself.send_interval(TICK_INTERVAL, || Msg::Event(Event::Tick));
         Ok(State {
-            node: Node::new(start.config),
+            node: Node::new(args.config),
             started: Instant::now(),
             io,
             callers: HashMap::new(),
             pending_edits: HashMap::new(),
             drain_waiters: Vec::new(),
             last_id: 1,
-            timeline: start.timeline,
+            timeline: args.timeline,
         })
     }
 
@@ -112,14 +118,14 @@
 impl State {
     fn handle_message(&mut self, message: Msg) {
         let now = self.started.elapsed();
-        // Whoever asked may be gone; then nobody misses the answer.
+        // A send fails only if the asker is gone and needs no answer.
         match message {
             Msg::Event(event) => self.handle_event(event),
-            Msg::Request(order, parts, id) => self.start_request(order, parts, id),
+            Msg::Request(request, parts, id) => self.start_request(request, parts, id),
             Msg::Edit(edit, answer) => {
-                let ticket = self.allocate_id();
-                self.pending_edits.insert(ticket, answer);
-                self.handle_event(Event::Edit(ticket, edit));
+                let waiter_id = self.allocate_id();
+                self.pending_edits.insert(waiter_id, answer);
+                self.handle_event(Event::Edit(waiter_id, edit));
             }
             Msg::Status(answer) => drop(answer.send(self.node.status(now))),
             Msg::Table(answer) => {
@@ -139,17 +145,17 @@
 
     fn start_request(
         &mut self,
-        mut order: IncomingRequest,
+        mut request: IncomingRequest,
         parts: mpsc::UnboundedSender<ReplyPart>,
         id: oneshot::Sender<RequestId>,
     ) {
-        order.id = self.allocate_id();
-        self.callers.insert(order.id, parts);
-        if id.send(order.id).is_err() {
-            self.callers.remove(&order.id);
+        request.id = self.allocate_id();
+        self.callers.insert(request.id, parts);
+        if id.send(request.id).is_err() {
+            self.callers.remove(&request.id);
             return;
         }
-        self.handle_event(Event::RequestArrived(order));
+        self.handle_event(Event::RequestArrived(request));
     }
 
     fn handle_event(&mut self, event: Event) {
@@ -157,8 +163,8 @@
             self.callers.remove(id);
         }
         if let Event::Drain = &event {
-            for waiting in self.drain_waiters.drain(..) {
-                let _ = waiting.send(());
+            for waiter in self.drain_waiters.drain(..) {
+                let _ = waiter.send(());
             }
         }
         let actions = self.node.handle(self.started.elapsed(), event);
@@ -170,9 +176,9 @@
     fn perform(&mut self, action: Action) {
         match action {
             Action::Reply(id, reply) => self.reply(id, reply),
-            Action::EditAnswer(ticket, answer) => {
-                if let Some(waiting) = self.pending_edits.remove(&ticket) {
-                    let _ = waiting.send(answer);
+            Action::EditAnswer(waiter_id, answer) => {
+                if let Some(waiter) = self.pending_edits.remove(&waiter_id) {
+                    let _ = waiter.send(answer);
                 }
             }
             Action::Record(record) => self.timeline.add(record),
--- a/crates/ashgauged/src/io.rs
+++ b/crates/ashgauged/src/io.rs
@@ -11,16 +11,21 @@
 
 use crate::actor::{Msg, NodeArgs};
 
-/// Longest time of a stage order or a service call; the node gives up sooner.
+/// Maximum time of a stage run or a service call; the node gives up sooner.
 const CALL_TIMEOUT: Duration = Duration::from_secs(120);
 
+/// Time limit for a new connection to an upstream.
 const CONNECT_TIMEOUT: Duration = Duration::from_secs(1);
+/// Time limit for telling an engine that a session is over.
 const CANCEL_TIMEOUT: Duration = Duration::from_secs(2);
+/// Time limit of a fenced order to an upstream.
 const ORDER_TIMEOUT: Duration = Duration::from_secs(4);
+/// First delay after a watch without an answer; doubles with each further one.
 const MIN_BACKOFF: Duration = Duration::from_millis(100);
+/// Maximum delay after a watch without an answer.
 const MAX_BACKOFF: Duration = Duration::from_secs(2);
 
-/// Connections to everything outside.
+/// Clients of the platform, the peers and the upstreams.
 pub struct Io {
     node: ActorRef<Msg>,
     platform: PlatformClient,
@@ -31,22 +36,21 @@
 }
 
 impl Io {
-    /// Makes the connections' clients.
-    pub fn new(node: ActorRef<Msg>, start: &NodeArgs) -> Self {
-        let settings = &start.settings;
+    /// Creates the clients.
+    pub fn new(node: ActorRef<Msg>, args: &NodeArgs) -> Self {
+        let settings = &args.settings;
         let contact = Duration::from_millis(settings.timing.isolation_ms);
         Io {
             node,
             platform: PlatformClient::new(&settings.platform, settings.platform_calls, contact),
-            peers: start.peers.clone(),
+            peers: args.peers.clone(),
             client: Client::new(CONNECT_TIMEOUT),
-            instance_id: start.config.instance_id().into(),
+            instance_id: args.config.instance_id().into(),
             list_interval: Duration::from_millis(settings.timing.list_ms),
         }
     }
 
-    /// Follows the table's watch and the list of members, as long as the node
-    /// lives.
+    /// Starts tasks that watch the table and the member list until the node's actor ends.
     pub fn watch_platform(&self) {
         let (node, platform) = (self.node.clone(), self.platform.clone());
         tokio::spawn(watch_table(node, platform));
@@ -57,29 +61,29 @@
     /// Performs one action.
     pub fn perform(&self, action: Action) {
         let node = self.node.clone();
-        let (client, owner) = (self.client.clone(), self.instance_id.clone());
+        let (client, instance_id) = (self.client.clone(), self.instance_id.clone());
         let platform = self.platform.clone();
         match action {
             Action::Run(run) => spawn_event(node, async move {
-                let done = upstream::run(&client, &owner, &run, CALL_TIMEOUT).await;
-                match done {
-                    Ok(ran) => Event::StageDone(ran),
-                    Err(fault) => {
-                        debug!("upstream: order to {} failed: {fault:?}", run.upstream);
-                        Event::StageFailed(run.id, run.session, run.start, fault)
+                let outcome = upstream::run(&client, &instance_id, &run, CALL_TIMEOUT).await;
+                match outcome {
+                    Ok(result) => Event::StageDone(result),
+                    Err(error) => {
+                        debug!("upstream: stage run on {} failed: {error:?}", run.upstream);
+                        Event::StageFailed(run.id, run.session, run.start, error)
                     }
                 }
             }),
             Action::Call(call) => spawn_event(node, async move {
                 match upstream::call(&client, &call, CALL_TIMEOUT).await {
-                    Ok(called) => Event::ServiceDone(call.id, call.attempt, called),
-                    Err(fault) => Event::ServiceFailed(call.id, call.attempt, fault),
+                    Ok(response) => Event::ServiceDone(call.id, call.attempt, response),
+                    Err(error) => Event::ServiceFailed(call.id, call.attempt, error),
                 }
             }),
             Action::Cancel {
                 id, session, addr, ..
             } => {
-                let session = upstream::session_name(&owner, id, session);
+                let session = upstream::session_name(&instance_id, id, session);
                 tokio::spawn(async move {
                     upstream::cancel(&client, &addr, session, CANCEL_TIMEOUT).await;
                 });
@@ -88,13 +92,13 @@
                 let reply = upstream::send_order(&client, &order, ORDER_TIMEOUT).await;
                 Event::OrderAnswered(order.upstream, order.term, reply)
             }),
-            Action::Read(object) => spawn_event(node, async move {
-                let answer = platform.read(&object).await;
-                Event::Read(object, answer)
+            Action::Read(key) => spawn_event(node, async move {
+                let answer = platform.read(&key).await;
+                Event::Read(key, answer)
             }),
-            Action::Write(object, version, content) => spawn_event(node, async move {
-                let result = platform.write(&object, version, &content).await;
-                Event::Written(object, content, result)
+            Action::Write(key, version, value) => spawn_event(node, async move {
+                let result = platform.write(&key, version, &value).await;
+                Event::Written(key, value, result)
             }),
             Action::Send(to, addr, envelope) => self.deliver(to, addr, envelope),
             Action::Reply(..) | Action::EditAnswer(..) | Action::Record(_) => {}
@@ -126,7 +130,7 @@
 
 async fn watch_table(node: ActorRef<Msg>, platform: PlatformClient) {
     let mut version = 0;
-    let mut pause = MIN_BACKOFF;
+    let mut delay = MIN_BACKOFF;
     loop {
         let event = match platform.watch_table(version).await {
             Ok(Some(newer)) => {
@@ -136,20 +140,20 @@
             }
             Ok(None) => Event::Unchanged,
             Err(_) => {
-                pause = back_off("table", pause).await;
+                delay = back_off("table", delay).await;
                 continue;
             }
         };
-        pause = MIN_BACKOFF;
+        delay = MIN_BACKOFF;
         if node.cast(Msg::Event(event)).is_err() {
             return;
         }
     }
 }
 
-async fn watch_list(node: ActorRef<Msg>, platform: PlatformClient, every: Duration) {
+async fn watch_list(node: ActorRef<Msg>, platform: PlatformClient, interval: Duration) {
     let mut version = 0;
-    let mut pause = MIN_BACKOFF;
+    let mut delay = MIN_BACKOFF;
     loop {
         let event = match platform.watch_list(version).await {
             Ok(Some(listing)) => {
@@ -158,26 +162,28 @@
             }
             Ok(None) => Event::Unchanged,
             Err(_) => {
-                pause = back_off("list", pause).await;
+                delay = back_off("list", delay).await;
                 continue;
             }
         };
-        pause = MIN_BACKOFF;
+        delay = MIN_BACKOFF;
         if node.cast(Msg::Event(event)).is_err() {
             return;
         }
-        tokio::time::sleep(jittered(every)).await;
+        tokio::time::sleep(jittered(interval)).await;
     }
 }
 
-/// Sleeps after a watch that brought no answer; returns the next pause.
-async fn back_off(what: &str, pause: Duration) -> Duration {
-    warn!("platform: no answer to the watch of the {what}, trying again");
-    tokio::time::sleep(jittered(pause)).await;
-    (pause * 2).min(MAX_BACKOFF)
+/// Sleeps after a watch without an answer and returns the next delay, at most
+/// [`MAX_BACKOFF`].
+async fn back_off(what: &str, delay: Duration) -> Duration {
+    warn!("platform: watch of the {what} got no usable answer; retrying");
+    tokio::time::sleep(jittered(delay)).await;
+    (delay * 2).min(MAX_BACKOFF)
 }
 
-/// The pause, give or take a quarter, so that boxes do not fall into step.
-fn jittered(pause: Duration) -> Duration {
-    pause.mul_f64(rand::random_range(0.75..1.25))
+/// Returns the delay with a jitter of a quarter either way, so that boxes do not act in
+/// step.
+fn jittered(delay: Duration) -> Duration {
+    delay.mul_f64(rand::random_range(0.75..1.25))
 }
