--- a/crates/ashgauge/src/claim.rs
+++ b/crates/ashgauge/src/claim.rs
@@ -1,11 +1,11 @@
-//! At most once for keyed requests, over all boxes.
+//! At-most-once execution of requests with an idempotency key, across all boxes.
 //!
-//! Keys hash to shards, one stored object each. A claim is a new entry in its
-//! shard, committed by a conditional update on the shard's version. Whoever
-//! commits first may send, and only once; everybody else learns of it. Claims
-//! that arrive while a write is under way go together in the next one. Safety
-//! rests on the versions alone: no lease takes part, and clocks only where a
-//! key is dropped for its age.
+//! Keys are hashed to shards, and each shard is one stored object. A claim is a new entry in
+//! its shard, committed by a write that is conditional on the shard's version. The box whose
+//! claim is committed first may send the request, once; every other box is told of that
+//! claim. Claims that arrive during a write are batched into the next one. Safety depends on
+//! the object versions alone: no lease is involved, and clocks matter only for the expiry of
+//! keys.
 
 use std::collections::{BTreeMap, VecDeque};
 use std::time::Duration;
@@ -15,51 +15,51 @@
 
 use crate::table::Version;
 
-/// Seconds of keys that go to the same shards.
+/// Length of a time slice: keys that were made in the same slice share shards.
 const SLICE_SECS: u64 = 10;
 
-/// How long an idle shard's entries are remembered.
+/// Time after which the state of an unused shard is dropped from memory.
 const IDLE_TIMEOUT: Duration = Duration::from_secs(60);
 
-/// Seconds by which the clocks of boxes and callers may differ; a key that is
-/// nearer to its end is refused, as another box may have dropped it.
+/// Clock difference that is tolerated between boxes and callers; a key that is closer than
+/// this to its expiry is refused, since another box may already have dropped its claim.
 const EXPIRY_MARGIN_SECS: u64 = 60;
 
-/// Seconds by which a key's time may be ahead of a box's clock.
+/// Maximum time by which a key's timestamp may be ahead of a box's clock.
 const EARLY_MARGIN_SECS: u64 = 30;
 
-/// Writes that a calm shard may make in a row; on average it makes one each
-/// interval.
+/// Maximum burst of writes to a shard that was idle before; on average one write is allowed
+/// in each write interval.
 const MAX_WRITE_BURST: f64 = 3.0;
 
-/// A shard's number.
+/// Number of a shard.
 pub type ShardId = u32;
 
-/// Unique name of one try to claim, such as `box.incarnation.request`.
+/// Unique name of one attempt to claim a key, such as `box.incarnation.request`.
 pub type ClaimId = String;
 
-/// How far the request behind a claim came.
+/// State of the request that a claim stands for.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(rename_all = "snake_case")]
 pub enum ClaimState {
-    /// It may have been sent.
+    /// The key is claimed; the request may have been sent.
     #[serde(rename = "taken")]
     Claimed,
-    /// It ran to its end.
+    /// The request was completed.
     Done,
-    /// It did not run; the key is free again.
+    /// The request did not run; the key can be claimed again.
     NotRun,
 }
 
-/// One stored claim.
+/// A claim as it is stored.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub struct StoredClaim {
-    /// Who claimed it.
+    /// Name of the claim.
     pub id: ClaimId,
-    /// How far it came.
+    /// State of its request.
     #[serde(rename = "stage")]
     pub state: ClaimState,
-    /// When, in seconds since 1970.
+    /// Time of the claim, in seconds since 1970 (the Unix epoch).
     #[serde(rename = "at")]
     pub claimed_at: u64,
 }
@@ -71,56 +71,56 @@
     pub keys: BTreeMap<String, StoredClaim>,
 }
 
-/// What became of a claim.
+/// Result of an attempt to claim a key.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 #[serde(rename_all = "snake_case")]
 pub enum ClaimResult {
-    /// The asker holds the key and may send once.
+    /// The key is claimed; the request may be sent, once.
     Granted,
-    /// Another claim, named here, holds it and came so far.
+    /// Another claim holds the key; carries its name and state.
     Held(ClaimId, ClaimState),
-    /// The platform could not be asked; nothing was or will be sent.
+    /// The platform was not available; the request was not sent and will not be.
     Unavailable,
 }
 
-/// What to do for the claims.
+/// Action that the caller of [`Claims`] has to perform.
 #[derive(Clone, Debug, PartialEq)]
 pub enum ClaimAction {
-    /// Read a shard's object.
+    /// Read the stored object of a shard.
     Read(ShardId),
-    /// Write it if it still has this version.
+    /// Write a shard if the stored object still has this version.
     Write(ShardId, Version, StoredShard),
-    /// Tell a claim's verdict.
+    /// Give a claim's result to the box that asked for it.
     Respond(ClaimId, ClaimResult),
 }
 
-/// How a conditional write ended.
+/// Result of a conditional write.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub enum WriteResult {
-    /// It took effect and made this version.
+    /// The write took effect; the object now has this version.
     Done(Version),
     /// The object had another version.
     Conflict,
-    /// Nobody knows; it may take effect even later.
+    /// The result is unknown; the write may still take effect later.
     Unknown,
-    /// The platform refused it before doing anything.
+    /// The platform refused the write; it has no effect.
     Refused,
 }
 
-/// Settings of the claims.
+/// Settings of [`Claims`].
 #[derive(Clone, Debug)]
 pub struct Config {
     /// Number of shards; the same on every box.
     pub shards: u32,
-    /// How long a key is kept.
+    /// How long claims are stored.
     pub retention: Duration,
-    /// Least time between two writes of one shard.
+    /// Minimum average time between two writes of the same shard.
     pub write_interval: Duration,
-    /// How long a claim may wait for the platform.
+    /// Time within which the platform must have stored a claim.
     pub timeout: Duration,
 }
 
-/// Claims of one box, over all shards.
+/// Claims that one box processes, over all shards.
 #[derive(Debug)]
 pub struct Claims {
     config: Config,
@@ -136,7 +136,7 @@
     updates: Vec<StateUpdate>,
     inflight_updates: Vec<StateUpdate>,
     last_write: Option<Duration>,
-    /// Writes made beyond the rate of one each interval.
+    /// Writes beyond the rate of one per write interval.
     write_debt: f64,
     last_used: Duration,
 }
@@ -145,7 +145,7 @@
 struct StateUpdate {
     key: String,
     id: ClaimId,
-    stage: ClaimState,
+    state: ClaimState,
 }
 
 #[derive(Clone, Debug)]
@@ -155,8 +155,8 @@
     deadline: Duration,
 }
 
-/// Time at which a key was made, in seconds since 1970, if it is a UUID of
-/// version 7 (RFC 9562).
+/// Returns the creation time of a key in seconds since 1970 (the Unix epoch), if it is a version 7
+/// UUID (RFC 9562).
 ///
 /// # Example
 ///
@@ -178,7 +178,7 @@
 }
 
 impl Claims {
-    /// Makes an empty set.
+    /// Creates a set without claims.
     pub fn new(config: Config) -> Self {
         Claims {
             config,
@@ -186,95 +186,101 @@
         }
     }
 
-    /// Shard of a key.
+    /// Returns the shard of a key.
     ///
-    /// Keys that carry their time go to shards of that time, which stay small;
-    /// a shard is used again when its keys are older than they are kept. Other
-    /// keys have shards of their own, which hold all of them.
+    /// Keys that contain a timestamp go to the shards of their time slice, so each of these
+    /// shards stays small; it is reused once its keys are older than the retention time. All
+    /// other keys share a separate set of shards.
     pub fn shard_of(&self, key: &str) -> ShardId {
         let name = key.rsplit('/').next().unwrap_or(key);
         let base = (xxh3_64(key.as_bytes()) % u64::from(self.config.shards)) as ShardId;
-        let Some(made) = key_time(name) else {
+        let Some(created) = key_time(name) else {
             return base;
         };
-        // One slice more than are in use, and one for clocks that differ.
+        // One slice more than is in use, and one more for clock differences.
         let slices = self.config.retention.as_secs() / SLICE_SECS + 2;
-        let slice = (made / SLICE_SECS % slices) as ShardId;
+        let slice = (created / SLICE_SECS % slices) as ShardId;
         self.config.shards * (1 + slice) + base
     }
 
     /// Returns true if a key is so old that its claim may have been dropped.
     ///
-    /// Only keys that carry their time can be judged; see [`key_time`].
-    pub fn is_expired(&self, wall: u64, key: &str) -> bool {
-        let oldest = wall.saturating_sub(self.config.retention.as_secs());
-        key_time(key).is_some_and(|made| made <= oldest + EXPIRY_MARGIN_SECS)
+    /// Always false for keys without a timestamp; see [`key_time`].
+    pub fn is_expired(&self, wall_secs: u64, key: &str) -> bool {
+        let oldest = wall_secs.saturating_sub(self.config.retention.as_secs());
+        key_time(key).is_some_and(|created| created <= oldest + EXPIRY_MARGIN_SECS)
     }
 
-    /// Returns true if a key's time is still to come, so that its claim could
-    /// be dropped before the key is too old.
-    pub fn is_early(&self, wall: u64, key: &str) -> bool {
-        key_time(key).is_some_and(|made| made > wall + EARLY_MARGIN_SECS)
+    /// Returns true if a key's timestamp lies in the future, so that its claim could be
+    /// dropped before the key expires.
+    pub fn is_early(&self, wall_secs: u64, key: &str) -> bool {
+        key_time(key).is_some_and(|created| created > wall_secs + EARLY_MARGIN_SECS)
     }
 
-    /// Asks for a key.
-    pub fn claim(&mut self, now: Duration, wall: u64, key: &str, id: &str) -> Vec<ClaimAction> {
-        let until = now + self.config.timeout;
+    /// Starts to claim a key.
+    pub fn claim(
+        &mut self,
+        now: Duration,
+        wall_secs: u64,
+        key: &str,
+        id: &str,
+    ) -> Vec<ClaimAction> {
+        let deadline = now + self.config.timeout;
         let shard = self.shard_of(key);
-        let ask = PendingClaim {
+        let claim = PendingClaim {
             key: key.into(),
             id: id.into(),
-            deadline: until,
+            deadline,
         };
         let s = self.shards.entry(shard).or_default();
         s.last_used = now;
-        s.queue.push_back(ask);
-        self.advance(now, wall, shard)
+        s.queue.push_back(claim);
+        self.advance(now, wall_secs, shard)
     }
 
-    /// Notes how far a claimed request came; stored with the next write.
-    pub fn update_state(&mut self, key: &str, id: &str, stage: ClaimState) {
+    /// Updates the state of a claimed request; it is stored with the next write.
+    pub fn update_state(&mut self, key: &str, id: &str, state: ClaimState) {
         let shard = self.shard_of(key);
         let s = self.shards.entry(shard).or_default();
         s.updates.push(StateUpdate {
             key: key.into(),
             id: id.into(),
-            stage,
+            state,
         });
     }
 
-    /// Takes the answer to [`ClaimAction::Read`]; `None` if the platform gave none.
+    /// Handles the result of [`ClaimAction::Read`]; `None` if the read failed.
     pub fn on_read(
         &mut self,
         now: Duration,
-        wall: u64,
+        wall_secs: u64,
         shard: ShardId,
-        answer: Option<(Version, StoredShard)>,
+        result: Option<(Version, StoredShard)>,
     ) -> Vec<ClaimAction> {
         let Some(s) = self.shards.get_mut(&shard) else {
             return Vec::new();
         };
         s.busy = false;
-        let Some(state) = answer else {
-            // Notes alone must not ask a silent platform over and over.
+        let Some(state) = result else {
+            // State updates alone must not lead to a tight loop of failing reads.
             s.write_debt = s.write_debt_at(now, self.config.write_interval);
             s.last_write = Some(now);
             return self.fail_claims(now, shard, false);
         };
-        // A stale read must not undo what a write of ours has shown.
+        // A stale read must not replace a newer version that an own write has made.
         if s.stored.as_ref().is_none_or(|(v, _)| *v <= state.0) {
             s.stored = Some(state);
         }
-        self.advance(now, wall, shard)
+        self.advance(now, wall_secs, shard)
     }
 
-    /// Takes the answer to [`ClaimAction::Write`].
+    /// Handles the result of [`ClaimAction::Write`].
     pub fn on_written(
         &mut self,
         now: Duration,
-        wall: u64,
+        wall_secs: u64,
         shard: ShardId,
-        entries: StoredShard,
+        stored: StoredShard,
         result: WriteResult,
     ) -> Vec<ClaimAction> {
         let Some(s) = self.shards.get_mut(&shard) else {
@@ -283,7 +289,7 @@
         s.busy = false;
         match result {
             WriteResult::Done(version) => {
-                s.stored = Some((version, entries));
+                s.stored = Some((version, stored));
                 s.inflight_updates.clear();
                 s.requeue();
             }
@@ -296,52 +302,52 @@
                 return self.fail_claims(now, shard, true);
             }
         }
-        self.advance(now, wall, shard)
+        self.advance(now, wall_secs, shard)
     }
 
-    /// Goes on with what waits, and gives up what has waited too long.
-    pub fn tick(&mut self, now: Duration, wall: u64) -> Vec<ClaimAction> {
+    /// Continues with queued claims, and fails those whose time is over.
+    pub fn tick(&mut self, now: Duration, wall_secs: u64) -> Vec<ClaimAction> {
         self.shards.retain(|_, s| !s.is_idle(now));
         let ids: Vec<ShardId> = self.shards.keys().copied().collect();
-        let mut steps = Vec::new();
+        let mut actions = Vec::new();
         for id in ids {
-            steps.extend(self.fail_claims(now, id, true));
-            steps.extend(self.advance(now, wall, id));
+            actions.extend(self.fail_claims(now, id, true));
+            actions.extend(self.advance(now, wall_secs, id));
         }
-        steps
+        actions
     }
 
-    /// Number of claims and final notes that wait to be stored.
+    /// Returns the number of claims and state updates that wait to be stored.
     pub fn waiting_count(&self) -> usize {
-        let of = |s: &Shard| s.queue.len() + s.inflight.len() + s.updates.len();
-        self.shards.values().map(of).sum()
+        let count = |s: &Shard| s.queue.len() + s.inflight.len() + s.updates.len();
+        self.shards.values().map(count).sum()
     }
 
-    /// Gives up asks: those whose time is over, or all if `late_only` is false.
+    /// Fails claims: those past their deadline, or if `late_only` is false, all in the queue.
     fn fail_claims(&mut self, now: Duration, shard: ShardId, late_only: bool) -> Vec<ClaimAction> {
         let Some(s) = self.shards.get_mut(&shard) else {
             return Vec::new();
         };
-        let mut steps = Vec::new();
-        let lost = |a: &PendingClaim| !late_only || a.deadline <= now;
-        let (mut out, kept): (Vec<PendingClaim>, Vec<PendingClaim>) =
-            s.queue.drain(..).partition(lost);
+        let mut actions = Vec::new();
+        let is_late = |a: &PendingClaim| !late_only || a.deadline <= now;
+        let (mut expired, kept): (Vec<PendingClaim>, Vec<PendingClaim>) =
+            s.queue.drain(..).partition(is_late);
         s.queue = kept.into();
-        out.extend(s.inflight.extract_if(.., |a| a.deadline <= now));
-        for ask in out {
-            // A write whose answer is lost may have stored the claim, so it is
-            // set free once the platform can be asked.
+        expired.extend(s.inflight.extract_if(.., |a| a.deadline <= now));
+        for claim in expired {
+            // A write whose response was lost may have stored the claim, so the key is
+            // released once the platform is available again.
             s.updates.push(StateUpdate {
-                key: ask.key,
-                id: ask.id.clone(),
-                stage: ClaimState::NotRun,
+                key: claim.key,
+                id: claim.id.clone(),
+                state: ClaimState::NotRun,
             });
-            steps.push(ClaimAction::Respond(ask.id, ClaimResult::Unavailable));
+            actions.push(ClaimAction::Respond(claim.id, ClaimResult::Unavailable));
         }
-        steps
+        actions
     }
 
-    fn advance(&mut self, now: Duration, wall: u64, shard: ShardId) -> Vec<ClaimAction> {
+    fn advance(&mut self, now: Duration, wall_secs: u64, shard: ShardId) -> Vec<ClaimAction> {
         let Some(s) = self.shards.get_mut(&shard) else {
             return Vec::new();
         };
@@ -349,28 +355,28 @@
         if s.busy || idle {
             return Vec::new();
         }
-        let pause = self.config.write_interval;
-        if s.queue.is_empty() && s.last_write.is_some_and(|t| now < t + pause * 4) {
+        let interval = self.config.write_interval;
+        if s.queue.is_empty() && s.last_write.is_some_and(|t| now < t + interval * 4) {
             return Vec::new();
         }
-        let Some((version, entries)) = &s.stored else {
+        let Some((version, stored)) = &s.stored else {
             s.busy = true;
             return vec![ClaimAction::Read(shard)];
         };
-        let (version, mut next) = (*version, entries.clone());
-        let mut steps = s.resolve(&next);
-        if s.write_debt_at(now, pause) + 1.0 > MAX_WRITE_BURST {
-            return steps;
+        let (version, mut next) = (*version, stored.clone());
+        let mut actions = s.resolve(&next);
+        if s.write_debt_at(now, interval) + 1.0 > MAX_WRITE_BURST {
+            return actions;
         }
-        s.write_pending(&mut next, wall, self.config.retention);
+        s.write_pending(&mut next, wall_secs, self.config.retention);
         if s.inflight.is_empty() && s.inflight_updates.is_empty() {
-            return steps;
+            return actions;
         }
         s.busy = true;
-        s.write_debt = s.write_debt_at(now, pause) + 1.0;
+        s.write_debt = s.write_debt_at(now, interval) + 1.0;
         s.last_write = Some(now);
-        steps.push(ClaimAction::Write(shard, version, next));
-        steps
+        actions.push(ClaimAction::Write(shard, version, next));
+        actions
     }
 }
 
@@ -383,14 +389,14 @@
         !self.busy && waits == 0 && now > self.last_used + IDLE_TIMEOUT
     }
 
-    fn write_debt_at(&self, now: Duration, pause: Duration) -> f64 {
+    fn write_debt_at(&self, now: Duration, interval: Duration) -> f64 {
         let since = self
             .last_write
             .map_or(Duration::ZERO, |t| now.saturating_sub(t));
-        (self.write_debt - since.as_secs_f64() / pause.as_secs_f64().max(1e-3)).max(0.0)
+        (self.write_debt - since.as_secs_f64() / interval.as_secs_f64().max(1e-3)).max(0.0)
     }
 
-    /// Takes back what the last write carried, to be decided anew.
+    /// Puts the claims and updates of the last write back into the queues.
     fn requeue(&mut self) {
         self.inflight
             .drain(..)
@@ -398,56 +404,56 @@
         self.updates.append(&mut self.inflight_updates);
     }
 
-    /// Answers the asks that the stored entries already decide.
-    fn resolve(&mut self, entries: &StoredShard) -> Vec<ClaimAction> {
-        let mut steps = Vec::new();
-        let notes = &self.updates;
-        self.queue.retain(|ask| {
-            let Some(e) = entries.keys.get(&ask.key) else {
+    /// Answers the queued claims whose result follows from the stored shard.
+    fn resolve(&mut self, stored: &StoredShard) -> Vec<ClaimAction> {
+        let mut actions = Vec::new();
+        let updates = &self.updates;
+        self.queue.retain(|claim| {
+            let Some(e) = stored.keys.get(&claim.key) else {
                 return true;
             };
-            let note = notes.iter().find(|n| n.id == e.id);
-            let stage = note.map_or(e.state, |n| n.stage);
-            let verdict = match stage {
-                _ if e.id == ask.id => ClaimResult::Granted,
+            let update = updates.iter().find(|n| n.id == e.id);
+            let state = update.map_or(e.state, |n| n.state);
+            let result = match state {
+                _ if e.id == claim.id => ClaimResult::Granted,
                 ClaimState::NotRun => return true,
-                stage => ClaimResult::Held(e.id.clone(), stage),
+                state => ClaimResult::Held(e.id.clone(), state),
             };
-            steps.push(ClaimAction::Respond(ask.id.clone(), verdict));
+            actions.push(ClaimAction::Respond(claim.id.clone(), result));
             false
         });
-        steps
+        actions
     }
 
-    /// Writes waiting asks and final notes into the entries.
-    fn write_pending(&mut self, entries: &mut StoredShard, wall: u64, keep: Duration) {
-        // A note whose claim is not there is written all the same: the new
-        // version makes sure that a delayed write of that claim fails.
+    /// Writes the queued claims and state updates into the shard to be stored.
+    fn write_pending(&mut self, stored: &mut StoredShard, wall_secs: u64, retention: Duration) {
+        // An update whose claim is not stored still causes a write: the new object version
+        // makes a delayed write of that claim fail.
         self.inflight_updates.append(&mut self.updates);
-        for note in &self.inflight_updates {
-            if let Some(e) = entries.keys.get_mut(&note.key)
-                && e.id == note.id
+        for update in &self.inflight_updates {
+            if let Some(e) = stored.keys.get_mut(&update.key)
+                && e.id == update.id
             {
-                e.state = note.stage;
+                e.state = update.state;
             }
         }
-        let oldest = wall.saturating_sub(keep.as_secs());
-        entries.keys.retain(|_, e| e.claimed_at >= oldest);
-        for ask in std::mem::take(&mut self.queue) {
-            let taken = entries.keys.get(&ask.key);
+        let oldest = wall_secs.saturating_sub(retention.as_secs());
+        stored.keys.retain(|_, e| e.claimed_at >= oldest);
+        for claim in std::mem::take(&mut self.queue) {
+            let taken = stored.keys.get(&claim.key);
             if taken.is_some_and(|e| e.state != ClaimState::NotRun) {
-                // Two asks for one key in one batch: the second learns of the
-                // first after the commit.
-                self.queue.push_back(ask);
+                // Two claims of one key in one batch: the second is answered with the
+                // first one's name after the commit.
+                self.queue.push_back(claim);
                 continue;
             }
             let entry = StoredClaim {
-                id: ask.id.clone(),
+                id: claim.id.clone(),
                 state: ClaimState::Claimed,
-                claimed_at: wall,
+                claimed_at: wall_secs,
             };
-            entries.keys.insert(ask.key.clone(), entry);
-            self.inflight.push(ask);
+            stored.keys.insert(claim.key.clone(), entry);
+            self.inflight.push(claim);
         }
     }
 }
--- a/crates/ashgauge/src/editor.rs
+++ b/crates/ashgauge/src/editor.rs
@@ -1,4 +1,4 @@
-//! Operators' edits on their way into the stored table.
+//! Applies operators' edits to the stored table, one at a time, by conditional writes.
 
 use std::collections::VecDeque;
 use std::time::Duration;
@@ -6,23 +6,23 @@
 use crate::claim::WriteResult;
 use crate::table::{Edit, Table, Version};
 
-/// How long an edit may wait for the platform.
+/// Time within which the platform must have stored an edit.
 const EDIT_TIMEOUT: Duration = Duration::from_secs(5);
 
-/// Pause after a try that did not get through.
+/// Delay after a failed read or write.
 const RETRY_DELAY: Duration = Duration::from_millis(100);
 
-/// Number that links an edit to whoever waits for its result.
+/// Identifies the caller that waits for an edit's result.
 pub type WaiterId = u64;
 
-/// What to do for the edits.
+/// Action that the caller of [`Editor`] has to perform.
 #[derive(Clone, Debug, PartialEq)]
 pub enum EditAction {
-    /// Read the table's object.
+    /// Read the stored table.
     Read,
-    /// Write it if it still has this version.
+    /// Write the table if the stored one still has this version.
     Write(Version, Table),
-    /// Tell an edit's result.
+    /// Give an edit's result to its waiter.
     Respond(WaiterId, Edit, EditResult),
 }
 
@@ -30,23 +30,23 @@
 #[derive(Clone, Debug, PartialEq, serde::Serialize, serde::Deserialize)]
 #[serde(tag = "result", rename_all = "snake_case")]
 pub enum EditResult {
-    /// It is part of the table from this version on.
+    /// The edit is part of the table from this version on.
     Accepted {
         /// The version.
         version: Version,
     },
-    /// It is not and will not be part of the table.
+    /// The edit is not part of the table and will not become so.
     Refused {
-        /// Why, and what to do.
+        /// Reason, and what the operator can do.
         message: String,
-        /// Whether another edit came first.
+        /// Whether another edit changed one of the cells first.
         conflict: bool,
     },
     /// The platform did not answer; the edit may still take effect.
     Unknown,
 }
 
-/// Edits of one box, one at a time.
+/// Queue of the edits that one box has received; they are processed one at a time.
 #[derive(Debug, Default)]
 pub struct Editor {
     waiting: VecDeque<(WaiterId, Edit, Duration)>,
@@ -58,36 +58,36 @@
 }
 
 impl Editor {
-    /// Takes an edit.
-    pub fn push(&mut self, now: Duration, ticket: WaiterId, edit: Edit) -> Vec<EditAction> {
-        self.waiting.push_back((ticket, edit, now + EDIT_TIMEOUT));
+    /// Adds an edit to the queue.
+    pub fn push(&mut self, now: Duration, waiter: WaiterId, edit: Edit) -> Vec<EditAction> {
+        self.waiting.push_back((waiter, edit, now + EDIT_TIMEOUT));
         self.advance(now)
     }
 
-    /// Takes the answer to [`EditAction::Read`].
+    /// Handles the result of [`EditAction::Read`]; `None` if the read failed.
     ///
-    /// An answer older than `least`, the version known to be in force, is a
-    /// stale one and is asked for again: a refusal must not rest on it.
+    /// A table older than `min_version`, the version known to be in force, is stale and is
+    /// read again: an edit must not be refused because of stale data.
     pub fn on_read(
         &mut self,
         now: Duration,
-        least: Version,
-        answer: Option<(Version, Table)>,
+        min_version: Version,
+        result: Option<(Version, Table)>,
     ) -> Vec<EditAction> {
-        // The table is also read for other reasons; an edit judged by such an
-        // older reading could be refused for a value long replaced.
+        // The table is also read for other reasons. Such a read may be older, and an edit
+        // compared with it could be refused because of a value that was replaced since.
         if !std::mem::replace(&mut self.reading, false) {
             return Vec::new();
         }
         self.busy = false;
-        match answer.filter(|(v, _)| *v >= least) {
-            Some(base) => self.snapshot = Some(base),
+        match result.filter(|(v, _)| *v >= min_version) {
+            Some(read) => self.snapshot = Some(read),
             None => self.retry_at = now + RETRY_DELAY,
         }
         self.advance(now)
     }
 
-    /// Takes the answer to [`EditAction::Write`] of `table`.
+    /// Handles the result of [`EditAction::Write`] of `table`.
     pub fn on_written(
         &mut self,
         now: Duration,
@@ -99,7 +99,7 @@
             WriteResult::Done(version) => self.snapshot = Some((version, table)),
             WriteResult::Conflict => {
                 self.snapshot = None;
-                // A stale read would be refused over and over without a pause.
+                // Without a delay, stale reads would lead to a tight loop of refused writes.
                 self.retry_at = now + RETRY_DELAY / 10;
             }
             WriteResult::Unknown => {
@@ -112,25 +112,25 @@
         self.advance(now)
     }
 
-    /// Goes on with the first edit.
+    /// Continues with the first edit of the queue; returns the actions to perform now.
     pub fn advance(&mut self, now: Duration) -> Vec<EditAction> {
-        let mut steps = Vec::new();
-        while let Some(step) = self.next_action(now) {
-            let more = matches!(step, EditAction::Respond(..));
-            steps.push(step);
+        let mut actions = Vec::new();
+        while let Some(action) = self.next_action(now) {
+            let more = matches!(action, EditAction::Respond(..));
+            actions.push(action);
             if !more {
                 break;
             }
         }
-        steps
+        actions
     }
 
     fn next_action(&mut self, now: Duration) -> Option<EditAction> {
-        let (_, edit, until) = self.waiting.front()?;
+        let (_, edit, deadline) = self.waiting.front()?;
         if self.busy {
             return None;
         }
-        if now >= *until {
+        if now >= *deadline {
             return self.time_out();
         }
         if now < self.retry_at {
@@ -167,12 +167,12 @@
         })
     }
 
-    fn finish(&mut self, answer: EditResult) -> Option<EditAction> {
-        let (ticket, edit, _) = self.waiting.pop_front()?;
+    fn finish(&mut self, result: EditResult) -> Option<EditAction> {
+        let (waiter, edit, _) = self.waiting.pop_front()?;
         self.write_unknown = false;
-        // Each edit starts from a reading of its own, so that a refusal is
-        // never drawn from an old table.
+        // Each edit reads the table anew, so that none is refused because of an old
+        // version.
         self.snapshot = None;
-        Some(EditAction::Respond(ticket, edit, answer))
+        Some(EditAction::Respond(waiter, edit, result))
     }
 }
--- a/crates/ashgauge/src/error.rs
+++ b/crates/ashgauge/src/error.rs
@@ -1,19 +1,19 @@
-//! When a coordination part refuses something.
+//! The error type of this crate.
 
 use std::fmt;
 
 /// Alias for a `Result` with this crate's [`Error`].
 pub type Result<T> = std::result::Result<T, Error>;
 
-/// Any refusal of this crate; its message names the remedy.
+/// An error of this crate; its message says how to fix the cause.
 pub struct Error {
     code: Box<ErrorKind>,
 }
 
-/// The family an [`Error`] belongs to.
+/// Broad category of an [`Error`].
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Category {
-    /// The table or one of its cells is not valid.
+    /// The table or one of its cells is invalid.
     Table,
     /// Another edit changed the same cell first.
     Conflict,
@@ -62,7 +62,7 @@
         }
     }
 
-    /// Returns the family of this error.
+    /// Returns the category of this error.
     pub fn classify(&self) -> Category {
         match *self.code {
             ErrorKind::Conflict { .. } => Category::Conflict,
--- a/crates/ashgauge/src/lease.rs
+++ b/crates/ashgauge/src/lease.rs
@@ -1,4 +1,4 @@
-//! A lease on one stored object: holder, term, fence.
+//! A lease on a stored object, with a term that serves as the fencing token.
 
 use std::time::Duration;
 
@@ -7,32 +7,32 @@
 use crate::claim::WriteResult;
 use crate::table::Version;
 
-/// Number that grows with each new holder; the fence of its orders.
+/// Number that grows with each new holder; it is the fencing token of the orders it sends.
 pub type Term = u64;
 
-/// Stored form of a lease.
+/// A lease as it is stored.
 #[derive(Clone, Debug, Default, PartialEq, Serialize, Deserialize)]
 pub struct StoredLease {
-    /// The holder, box and incarnation; empty when given back.
+    /// Box and incarnation of the holder; empty after a release.
     pub holder: String,
-    /// Its term.
+    /// The holder's term.
     pub term: Term,
 }
 
-/// What to do for the lease.
+/// Action that the caller of [`Lease`] has to perform.
 #[derive(Clone, Debug, PartialEq)]
 pub enum LeaseAction {
-    /// Read the object.
+    /// Read the stored lease.
     Read,
-    /// Write it if it still has this version.
+    /// Write the lease if the stored object still has this version.
     Write(Version, StoredLease),
 }
 
 /// One box's view of a lease.
 ///
-/// The holder counts its time from before it asked and stops a margin early.
-/// Others take over once the object's version has not changed for the whole
-/// time to live plus a margin, on their own clock.
+/// The holder counts the time to live from before it sent the write, and stops acting as the
+/// holder a margin (a tenth of that time) early. Another box takes over once it has seen no
+/// change of the object's version for the time to live plus the margin, by its own clock.
 #[derive(Debug)]
 pub struct Lease {
     owner: String,
@@ -46,10 +46,10 @@
 }
 
 impl Lease {
-    /// Makes a lease that `me` (box and incarnation) would like to hold.
-    pub fn new(me: String, ttl: Duration) -> Self {
+    /// Creates a lease that `owner` (box and incarnation) tries to hold.
+    pub fn new(owner: String, ttl: Duration) -> Self {
         Lease {
-            owner: me,
+            owner,
             ttl,
             last_read: None,
             changed_at: Duration::ZERO,
@@ -60,18 +60,18 @@
         }
     }
 
-    /// Returns the term while this box may act as the holder.
+    /// Returns the term if this box may act as the holder now.
     pub fn term(&self, now: Duration) -> Option<Term> {
         let (term, until) = self.held?;
         (now < until).then_some(term)
     }
 
-    /// The holder and term as last read.
+    /// Returns the holder and term as last read or written.
     pub fn last_stored(&self) -> Option<&StoredLease> {
         self.last_read.as_ref().map(|(_, s)| s)
     }
 
-    /// Returns what to do now; one step at a time.
+    /// Returns the next action, if one is due; only one is under way at a time.
     pub fn tick(&mut self, now: Duration) -> Option<LeaseAction> {
         if self.sent_at.is_some() || now < self.next_call {
             return None;
@@ -80,12 +80,12 @@
         let Some((version, stored)) = &self.last_read else {
             return Some(LeaseAction::Read);
         };
-        let mine = stored.holder == self.owner;
-        let lapsed = now >= self.changed_at + self.ttl + self.margin();
-        if !mine && !stored.holder.is_empty() && !lapsed {
+        let is_own = stored.holder == self.owner;
+        let expired = now >= self.changed_at + self.ttl + self.margin();
+        if !is_own && !stored.holder.is_empty() && !expired {
             return Some(LeaseAction::Read);
         }
-        let term = if mine && self.held.is_some() {
+        let term = if is_own && self.held.is_some() {
             stored.term
         } else {
             stored.term + 1
@@ -98,7 +98,7 @@
         Some(LeaseAction::Write(*version, next))
     }
 
-    /// Gives the lease back; returns the write that does so.
+    /// Releases the lease, if it is held; returns the write that does so.
     pub fn release(&mut self) -> Option<LeaseAction> {
         let (term, _) = self.held.take()?;
         let (version, _) = self.last_read.as_ref()?;
@@ -109,15 +109,15 @@
         Some(LeaseAction::Write(*version, empty))
     }
 
-    /// Takes the answer to [`LeaseAction::Read`]; `None` if there was none.
-    pub fn on_read(&mut self, now: Duration, answer: Option<(Version, StoredLease)>) {
+    /// Handles the result of [`LeaseAction::Read`]; `None` if the read failed.
+    pub fn on_read(&mut self, now: Duration, result: Option<(Version, StoredLease)>) {
         self.sent_at = None;
         self.next_call = now + self.ttl / 4;
-        let Some((version, stored)) = answer else {
+        let Some((version, stored)) = result else {
             return;
         };
-        let newer = self.last_read.as_ref().is_none_or(|(v, _)| version > *v);
-        if newer {
+        let is_newer = self.last_read.as_ref().is_none_or(|(v, _)| version > *v);
+        if is_newer {
             if stored.holder != self.owner {
                 self.held = None;
             }
@@ -126,21 +126,21 @@
         }
     }
 
-    /// Takes the answer to [`LeaseAction::Write`].
+    /// Handles the result of [`LeaseAction::Write`].
     pub fn on_written(&mut self, now: Duration, result: WriteResult) {
-        let asked = self.sent_at.take();
-        let writing = self.pending.take();
-        match (result, asked, writing) {
-            (WriteResult::Done(version), Some(asked), Some(stored)) => {
-                self.held = Some((stored.term, asked + self.ttl - self.margin()));
+        let sent_at = self.sent_at.take();
+        let pending = self.pending.take();
+        match (result, sent_at, pending) {
+            (WriteResult::Done(version), Some(sent_at), Some(stored)) => {
+                self.held = Some((stored.term, sent_at + self.ttl - self.margin()));
                 self.last_read = Some((version, stored));
                 self.changed_at = now;
-                self.next_call = asked + self.ttl / 3;
+                self.next_call = sent_at + self.ttl / 3;
             }
             (WriteResult::Refused, ..) => self.next_call = now + self.ttl / 8,
-            // Read anew: somebody else may hold it, or this box itself. In the
-            // second case it takes a new term, so that no two spans of holding
-            // share one.
+            // Reads the object again: another box may hold the lease, or this box itself.
+            // In the second case this box starts a new term, so that no two periods of
+            // holding the lease share one.
             _ => {
                 self.last_read = None;
                 self.held = None;
--- a/crates/ashgauge/src/order.rs
+++ b/crates/ashgauge/src/order.rs
@@ -1,11 +1,11 @@
 //! Fenced orders to upstreams: load a model, adapter or version, change role.
 //!
-//! The wanted state is a row of the table. The box that holds the lease
-//! compares it with what each upstream last confirmed and sends what differs,
-//! one order an upstream at a time, with its lease's term as the fence. An
-//! order states the end state, so repeating it changes nothing. An upstream
-//! that does not check the fence may have obeyed an old holder since, so it is
-//! told again every few seconds.
+//! The desired state of an upstream is a row of the table. The box that holds the lease
+//! compares it with the state that the upstream last confirmed, and sends an order if they
+//! differ: one order per upstream at a time, with the term of the lease as the fencing token.
+//! An order contains the whole desired state, so it is idempotent. An upstream that does not
+//! check the fencing token may have obeyed a previous holder in the meantime, so its order is
+//! sent again every few seconds.
 
 use std::collections::{BTreeMap, HashMap};
 use std::time::Duration;
@@ -16,19 +16,20 @@
 use crate::lease::Term;
 use crate::member::UpstreamId;
 
-/// Pause after an order that failed.
+/// Delay before a failed order is sent again.
 const RETRY_DELAY: Duration = Duration::from_millis(500);
 
-/// Time after which an upstream without a fence check is told again.
+/// Interval at which an order is repeated to an upstream that does not check the fencing
+/// token.
 const RESEND_INTERVAL: Duration = Duration::from_secs(3);
 
-/// Time after which an unanswered order counts as lost.
+/// Time after which an order without a reply counts as lost.
 const REPLY_TIMEOUT: Duration = Duration::from_secs(5);
 
-/// State that an upstream should have, from its row of the table.
+/// State that an upstream should have, according to its row of the table.
 #[derive(Clone, Debug, Default, PartialEq, Serialize, Deserialize)]
 pub struct DesiredState {
-    /// Hash of the other fields; two goals are equal if their numbers are.
+    /// Hash of the other fields; two states are equal if their hashes are.
     #[serde(default)]
     #[serde(rename = "number")]
     pub hash: u64,
@@ -47,7 +48,7 @@
 }
 
 impl DesiredState {
-    /// Fills in the number from the other fields.
+    /// Sets the hash from the other fields.
     pub fn with_hash(mut self) -> Self {
         let text = format!(
             "{:?}",
@@ -58,32 +59,32 @@
     }
 }
 
-/// One order on its way.
+/// An order to one upstream.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub struct Command {
     /// The upstream.
     pub upstream: UpstreamId,
-    /// Its address.
+    /// Address of the upstream.
     pub addr: String,
-    /// The fence.
+    /// Term of the lease, as the fencing token.
     pub term: Term,
-    /// The wanted state.
+    /// State that the upstream should have.
     #[serde(rename = "goal")]
     pub desired: DesiredState,
 }
 
-/// An upstream's answer to an order.
+/// Reply of an upstream to an order.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub enum Reply {
-    /// It has the state with this number.
+    /// The upstream has the state with this hash.
     Has(u64),
-    /// It has seen a newer fence.
+    /// The upstream has seen a newer fencing token and refused the order.
     Fenced,
-    /// No answer, or none that is known.
+    /// There was no reply, or one that is not understood.
     Lost,
 }
 
-/// The lease holder's work on the goals.
+/// Orders that the lease holder sends to bring upstreams into their desired states.
 #[derive(Debug, Default)]
 pub struct Orders {
     term: Term,
@@ -93,55 +94,55 @@
 }
 
 impl Orders {
-    /// Number of the goal that the upstream confirmed to this holder.
+    /// Returns the hash of the state that the upstream confirmed in this term.
     pub fn confirmed(&self, id: &str) -> Option<u64> {
         self.confirmed.get(id).map(|(n, _)| *n)
     }
 
-    /// Returns the goals to send now, under `term`.
+    /// Returns the orders to send now in `term`: upstreams and their desired states.
     ///
-    /// `fenced` tells whether an upstream checks the fence.
+    /// `fenced` returns whether an upstream checks the fencing token.
     pub fn due_orders(
         &mut self,
         now: Duration,
         term: Term,
-        goals: &BTreeMap<UpstreamId, DesiredState>,
+        desired: &BTreeMap<UpstreamId, DesiredState>,
         fenced: impl Fn(&str) -> bool,
     ) -> Vec<(UpstreamId, DesiredState)> {
         if term != self.term {
-            // A new holder trusts nothing that an earlier one was told.
+            // Confirmations from an earlier term do not count in a new one.
             *self = Orders {
                 term,
                 ..Orders::default()
             };
         }
         let mut due = Vec::new();
-        for (id, goal) in goals {
-            let done = self.confirmed.get(id).is_some_and(|(n, at)| {
-                *n == goal.hash && (fenced(id) || now < *at + RESEND_INTERVAL)
+        for (id, state) in desired {
+            let is_confirmed = self.confirmed.get(id).is_some_and(|(n, at)| {
+                *n == state.hash && (fenced(id) || now < *at + RESEND_INTERVAL)
             });
-            let waits = self
+            let is_waiting = self
                 .sent_at
                 .get(id)
                 .is_some_and(|t| now < *t + REPLY_TIMEOUT);
-            let paused = self.retry_at.get(id).is_some_and(|t| now < *t);
-            if !done && !waits && !paused {
+            let is_delayed = self.retry_at.get(id).is_some_and(|t| now < *t);
+            if !is_confirmed && !is_waiting && !is_delayed {
                 self.sent_at.insert(id.clone(), now);
-                due.push((id.clone(), goal.clone()));
+                due.push((id.clone(), state.clone()));
             }
         }
         due
     }
 
-    /// Takes an upstream's answer to an order sent under `term`.
+    /// Handles an upstream's reply to an order sent in `term`.
     pub fn on_reply(&mut self, now: Duration, id: &UpstreamId, term: Term, reply: &Reply) {
         if term != self.term {
             return;
         }
         self.sent_at.remove(id);
         match reply {
-            Reply::Has(number) => {
-                self.confirmed.insert(id.clone(), (*number, now));
+            Reply::Has(hash) => {
+                self.confirmed.insert(id.clone(), (*hash, now));
             }
             Reply::Fenced | Reply::Lost => {
                 self.retry_at.insert(id.clone(), now + RETRY_DELAY);
--- a/crates/ashgauge/src/table.rs
+++ b/crates/ashgauge/src/table.rs
@@ -1,4 +1,4 @@
-//! The operators' table: rows, columns, cell edits and their merge.
+//! The operators' configuration table: rows, columns, and edits of cells with conflict checks.
 
 use std::collections::BTreeMap;
 
@@ -6,13 +6,14 @@
 
 use crate::error::{Error, ErrorKind, Result};
 
-/// Version of an object in the platform's store; 0 means "not there".
+/// Version of an object in the platform's store; 0 means that the object does not exist.
 pub type Version = u64;
 
-/// How many past edits a table keeps for its history.
+/// Maximum number of past edits that a table keeps as its history.
 ///
-/// An answer lost after its write took effect is settled by finding the
-/// edit's id here, so the number bounds how many edits may come in between.
+/// If the response to a write is lost, the editor finds out whether the write took effect
+/// by looking for the edit's id in the history. So this also bounds how many other edits
+/// may be accepted in the meantime.
 pub const MAX_EDITS: usize = 200;
 
 /// Value of one cell.
@@ -25,10 +26,10 @@
     Text(String),
 }
 
-/// What a column accepts.
+/// Type of value that a column accepts.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub enum ColumnKind {
-    /// A number of at least the given value.
+    /// A finite number that is at least the given minimum.
     Number(f64),
     /// Free text.
     Text,
@@ -38,16 +39,16 @@
     Hash,
 }
 
-/// One column that rows of a kind may have.
+/// A column that rows of one kind may have.
 #[derive(Clone, Copy, Debug)]
 pub struct Column {
-    /// Kind of row: `team`, `tier`, `route` or `upstream`.
+    /// Kind of row that has the column: `team`, `tier`, `route` or `upstream`.
     pub row_kind: &'static str,
     /// Name of the column.
     pub name: &'static str,
-    /// What it accepts.
+    /// Type of value that it accepts.
     pub kind: ColumnKind,
-    /// Whether each such row must have it.
+    /// Whether every row of that kind must have it.
     pub required: bool,
     /// Meaning and unit, for help texts.
     pub help: &'static str,
@@ -69,7 +70,7 @@
     }
 }
 
-/// Every column there is.
+/// All columns.
 #[rustfmt::skip]
 pub const COLUMNS: &[Column] = &[
     column("tier", "rank", ColumnKind::Number(0.0), true, "order between tiers, 0 goes first"),
@@ -90,34 +91,34 @@
     column("route", "deadline", ColumnKind::Number(1.0), false, "longest time for a request, in milliseconds"),
 ];
 
-/// One cell's change, with the value its operator saw.
+/// A change of one cell, with the value that it is expected to replace.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub struct Change {
     /// Row, such as `team/payroll`.
     pub row: String,
     /// Column, such as `weight`.
     pub column: String,
-    /// Value before, as the operator saw it; `None` for an empty cell.
+    /// Value that the operator read before the edit; `None` if the cell was empty.
     pub seen: Option<Cell>,
-    /// Value wanted; `None` clears the cell.
+    /// New value; `None` clears the cell.
     pub value: Option<Cell>,
 }
 
-/// A set of changes that is accepted whole or not at all.
+/// A set of changes that is applied atomically.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub struct Edit {
-    /// Unique id, made by whoever sends the edit.
+    /// Unique id, chosen by the client that sends the edit.
     pub id: String,
-    /// The operator.
+    /// Name of the operator who made the edit.
     pub who: String,
-    /// When it was made, in milliseconds since 1970.
+    /// Time of the edit, in milliseconds since 1970 (the Unix epoch).
     pub at: u64,
-    /// The cells.
+    /// The changed cells.
     #[serde(rename = "cells")]
     pub changes: Vec<Change>,
 }
 
-/// All rows, and the last edits that made them.
+/// All rows of the table and the most recent edits.
 #[derive(Clone, Debug, Default, PartialEq, Serialize, Deserialize)]
 pub struct Table {
     /// Cells by row and column.
@@ -126,11 +127,11 @@
     pub edits: Vec<Edit>,
 }
 
-/// Decodes a table from the platform's stored JSON.
+/// Decodes a table from the JSON that the platform stores.
 ///
 /// # Errors
 ///
-/// Fails if the text is not a table.
+/// Fails if the JSON does not describe a table.
 pub fn from_json(value: &serde_json::Value) -> Result<Table> {
     serde::Deserialize::deserialize(value).map_err(|e| {
         Error::new(ErrorKind::Decode {
@@ -146,27 +147,28 @@
         self.rows.get(row)?.get(column)
     }
 
-    /// Hash of the whole table, the same on every box.
+    /// Returns a hash of the whole table, which is the same on every box.
     pub fn hash(&self) -> u64 {
         let bytes = serde_json::to_vec(self).unwrap_or_default();
         xxhash_rust::xxh3::xxh3_64(&bytes)
     }
 
-    /// The last `n` edits, oldest first; `None` if they are no longer held.
+    /// Returns the last `n` edits, oldest first; `None` if the history has fewer.
     pub fn last_edits(&self, n: u64) -> Option<&[Edit]> {
         let from = self.edits.len().checked_sub(usize::try_from(n).ok()?)?;
         Some(&self.edits[from..])
     }
 
-    /// Returns true if the edit is part of this table's history.
+    /// Returns true if this table's history contains the edit.
     pub fn contains_edit(&self, id: &str) -> bool {
         self.edits.iter().any(|e| e.id == id)
     }
 
-    /// Returns this table with the edit merged in.
+    /// Returns this table with the edit applied.
     ///
-    /// Cells that changed since the operator read them refuse the whole edit;
-    /// other cells do not matter. An edit that is already in is left as it is.
+    /// If a cell of the edit has changed since the operator read it, the whole edit is
+    /// refused; changes of other cells do not matter. An edit that the history already
+    /// contains is not applied again.
     ///
     /// # Example
     ///
@@ -187,8 +189,8 @@
     ///
     /// # Errors
     ///
-    /// Fails with a conflict that names the other's value, or if the table
-    /// would not be valid.
+    /// Fails with a conflict that names the current value and who set it, or if the resulting
+    /// table would be invalid.
     pub fn apply(&self, edit: &Edit) -> Result<Table> {
         if self.contains_edit(&edit.id) {
             return Ok(self.clone());
@@ -205,11 +207,11 @@
         Ok(next)
     }
 
-    /// Checks every cell against [`COLUMNS`] and every name against the rows.
+    /// Checks every cell against [`COLUMNS`], and that every tier named by a row exists.
     ///
     /// # Errors
     ///
-    /// Fails on the first bad cell, with its place and the remedy.
+    /// Fails on the first invalid cell; the message names its row and column and how to fix it.
     pub fn validate(&self) -> Result<()> {
         for (row, cells) in &self.rows {
             let kind = row_kind(row)?;
@@ -258,11 +260,11 @@
     }
 
     fn last_editor(&self, row: &str, column: &str) -> Option<&str> {
-        let touches = |e: &&Edit| e.changes.iter().any(|c| c.row == row && c.column == column);
+        let changes_cell = |e: &&Edit| e.changes.iter().any(|c| c.row == row && c.column == column);
         self.edits
             .iter()
             .rev()
-            .find(touches)
+            .find(changes_cell)
             .map(|e| e.who.as_str())
     }
 
@@ -324,8 +326,8 @@
             column: name.into(),
         }));
     };
-    let need = match (c.kind, cell) {
-        (ColumnKind::Number(least), Cell::Number(n)) if *n >= least && n.is_finite() => {
+    let expected = match (c.kind, cell) {
+        (ColumnKind::Number(min), Cell::Number(n)) if *n >= min && n.is_finite() => {
             return Ok(());
         }
         (ColumnKind::Text, Cell::Text(_)) => return Ok(()),
@@ -339,7 +341,7 @@
     Err(Error::new(ErrorKind::BadCell {
         row: row.into(),
         column: name.into(),
-        expected: need,
+        expected,
     }))
 }
 
