--- a/crates/ashgauge/src/clock.rs
+++ b/crates/ashgauge/src/clock.rs
@@ -1,30 +1,30 @@
-//! Hybrid logical clock: stamps that order events over all processes.
+//! Hybrid logical clock: timestamps that order the events of all processes.
 
 use serde::{Deserialize, Serialize};
 
-/// A point of the merged time line; later stamps compare greater.
+/// Timestamp of an event; later timestamps compare greater.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, PartialOrd, Ord, Serialize, Deserialize)]
 pub struct Timestamp {
-    /// Milliseconds since 1970.
+    /// Wall-clock time, in milliseconds since 1970 (the Unix epoch).
     #[serde(rename = "wall")]
     pub wall_ms: u64,
-    /// Order among stamps of the same millisecond.
+    /// Logical counter that orders timestamps of the same millisecond.
     #[serde(rename = "count")]
     pub counter: u32,
 }
 
-/// One process's clock.
+/// Hybrid logical clock of one process.
 #[derive(Clone, Copy, Debug, Default)]
 pub struct Clock {
     last: Timestamp,
 }
 
 impl Clock {
-    /// Makes the next stamp; `wall` is the process's own time in milliseconds.
-    pub fn tick(&mut self, wall: u64) -> Timestamp {
-        self.last = if wall > self.last.wall_ms {
+    /// Returns the next timestamp; `wall_ms` is the process's own wall-clock time.
+    pub fn tick(&mut self, wall_ms: u64) -> Timestamp {
+        self.last = if wall_ms > self.last.wall_ms {
             Timestamp {
-                wall_ms: wall,
+                wall_ms,
                 counter: 0,
             }
         } else {
@@ -36,8 +36,8 @@
         self.last
     }
 
-    /// Moves past a stamp that came with another process's message.
-    pub fn observe(&mut self, stamp: Timestamp) {
-        self.last = self.last.max(stamp);
+    /// Moves the clock up to the timestamp of a message from another process.
+    pub fn observe(&mut self, timestamp: Timestamp) {
+        self.last = self.last.max(timestamp);
     }
 }
--- a/crates/ashgauge/src/ident.rs
+++ b/crates/ashgauge/src/ident.rs
@@ -1,4 +1,4 @@
-//! Names and numbers of boxes, upstreams and layers.
+//! Identifiers of boxes, upstreams and layers.
 
 use std::sync::Arc;
 
@@ -10,13 +10,13 @@
 /// Name of an upstream.
 pub type UpstreamId = Arc<str>;
 
-/// Number that stands for an upstream's id in a word.
+/// Short hash of an upstream's id, used in messages between boxes.
 pub type UpstreamKey = u32;
 
-/// A layer's number, from 0.
+/// Index of a layer, from 0.
 pub type Layer = u32;
 
-/// The number that stands for an upstream.
+/// Returns the short hash of an upstream's id.
 pub fn upstream_key(id: &str) -> UpstreamKey {
     xxh3_64(id.as_bytes()) as UpstreamKey
 }
--- a/crates/ashgauge/src/member.rs
+++ b/crates/ashgauge/src/member.rs
@@ -1,4 +1,4 @@
-//! Boxes and upstreams: who is live, leaving or suspected.
+//! Members of the fleet: boxes and upstreams, and which of them are live, leaving or suspect.
 
 use std::collections::{BTreeMap, HashMap};
 use std::time::Duration;
@@ -9,98 +9,100 @@
 use crate::ident::Layer;
 pub use crate::ident::{BoxId, UpstreamId};
 
-/// How long a failed call keeps a peer out of the live set; each further one
-/// without a word from the peer doubles it.
+/// How long a box counts as suspect after a first failed call. Each further failed call
+/// doubles the time, up to [`MAX_BACKOFF`], until a message from the box arrives.
 const MIN_BACKOFF: Duration = Duration::from_secs(3);
+/// Longest time for which a box counts as suspect after a failed call.
 const MAX_BACKOFF: Duration = Duration::from_secs(24);
 
-/// How long a rumour that an upstream leaves outlives the list's silence.
+/// How long a report that an upstream is leaving counts while the platform's list does not
+/// say so.
 const LEAVING_TTL: Duration = Duration::from_secs(30);
 
-/// State of a member in the platform's list.
+/// State of a member according to the platform's list.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(rename_all = "snake_case")]
 pub enum MemberState {
-    /// Takes work.
+    /// Accepts work.
     #[default]
     Live,
-    /// Finishes its work and takes no more.
+    /// Finishes its current work and accepts no more.
     Leaving,
 }
 
-/// A box in the platform's list.
+/// A box as the platform lists it.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub struct BoxEntry {
-    /// Name.
+    /// Name of the box.
     pub id: BoxId,
-    /// Address of its box-to-box port.
+    /// Address of its port for messages from other boxes.
     #[serde(rename = "peer")]
     pub peer_addr: String,
     /// Address of its operator port.
     #[serde(rename = "operator")]
     pub operator_addr: String,
-    /// Its data centre.
+    /// Data centre of the box.
     pub data_centre: String,
-    /// Live or leaving.
+    /// State: live or leaving.
     #[serde(default)]
     pub state: MemberState,
 }
 
-/// A model's layers that an engine holds.
+/// A range of model layers that an engine holds.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub struct HeldLayers {
-    /// Model, as its route names it.
+    /// Name of the model, as in its route.
     pub model: String,
     /// First layer.
     pub first: Layer,
-    /// Layer after the last.
+    /// End of the range (exclusive).
     pub end: Layer,
 }
 
-/// An upstream in the platform's list.
+/// An upstream as the platform lists it.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub struct UpstreamEntry {
-    /// Name.
+    /// Name of the upstream.
     pub id: UpstreamId,
-    /// Address.
+    /// Address of the upstream.
     pub addr: String,
-    /// Its data centre.
+    /// Data centre of the upstream.
     #[serde(default)]
     pub data_centre: String,
-    /// Layers it holds, if it is a model engine.
+    /// Layers that it holds, if it is a model engine.
     #[serde(default)]
     pub holds: Vec<HeldLayers>,
-    /// Service route it serves, if it is a plain service.
+    /// Route that it serves, if it is a service that does not run a model.
     #[serde(default)]
     pub service: Option<String>,
-    /// Whether it refuses orders with an old fence.
+    /// Whether it refuses orders with an old fencing token.
     #[serde(default)]
     pub fenced: bool,
-    /// Live or leaving.
+    /// State: live or leaving.
     #[serde(default)]
     pub state: MemberState,
 }
 
-/// The platform's lagging list.
+/// The platform's list of members, which may be out of date.
 #[derive(Clone, Debug, Default, PartialEq, Serialize, Deserialize)]
 pub struct MemberList {
-    /// Grows with each change of the list.
+    /// Version of the list; grows with each change.
     #[serde(default)]
     pub version: u64,
-    /// Boxes.
+    /// All boxes.
     pub boxes: Vec<BoxEntry>,
-    /// Upstreams.
+    /// All upstreams.
     pub upstreams: Vec<UpstreamEntry>,
 }
 
-/// A box that did not take a message.
+/// Backoff after failed calls to a box.
 #[derive(Clone, Copy, Debug)]
 struct Backoff {
     until: Duration,
     delay: Duration,
 }
 
-/// What one box knows of all members.
+/// Members of the fleet, as one box knows them.
 #[derive(Debug, Default)]
 pub struct Members {
     boxes: BTreeMap<BoxId, BoxEntry>,
@@ -110,81 +112,80 @@
 }
 
 impl Members {
-    /// Takes over a newer list.
+    /// Replaces the list of members by a newer one.
     pub fn update(&mut self, list: MemberList) {
         let boxes = list.boxes.into_iter().map(|b| (b.id.clone(), b));
         self.boxes = boxes.collect();
-        let ups = list.upstreams.into_iter().map(|u| (u.id.clone(), u));
-        self.upstreams = ups.collect();
+        let upstreams = list.upstreams.into_iter().map(|u| (u.id.clone(), u));
+        self.upstreams = upstreams.collect();
     }
 
-    /// Notes that a call to a box failed; returns true if that is news.
+    /// Marks a box as suspect after a failed call; returns false if it was suspect already.
     pub fn mark_suspect(&mut self, now: Duration, id: &str) -> bool {
-        let before = self.backoffs.get(id).copied();
-        if before.is_some_and(|s| now < s.until) {
+        let previous = self.backoffs.get(id).copied();
+        if previous.is_some_and(|s| now < s.until) {
             return false;
         }
-        let time = before.map_or(MIN_BACKOFF, |s| (s.delay * 2).min(MAX_BACKOFF));
-        let until = now + time;
-        self.backoffs
-            .insert(id.into(), Backoff { until, delay: time });
+        let delay = previous.map_or(MIN_BACKOFF, |s| (s.delay * 2).min(MAX_BACKOFF));
+        let until = now + delay;
+        self.backoffs.insert(id.into(), Backoff { until, delay });
         true
     }
 
-    /// Notes that a box was heard.
+    /// Clears the suspicion of a box, after a message from it.
     pub fn clear_suspect(&mut self, id: &str) {
         self.backoffs.remove(id);
     }
 
-    /// Notes that an upstream is leaving; returns true if that is news.
+    /// Marks an upstream as leaving; returns false if that was known already.
     pub fn mark_leaving(&mut self, now: Duration, id: &str) -> bool {
-        let known = self.is_leaving(now, id);
-        if !known {
+        let is_known = self.is_leaving(now, id);
+        if !is_known {
             self.leaving.insert(id.into(), now + LEAVING_TTL);
         }
-        !known
+        !is_known
     }
 
-    /// Upstreams known to leave by rumour, to tell other boxes.
+    /// Returns the upstreams that were reported as leaving, sorted, to inform other boxes.
     pub fn leaving_ids(&self, now: Duration) -> Vec<UpstreamId> {
-        let fresh = self.leaving.iter().filter(|(_, until)| **until > now);
-        let mut ids: Vec<_> = fresh.map(|(id, _)| id.clone()).collect();
+        let current = self.leaving.iter().filter(|(_, until)| **until > now);
+        let mut ids: Vec<_> = current.map(|(id, _)| id.clone()).collect();
         ids.sort();
         ids
     }
 
-    /// Returns true if the upstream must get no new work.
+    /// Returns true if an upstream must get no new work: it is leaving or not listed.
     pub fn is_leaving(&self, now: Duration, id: &str) -> bool {
         let listed = self.upstreams.get(id);
-        let rumoured = self.leaving.get(id).is_some_and(|until| *until > now);
-        rumoured || listed.is_none_or(|u| u.state == MemberState::Leaving)
+        let is_reported = self.leaving.get(id).is_some_and(|until| *until > now);
+        is_reported || listed.is_none_or(|u| u.state == MemberState::Leaving)
     }
 
-    /// All boxes of the list.
+    /// Returns all listed boxes.
     pub fn boxes(&self) -> impl Iterator<Item = &BoxEntry> {
         self.boxes.values()
     }
 
-    /// All upstreams of the list.
+    /// Returns all listed upstreams.
     pub fn upstreams(&self) -> impl Iterator<Item = &UpstreamEntry> {
         self.upstreams.values()
     }
 
-    /// One upstream.
+    /// Returns the entry of an upstream, if it is listed.
     pub fn upstream(&self, id: &str) -> Option<&UpstreamEntry> {
         self.upstreams.get(id)
     }
 
-    /// Boxes that can be asked: listed as live, and not suspected.
+    /// Returns the boxes that can be called: listed as live, and not suspect.
     pub fn live_boxes(&self, now: Duration) -> impl Iterator<Item = &BoxEntry> {
-        let fine = move |b: &&BoxEntry| {
-            let suspected = self.backoffs.get(&b.id).is_some_and(|s| s.until > now);
-            b.state == MemberState::Live && !suspected
+        let is_usable = move |b: &&BoxEntry| {
+            let is_suspect = self.backoffs.get(&b.id).is_some_and(|s| s.until > now);
+            b.state == MemberState::Live && !is_suspect
         };
-        self.boxes.values().filter(fine)
+        self.boxes.values().filter(is_usable)
     }
 
-    /// The live box that is home to `key`, by highest random weight.
+    /// Returns the live box that owns `key`, by rendezvous hashing.
     pub fn owner_of(&self, now: Duration, key: &str) -> Option<BoxId> {
         let weight = |b: &&BoxEntry| {
             let seed = xxh3_64_with_seed(b.id.as_bytes(), 0);
--- a/crates/ashgauge/src/message.rs
+++ b/crates/ashgauge/src/message.rs
@@ -9,57 +9,57 @@
 use crate::quarantine::Report;
 use crate::table::{Edit, Table, Version};
 
-/// A message with its sender and the sender's clock.
+/// A message with its sender and timestamp.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub struct Envelope {
-    /// The sending box.
+    /// Name of the sending box.
     pub from: BoxId,
-    /// Address of its box-to-box port, for the answer.
+    /// Address of the sender's port for messages from other boxes, for the reply.
     pub addr: String,
-    /// Its clock.
+    /// Timestamp by the sender's clock.
     pub at: Timestamp,
-    /// What it says.
+    /// Content of the message.
     pub body: Message,
 }
 
-/// What one box tells another.
+/// Content of a message from one box to another.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 #[serde(tag = "kind", rename_all = "snake_case")]
 pub enum Message {
-    /// Sent to a few boxes chosen at random, every heartbeat interval.
+    /// Sent to a few randomly chosen boxes in every heartbeat interval.
     Heartbeat {
         /// Table version in force.
         version: Version,
-        /// Upstreams known to leave.
+        /// Upstreams that are known to be leaving.
         leaving: Vec<UpstreamId>,
-        /// Whether the receiver should answer with a heartbeat of its own.
+        /// Whether the receiver should reply with a heartbeat of its own.
         #[serde(rename = "answer")]
         wants_reply: bool,
-        /// Losses under requests, and requests that are held back for them.
+        /// Upstreams lost while they ran a request, and the requests quarantined for that.
         #[serde(default, skip_serializing_if = "Report::is_empty")]
         losses: Report,
     },
-    /// Asks for loans of team rates.
+    /// Asks the receiver to lend parts of its shares of team rates.
     #[serde(rename = "ask_loans")]
     RequestLoans {
-        /// Teams and the tokens a second wanted.
+        /// Teams and the requested tokens per second.
         wants: Vec<(TeamId, f64)>,
-        /// Asker's clock when it asked, in microseconds; given back.
+        /// Time of the request by the sender's own clock, in microseconds; the reply returns it.
         #[serde(rename = "asked")]
         asked_us: u64,
     },
-    /// Lends parts of team rates.
+    /// Answers [`Message::RequestLoans`] with the parts of team rates that are lent.
     GrantLoans {
-        /// Teams and tokens a second.
+        /// Teams and the lent tokens per second.
         rates: Vec<(TeamId, f64)>,
-        /// The asker's clock, as it came.
+        /// Value of the same field of the request.
         #[serde(rename = "asked")]
         asked_us: u64,
     },
-    /// Asks a key's home box to claim it.
+    /// Asks the box that owns an idempotency key to claim the key.
     #[serde(rename = "ask_claim")]
     RequestClaim {
-        /// The key.
+        /// Idempotency key.
         key: String,
         /// Unique name of the claim.
         id: ClaimId,
@@ -69,24 +69,24 @@
     ClaimReply {
         /// Unique name of the claim.
         id: ClaimId,
-        /// What became of it.
+        /// Result of the claim.
         #[serde(rename = "verdict")]
         result: ClaimResult,
     },
-    /// Tells a key's home box how far the request came.
+    /// Tells the box that owns a key the new state of the claimed request.
     #[serde(rename = "end_claim")]
     UpdateClaim {
-        /// The key.
+        /// Idempotency key.
         key: String,
         /// Unique name of the claim.
         id: ClaimId,
-        /// How far the request came.
+        /// New state of the request.
         #[serde(rename = "stage")]
         state: crate::claim::ClaimState,
     },
-    /// Asks for what is newer than a table version; 0 asks for everything.
+    /// Asks for the changes after a table version; 0 asks for the whole state.
     FetchState {
-        /// Version that the sender has.
+        /// Table version of the sender.
         #[serde(rename = "since")]
         after: Version,
     },
@@ -94,18 +94,18 @@
     Edits {
         /// Version after the last edit.
         version: Version,
-        /// The edits, oldest first; each made one version.
+        /// Edits, oldest first; each of them made one version.
         edits: Vec<Edit>,
         /// Hash of the table at that version.
         hash: u64,
     },
-    /// Answers [`Message::FetchState`] whole.
+    /// Answers [`Message::FetchState`] with the whole state.
     State {
         /// Version of the table.
         version: Version,
         /// The table.
         table: Box<Table>,
-        /// The list of members.
+        /// The platform's list of members.
         listing: MemberList,
     },
 }
--- a/crates/ashgauge/src/record.rs
+++ b/crates/ashgauge/src/record.rs
@@ -1,4 +1,4 @@
-//! The time line's records.
+//! Records of a box's timeline: what it decided or learned, and when.
 
 use serde::{Deserialize, Serialize};
 
@@ -8,23 +8,23 @@
 use crate::queue::RequestId;
 use crate::table::Version;
 
-/// One thing that a box decided or learned.
+/// A record of something that a box decided or learned.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub struct Record {
-    /// When, on the merged time line.
+    /// Timestamp, comparable with those of other boxes.
     pub at: Timestamp,
-    /// The box.
+    /// Name of the box.
     #[serde(rename = "node")]
     pub box_id: BoxId,
-    /// The request it belongs to, if any.
+    /// Request that the record belongs to, if any.
     #[serde(default, skip_serializing_if = "Option::is_none")]
     pub request: Option<RequestId>,
-    /// What it was.
+    /// Kind and details of the record.
     #[serde(flatten)]
     pub kind: RecordKind,
 }
 
-/// Kinds of records.
+/// Kind and details of a [`Record`].
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 #[serde(tag = "event", rename_all = "snake_case")]
 #[allow(missing_docs)]
