--- a/crates/ashgauge/src/attempts.rs
+++ b/crates/ashgauge/src/attempts.rs
@@ -1,124 +1,124 @@
-//! A request that is handed on whole: whether it may be sent (again), and
-//! what its caller must be told.
+//! Attempts to send a request that is forwarded as a whole: whether it may be sent (again),
+//! and which failure its caller gets otherwise.
 
 use std::time::Duration;
 
 use crate::member::UpstreamId;
 
-/// Sends of one request at most, refused ones included.
+/// Maximum number of sends of one request, refused ones included.
 ///
-/// A refusal costs a round trip of a millisecond; after some of them the
-/// upstreams are full and the caller is better told so.
+/// A refusal costs a round trip of about a millisecond. After several refusals the upstreams
+/// are probably all full, and it is better to tell the caller so.
 const MAX_SENDS: usize = 4;
 
-/// What is known of one request.
+/// State of the attempts to send one request.
 #[derive(Clone, Debug)]
 pub struct Attempts {
     deadline: Duration,
     max_runs: u32,
     idempotent: bool,
-    /// Sends after which it may have run.
+    /// Sends after which the request may have run.
     runs: u32,
-    /// Those of them whose upstream is lost; they take no attempt away.
+    /// Those of `runs` whose upstream was lost itself; they do not count against `max_runs`.
     lost_runs: u32,
     tried: Vec<UpstreamId>,
 }
 
-/// How a send ended, if not with a good answer.
+/// Outcome of a send that brought no successful response.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub enum SendOutcome {
-    /// No byte left the box.
+    /// No byte of the request left the box.
     NotSent,
-    /// The upstream said that it has not run it.
+    /// The upstream answered that it has not run the request.
     NotRun,
-    /// The upstream ran it and answered with a failure.
+    /// The upstream ran the request and answered with a failure.
     Failed,
-    /// No whole answer came; it may have run.
+    /// No complete response arrived; the request may have run.
     Lost,
 }
 
-/// What to do after a send that brought no good answer.
+/// What to do after a send that brought no successful response.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub enum Decision {
-    /// Send it again, elsewhere.
+    /// Send the request to another upstream.
     Resend,
-    /// Give the upstream's own answer to the caller.
+    /// Forward the upstream's response to the caller.
     Forward,
-    /// End it with the box's own answer.
+    /// Fail the request with a response by this box.
     Fail(FailureKind),
 }
 
-/// The box's own last word on a request.
+/// What the caller is told of a failed request.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub enum FailureKind {
-    /// It has not run and will not.
+    /// The request has not run and will not.
     NotRun,
-    /// It may have run.
+    /// The request may have run.
     Unknown,
-    /// Its time is over, and it may have run.
+    /// The deadline has passed, and the request may have run.
     DeadlineExceeded,
 }
 
 impl Attempts {
-    /// Makes the state of a request that must end by `until`, may run on
-    /// `attempts` upstreams, and may run more than once if `repeat`.
-    pub fn new(until: Duration, attempts: u32, repeat: bool) -> Self {
+    /// Creates the state of a request that must end by `deadline`, may run on at most
+    /// `max_runs` upstreams, and may run more than once if it is `idempotent`.
+    pub fn new(deadline: Duration, max_runs: u32, idempotent: bool) -> Self {
         Attempts {
-            deadline: until,
-            max_runs: attempts,
-            idempotent: repeat,
+            deadline,
+            max_runs,
+            idempotent,
             runs: 0,
             lost_runs: 0,
             tried: Vec::new(),
         }
     }
 
-    /// When the request must have ended.
+    /// Returns the time by which the request must have ended.
     pub fn deadline(&self) -> Duration {
         self.deadline
     }
 
-    /// Time that is left.
+    /// Returns the time left until the deadline.
     pub fn time_left(&self, now: Duration) -> Duration {
         self.deadline.saturating_sub(now)
     }
 
-    /// Upstreams that it was sent to.
+    /// Returns the upstreams that the request was sent to.
     pub fn tried(&self) -> &[UpstreamId] {
         &self.tried
     }
 
-    /// Whether the request may have run, so that nobody may be told that it has
-    /// not.
+    /// Returns true if the request may have run, so that the caller must not be told that it
+    /// has not.
     pub fn may_have_run(&self) -> bool {
         self.runs > 0
     }
 
-    /// Notes that the request is about to be sent: from here on it may run.
+    /// Records that the request is about to be sent; from now on it may run.
     pub fn record_send(&mut self, id: UpstreamId) {
         self.runs += 1;
         self.tried.push(id);
     }
 
-    /// Notes that an upstream that may have run it is lost itself.
+    /// Records that an upstream that may have run the request was lost itself.
     pub fn record_lost(&mut self) {
         self.lost_runs = (self.lost_runs + 1).min(self.runs);
     }
 
-    /// Decides what follows after a send that brought no good answer.
+    /// Decides what to do after a send that brought no successful response.
     ///
-    /// `take` is called if the request itself may be sent again, and returns whether
-    /// the retry budget has one left for it.
+    /// `take_retry` is called if the request may be sent again; it takes a retry from the
+    /// retry budget and returns false if there is none left.
     pub fn decide(
         &mut self,
         now: Duration,
         outcome: SendOutcome,
-        take: impl FnOnce() -> bool,
+        take_retry: impl FnOnce() -> bool,
     ) -> Decision {
         if matches!(outcome, SendOutcome::NotSent | SendOutcome::NotRun) {
             self.runs = self.runs.saturating_sub(1);
         }
-        if self.may_resend(now, outcome) && take() {
+        if self.may_resend(now, outcome) && take_retry() {
             return Decision::Resend;
         }
         match outcome {
@@ -127,7 +127,7 @@
         }
     }
 
-    /// The last word if the request ends at `now` without an answer.
+    /// Returns the kind of failure if the request ends at `now` without a response.
     pub fn failure(&self, now: Duration) -> FailureKind {
         match self.runs {
             0 => FailureKind::NotRun,
@@ -138,8 +138,8 @@
 
     fn may_resend(&self, now: Duration, outcome: SendOutcome) -> bool {
         let may_have_run = matches!(outcome, SendOutcome::Failed | SendOutcome::Lost);
-        let allowed = self.runs.saturating_sub(self.lost_runs) < self.max_runs
+        let has_sends_left = self.runs.saturating_sub(self.lost_runs) < self.max_runs
             && self.tried.len() < MAX_SENDS;
-        allowed && now < self.deadline && (self.idempotent || !may_have_run)
+        has_sends_left && now < self.deadline && (self.idempotent || !may_have_run)
     }
 }
--- a/crates/ashgauge/src/digest.rs
+++ b/crates/ashgauge/src/digest.rs
@@ -1,14 +1,14 @@
-//! Tells whether a request is the same as one before.
+//! Digest of a request, to recognize the same request when it is sent again.
 //!
-//! Each try of a caller has an id of its own, so the id does not tell. What an
-//! upstream is given to work on does: the path, the body, and whose it is.
+//! Each attempt of a caller has a request id of its own, so the id cannot be used. The digest
+//! covers what the upstream works on: the path, the body and the caller.
 
 use xxhash_rust::xxh3::Xxh3;
 
-/// Number that stands for a request's content.
+/// Hash of a request's content.
 pub type Digest = u64;
 
-/// The digest of a request: of its path with the query, its caller, and its body.
+/// Returns the digest of a request: of its path with the query, its caller and its body.
 ///
 /// # Example
 ///
@@ -22,14 +22,14 @@
 pub fn request_digest(path: &str, caller: &str, body: &[u8]) -> Digest {
     let mut hasher = Xxh3::new();
     for part in [path.as_bytes(), caller.as_bytes(), body] {
-        // With the lengths, no two splits of the same bytes look alike.
+        // The lengths make different splits of the same bytes differ.
         hasher.update(&(part.len() as u64).to_le_bytes());
         hasher.update(part);
     }
     hasher.digest()
 }
 
-/// Writes a digest as operators see it.
+/// Formats a digest for operators.
 ///
 /// # Example
 ///
--- a/crates/ashgauge/src/events.rs
+++ b/crates/ashgauge/src/events.rs
@@ -1,55 +1,59 @@
-//! Streams of events (`text/event-stream`), cut into whole events.
+//! Splits server-sent event streams (`text/event-stream`) at event boundaries.
 
-/// Whole events at the start of some bytes.
+/// The complete events at the start of a buffer.
 #[derive(Clone, Copy, Debug, Default, PartialEq)]
 pub struct CompleteEvents {
-    /// Bytes that they take; what follows is the start of another event.
+    /// Length of the events in bytes; an incomplete event may follow.
     pub len: usize,
-    /// How many they are.
+    /// Number of events.
     pub count: usize,
-    /// Id of the first, if it has one.
+    /// Id of the first event, if it has one.
     pub first_id: Option<u64>,
-    /// Id of the last that has one.
+    /// Id of the last event that has one.
     pub last_id: Option<u64>,
 }
 
-/// Finds the whole events at the start of `bytes`.
+/// Finds the complete events at the start of `bytes`.
 ///
-/// An event ends with an empty line. Lines end with `\n` or `\r\n`. Comments, which
-/// begin with a colon, are no event, though they come with what goes before the next one.
+/// An event ends with an empty line. Lines end with `\n` or `\r\n`. Comments, which begin
+/// with a colon, are not events, but their bytes are included in the length.
 ///
 /// # Example
 ///
 /// ```
 /// use ashgauge::events::scan_complete;
 ///
-/// let whole = scan_complete(b"id: 1\ndata: a\n\nid: 2\ndata: b\n\nid: 3\nda");
-/// assert_eq!((whole.count, whole.first_id, whole.last_id), (2, Some(1), Some(2)));
-/// assert_eq!(whole.len, 30);
+/// let events = scan_complete(b"id: 1\ndata: a\n\nid: 2\ndata: b\n\nid: 3\nda");
+/// assert_eq!((events.count, events.first_id, events.last_id), (2, Some(1), Some(2)));
+/// assert_eq!(events.len, 30);
 /// ```
 pub fn scan_complete(bytes: &[u8]) -> CompleteEvents {
-    let mut whole = CompleteEvents::default();
+    let mut events = CompleteEvents::default();
     let mut start = 0;
     let mut id = None;
-    let mut filled = false;
+    let mut has_content = false;
     while let Some(at) = bytes[start..].iter().position(|b| *b == b'\n') {
         let line = trim_cr(&bytes[start..start + at]);
         start += at + 1;
         if !line.is_empty() {
-            filled |= line[0] != b':';
+            has_content |= line[0] != b':';
             id = parse_id(line).or(id);
             continue;
         }
-        whole.len = start;
-        if filled {
-            whole.count += 1;
-            whole.first_id = if whole.count == 1 { id } else { whole.first_id };
-            whole.last_id = id.or(whole.last_id);
+        events.len = start;
+        if has_content {
+            events.count += 1;
+            events.first_id = if events.count == 1 {
+                id
+            } else {
+                events.first_id
+            };
+            events.last_id = id.or(events.last_id);
         }
         id = None;
-        filled = false;
+        has_content = false;
     }
-    whole
+    events
 }
 
 fn trim_cr(line: &[u8]) -> &[u8] {
--- a/crates/ashgauge/src/freshness.rs
+++ b/crates/ashgauge/src/freshness.rs
@@ -1,21 +1,21 @@
-//! How sure a box may be of what it read last.
+//! Freshness of what a box has read from the store.
 
 use std::collections::BTreeSet;
 use std::time::Duration;
 
-/// Revisions kept while one before them is missing.
+/// Maximum number of revisions that are kept while an earlier one is missing.
 const MAX_PENDING_REVISIONS: usize = 4096;
 
-/// Time since a box's start within which others inform it, also where all boxes of a
-/// large fleet start together.
+/// Time after a box's start within which other boxes bring it up to date, even if all boxes
+/// of a large fleet start at the same time.
 const STARTUP_GRACE: Duration = Duration::from_millis(1500);
 
-/// How long a request waits for a box that started `uptime` ago and knows nothing
-/// yet.
+/// Returns how long a request waits on a box that started `uptime` ago and has no data from
+/// the store yet.
 ///
-/// Callers whose first try was cut when all boxes were lost have one more, which a
-/// refusal would use up. A box that knows nothing after that time may never, and
-/// refuses at once.
+/// Callers whose first attempt was cut off when all boxes were lost have one more attempt,
+/// which a refusal would use up. A box that still has no data after that time may never get
+/// any, and refuses at once.
 ///
 /// # Example
 ///
@@ -31,11 +31,11 @@
     STARTUP_GRACE.saturating_sub(uptime)
 }
 
-/// Age of a box's knowledge, counted from before it asked for it.
+/// Age of a box's data, counted from when the box sent the query for it.
 ///
-/// A store's answer shows the state at some moment between the question and
-/// the answer, so only the moment of the question may be counted from. The
-/// clock must go on while the process stands still.
+/// The store's answer shows the state at some time between the query and the answer, so the
+/// age must be counted from the query. The clock that is used must not stop while the process
+/// is suspended.
 ///
 /// # Example
 ///
@@ -57,51 +57,51 @@
 }
 
 impl Freshness {
-    /// Makes one that holds for `most` after a question that was answered.
-    pub fn new(most: Duration) -> Self {
+    /// Creates a state in which data is fresh for `max_age` after an answered query was sent.
+    pub fn new(max_age: Duration) -> Self {
         Freshness {
-            max_age: most,
+            max_age,
             asked_at: None,
         }
     }
 
-    /// Changes how long it holds.
-    pub fn set_max_age(&mut self, most: Duration) {
-        self.max_age = most;
+    /// Changes the maximum age of fresh data.
+    pub fn set_max_age(&mut self, max_age: Duration) {
+        self.max_age = max_age;
     }
 
-    /// Notes that a question asked at `asked` was answered.
-    pub fn confirm(&mut self, asked: Duration) {
-        self.asked_at = self.asked_at.max(Some(asked));
+    /// Records that a query sent at `asked_at` was answered.
+    pub fn confirm(&mut self, asked_at: Duration) {
+        self.asked_at = self.asked_at.max(Some(asked_at));
     }
 
-    /// Whether what is known may still be acted on at `now`.
+    /// Returns true if the data may still be used at `now`.
     pub fn is_fresh(&self, now: Duration) -> bool {
         self.age(now).is_some_and(|age| age <= self.max_age)
     }
 
-    /// Time since the last answered question; `None` before the first.
+    /// Returns the time since the last answered query was sent; `None` before the first.
     pub fn age(&self, now: Duration) -> Option<Duration> {
         self.asked_at.map(|at| now.saturating_sub(at))
     }
 }
 
-/// Which of a store's revisions a box has read.
+/// Tracks which of the store's revisions a box has read.
 ///
-/// A store counts all its changes in one number. Watches bring some of them;
-/// a number that none brought may be a change that a watch has missed.
+/// The store numbers all its changes with one counter. Watches deliver some of the changes; a
+/// number that no watch has delivered may be a change that a watch has missed.
 ///
 /// # Example
 ///
 /// ```
 /// use ashgauge::freshness::RevisionTracker;
 ///
-/// let mut ledger = RevisionTracker::default();
-/// ledger.mark_read_to(10);
-/// ledger.mark_read(12);
-/// assert!(!ledger.covers(12));
-/// ledger.mark_read(11);
-/// assert!(ledger.covers(12));
+/// let mut tracker = RevisionTracker::default();
+/// tracker.mark_read_to(10);
+/// tracker.mark_read(12);
+/// assert!(!tracker.covers(12));
+/// tracker.mark_read(11);
+/// assert!(tracker.covers(12));
 /// ```
 #[derive(Clone, Debug, Default)]
 pub struct RevisionTracker {
@@ -110,13 +110,13 @@
 }
 
 impl RevisionTracker {
-    /// Notes that everything up to `revision` was read.
+    /// Marks all changes up to `revision` as read.
     pub fn mark_read_to(&mut self, revision: u64) {
         self.base = self.base.max(revision);
         self.absorb_pending();
     }
 
-    /// Notes that the change with this number was read.
+    /// Marks the change with this number as read.
     pub fn mark_read(&mut self, revision: u64) {
         if revision > self.base && self.pending.len() < MAX_PENDING_REVISIONS {
             self.pending.insert(revision);
@@ -124,12 +124,12 @@
         self.absorb_pending();
     }
 
-    /// Whether every change up to `revision` was read.
+    /// Returns true if every change up to `revision` was read.
     pub fn covers(&self, revision: u64) -> bool {
         revision <= self.base
     }
 
-    /// Revision up to which every change was read.
+    /// Returns the revision up to which every change was read.
     pub fn covered(&self) -> u64 {
         self.base
     }
--- a/crates/ashgauge/src/quarantine.rs
+++ b/crates/ashgauge/src/quarantine.rs
@@ -1,9 +1,10 @@
-//! Requests that end the upstreams that run them, and are held back for it.
+//! Quarantine of requests that crash the upstreams that run them.
 //!
-//! The loss of an upstream says little of what ran on it, but a request under which
-//! one upstream after the other is lost ends them. A caller sends it again at any box,
-//! so boxes tell each other which upstreams were lost under which request: sets that
-//! only grow, so reports may come late, twice and in any order.
+//! The loss of a single upstream says little about the requests that it ran. A request during
+//! which one upstream after another is lost is taken as the cause, and is quarantined. Its
+//! caller may send it again to any box, so boxes report to each other which upstreams were
+//! lost during which request. These are sets that only grow, so reports may be late, repeated
+//! or out of order.
 
 use std::collections::HashMap;
 use std::time::Duration;
@@ -13,78 +14,79 @@
 
 use crate::digest::Digest;
 
-/// Upstreams lost under a request after which it is held back; the users' figure.
+/// Number of upstreams lost during a request after which it is quarantined, as the users
+/// specified.
 const MAX_LOSSES: usize = 3;
 
-/// Time from a run's first event after which it has not ended its upstream. Requests
-/// that do so took 3 to 96 ms from when they began to run; a longer time lays more
-/// losses to requests that only ran beside them.
+/// Time from the first event of a run after which the request counts as harmless to its
+/// upstream. Requests that crash an upstream did so 3 to 96 ms after they began to run; with
+/// a longer time, more losses are attributed to requests that only ran at the same time.
 const SAFE_RUN_TIME: Duration = Duration::from_millis(500);
 
-/// How long a request is held back before it is tried again, and how long a loss
-/// counts: long against what a caller goes on for and operators need to look into it.
+/// How long a request is quarantined before it may run again, and how long a loss counts:
+/// much longer than callers keep retrying and than operators need to investigate.
 pub const QUARANTINE_TIME: Duration = Duration::from_secs(3600);
 
-/// Requests whose losses are kept, at 100 bytes or so each.
+/// Maximum number of requests whose losses are kept, at about 100 bytes each.
 const MAX_SUSPECTS: usize = 4096;
 
-/// Requests that are held back at most, at 30 bytes or so each.
+/// Maximum number of quarantined requests, at about 30 bytes each.
 const MAX_QUARANTINED: usize = 4096;
 
-/// How long a box tells the others of a loss: several words to each, of which some
-/// may be lost.
+/// How long a box reports a loss to others: long enough for several messages to each of
+/// them, since some may be lost.
 const GOSSIP_TIME: Duration = Duration::from_secs(14);
 
-/// Losses in one report, the newest ones: 1 kB or so.
+/// Maximum number of losses in one report, about 1 kB; the newest are reported.
 const MAX_REPORT_LOSSES: usize = 128;
 
-/// Held requests in one report: 300 bytes or so.
+/// Maximum number of quarantined requests in one report, about 300 bytes.
 const MAX_REPORT_HELD: usize = 32;
 
-/// Losses that are kept to be told.
+/// Maximum number of losses that are kept for reports.
 const MAX_GOSSIP_LOSSES: usize = 1024;
 
-/// Number that stands for one start of an upstream.
+/// Hash that identifies one instance of an upstream: from one start of it to its end.
 pub type InstanceKey = u32;
 
-/// An upstream was lost while it ran a request.
+/// The loss of an upstream instance while it ran a request.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash, Serialize, Deserialize)]
 pub struct InstanceLoss {
-    /// The request.
+    /// Digest of the request.
     pub digest: Digest,
-    /// The upstream's start that was lost.
+    /// Instance of the upstream that was lost.
     #[serde(rename = "start")]
     pub instance: InstanceKey,
 }
 
-/// A request that is held back, as one box tells it to others.
+/// A quarantined request, as one box reports it to others.
 #[derive(Clone, Copy, Debug, PartialEq, Serialize, Deserialize)]
 pub struct QuarantinedRequest {
-    /// The request.
+    /// Digest of the request.
     pub digest: Digest,
-    /// For how much longer, in whole seconds, from the moment of telling.
+    /// Remaining time of the quarantine, in whole seconds, from the time of the report.
     pub left_s: u32,
 }
 
-/// What one box tells the others.
+/// Report of one box to others.
 #[derive(Clone, Debug, Default, PartialEq, Serialize, Deserialize)]
 pub struct Report {
-    /// Losses that it saw or heard of a short while ago.
+    /// Losses that the box saw or was told of within the last seconds.
     #[serde(rename = "lost")]
     pub losses: Vec<InstanceLoss>,
-    /// Requests that are held back.
+    /// Quarantined requests.
     pub held: Vec<QuarantinedRequest>,
 }
 
-/// The losses under one request.
+/// The losses during one request.
 #[derive(Clone, Debug)]
 struct Suspect {
     instances: Vec<InstanceKey>,
-    /// When the last was noted.
+    /// Time at which the last loss was recorded.
     last_loss: Duration,
 }
 
-/// What is known of requests that may end upstreams.
+/// Requests that may crash upstreams, and those quarantined for it.
 ///
 /// # Example
 ///
@@ -96,146 +98,150 @@
 /// let mut quarantine = Quarantine::default();
 /// for engine in ["e1", "e2", "e3"] {
 ///     assert!(quarantine.time_left(now, 7).is_none());
-///     quarantine.record_loss(now, InstanceLoss { digest: 7, instance: instance_key(engine, None) });
+///     let instance = instance_key(engine, None);
+///     quarantine.record_loss(now, InstanceLoss { digest: 7, instance });
 /// }
 /// assert!(quarantine.time_left(now, 7).is_some());
 /// ```
 #[derive(Clone, Debug, Default)]
 pub struct Quarantine {
     suspects: HashMap<Digest, Suspect>,
-    /// Until when each request is held back.
+    /// End of the quarantine of each request.
     quarantined: HashMap<Digest, Duration>,
-    /// Losses that this box tells others.
+    /// Losses that this box reports to others.
     gossip: Vec<GossipLoss>,
-    /// Losses that may be found any moment, one for each check of an upstream.
+    /// Possible losses, one for each check of an upstream that is under way.
     checks: Vec<InstanceLoss>,
 }
 
-/// A loss that is told to others.
+/// A loss that is reported to other boxes.
 #[derive(Clone, Copy, Debug)]
 struct GossipLoss {
     loss: InstanceLoss,
-    /// Since when.
+    /// Time from which on it is reported.
     since: Duration,
-    /// Whom.
+    /// Boxes that it is reported to.
     audience: Audience,
 }
 
-/// Whom a box tells what it knows.
+/// Boxes that a report is sent to.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Audience {
-    /// All: those that tell each other, and those that it hands on to.
+    /// All boxes: peers that report to each other, and boxes that get reports only through
+    /// this one.
     All,
-    /// Those only that hear of others by this box.
+    /// Only the boxes that get the reports of others through this one.
     Downstream,
 }
 
-/// The number of an upstream's start: its id, and when it was born if it says so.
+/// Returns the key of an upstream instance: a hash of its id, and of its start time if it
+/// announces one.
 pub fn instance_key(id: &str, born: Option<u64>) -> InstanceKey {
     xxh3_64_with_seed(id.as_bytes(), born.unwrap_or_default()) as InstanceKey
 }
 
-/// Whether a run that brought its first event at `first`, and one at `last`, has shown
-/// that the request does not end its upstream.
+/// Returns true if a run with its first event at `first` and its latest at `last` has shown
+/// that the request does not crash its upstream.
 pub fn is_safe_run(first: Duration, last: Duration) -> bool {
     last >= first + SAFE_RUN_TIME
 }
 
 impl Quarantine {
-    /// Notes a loss that this box saw; returns whether the request is held back from
-    /// now on.
-    pub fn record_loss(&mut self, now: Duration, lost: InstanceLoss) -> bool {
-        self.enqueue(now, lost, Audience::All);
-        self.add_loss(now, lost)
+    /// Records a loss that this box saw; returns true if the request is now quarantined
+    /// because of it.
+    pub fn record_loss(&mut self, now: Duration, loss: InstanceLoss) -> bool {
+        self.enqueue(now, loss, Audience::All);
+        self.add_loss(now, loss)
     }
 
-    /// Notes that a check of an upstream began: a run of the request broke off on it.
-    pub fn begin_check(&mut self, lost: InstanceLoss) {
-        self.checks.push(lost);
+    /// Records the start of a check of an upstream, on which a run of the request broke off.
+    pub fn begin_check(&mut self, loss: InstanceLoss) {
+        self.checks.push(loss);
     }
 
-    /// Notes that the check ended, whatever it found.
-    pub fn end_check(&mut self, lost: InstanceLoss) {
-        if let Some(at) = self.checks.iter().position(|check| *check == lost) {
+    /// Records the end of the check, whatever its result.
+    pub fn end_check(&mut self, loss: InstanceLoss) {
+        if let Some(at) = self.checks.iter().position(|check| *check == loss) {
             self.checks.swap_remove(at);
         }
     }
 
-    /// Whether a request would be held back if all checks of its upstreams found them
-    /// lost. Until they end it is sent nowhere: a process takes its time to end, and each
-    /// send meanwhile may cost another one.
+    /// Returns true if a request would be quarantined if all checks of its upstreams found
+    /// them lost. It is not sent anywhere until the checks have ended: a process takes some
+    /// time to end, and each send in the meantime may crash another upstream.
     ///
     /// # Example
     ///
     /// ```
     /// use ashgauge::quarantine::{instance_key, InstanceLoss, Quarantine};
     ///
-    /// let lost = ["a", "b", "c"].map(|id| InstanceLoss { digest: 7, instance: instance_key(id, None) });
+    /// let instances = ["a", "b", "c"].map(|id| instance_key(id, None));
+    /// let losses = instances.map(|instance| InstanceLoss { digest: 7, instance });
     /// let mut quarantine = Quarantine::default();
-    /// lost.iter().for_each(|lost| quarantine.begin_check(*lost));
+    /// losses.iter().for_each(|loss| quarantine.begin_check(*loss));
     /// assert!(quarantine.may_be_quarantined(7) && !quarantine.may_be_quarantined(8));
-    /// quarantine.end_check(lost[0]);
+    /// quarantine.end_check(losses[0]);
     /// assert!(!quarantine.may_be_quarantined(7));
     /// ```
     pub fn may_be_quarantined(&self, digest: Digest) -> bool {
         let found = self.suspects.get(&digest);
-        let mut starts = found.map_or_else(Vec::new, |s| s.instances.clone());
+        let mut instances = found.map_or_else(Vec::new, |s| s.instances.clone());
         for check in self.checks.iter().filter(|check| check.digest == digest) {
-            if !starts.contains(&check.instance) {
-                starts.push(check.instance);
+            if !instances.contains(&check.instance) {
+                instances.push(check.instance);
             }
         }
-        starts.len() >= MAX_LOSSES
+        instances.len() >= MAX_LOSSES
     }
 
-    /// Tells others what another box has told, as they do not hear it; returns
-    /// whether there is something new to tell.
-    pub fn forward(&mut self, now: Duration, report: &Report, to: Audience) -> bool {
-        let is_told = |told: &GossipLoss, lost: &InstanceLoss| {
-            told.loss == *lost && now < told.since + GOSSIP_TIME
+    /// Forwards the losses of another box's report to boxes that do not get that report;
+    /// returns true if there is something new to send.
+    pub fn forward(&mut self, now: Duration, report: &Report, audience: Audience) -> bool {
+        let is_reported = |entry: &GossipLoss, loss: &InstanceLoss| {
+            entry.loss == *loss && now < entry.since + GOSSIP_TIME
         };
-        let news = report.losses.iter();
-        let news = news.filter(|lost| !self.gossip.iter().any(|told| is_told(told, lost)));
-        let news: Vec<InstanceLoss> = news.copied().collect();
-        news.iter().for_each(|lost| self.enqueue(now, *lost, to));
-        !news.is_empty()
+        let new = report.losses.iter();
+        let new = new.filter(|loss| !self.gossip.iter().any(|entry| is_reported(entry, loss)));
+        let new: Vec<InstanceLoss> = new.copied().collect();
+        new.iter()
+            .for_each(|loss| self.enqueue(now, *loss, audience));
+        !new.is_empty()
     }
 
-    fn enqueue(&mut self, now: Duration, lost: InstanceLoss, to: Audience) {
-        self.gossip.retain(|told| now < told.since + GOSSIP_TIME);
+    fn enqueue(&mut self, now: Duration, loss: InstanceLoss, audience: Audience) {
+        self.gossip.retain(|entry| now < entry.since + GOSSIP_TIME);
         if self.gossip.len() >= MAX_GOSSIP_LOSSES {
             self.gossip.remove(0);
         }
         let since = now;
         self.gossip.push(GossipLoss {
-            loss: lost,
+            loss,
             since,
-            audience: to,
+            audience,
         });
     }
 
-    /// Takes what another box told; returns the requests that are held back from now
-    /// on.
+    /// Merges the report of another box; returns the requests that are newly quarantined.
     pub fn merge(&mut self, now: Duration, report: &Report) -> Vec<Digest> {
-        let mut news = Vec::new();
-        for lost in &report.losses {
-            if self.add_loss(now, *lost) {
-                news.push(lost.digest);
+        let mut new = Vec::new();
+        for loss in &report.losses {
+            if self.add_loss(now, *loss) {
+                new.push(loss.digest);
             }
         }
         for held in &report.held {
             let left = Duration::from_secs(held.left_s.into());
             if self.quarantine(now, held.digest, left) {
-                news.push(held.digest);
+                new.push(held.digest);
             }
         }
-        news
+        new
     }
 
-    /// Holds a request back for `left`; returns whether it was not.
+    /// Quarantines a request for the time `left`; returns true if it was not quarantined before.
     ///
-    /// A time that boxes hand on never grows, as it is told in whole seconds that are
-    /// left, so each hold lapses.
+    /// Boxes report the time left, rounded down to whole seconds. So it never grows when it is
+    /// passed between boxes, and each quarantine ends.
     pub fn quarantine(&mut self, now: Duration, digest: Digest, left: Duration) -> bool {
         let until = now + left.min(QUARANTINE_TIME);
         if until <= now {
@@ -251,24 +257,24 @@
         is_new
     }
 
-    /// Forgets the losses under a request that an upstream has run well.
+    /// Clears the losses of a request that an upstream has run without failing.
     pub fn clear_losses(&mut self, digest: Digest) {
         self.suspects.remove(&digest);
     }
 
-    /// Whether upstreams were lost under a request that is not held back.
+    /// Returns true if upstreams were lost during a request that is not quarantined.
     pub fn is_suspect(&self, digest: Digest) -> bool {
         self.suspects.contains_key(&digest)
     }
 
-    /// For how much longer a request is held back, if it is.
+    /// Returns the remaining time of a request's quarantine, if it is quarantined.
     pub fn time_left(&self, now: Duration, digest: Digest) -> Option<Duration> {
         let until = self.quarantined.get(&digest)?;
         let left = until.saturating_sub(now);
         (!left.is_zero()).then_some(left)
     }
 
-    /// Requests that are held back, those with the most time left first.
+    /// Returns the quarantined requests and their remaining times, longest first.
     pub fn quarantined(&self, now: Duration) -> Vec<(Digest, Duration)> {
         let left = |(digest, until): (&Digest, &Duration)| (*digest, until.saturating_sub(now));
         let mut held: Vec<_> = self.quarantined.iter().map(left).collect();
@@ -277,52 +283,53 @@
         held
     }
 
-    /// Requests under which upstreams were lost that are not held back.
+    /// Returns the number of requests with losses that are not quarantined.
     pub fn suspect_count(&self) -> usize {
         self.suspects.len()
     }
 
-    /// What the boxes of an audience are to know; of many held requests some, in
-    /// turns by `turn`.
-    pub fn report(&self, now: Duration, turn: u64, to: Audience) -> Report {
+    /// Builds a report for an audience. If there are too many quarantined requests for one
+    /// report, `turn` selects which of them it contains.
+    pub fn report(&self, now: Duration, turn: u64, audience: Audience) -> Report {
         let recent = self.gossip.iter().rev();
-        let recent = recent.filter(|told| now < told.since + GOSSIP_TIME);
-        let recent = recent.filter(|told| to == Audience::Downstream || told.audience == to);
+        let recent = recent.filter(|entry| now < entry.since + GOSSIP_TIME);
+        let recent =
+            recent.filter(|entry| audience == Audience::Downstream || entry.audience == audience);
         let held = self.quarantined(now);
         let skipped = (turn as usize).wrapping_mul(MAX_REPORT_HELD) % held.len().max(1);
-        let told = held.iter().cycle().skip(skipped);
-        let told = told.take(held.len().min(MAX_REPORT_HELD));
+        let reported = held.iter().cycle().skip(skipped);
+        let reported = reported.take(held.len().min(MAX_REPORT_HELD));
         Report {
             losses: recent
-                .map(|told| told.loss)
+                .map(|entry| entry.loss)
                 .take(MAX_REPORT_LOSSES)
                 .collect(),
-            held: told.map(QuarantinedRequest::new).collect(),
+            held: reported.map(QuarantinedRequest::new).collect(),
         }
     }
 
-    /// Adds a loss to those of its request; returns whether that holds it back.
-    fn add_loss(&mut self, now: Duration, lost: InstanceLoss) -> bool {
-        if self.time_left(now, lost.digest).is_some() {
+    /// Adds a loss to those of its request; returns true if the request is now quarantined.
+    fn add_loss(&mut self, now: Duration, loss: InstanceLoss) -> bool {
+        if self.time_left(now, loss.digest).is_some() {
             return false;
         }
-        if !self.suspects.contains_key(&lost.digest) && self.suspects.len() >= MAX_SUSPECTS {
-            // What was lost under fewest and longest ago says least.
+        if !self.suspects.contains_key(&loss.digest) && self.suspects.len() >= MAX_SUSPECTS {
+            // The request with the fewest and oldest losses is the least suspect.
             evict_min(&mut self.suspects, |s| (s.instances.len(), s.last_loss));
         }
-        let suspect = self.suspects.entry(lost.digest).or_insert(Suspect {
+        let suspect = self.suspects.entry(loss.digest).or_insert(Suspect {
             instances: Vec::new(),
             last_loss: now,
         });
         if now >= suspect.last_loss + QUARANTINE_TIME {
             suspect.instances.clear();
         }
-        if !suspect.instances.contains(&lost.instance) {
-            suspect.instances.push(lost.instance);
+        if !suspect.instances.contains(&loss.instance) {
+            suspect.instances.push(loss.instance);
             suspect.last_loss = now;
         }
-        let holds = suspect.instances.len() >= MAX_LOSSES;
-        holds && self.quarantine(now, lost.digest, QUARANTINE_TIME)
+        let is_over_limit = suspect.instances.len() >= MAX_LOSSES;
+        is_over_limit && self.quarantine(now, loss.digest, QUARANTINE_TIME)
     }
 }
 
@@ -336,13 +343,13 @@
 }
 
 impl Report {
-    /// Whether there is nothing to tell.
+    /// Returns true if there is nothing to report.
     pub fn is_empty(&self) -> bool {
         self.losses.is_empty() && self.held.is_empty()
     }
 }
 
-/// Drops the entry with the least rank.
+/// Removes the entry with the lowest rank.
 fn evict_min<V, R: Ord>(entries: &mut HashMap<Digest, V>, rank: impl Fn(&V) -> R) {
     let least = entries.iter().min_by_key(|(digest, v)| (rank(v), **digest));
     if let Some(digest) = least.map(|(digest, _)| *digest) {
--- a/crates/ashgauge/src/suspension.rs
+++ b/crates/ashgauge/src/suspension.rs
@@ -1,16 +1,16 @@
-//! Times for which the machine was suspended.
+//! Detection of times for which the machine was suspended.
 //!
-//! A suspended machine's steady clock stands still, and so do all timers that go by it;
-//! what a box knows grows old all the same. The box goes by a clock that counts such
-//! times, and looks now and then whether the two went apart.
+//! While a machine is suspended, its monotonic clock stops, and so do all timers based on it,
+//! but the box's data still becomes outdated. So the box uses a clock that includes
+//! suspensions, and regularly checks whether the two clocks have diverged.
 
 use std::time::Duration;
 
-/// Difference between the clocks from which on the machine was suspended: far more than
-/// two reads one after the other take.
+/// Minimum difference between the clocks that counts as a suspension: much more than two
+/// consecutive clock reads take.
 const MIN_SUSPENSION: Duration = Duration::from_millis(50);
 
-/// Compares the steady clock with one that counts suspensions.
+/// Compares the monotonic clock with one that includes suspensions.
 ///
 /// # Example
 ///
@@ -19,9 +19,9 @@
 /// use ashgauge::suspension::SuspensionDetector;
 ///
 /// let second = Duration::from_secs(1);
-/// let mut suspension = SuspensionDetector::new(second * 5, second * 100);
-/// assert_eq!(suspension.check(second * 6, second * 101), None);
-/// assert_eq!(suspension.check(second * 7, second * 105), Some(second * 3));
+/// let mut detector = SuspensionDetector::new(second * 5, second * 100);
+/// assert_eq!(detector.check(second * 6, second * 101), None);
+/// assert_eq!(detector.check(second * 7, second * 105), Some(second * 3));
 /// ```
 #[derive(Clone, Copy, Debug)]
 pub struct SuspensionDetector {
@@ -30,23 +30,24 @@
 }
 
 impl SuspensionDetector {
-    /// Begins at a reading of the steady clock, and one of the clock that counts all.
-    pub fn new(steady: Duration, whole: Duration) -> Self {
+    /// Creates a detector with first readings of the monotonic clock and of the clock that
+    /// includes suspensions.
+    pub fn new(monotonic: Duration, boottime: Duration) -> Self {
         SuspensionDetector {
-            monotonic: steady,
-            boottime: whole,
+            monotonic,
+            boottime,
         }
     }
 
-    /// How long the machine was suspended since the last look, if it was.
-    pub fn check(&mut self, steady: Duration, whole: Duration) -> Option<Duration> {
-        let ran = steady.saturating_sub(self.monotonic);
-        let passed = whole.saturating_sub(self.boottime);
+    /// Returns how long the machine was suspended since the last check, if it was.
+    pub fn check(&mut self, monotonic: Duration, boottime: Duration) -> Option<Duration> {
+        let ran = monotonic.saturating_sub(self.monotonic);
+        let elapsed = boottime.saturating_sub(self.boottime);
         *self = SuspensionDetector {
-            monotonic: steady,
-            boottime: whole,
+            monotonic,
+            boottime,
         };
-        let stood = passed.saturating_sub(ran);
-        (stood >= MIN_SUSPENSION).then_some(stood)
+        let suspended = elapsed.saturating_sub(ran);
+        (suspended >= MIN_SUSPENSION).then_some(suspended)
     }
 }
