--- a/crates/ashgauge/src/lib.rs
+++ b/crates/ashgauge/src/lib.rs
@@ -1,11 +1,11 @@
 //! # ashgauge
 //!
-//! Coordination parts of a router for pipelines that run language models over
-//! mixed accelerators. Every part is a state machine without I/O: events go in
-//! with the time at which they happened, actions come out. A daemon, a test
-//! and a recorded session drive the same code.
+//! Coordination logic of a router for pipelines that run language models over mixed
+//! accelerators. Every component is a state machine without I/O: it takes events, each with
+//! the time at which it happened, and returns actions to perform. So a daemon, a test and the
+//! replay of a recorded session can run the same code.
 //!
-//! The whole of one box is a [`Node`]:
+//! A [`Node`] contains the whole logic of one box:
 //!
 //! ```
 //! use std::time::Duration;
@@ -13,13 +13,13 @@
 //!
 //! let mut node = Node::new(Config::new("box-1", 1));
 //! let actions = node.handle(Duration::ZERO, Event::Tick);
-//! // A fresh node asks the platform for the table.
+//! // A new node first reads the table from the platform.
 //! assert!(!actions.is_empty());
 //! assert!(!node.is_ready(Duration::ZERO));
 //! ```
 //!
-//! The parts can be used alone. The cheapest chain of engines over a model's
-//! layers:
+//! The components can be used separately. This finds the cheapest chain of engines for all
+//! layers of a model:
 //!
 //! ```
 //! use ashgauge::chain::{cheapest_chain, Edge};
@@ -32,31 +32,32 @@
 //! assert_eq!(chain.len(), 2);
 //! ```
 //!
-//! - [`table`], [`policy`], [`editor`]: the operators' table, its compiled form
-//!   and its edits.
-//! - [`queue`], [`limit`], [`retry`]: order, limits shared by the fleet, retry
-//!   budget.
-//! - [`chain`], [`upstream_stats`]: which stages serve a request, and what was learned.
-//! - [`claim`], [`lease`], [`order`]: at most once, one doer, fenced orders.
-//! - [`ident`], [`member`], [`message`]: boxes and upstreams, and what boxes tell each
-//!   other.
-//! - [`clock`], [`record`]: the time line.
-//! - [`routing`], [`registry`], [`load_report`], [`hub`], [`context`]: what a box knows of services,
-//!   upstreams and other boxes.
-//! - [`selection`], [`cost`], [`request_size`], [`wan`], [`slack`], [`admission`], [`request_duration`]: where a
-//!   request goes, and whether there is room for it.
+//! - [`table`], [`policy`], [`editor`]: the operators' table, its compiled form, and edits of
+//!   it.
+//! - [`queue`], [`limit`], [`retry`]: the order of waiting requests, rate limits shared by the
+//!   fleet, and the retry budget.
+//! - [`chain`], [`upstream_stats`]: the stages that serve a request, and statistics about
+//!   upstreams.
+//! - [`claim`], [`lease`], [`order`]: at-most-once requests, a lease with a single holder, and
+//!   orders with fencing tokens.
+//! - [`ident`], [`member`], [`message`]: boxes and upstreams, and the messages between boxes.
+//! - [`clock`], [`record`]: the timeline of recorded events.
+//! - [`routing`], [`registry`], [`load_report`], [`hub`], [`context`]: what a box knows of
+//!   services, upstreams and other boxes.
+//! - [`selection`], [`cost`], [`request_size`], [`wan`], [`slack`], [`admission`],
+//!   [`request_duration`]: which upstreams get a request, and whether there is capacity for it.
 //! - [`placement`], [`throughput`], [`pending`]: which engines hold which layers.
-//! - [`attempts`], [`digest`], [`quarantine`], [`events`], [`freshness`], [`suspension`]: what
-//!   a box owes a request that it hands on whole.
-//! - [`class`], [`demand`], [`pressure`], [`estimate`], [`level`], [`report`]: who is let in
-//!   where callers ask for more than engines can do in time.
-//! - [`forecast`]: when a chain brings the first event of a stream, and how far apart the
-//!   next are.
-//! - [`recovery`]: how much is done for streams that are held up.
-//! - [`suspicion`]: what boxes tell each other of engines that accept no connections.
-//! - [`permit`]: limits that upstreams name for all boxes together, and who may send.
-//! - [`mirror`], [`revision`], [`reader`], [`query`], [`poller`]: a store that few boxes
-//!   read and all know, also where it comes back from a copy.
+//! - [`attempts`], [`digest`], [`quarantine`], [`events`], [`freshness`], [`suspension`]: the
+//!   handling of requests that are forwarded as a whole.
+//! - [`class`], [`demand`], [`pressure`], [`estimate`], [`level`], [`report`]: which requests
+//!   are admitted when callers ask for more than the engines can serve in time.
+//! - [`forecast`]: when a chain will deliver the first event of a stream, and the intervals
+//!   between the next ones.
+//! - [`recovery`]: the budget for repairing stalled streams.
+//! - [`suspicion`]: reports between boxes of engines that do not accept connections.
+//! - [`permit`]: limits that upstreams announce for all boxes together, and permits to send.
+//! - [`mirror`], [`revision`], [`reader`], [`query`], [`poller`]: the content of a store that
+//!   few boxes read and all boxes need, also after the store was restored from a backup.
 
 #![warn(missing_docs)]
 #![forbid(unsafe_code)]
--- a/crates/ashgauge/src/mirror.rs
+++ b/crates/ashgauge/src/mirror.rs
@@ -1,14 +1,13 @@
-//! A copy of the store's content that boxes can hand to each other.
+//! A mirror of the store's content that boxes can pass on to each other.
 //!
-//! Each object carries the store's revision of its last change, so whoever has
-//! everything up to some revision needs only what changed behind it. Objects
-//! that are gone are remembered for a while; past that, only the whole copy
-//! tells what is no longer there.
+//! Each object has the store's revision of its last change, so a box that has everything up to
+//! some revision needs only the later changes. Removals are remembered for a while; a box that
+//! lacks older ones needs a full update, and removes what that does not contain.
 //!
-//! A store that has come back from a copy holds an earlier state until what it lost is
-//! written again. Nothing goes back to that: an upstream that leaves goes on leaving, and
-//! an entry that was removed stays so until it is written again, or until
-//! [`Mirror::accept_restored`] believes the store.
+//! A store that was restored from a backup copy has an earlier state until what it lost is
+//! written again. The mirror does not return to that state: an upstream that is leaving is
+//! still leaving, and a removed entry stays removed until it is written again, or until
+//! [`Mirror::accept_restored`] is called.
 
 use std::collections::{BTreeMap, HashMap, HashSet};
 
@@ -19,18 +18,18 @@
 use crate::revision;
 use crate::upstream::Upstream;
 
-/// Removals that are remembered. A box that missed more of them is handed the
-/// whole copy.
+/// Maximum number of remembered removals. A box that has missed more of them gets a full
+/// update.
 const MAX_REMOVALS: usize = 1024;
 
 pub use crate::revision::Revision;
 
-/// What became of one object.
+/// What changed.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub enum ChangeKind {
     /// The configuration, as the platform's adapter writes it.
     Config(Vec<u8>),
-    /// An upstream announces this.
+    /// An upstream wrote its entry.
     Put(Upstream),
     /// An upstream's entry was removed.
     #[serde(rename = "Gone")]
@@ -40,45 +39,45 @@
 /// A change of the store.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub struct Change {
-    /// Its revision.
+    /// Revision of the change.
     pub revision: Revision,
-    /// What it changed.
+    /// What changed.
     #[serde(rename = "what")]
     pub kind: ChangeKind,
 }
 
-/// What one box hands to another.
+/// Changes that one box sends to another.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub struct Update {
-    /// Revision up to which the receiver knows everything afterwards.
+    /// Revision up to which the receiver has everything after it has applied the update.
     #[serde(rename = "upto")]
     pub up_to: Revision,
-    /// Whether this is the whole copy, so that what it lacks is gone.
+    /// Whether this is the full content, so that entries it does not contain are removed.
     #[serde(rename = "whole")]
     pub is_full: bool,
-    /// Whether entries that are gone are certainly gone, not only missing
-    /// because the store was away.
+    /// Whether entries that are missing were certainly removed, and are not just missing
+    /// because the store was unavailable.
     #[serde(rename = "sure")]
     pub removals_certain: bool,
-    /// The changes.
+    /// Changes to apply.
     pub changes: Vec<Change>,
 }
 
-/// A copy of the store's configuration and entries.
+/// A mirror of the store's configuration and upstream entries.
 ///
 /// # Example
 ///
 /// ```
 /// use ashgauge::mirror::{Mirror, ChangeKind};
 ///
-/// let mut reader = Mirror::default();
-/// reader.set_config(7, b"routes".to_vec());
-/// reader.replace_all(9, Vec::new());
-/// reader.mark_read_to(9);
+/// let mut mirror = Mirror::default();
+/// mirror.set_config(7, b"routes".to_vec());
+/// mirror.replace_all(9, Vec::new());
+/// mirror.mark_read_to(9);
 ///
 /// let mut other = Mirror::default();
-/// let news = other.apply(reader.update(other.covered(), true));
-/// assert_eq!(news[0].kind, ChangeKind::Config(b"routes".to_vec()));
+/// let changes = other.apply(mirror.update(other.covered(), true));
+/// assert_eq!(changes[0].kind, ChangeKind::Config(b"routes".to_vec()));
 /// assert_eq!(other.covered(), 9);
 /// ```
 #[derive(Clone, Debug, Default)]
@@ -88,44 +87,45 @@
     upstreams: HashMap<UpstreamId, (Revision, Upstream)>,
     removed: BTreeMap<Revision, Vec<UpstreamId>>,
     removed_at: HashMap<UpstreamId, Revision>,
-    /// Removals behind this revision are all remembered.
+    /// All removals after this revision are remembered.
     compacted: Revision,
-    /// Counts changes of the copy.
+    /// Number of changes of the mirror so far.
     generation: u64,
-    /// Whether entries of the store were passed over, as they had been removed.
+    /// Whether entries of a restored store were skipped because they had been removed before.
     skipped_removed: bool,
 }
 
 impl Mirror {
-    /// Revision up to which everything is known.
+    /// Returns the revision up to which the mirror has every change.
     pub fn covered(&self) -> Revision {
         self.tracker.covered()
     }
 
-    /// Whether everything up to a revision is known.
+    /// Returns true if the mirror has every change up to a revision.
     pub fn covers(&self, revision: Revision) -> bool {
         self.tracker.covers(revision)
     }
 
-    /// Number that changes whenever what boxes are handed does. A change may come
-    /// before those ahead of it are known, and does not move [`Mirror::covered`]
-    /// then.
+    /// Returns a number that grows whenever the updates for other boxes change.
+    ///
+    /// A change may arrive before earlier ones, and then does not advance
+    /// [`Mirror::covered`].
     pub fn generation(&self) -> u64 {
         self.generation
     }
 
-    /// Notes a change that needs no copy, such as one of the boxes' own
+    /// Marks a change as read whose object is not mirrored, such as one of the boxes' own
     /// objects.
     pub fn mark_read(&mut self, revision: Revision) {
         self.tracker.mark_read(revision);
     }
 
-    /// Notes that everything up to a revision was read.
+    /// Marks all changes up to a revision as read.
     pub fn mark_read_to(&mut self, revision: Revision) {
         self.tracker.mark_read_to(revision);
     }
 
-    /// Takes a configuration; returns whether it is newer than the one here.
+    /// Sets the configuration if the revision is newer; returns whether it was.
     pub fn set_config(&mut self, revision: Revision, config: Vec<u8>) -> bool {
         self.tracker.mark_read(revision);
         let is_new = self.config.as_ref().is_none_or(|(r, _)| *r < revision);
@@ -136,7 +136,7 @@
         is_new
     }
 
-    /// Puts the configuration back that the store's copy has an older one of.
+    /// Puts the newer configuration back after a restored store has returned an older one.
     pub fn restore_config(&mut self, config: Vec<u8>) {
         if let Some((_, known)) = &mut self.config
             && *known != config
@@ -146,8 +146,8 @@
         }
     }
 
-    /// Takes an upstream's entry; returns whether it is newer than what is
-    /// known of it.
+    /// Sets an upstream's entry if the revision is newer than the last known change of it;
+    /// returns whether it was.
     pub fn put(&mut self, revision: Revision, upstream: Upstream) -> bool {
         self.tracker.mark_read(revision);
         if !self.is_newer(&upstream.id, revision) {
@@ -158,26 +158,26 @@
         true
     }
 
-    /// The entry of an upstream.
+    /// Returns the entry of an upstream.
     pub fn upstream(&self, id: &str) -> Option<&Upstream> {
         self.upstreams.get(id).map(|(_, upstream)| upstream)
     }
 
-    /// Believes the store from now on that entries are there which had been removed;
-    /// returns whether it holds some.
+    /// Accepts from now on that a restored store contains entries that had been removed before;
+    /// returns true if such entries were skipped so far.
     pub fn accept_restored(&mut self) -> bool {
         let era = revision::era(self.covered());
-        let old = |r: &Revision| revision::era(*r) < era;
-        let forgotten: Vec<UpstreamId> = {
-            let gone = self.removed_at.iter().filter(|(_, at)| old(at));
-            gone.map(|(id, _)| id.clone()).collect()
+        let is_old = |r: &Revision| revision::era(*r) < era;
+        let accepted: Vec<UpstreamId> = {
+            let removed = self.removed_at.iter().filter(|(_, at)| is_old(at));
+            removed.map(|(id, _)| id.clone()).collect()
         };
-        forgotten.iter().for_each(|id| self.forget_removal(id));
+        accepted.iter().for_each(|id| self.forget_removal(id));
         std::mem::take(&mut self.skipped_removed)
     }
 
-    /// Takes the removal of an entry; returns whether it is newer than what is
-    /// known of it.
+    /// Removes an entry if the revision is newer than the last known change of it; returns
+    /// whether it was.
     pub fn remove(&mut self, revision: Revision, id: &UpstreamId) -> bool {
         self.tracker.mark_read(revision);
         if !self.is_newer(id, revision) {
@@ -188,7 +188,7 @@
         true
     }
 
-    /// Takes a whole list of entries, read at a revision.
+    /// Replaces all entries by a list that was read at a revision.
     pub fn replace_all(&mut self, at: Revision, list: Vec<(Revision, Upstream)>) {
         self.drop_missing(at, list.iter().map(|(_, upstream)| &upstream.id));
         for (revision, upstream) in list {
@@ -200,31 +200,34 @@
             }
         }
         self.generation += 1;
-        // What came and went unseen before the list is not remembered.
+        // Entries that were written and removed before the list was read are unknown here.
         self.compacted = self.compacted.max(at);
     }
 
-    /// All entries.
+    /// Returns all entries.
     pub fn upstreams(&self) -> impl Iterator<Item = &Upstream> {
         self.upstreams.values().map(|(_, upstream)| upstream)
     }
 
-    /// What a box that knows everything up to `after` lacks.
-    pub fn update(&self, after: Revision, sure: bool) -> Update {
-        let whole = after < self.compacted;
-        let after = if whole { 0 } else { after };
-        let config = self.config.iter().filter(|(r, _)| *r > after || whole);
+    /// Returns the update for a box that has everything up to `after`.
+    pub fn update(&self, after: Revision, removals_certain: bool) -> Update {
+        let is_full = after < self.compacted;
+        let after = if is_full { 0 } else { after };
+        let config = self.config.iter().filter(|(r, _)| *r > after || is_full);
         let config = config.map(|(revision, bytes)| Change {
             revision: *revision,
             kind: ChangeKind::Config(bytes.clone()),
         });
-        let present = self.upstreams.values().filter(|(r, _)| *r > after || whole);
+        let present = self
+            .upstreams
+            .values()
+            .filter(|(r, _)| *r > after || is_full);
         let present = present.map(|(revision, upstream)| Change {
             revision: *revision,
             kind: ChangeKind::Put(upstream.clone()),
         });
-        let gone = self.removed.range(after + 1..).filter(|_| !whole);
-        let gone = gone.flat_map(|(revision, ids)| {
+        let removed = self.removed.range(after + 1..).filter(|_| !is_full);
+        let removed = removed.flat_map(|(revision, ids)| {
             ids.iter().map(|id| Change {
                 revision: *revision,
                 kind: ChangeKind::Removed(id.clone()),
@@ -232,37 +235,34 @@
         });
         Update {
             up_to: self.covered(),
-            is_full: whole,
-            removals_certain: sure,
-            changes: config.chain(gone).chain(present).collect(),
+            is_full,
+            removals_certain,
+            changes: config.chain(removed).chain(present).collect(),
         }
     }
 
-    /// Takes what another box handed on; returns what is news here.
+    /// Applies an update from another box; returns the changes that are new to this mirror.
     ///
-    /// A copy that is older than what is known here tells nothing new, and what
-    /// it lacks may have come since.
+    /// A full update that is older than this mirror is ignored: it contains nothing new, and
+    /// entries that it does not contain may have been added since.
     pub fn apply(&mut self, update: Update) -> Vec<Change> {
         if update.is_full && update.up_to < self.covered() {
             return Vec::new();
         }
-        let mut news = Vec::new();
+        let mut new_changes = Vec::new();
         if update.is_full {
             let listed = update.changes.iter().filter_map(|c| match &c.kind {
                 ChangeKind::Put(upstream) => Some(&upstream.id),
                 _ => None,
             });
             let revision = update.up_to;
-            let gone = self.drop_missing(revision, listed).into_iter();
-            let gone = gone.map(ChangeKind::Removed);
-            news.extend(gone.map(|what| Change {
-                revision,
-                kind: what,
-            }));
+            let removed = self.drop_missing(revision, listed).into_iter();
+            let removed = removed.map(ChangeKind::Removed);
+            new_changes.extend(removed.map(|kind| Change { revision, kind }));
         }
         for mut change in update.changes {
             let revision = change.revision;
-            let is_news = match &mut change.kind {
+            let is_new = match &mut change.kind {
                 ChangeKind::Config(bytes) => self.set_config(revision, bytes.clone()),
                 ChangeKind::Put(upstream)
                     if update.is_full && self.was_removed_before(&upstream.id, revision) =>
@@ -277,8 +277,8 @@
                 }
                 ChangeKind::Removed(id) => self.remove(revision, id),
             };
-            if is_news {
-                news.push(change);
+            if is_new {
+                new_changes.push(change);
             }
         }
         if update.is_full {
@@ -286,10 +286,10 @@
             self.generation += 1;
         }
         self.mark_read_to(update.up_to);
-        news
+        new_changes
     }
 
-    /// Drops the entries that a whole copy at a revision lacks; returns them.
+    /// Removes the entries that the full content at a revision does not contain; returns them.
     fn drop_missing<'a>(
         &mut self,
         at: Revision,
@@ -297,22 +297,22 @@
     ) -> Vec<UpstreamId> {
         let listed: HashSet<&UpstreamId> = listed.collect();
         let known = self.upstreams.iter();
-        let lacking = known.filter(|(id, (revision, _))| *revision <= at && !listed.contains(id));
-        let lacking: Vec<UpstreamId> = lacking.map(|(id, _)| id.clone()).collect();
-        for id in &lacking {
+        let missing = known.filter(|(id, (revision, _))| *revision <= at && !listed.contains(id));
+        let missing: Vec<UpstreamId> = missing.map(|(id, _)| id.clone()).collect();
+        for id in &missing {
             self.upstreams.remove(id);
             self.remember_removal(at, id);
         }
-        lacking
+        missing
     }
 
-    /// Whether an entry that a list holds had been removed before the store came back. A
-    /// list may be of the copy's state.
+    /// Returns true if a listed entry had been removed before the store was restored; the list
+    /// may show the state of the backup copy.
     fn was_removed_before(&mut self, id: &UpstreamId, revision: Revision) -> bool {
-        let gone = self.removed_at.get(id);
-        let doubts = gone.is_some_and(|at| revision::era(*at) < revision::era(revision));
-        self.skipped_removed |= doubts;
-        doubts
+        let removed = self.removed_at.get(id);
+        let was_removed = removed.is_some_and(|at| revision::era(*at) < revision::era(revision));
+        self.skipped_removed |= was_removed;
+        was_removed
     }
 
     fn insert(&mut self, revision: Revision, upstream: Upstream) {
@@ -321,7 +321,8 @@
         self.upstreams.insert(id, (revision, upstream));
     }
 
-    /// What an upstream announces, without what the store's copy takes back.
+    /// Returns an upstream's entry, without reverting what is known from before the store was
+    /// restored.
     fn merge_known(&self, revision: Revision, upstream: Upstream) -> Upstream {
         match self.upstreams.get(&upstream.id) {
             Some((at, known)) if revision::era(*at) < revision::era(revision) => {
@@ -333,8 +334,8 @@
 
     fn is_newer(&self, id: &UpstreamId, revision: Revision) -> bool {
         let present = self.upstreams.get(id).map(|(r, _)| *r);
-        let gone = self.removed_at.get(id).copied();
-        present.max(gone).is_none_or(|known| revision > known)
+        let removed = self.removed_at.get(id).copied();
+        present.max(removed).is_none_or(|known| revision > known)
     }
 
     fn remember_removal(&mut self, revision: Revision, id: &UpstreamId) {
--- a/crates/ashgauge/src/poller.rs
+++ b/crates/ashgauge/src/poller.rs
@@ -1,7 +1,7 @@
-//! Whom a box asks for what it lacks, and when.
+//! Polling of other boxes for new data: which box is queried, and when.
 //!
-//! A round asks one box after the other until one answers with knowledge that
-//! is fresh enough. A box that does not answer is passed over for a while.
+//! A round queries one box after another until one answers with data that is fresh enough. A
+//! box that does not answer is skipped for a while.
 
 use std::collections::VecDeque;
 use std::time::Duration;
@@ -12,67 +12,67 @@
 use crate::query::{AnswerBody, QueryId};
 use crate::reader::Backoffs;
 
-/// Questions that may still be answered; answers take milliseconds, and a round
-/// asks some five boxes at the most.
+/// Maximum number of queries whose answers are still accepted. Answers take milliseconds, and
+/// a round queries at most about five boxes.
 const MAX_OPEN_QUERIES: usize = 16;
 
-/// Share of the pause between two rounds that is left to chance, so that boxes
-/// that started together do not ask together.
+/// Random share of the interval between two rounds, so that boxes that were started together
+/// do not send their queries together.
 const JITTER: f64 = 0.2;
 
-/// Bytes that a box hands in a millisecond to each of ten others that fetch together,
-/// over a link of 20 Mbit/s.
+/// Bytes per millisecond that a box sends to each of ten boxes that fetch answers at the same
+/// time, over a link of 20 Mbit/s.
 const BYTES_PER_MS: u64 = 250;
 
-/// The times by which a box asks.
+/// Interval and time limits of the polling.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct PollTiming {
-    /// Time between two rounds.
+    /// Time between the starts of two rounds.
     pub interval: Duration,
-    /// For one answer.
+    /// Time limit for one answer.
     pub answer_timeout: Duration,
-    /// For an answer that is fetched over a connection.
+    /// Base time limit for an answer that is fetched over a connection.
     pub fetch_timeout: Duration,
-    /// Age of knowledge past which another box is asked as well.
+    /// Maximum age of fresh data; if an answer is older, another box is queried as well.
     pub max_age: Duration,
 }
 
-/// What a box does next.
+/// Action that the caller of [`Poller`] has to perform.
 #[derive(Clone, Debug, PartialEq)]
 pub enum PollAction {
-    /// Send this box a question with this number.
+    /// Send a query to a box.
     Query {
-        /// The box.
+        /// Name of the box.
         to: BoxId,
-        /// The question's number.
+        /// Number of the query.
         id: QueryId,
     },
-    /// No box knew enough; comes once a round.
+    /// No box answered with fresh data; returned at most once in a round.
     Failed(PollFailure),
-    /// Look again at this time.
+    /// Call [`Poller::next_action`] again at this time.
     Wait(Duration),
 }
 
-/// What the boxes that were asked in a round lack.
+/// Reason why a round failed; the last one that applies is reported.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, PartialOrd, Ord)]
 pub enum PollFailure {
-    /// None of them answered.
+    /// No box answered.
     #[default]
     NoAnswer,
-    /// Those that answered know too little.
+    /// No answer contained fresh data.
     StaleAnswer,
-    /// One of them has just read the store, which holds nothing to know.
+    /// A box has just read the store, and the store is empty.
     EmptyStore,
 }
 
 impl PollTiming {
-    /// For an answer of so many bytes that is fetched over a connection.
+    /// Returns the time limit for fetching an answer of `bytes` bytes over a connection.
     pub fn fetch_timeout(&self, bytes: u64) -> Duration {
         self.fetch_timeout + Duration::from_millis(bytes / BYTES_PER_MS)
     }
 }
 
-/// Asks other boxes, round after round.
+/// Polls other boxes in rounds.
 ///
 /// # Example
 ///
@@ -82,37 +82,42 @@
 /// use rand::SeedableRng;
 ///
 /// let ms = Duration::from_millis;
-/// let pace = PollTiming { interval: ms(1000), answer_timeout: ms(150), fetch_timeout: ms(1000), max_age: ms(1800) };
-/// let mut asker = Poller::default();
+/// let timing = PollTiming {
+///     interval: ms(1000),
+///     answer_timeout: ms(150),
+///     fetch_timeout: ms(1000),
+///     max_age: ms(1800),
+/// };
+/// let mut poller = Poller::default();
 /// let sources = || vec!["b1".into(), "b2".into()];
 /// let mut rng = rand::rngs::SmallRng::seed_from_u64(1);
-/// let next_action = asker.next_action(ms(0), &pace, sources, &mut rng);
-/// assert!(matches!(next_action, PollAction::Query { to, .. } if &*to == "b1"));
-/// // It is silent, so the next_round one is asked.
-/// let next_action = asker.next_action(ms(150), &pace, sources, &mut rng);
-/// assert!(matches!(next_action, PollAction::Query { to, .. } if &*to == "b2"));
-/// assert!(asker.backoffs.is_backed_off(ms(150), "b1"));
+/// let action = poller.next_action(ms(0), &timing, sources, &mut rng);
+/// assert!(matches!(action, PollAction::Query { to, .. } if &*to == "b1"));
+/// // It does not answer, so the next one is queried.
+/// let action = poller.next_action(ms(150), &timing, sources, &mut rng);
+/// assert!(matches!(action, PollAction::Query { to, .. } if &*to == "b2"));
+/// assert!(poller.backoffs.is_backed_off(ms(150), "b1"));
 /// ```
 #[derive(Debug, Default)]
 pub struct Poller {
-    /// Boxes that did not answer lately.
+    /// Backoffs of boxes that did not answer recently.
     pub backoffs: Backoffs,
     open: VecDeque<OpenQuery>,
-    /// The box whose answer is waited for, and until when.
+    /// The box whose answer is awaited, and until when.
     waiting: Option<(BoxId, Duration)>,
-    /// Boxes to ask in this round if those before know too little.
+    /// Boxes that are still to be queried in this round.
     remaining: VecDeque<BoxId>,
     /// Whether a round is under way.
     in_round: bool,
-    /// What the boxes lack that were asked in this round.
+    /// Why this round has not succeeded so far.
     failure: PollFailure,
-    /// When the next round begins.
+    /// Start of the next round.
     next_round: Duration,
-    /// A box that has said that it knows something new.
+    /// A box that has announced new data.
     changed_box: Option<BoxId>,
 }
 
-/// A question that may still be answered.
+/// A query that may still be answered.
 #[derive(Debug)]
 struct OpenQuery {
     id: QueryId,
@@ -121,12 +126,12 @@
 }
 
 impl Poller {
-    /// What to do at `now`; `sources` names the boxes to ask when a round
-    /// begins.
+    /// Returns the action to perform at `now`; `sources` returns the boxes to query and is
+    /// called when a round begins.
     pub fn next_action(
         &mut self,
         now: Duration,
-        pace: &PollTiming,
+        timing: &PollTiming,
         sources: impl FnOnce() -> Vec<BoxId>,
         rng: &mut impl Rng,
     ) -> PollAction {
@@ -139,7 +144,7 @@
             None => {}
         }
         if !self.in_round && (now >= self.next_round || self.changed_box.is_some()) {
-            self.begin_round(now, pace, sources(), rng);
+            self.begin_round(now, timing, sources(), rng);
         }
         let Some(to) = self.remaining.pop_front() else {
             return match std::mem::take(&mut self.in_round) {
@@ -147,35 +152,35 @@
                 false => PollAction::Wait(self.next_round),
             };
         };
-        self.send_query(now, pace, to, rng)
+        self.send_query(now, timing, to, rng)
     }
 
-    /// Takes the number of an answer; returns when its question was sent, or
-    /// nothing if none with this number went to this box.
+    /// Closes the query that an answer belongs to; returns when the query was sent, or `None`
+    /// if no query with this number was sent to this box.
     pub fn close_query(&mut self, id: QueryId, from: &str) -> Option<Duration> {
-        let mut sent = self.open.iter();
-        let at = sent.position(|s| s.id == id && &*s.to == from)?;
+        let mut open = self.open.iter();
+        let at = open.position(|s| s.id == id && &*s.to == from)?;
         self.open.remove(at).map(|s| s.sent_at)
     }
 
-    /// Takes what a box answered into account.
-    pub fn on_answer(&mut self, now: Duration, pace: &PollTiming, from: &str, body: &AnswerBody) {
+    /// Handles the answer of a box.
+    pub fn on_answer(&mut self, now: Duration, timing: &PollTiming, from: &str, body: &AnswerBody) {
         self.backoffs.clear(from);
         let is_empty =
-            matches!(body, AnswerBody::Empty { asked_ago: Some(age) } if *age <= pace.max_age);
-        let lack = if is_empty {
+            matches!(body, AnswerBody::Empty { asked_ago: Some(age) } if *age <= timing.max_age);
+        let failure = if is_empty {
             PollFailure::EmptyStore
         } else {
             PollFailure::StaleAnswer
         };
-        self.failure = self.failure.max(lack);
+        self.failure = self.failure.max(failure);
         let is_awaited = self.waiting.as_ref().is_some_and(|(to, _)| &**to == from);
         match body {
             AnswerBody::TooLarge { bytes, .. } if is_awaited => {
-                self.waiting = Some((from.into(), now + pace.fetch_timeout(*bytes)));
+                self.waiting = Some((from.into(), now + timing.fetch_timeout(*bytes)));
                 return;
             }
-            AnswerBody::Update { age, .. } if *age <= pace.max_age => {
+            AnswerBody::Update { age, .. } if *age <= timing.max_age => {
                 self.remaining.clear();
                 self.in_round = false;
                 self.waiting = None;
@@ -187,7 +192,7 @@
         }
     }
 
-    /// Notes that a large answer could not be fetched from a box.
+    /// Handles the failure to fetch a large answer from a box.
     pub fn on_fetch_failed(&mut self, now: Duration, from: &BoxId) {
         self.backoffs.back_off(now, from);
         if self.waiting.as_ref().is_some_and(|(to, _)| to == from) {
@@ -195,7 +200,7 @@
         }
     }
 
-    /// Notes that a box knows something new: it is asked at once.
+    /// Handles the announcement of new data by a box: it is queried at once.
     pub fn on_changed(&mut self, from: BoxId) {
         self.changed_box = Some(from);
     }
@@ -203,12 +208,12 @@
     fn begin_round(
         &mut self,
         now: Duration,
-        pace: &PollTiming,
+        timing: &PollTiming,
         sources: Vec<BoxId>,
         rng: &mut impl Rng,
     ) {
-        let part = 1.0 - rng.random_range(0.0..JITTER);
-        self.next_round = now + pace.interval.mul_f64(part);
+        let share = 1.0 - rng.random_range(0.0..JITTER);
+        self.next_round = now + timing.interval.mul_f64(share);
         self.in_round = true;
         self.failure = PollFailure::NoAnswer;
         self.remaining = sources.into();
@@ -221,7 +226,7 @@
     fn send_query(
         &mut self,
         now: Duration,
-        pace: &PollTiming,
+        timing: &PollTiming,
         to: BoxId,
         rng: &mut impl Rng,
     ) -> PollAction {
@@ -229,13 +234,13 @@
             self.open.pop_front();
         }
         let id = rng.random();
-        let sent = OpenQuery {
+        let query = OpenQuery {
             id,
             to: to.clone(),
             sent_at: now,
         };
-        self.open.push_back(sent);
-        self.waiting = Some((to.clone(), now + pace.answer_timeout));
+        self.open.push_back(query);
+        self.waiting = Some((to.clone(), now + timing.answer_timeout));
         PollAction::Query { to, id }
     }
 }
--- a/crates/ashgauge/src/query.rs
+++ b/crates/ashgauge/src/query.rs
@@ -1,12 +1,12 @@
-//! Proofs of freshness that one box takes from another.
+//! Queries by which one box gets the store's content, and a proof of its freshness, from
+//! another box.
 //!
-//! A box asks at its own time `q`; the answer says how old the answering box's
-//! knowledge is at that moment, by its own clock: the time since it sent the
-//! question that proved it. The answer was given after `q`, so what it proves
-//! held at `q` less that age. A slow, frozen or restarted box on either side,
-//! and a datagram that comes late or twice, can only make that moment earlier
-//! than need be. For the same reason a proof may be handed on any number of
-//! times: ages only add up.
+//! A box sends a query at its own time `q`. The answer states the age of the answering box's
+//! data at that moment, by that box's clock: the time since it sent the query that its data is
+//! based on. The answer was given after `q`, so its data was current at `q` minus that age. A
+//! slow, suspended or restarted box on either side, or a late or duplicated datagram, can only
+//! make that time earlier than necessary. For the same reason data can be passed on any number
+//! of times: the ages just add up.
 
 use std::time::Duration;
 
@@ -18,115 +18,115 @@
 use crate::permit;
 use crate::quarantine::{InstanceKey, Report};
 
-/// Number of a question, chosen at random.
+/// Random number that identifies a query.
 pub type QueryId = u64;
 
-/// What a box sends another in one datagram.
+/// Message that a box sends to another in one datagram.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub enum Datagram {
-    /// What a box has on the upstreams.
+    /// Load that the requests of a box put on the upstreams.
     Load(LoadReport),
-    /// What do you know?
+    /// Query for the data of another box.
     #[serde(rename = "Question")]
     Query(Query),
-    /// What this box knows.
+    /// Answer to a query.
     Answer(Answer),
-    /// The box with this name knows something new.
+    /// The box with this name has new data.
     #[serde(rename = "News")]
     Changed(BoxId),
-    /// What the box with this name knows of requests that end upstreams.
+    /// Report by the box with this name of requests that crash upstreams.
     Losses(BoxId, Report),
-    /// May a request go to an upstream that names a limit?
+    /// Request for a permit to send to an upstream that announces a limit.
     AskPermit(permit::PermitRequest),
-    /// Whether it may.
+    /// Reply to a permit request.
     Permit(permit::PermitReply),
-    /// Engines that accept no connections, as the box with this name found or was told; at
+    /// Engines that do not accept connections, as the box with this name found or was told; at
     /// most [`crate::suspicion::MAX_SUSPECTS_SENT`].
     Suspects(BoxId, Vec<InstanceKey>),
 }
 
-/// Asks what another box knows.
+/// Query for the changes that another box has.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub struct Query {
-    /// The box that asks.
+    /// Name of the box that sent the query.
     pub from: BoxId,
-    /// Number of the question.
+    /// Number of the query.
     pub id: QueryId,
-    /// Revision up to which it knows everything.
+    /// Revision up to which the querying box has everything.
     pub after: Revision,
-    /// Ticket of an answer that was too large for a datagram.
+    /// Token of an answer that was too large for a datagram, to fetch it.
     #[serde(rename = "ticket")]
     pub fetch_token: Option<FetchToken>,
 }
 
-/// Lets a box fetch an answer over a connection. It is sent to the address that
-/// the box announced, so nobody else has it.
+/// Token that authorizes a box to fetch an answer over a connection. It is sent only to the
+/// address that the box announced, so no other box has it.
 pub type FetchToken = u64;
 
-/// What a box knows.
+/// Answer to a [`Query`].
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub struct Answer {
-    /// The box that answers.
+    /// Name of the box that answers.
     pub from: BoxId,
-    /// The question that it answers.
+    /// Number of the query.
     pub id: QueryId,
-    /// How many boxes it knows of; 0 if it has not counted them.
+    /// Number of boxes that the answering box knows of; 0 if it has not counted them.
     pub boxes: u32,
-    /// What it says.
+    /// Content of the answer.
     pub body: AnswerBody,
 }
 
-/// What an answer says.
+/// Content of an [`Answer`].
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub enum AnswerBody {
-    /// The box knows nothing yet.
+    /// The answering box has no data yet.
     #[serde(rename = "Nothing")]
     Empty {
-        /// How long ago it asked the store, if that held nothing to know.
+        /// Time since it last read the store, if the store was empty then.
         #[serde(rename = "asked")]
         asked_ago: Option<Duration>,
     },
-    /// What the asking box lacks.
+    /// Changes that the querying box lacks.
     #[serde(rename = "Known")]
     Update {
-        /// Age of the proof that it is still so.
+        /// Age of the data: the time since the query that it is based on was sent.
         age: Duration,
-        /// What it lacks.
+        /// The changes.
         update: Update,
     },
-    /// The same in few bytes, for an answer that is fetched.
+    /// The same in compressed form, for an answer that is fetched over a connection.
     #[serde(rename = "Packed")]
     Compressed {
-        /// Age of the proof that it is still so.
+        /// Age of the data: the time since the query that it is based on was sent.
         age: Duration,
-        /// The update, packed.
+        /// The encoded and compressed update.
         bytes: Vec<u8>,
     },
-    /// It is too large for a datagram.
+    /// The answer is too large for a datagram.
     #[serde(rename = "Large")]
     TooLarge {
-        /// Lets it be fetched.
+        /// Token to fetch the answer with.
         #[serde(rename = "ticket")]
         fetch_token: FetchToken,
-        /// Its size in bytes.
+        /// Size of the answer in bytes.
         bytes: u64,
     },
 }
 
-/// Moment as of which an answer proves what a box knows, by the clock of the
-/// box that asked; nothing if that is before its clock began.
-pub fn proven_at(asked: Duration, age: Duration) -> Option<Duration> {
-    asked.checked_sub(age)
+/// Returns the time at which the data of an answer was current, by the clock of the box that
+/// sent the query at `asked_at`; `None` if that is before the start of that clock.
+pub fn proven_at(asked_at: Duration, age: Duration) -> Option<Duration> {
+    asked_at.checked_sub(age)
 }
 
 impl Datagram {
-    /// The box that sent it.
+    /// Returns the name of the box that sent the datagram.
     pub fn from(&self) -> &BoxId {
         match self {
-            Datagram::Load(word) => &word.from,
-            Datagram::Query(question) => &question.from,
+            Datagram::Load(report) => &report.from,
+            Datagram::Query(query) => &query.from,
             Datagram::Answer(answer) => &answer.from,
-            Datagram::AskPermit(ask) => &ask.from,
+            Datagram::AskPermit(request) => &request.from,
             Datagram::Permit(reply) => &reply.from,
             Datagram::Changed(from) | Datagram::Losses(from, _) | Datagram::Suspects(from, _) => {
                 from
--- a/crates/ashgauge/src/reader.rs
+++ b/crates/ashgauge/src/reader.rs
@@ -1,10 +1,10 @@
-//! Which boxes read the store for the others, and whom the others ask.
+//! Selection of the boxes that read the store, the readers, and of the boxes that others query.
 //!
-//! A few boxes read: those with the fastest links, and of like ones those with the
-//! highest random weights, among the boxes that answer, spread over the data
-//! centres. Nothing is agreed on. Two views of who reads
-//! cost calls of the store, never safety, since what a box may believe rests on
-//! the answers that it gets ([`crate::query`]), whoever gave them.
+//! A few boxes read the store for all: among the boxes that answer, those with the fastest
+//! links, and among equal links those with the highest hash weights, spread over the data
+//! centres. There is no agreement between boxes. Different views of which boxes are readers
+//! cost extra calls of the store, but never safety: what a box may rely on depends on the
+//! answers that it gets ([`crate::query`]), no matter which box gave them.
 
 use std::cmp::Reverse;
 use std::collections::{HashMap, HashSet};
@@ -15,51 +15,52 @@
 
 use crate::member::BoxId;
 
-/// Readers that the whole fleet has at least, so that the loss of one leaves
-/// others that know everything.
+/// Minimum number of readers in the fleet, so that after the loss of one, others still have
+/// the full data.
 const MIN_READERS: usize = 3;
 
-/// Boxes that one reader informs at least, however slow its link.
+/// Minimum number of boxes that a reader is expected to serve, however slow its link is.
 const MIN_READER_BOXES: usize = 30;
 
-/// The same at most: each keeps a connection open for a moment when all start.
+/// Maximum number of boxes that a reader is expected to serve; when all boxes start, each of
+/// them briefly keeps a connection to it open.
 pub const MAX_READER_BOXES: usize = 100;
 
-/// Mbit/s of a reader's link for each box that it informs: a whole copy takes a few
-/// Mbit, and all boxes are to have theirs within two seconds.
+/// Bandwidth of a reader's link, in Mbit/s, needed for each box that it serves: a full update
+/// takes a few Mbit, and all boxes should have theirs within two seconds.
 const MBPS_PER_BOX: usize = 2;
 
-/// Boxes besides the readers that are asked when none of those answers.
+/// Number of boxes that are not readers and are queried if no reader answers.
 const SPARE_SOURCES: usize = 1;
 
-/// Boxes that are asked in one round at most: more would only take longer.
+/// Maximum number of boxes that are queried in one round; more would only take longer.
 const MAX_SOURCES: usize = 5;
 
-/// How long a box that did not answer is passed over; doubled each time.
+/// How long a box is skipped after it did not answer; doubled with each further time.
 const MIN_BACKOFF: Duration = Duration::from_secs(1);
 
-/// Longest time for which it is passed over: boxes that are gone for good stay
-/// listed.
+/// Longest time for which a box is skipped. Boxes that never return stay listed, so the
+/// backoff must be long enough for them.
 const MAX_BACKOFF: Duration = Duration::from_secs(30);
 
-/// Seed of the weights by which boxes become readers.
+/// Seed of the hash weights by which readers are selected.
 const READER_SEED: u64 = 1;
 
-/// Fastest link that is told from others, in Mbit/s.
+/// Link bandwidth, in Mbit/s, above which links are treated as equal.
 const MAX_LINK_MBPS: u32 = 999_999;
 
 /// A box of the fleet, as it announced itself.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Member {
-    /// Its name.
+    /// Name of the box.
     pub id: BoxId,
-    /// Its data centre.
+    /// Data centre of the box.
     pub data_centre: Arc<str>,
-    /// What its link carries, in Mbit/s; 0 if it did not say.
+    /// Bandwidth of its link, in Mbit/s; 0 if it did not announce one.
     pub link_mbps: u32,
 }
 
-/// Boxes that did not answer lately.
+/// Backoffs of boxes that did not answer recently.
 #[derive(Debug, Default)]
 pub struct Backoffs {
     boxes: HashMap<BoxId, Backoff>,
@@ -71,53 +72,52 @@
     delay: Duration,
 }
 
-/// What a box knows of the fleet.
+/// The fleet, as one box knows it.
 #[derive(Clone, Debug, Default)]
 pub struct Fleet {
-    /// Boxes that may read: those that all boxes know.
+    /// Boxes that may become readers: those that all boxes know of.
     pub candidates: Vec<Member>,
-    /// How many boxes there are.
+    /// Number of boxes in the fleet.
     pub box_count: usize,
-    /// Readers, if not the usual number of them.
+    /// Number of readers, if it is configured; otherwise [`reader_count`] is used.
     pub reader_count: Option<usize>,
 }
 
-/// The readers, as one box sees them.
+/// The readers, from the view of one box.
 #[derive(Clone, Debug, Default, PartialEq)]
 pub struct Readers {
-    /// Whether this box is one.
+    /// Whether this box is a reader.
     pub includes_self: bool,
-    /// Whether there are boxes that do not read.
+    /// Whether there are boxes that are not readers.
     pub has_followers: bool,
-    /// All of them.
+    /// Names of all readers.
     pub ids: Vec<BoxId>,
-    /// Boxes to ask, the first first.
+    /// Boxes to query, in this order.
     pub sources: Vec<BoxId>,
 }
 
 impl Backoffs {
-    /// Notes that a box did not answer.
+    /// Starts or doubles the backoff of a box that did not answer.
     pub fn back_off(&mut self, now: Duration, id: &BoxId) {
-        let before = self.boxes.get(id);
-        let time = before.map_or(MIN_BACKOFF, |s| (s.delay * 2).min(MAX_BACKOFF));
-        let until = now + time;
-        self.boxes
-            .insert(id.clone(), Backoff { until, delay: time });
+        let previous = self.boxes.get(id);
+        let delay = previous.map_or(MIN_BACKOFF, |s| (s.delay * 2).min(MAX_BACKOFF));
+        let until = now + delay;
+        self.boxes.insert(id.clone(), Backoff { until, delay });
     }
 
-    /// Notes that a box answered.
+    /// Ends the backoff of a box that answered.
     pub fn clear(&mut self, id: &str) {
         self.boxes.remove(id);
     }
 
-    /// Whether a box is passed over.
+    /// Returns true if a box must be skipped at `now`.
     pub fn is_backed_off(&self, now: Duration, id: &str) -> bool {
         self.boxes.get(id).is_some_and(|s| now < s.until)
     }
 }
 
-/// Name under which a box is listed, so that the first page of a list in the order
-/// of names holds the boxes that read for the others.
+/// Returns the name under which a box announces itself in the store. The store lists names in
+/// order, so the first page of the list contains the preferred readers.
 ///
 /// # Example
 ///
@@ -126,14 +126,14 @@
 ///
 /// assert!(listing_key(1000, "z") < listing_key(20, "a"));
 /// ```
-pub fn listing_key(link: u32, id: &str) -> String {
-    let slowness = MAX_LINK_MBPS - link.min(MAX_LINK_MBPS);
+pub fn listing_key(link_mbps: u32, id: &str) -> String {
+    let slowness = MAX_LINK_MBPS - link_mbps.min(MAX_LINK_MBPS);
     let weight = u64::MAX - weight(id, READER_SEED);
     format!("{slowness:06}-{weight:016x}-{id}")
 }
 
-/// How many of the boxes read in a fleet of so many, by the links of those that read
-/// first.
+/// Returns the number of readers for a fleet of `box_count` boxes, given the link bandwidths (in
+/// Mbit/s) of the candidates in order of preference.
 ///
 /// # Example
 ///
@@ -144,29 +144,34 @@
 /// assert_eq!(reader_count(295, 3, std::iter::repeat(1000)), 3);
 /// assert_eq!(reader_count(1, 1, std::iter::repeat(20)), 1);
 /// ```
-pub fn reader_count(boxes: usize, places: usize, links: impl Iterator<Item = u32>) -> usize {
-    // One in each data centre that is worth it, so that most need not ask far away.
-    let least = places
-        .min(boxes.div_ceil(MIN_READER_BOXES))
+pub fn reader_count(
+    box_count: usize,
+    data_centres: usize,
+    links: impl Iterator<Item = u32>,
+) -> usize {
+    // One for each data centre if the fleet is large enough, so that most boxes need not
+    // query another data centre.
+    let min = data_centres
+        .min(box_count.div_ceil(MIN_READER_BOXES))
         .max(MIN_READERS);
-    let mut informed = 0;
+    let mut capacity = 0;
     let needed = links.take_while(|link| {
-        let lacks = informed < boxes;
-        informed += box_capacity(*link);
-        lacks
+        let is_needed = capacity < box_count;
+        capacity += box_capacity(*link);
+        is_needed
     });
-    needed.take(boxes).count().max(least).min(boxes)
+    needed.take(box_count).count().max(min).min(box_count)
 }
 
-/// Boxes that a reader with this link informs.
-fn box_capacity(link: u32) -> usize {
-    (link as usize / MBPS_PER_BOX).clamp(MIN_READER_BOXES, MAX_READER_BOXES)
+/// Returns the number of boxes that a reader with this bandwidth (in Mbit/s) can serve.
+fn box_capacity(link_mbps: u32) -> usize {
+    (link_mbps as usize / MBPS_PER_BOX).clamp(MIN_READER_BOXES, MAX_READER_BOXES)
 }
 
-/// Chooses the readers among a fleet's candidates, and whom the box `me` asks.
+/// Selects the readers among the fleet's candidates, and the boxes that the box `own` queries.
 ///
-/// The data centres take turns, so that readers stand in as many of them as
-/// there are readers.
+/// The data centres take turns, so that the readers are spread over as many data centres as
+/// possible.
 ///
 /// # Example
 ///
@@ -177,43 +182,43 @@
 /// let member = |id: &str| Member { id: id.into(), data_centre: "a".into(), link_mbps: 0 };
 /// let candidates = vec![member("b1"), member("b2"), member("b3")];
 /// let fleet = Fleet { candidates, box_count: 3, reader_count: Some(1) };
-/// let choose = |me: &Member| choose(me, &fleet, &Backoffs::default(), Duration::ZERO);
+/// let choose = |own: &Member| choose(own, &fleet, &Backoffs::default(), Duration::ZERO);
 /// let readers: Vec<_> = fleet.candidates.iter().filter(|m| choose(m).includes_self).collect();
 /// assert_eq!(readers.len(), 1);
 /// ```
-pub fn choose(me: &Member, fleet: &Fleet, silences: &Backoffs, now: Duration) -> Readers {
-    let heard = |m: &&Member| m.id == me.id || !silences.is_backed_off(now, &m.id);
-    let ranked = rank(fleet.candidates.iter().filter(heard).collect());
-    let usual = || {
-        let places: HashSet<&str> = ranked.iter().map(|m| &*m.data_centre).collect();
+pub fn choose(own: &Member, fleet: &Fleet, backoffs: &Backoffs, now: Duration) -> Readers {
+    let is_usable = |m: &&Member| m.id == own.id || !backoffs.is_backed_off(now, &m.id);
+    let ranked = rank(fleet.candidates.iter().filter(is_usable).collect());
+    let default_count = || {
+        let data_centres: HashSet<&str> = ranked.iter().map(|m| &*m.data_centre).collect();
         reader_count(
             fleet.box_count,
-            places.len(),
+            data_centres.len(),
             ranked.iter().map(|m| m.link_mbps),
         )
     };
-    let most = fleet.reader_count.unwrap_or_else(usual).max(1);
-    let readers = &ranked[..most.min(ranked.len())];
+    let count = fleet.reader_count.unwrap_or_else(default_count).max(1);
+    let readers = &ranked[..count.min(ranked.len())];
     let mut sources: Vec<&Member> = readers.to_vec();
-    // Questions go to the nearest, and are spread over those.
+    // Queries go to readers in the own data centre first, and are spread over those.
     sources.sort_by_cached_key(|m| {
         (
-            m.data_centre != me.data_centre,
-            Reverse(pair_weight(me, &m.id)),
+            m.data_centre != own.data_centre,
+            Reverse(pair_weight(own, &m.id)),
         )
     });
-    sources.extend(ranked.iter().skip(most).take(SPARE_SOURCES));
-    let sources = sources.iter().filter(|m| m.id != me.id);
+    sources.extend(ranked.iter().skip(count).take(SPARE_SOURCES));
+    let sources = sources.iter().filter(|m| m.id != own.id);
     Readers {
-        includes_self: readers.iter().any(|m| m.id == me.id),
-        has_followers: ranked.len().max(fleet.box_count) > most,
+        includes_self: readers.iter().any(|m| m.id == own.id),
+        has_followers: ranked.len().max(fleet.box_count) > count,
         ids: readers.iter().map(|m| m.id.clone()).collect(),
         sources: sources.map(|m| m.id.clone()).take(MAX_SOURCES).collect(),
     }
 }
 
-/// Boxes in the order in which they become readers: those with fast links first, as
-/// after the loss of all boxes a slow one takes seconds to inform the others.
+/// Sorts boxes by preference as readers: fast links first, since after the loss of all boxes a
+/// reader with a slow link needs seconds to serve the others.
 fn rank(mut boxes: Vec<&Member>) -> Vec<&Member> {
     boxes.sort_by_cached_key(|m| Reverse((m.link_mbps, weight(&m.id, READER_SEED))));
     let mut turns: HashMap<&str, usize> = HashMap::new();
@@ -231,8 +236,8 @@
     xxh3_64_with_seed(id.as_bytes(), seed)
 }
 
-/// Weight of a box for one that asks, so that questions spread over the
-/// readers.
-fn pair_weight(me: &Member, id: &str) -> u64 {
-    weight(id, weight(&me.id, READER_SEED))
+/// Returns the hash weight of a box for the box that queries, so that queries are spread over
+/// the readers.
+fn pair_weight(own: &Member, id: &str) -> u64 {
+    weight(id, weight(&own.id, READER_SEED))
 }
--- a/crates/ashgauge/src/revision.rs
+++ b/crates/ashgauge/src/revision.rs
@@ -1,25 +1,27 @@
-//! Revisions of a store whose count of changes may go back.
+//! Revisions of a store whose change counter may go back.
 //!
-//! A store that comes back from a copy gives out numbers again. It says how often it did,
-//! its era, and a change of a later era is later than any of an earlier one. So a revision
-//! holds both, the era in its upper bits, and revisions are compared as the numbers that
-//! they are.
+//! A store that is restored from a backup copy uses numbers of its counter again. It reports
+//! how often it was restored, its era, and a change of a later era is later than any change
+//! of an earlier one. A revision contains both, with the era in the upper bits, so that
+//! revisions can be compared as plain numbers.
 
-/// A change of the store: its era, and its count within it.
+/// Identifies a change of the store: the era and the counter within it.
 pub type Revision = u64;
 
-/// How often the store has come back from a copy.
+/// How often the store was restored from a backup copy.
 pub type Era = u64;
 
-/// Bits of a revision that hold the count. With eras below 512 a revision is a whole
-/// number that any reader of JSON can hold.
+/// Bits of a revision that hold the counter. With eras below 512, a revision is below 2^53,
+/// so every JSON parser reads it as an exact integer.
 const COUNT_BITS: u32 = 44;
 
-/// Largest count, and largest era, that a revision holds.
+/// Largest counter value that a revision can hold.
 const MAX_COUNT: u64 = (1 << COUNT_BITS) - 1;
+/// Largest era that a revision can hold.
 const MAX_ERA: Era = (1 << (u64::BITS - COUNT_BITS)) - 1;
 
-/// The revision of a change that the store counts as `count` in an era.
+/// Returns the revision of the change with number `count` in an era; both are capped at what
+/// a revision can hold.
 ///
 /// # Example
 ///
@@ -34,12 +36,12 @@
     era.min(MAX_ERA) << COUNT_BITS | count.min(MAX_COUNT)
 }
 
-/// The era of a revision.
+/// Returns the era of a revision.
 pub fn era(revision: Revision) -> Era {
     revision >> COUNT_BITS
 }
 
-/// What the store counts a revision as.
+/// Returns the store's counter value of a revision.
 pub fn count(revision: Revision) -> u64 {
     revision & MAX_COUNT
 }
