--- a/crates/ashctl/src/args.rs
+++ b/crates/ashctl/src/args.rs
@@ -1,4 +1,4 @@
-//! The command line.
+//! Command-line arguments.
 
 use std::path::PathBuf;
 use std::time::Duration;
@@ -8,7 +8,7 @@
 use operator::OperatorClient;
 
 const HELP: &str = "\
-usage: ashctl [OPTIONS] VERB
+usage: ashctl [OPTIONS] COMMAND
 
 the table
   show                             the table as a spreadsheet
@@ -38,14 +38,14 @@
   --who NAME               operator's name in the history (default: USER)
   --id ID                  id of the edit, to send the same edit again
   --seen VALUE             with set: value the cell must still have
-  --base FILE              with import: the CSV that the file was made from
+  --base FILE              with import: the CSV that the file is based on
   --request N              with timeline: one request
   --upstream NAME          with timeline: one upstream
-  --last-ms N              with timeline: only the last so many milliseconds
+  --last-ms N              with timeline: only the last N milliseconds
 
-exit codes: 0 done, 1 refused, 2 wrong call or no box, 3 not known";
+exit codes: 0 done, 1 refused, 2 invalid call or no box, 3 unknown";
 
-/// What to do.
+/// Command to run.
 pub enum Command {
     /// Show the table.
     Show,
@@ -63,58 +63,58 @@
     Status,
     /// Show the upstreams.
     Upstreams,
-    /// Show who holds a model's layers.
+    /// Show which upstreams hold which layers of a model.
     Chains(String),
-    /// Show what a box that hands requests on whole knows.
+    /// Show the state of a box that forwards requests as a whole.
     Relay,
-    /// Show the lease.
+    /// Show which box holds the lease for orders.
     Leases,
     /// Drain a box.
     Drain,
-    /// Show the merged time line.
+    /// Show the merged timeline of all boxes.
     Timeline,
-    /// Hash a key.
+    /// Hash a bearer key.
     HashKey,
 }
 
-/// The whole command line.
+/// Parsed command line.
 pub struct Args {
-    /// Verb with its words.
+    /// Command with its arguments.
     pub command: Command,
-    /// Operators' port.
+    /// Address of the box's operator port.
     pub box_addr: String,
     /// Operators' credential.
     pub credential: String,
-    /// JSON output.
+    /// Print JSON.
     pub json: bool,
-    /// Wait until an edit is in force.
+    /// After an edit, wait until it is in force on all boxes.
     pub wait: bool,
-    /// How long.
+    /// Time limit of that wait.
     pub wait_timeout: Duration,
-    /// Operator.
+    /// Operator's name in the history.
     pub who: String,
-    /// Id of the edit.
+    /// Id of the edit, to send the same edit again.
     pub id: Option<String>,
-    /// Value that a cell must still have.
+    /// Value that the cell to set must still have.
     pub seen: Option<String>,
-    /// CSV that an import was made from.
+    /// CSV file that the imported file is based on.
     pub base: Option<PathBuf>,
-    /// Only this request.
+    /// Show only records of this request.
     pub request: Option<u64>,
-    /// Only this upstream.
+    /// Show only records that name this upstream.
     pub upstream: Option<String>,
-    /// Only the last so many milliseconds.
+    /// Show only records of the last so many milliseconds.
     pub last_ms: Option<u64>,
 }
 
 impl Args {
-    /// The box given.
+    /// Returns a client of the given box.
     pub fn operator(&self) -> OperatorClient {
         OperatorClient::new(&self.box_addr, &self.credential)
     }
 }
 
-/// Reads the command line.
+/// Parses the command line.
 pub fn parse() -> Result<Args> {
     let env = |name: &str| std::env::var(name).unwrap_or_default();
     let mut args = Args {
@@ -132,11 +132,11 @@
         upstream: None,
         last_ms: None,
     };
-    let mut words = Vec::new();
+    let mut positional = Vec::new();
     let mut parser = lexopt::Parser::from_env();
     while let Some(arg) = parser.next()? {
         match arg {
-            Value(word) => words.push(word.string()?),
+            Value(arg) => positional.push(arg.string()?),
             Long("box") => args.box_addr = parser.value()?.string()?,
             Long("credential-file") => args.credential = read_file(&parser.value()?.string()?)?,
             Long("json") => args.json = true,
@@ -163,17 +163,17 @@
     if args.who.is_empty() {
         args.who = "operator".into();
     }
-    args.command = parse_command(words)?;
-    let local = matches!(args.command, Command::Columns | Command::HashKey);
-    if args.box_addr.is_empty() && !local {
+    args.command = parse_command(positional)?;
+    let is_local = matches!(args.command, Command::Columns | Command::HashKey);
+    if args.box_addr.is_empty() && !is_local {
         bail!("no box given; use --box ADDR or set ASHCTL_BOX");
     }
     Ok(args)
 }
 
-fn parse_command(words: Vec<String>) -> Result<Command> {
-    let words: Vec<&str> = words.iter().map(String::as_str).collect();
-    Ok(match words.as_slice() {
+fn parse_command(args: Vec<String>) -> Result<Command> {
+    let args: Vec<&str> = args.iter().map(String::as_str).collect();
+    Ok(match args.as_slice() {
         ["show"] => Command::Show,
         ["columns"] => Command::Columns,
         ["set", cells @ ..] if !cells.is_empty() && cells.len() % 3 == 0 => {
@@ -196,8 +196,13 @@
         ["drain"] => Command::Drain,
         ["timeline"] => Command::Timeline,
         ["hash-key"] => Command::HashKey,
-        [] => bail!("no verb given\n{HELP}"),
-        other => return Err(eyre!("no verb `{}`; see ashctl --help", other.join(" "))),
+        [] => bail!("no command given\n{HELP}"),
+        other => {
+            return Err(eyre!(
+                "unknown command `{}`; see ashctl --help",
+                other.join(" ")
+            ));
+        }
     })
 }
 
--- a/crates/ashctl/src/fleet.rs
+++ b/crates/ashctl/src/fleet.rs
@@ -1,4 +1,4 @@
-//! Verbs about the fleet.
+//! Commands about the fleet.
 
 use std::time::{Duration, Instant};
 
@@ -13,22 +13,23 @@
 use crate::sheet::align;
 use crate::{EXIT_FAILED, EXIT_OK, EXIT_UNKNOWN};
 
+/// Interval at which [`wait_in_force`] queries the boxes.
 const POLL_INTERVAL: Duration = Duration::from_millis(50);
 
-/// `status`.
+/// Runs `status`: shows every box.
 pub async fn status(args: &Args) -> Result<i32> {
-    let mut all = Vec::new();
+    let mut statuses = Vec::new();
     let mut missing = Vec::new();
     for (id, operator) in boxes(args).await? {
         match operator.status().await {
-            Ok(status) => all.push(status),
+            Ok(status) => statuses.push(status),
             Err(e) => missing.push(format!("{id}: {e}")),
         }
     }
     if args.json {
-        println!("{}", serde_json::to_string_pretty(&all)?);
+        println!("{}", serde_json::to_string_pretty(&statuses)?);
     } else {
-        print!("{}", format_status(&all));
+        print!("{}", format_status(&statuses));
     }
     missing.iter().for_each(|m| eprintln!("ashctl: {m}"));
     Ok(if missing.is_empty() {
@@ -38,15 +39,15 @@
     })
 }
 
-/// `upstreams`.
+/// Runs `upstreams`: shows the upstreams as one box knows them.
 pub async fn upstreams(args: &Args) -> Result<i32> {
     let status = args.operator().status().await?;
     if args.json {
         println!("{}", serde_json::to_string_pretty(&status.upstreams)?);
         return Ok(EXIT_OK);
     }
-    let head = ["UPSTREAM", "STATE", "HELD", "WINDOW", "LINK US", "HOLDS"];
-    let mut lines = vec![head.map(String::from).to_vec()];
+    let header = ["UPSTREAM", "STATE", "HELD", "WINDOW", "LINK US", "HOLDS"];
+    let mut lines = vec![header.map(String::from).to_vec()];
     for u in &status.upstreams {
         let state = match (u.state, u.suspect) {
             (MemberState::Leaving, _) => "leaving",
@@ -66,7 +67,7 @@
     Ok(EXIT_OK)
 }
 
-/// `chains`.
+/// Runs `chains`: shows which upstreams hold which layers of a model.
 pub async fn chains(args: &Args, model: &str) -> Result<i32> {
     let status = args.operator().status().await?;
     let mut lines = vec![["LAYERS", "UPSTREAM", "STATE"].map(String::from).to_vec()];
@@ -89,7 +90,7 @@
     Ok(EXIT_OK)
 }
 
-/// `leases`.
+/// Runs `leases`: shows which box holds the lease for orders.
 pub async fn leases(args: &Args) -> Result<i32> {
     let mut found = Vec::new();
     for (id, operator) in boxes(args).await? {
@@ -112,14 +113,14 @@
     Ok(EXIT_OK)
 }
 
-/// `drain`.
+/// Runs `drain`: starts to drain a box.
 pub async fn drain(args: &Args) -> Result<i32> {
     args.operator().drain().await?;
     println!("draining");
     Ok(EXIT_OK)
 }
 
-/// `timeline`.
+/// Runs `timeline`: shows the records of all boxes in one order.
 pub async fn timeline(args: &Args) -> Result<i32> {
     let mut records = Vec::new();
     let mut code = EXIT_OK;
@@ -154,16 +155,16 @@
     Ok(code)
 }
 
-/// Waits until every box has the version in force.
+/// Waits until the table version is in force on every box.
 pub async fn wait_in_force(args: &Args, version: Version) -> Result<i32> {
-    let until = Instant::now() + args.wait_timeout;
+    let deadline = Instant::now() + args.wait_timeout;
     loop {
-        let behind = lagging_boxes(args, version).await?;
-        if behind.is_empty() {
+        let lagging = lagging_boxes(args, version).await?;
+        if lagging.is_empty() {
             return Ok(EXIT_OK);
         }
-        if Instant::now() >= until {
-            eprintln!("ashctl: not yet in force on {}", behind.join(", "));
+        if Instant::now() >= deadline {
+            eprintln!("ashctl: not yet in force on {}", lagging.join(", "));
             return Ok(EXIT_UNKNOWN);
         }
         tokio::time::sleep(POLL_INTERVAL).await;
@@ -171,32 +172,32 @@
 }
 
 async fn lagging_boxes(args: &Args, version: Version) -> Result<Vec<String>> {
-    let mut behind = Vec::new();
+    let mut lagging = Vec::new();
     for (id, operator) in boxes(args).await? {
         let status = operator.status().await;
         if !status.is_ok_and(|s| s.version >= version) {
-            behind.push(id);
+            lagging.push(id);
         }
     }
-    Ok(behind)
+    Ok(lagging)
 }
 
-/// The operators' ports of all boxes, by the box given.
+/// Returns the names and operator API clients of all boxes that the given box knows of.
 async fn boxes(args: &Args) -> Result<Vec<(String, OperatorClient)>> {
     let first = args.operator();
     let listed = first.boxes().await?.boxes;
     if listed.is_empty() {
         return Ok(vec![(args.box_addr.clone(), first)]);
     }
-    let port = |addr: &str| OperatorClient::new(addr, &args.credential);
+    let client = |addr: &str| OperatorClient::new(addr, &args.credential);
     Ok(listed
         .iter()
-        .map(|b| (b.id.to_string(), port(&b.operator_addr)))
+        .map(|b| (b.id.to_string(), client(&b.operator_addr)))
         .collect())
 }
 
-fn format_status(all: &[Status]) -> String {
-    let head = [
+fn format_status(statuses: &[Status]) -> String {
+    let header = [
         "BOX",
         "DATA CENTRE",
         "STATE",
@@ -206,8 +207,8 @@
         "DONE",
         "TOKENS",
     ];
-    let mut lines = vec![head.map(String::from).to_vec()];
-    for s in all {
+    let mut lines = vec![header.map(String::from).to_vec()];
+    for s in statuses {
         let state = match (s.draining, s.ready) {
             (true, _) => "draining",
             (_, true) => "ready",
@@ -236,8 +237,8 @@
     request && upstream
 }
 
-fn mentions(what: &RecordKind, id: &str) -> bool {
-    match what {
+fn mentions(kind: &RecordKind, id: &str) -> bool {
+    match kind {
         RecordKind::Chosen { stages, .. } | RecordKind::Replaced { stages, .. } => {
             stages.iter().any(|s| &*s.upstream == id)
         }
@@ -253,10 +254,10 @@
 
 fn format_record(record: &Record) -> Result<String> {
     let request = record.request.map_or(String::new(), |id| format!(" #{id}"));
-    let what = serde_json::to_string(&record.kind)?;
+    let kind = serde_json::to_string(&record.kind)?;
     let at = record.at;
     Ok(format!(
-        "{}.{:02} {}{request} {what}",
+        "{}.{:02} {}{request} {kind}",
         at.wall_ms, at.counter, record.box_id
     ))
 }
--- a/crates/ashctl/src/main.rs
+++ b/crates/ashctl/src/main.rs
@@ -9,13 +9,13 @@
 use args::{Args, Command};
 use eyre::Result;
 
-/// Everything went as asked.
+/// Exit code: success.
 const EXIT_OK: i32 = 0;
-/// The fleet refused, such as an edit that met another.
+/// Exit code: the fleet refused, such as an edit that conflicts with another.
 const EXIT_REFUSED: i32 = 1;
-/// The call was wrong, or no box could be asked.
+/// Exit code: the command line is invalid, or no box could be reached.
 const EXIT_FAILED: i32 = 2;
-/// Nobody knows yet: an edit without an answer, or a wait that took too long.
+/// Exit code: the result is unknown, after an edit without a response or a wait that timed out.
 const EXIT_UNKNOWN: i32 = 3;
 
 #[tokio::main(flavor = "current_thread")]
--- a/crates/ashctl/src/relay.rs
+++ b/crates/ashctl/src/relay.rs
@@ -1,4 +1,4 @@
-//! What a box that hands requests on whole knows of the fleet.
+//! Command `relay`: the state of a box that forwards requests as a whole.
 
 use std::time::Duration;
 
@@ -9,36 +9,36 @@
 
 use crate::args::Args;
 
-/// For the box's answer.
+/// Time limit for the box's response.
 const REPLY_TIMEOUT: Duration = Duration::from_secs(3);
 
-/// Shows one box's view; `--box` is the address of its metrics.
+/// Shows the box's view of the fleet; `--box` is the address of its metrics port.
 ///
 /// # Errors
 ///
-/// Fails if the box gives no answer that can be read.
+/// Fails if the box cannot be reached or sends no valid response.
 pub async fn status(args: &Args) -> Result<i32> {
     let request = Request::builder()
         .uri("/status")
         .header("host", &args.box_addr)
         .body(Full::default())?;
     let client = Client::new(REPLY_TIMEOUT);
-    let answer = client.send(&args.box_addr, request, REPLY_TIMEOUT).await;
-    let answer = answer.wrap_err_with(|| {
+    let response = client.send(&args.box_addr, request, REPLY_TIMEOUT).await;
+    let response = response.wrap_err_with(|| {
         format!(
-            "no answer from {}; give the metrics' address",
+            "no answer from {}; --box must be the address of its metrics port",
             args.box_addr
         )
     })?;
-    if answer.status() != StatusCode::OK {
-        bail!("{} answered {}", args.box_addr, answer.status());
+    if response.status() != StatusCode::OK {
+        bail!("{} answered {}", args.box_addr, response.status());
     }
-    let text = std::str::from_utf8(answer.body())?;
+    let body = std::str::from_utf8(response.body())?;
     if args.json {
-        println!("{text}");
+        println!("{body}");
         return Ok(crate::EXIT_OK);
     }
-    print_status(&serde_json::from_str(text)?);
+    print_status(&serde_json::from_str(body)?);
     Ok(crate::EXIT_OK)
 }
 
@@ -74,9 +74,9 @@
             Value::Array(l) if l.len() == 2 => format!("{}-{}", l[0], l[1]),
             _ => "-".into(),
         };
-        let answer = u["answer_ms"].as_f64().unwrap_or(0.0);
+        let answer_ms = u["answer_ms"].as_f64().unwrap_or(0.0);
         println!(
-            "{:14} {:14} {:10} {layers:>9} {:>8} {answer:>9.0}  {}",
+            "{:14} {:14} {:10} {layers:>9} {:>8} {answer_ms:>9.0}  {}",
             text("id"),
             text("service"),
             text("data_centre"),
@@ -86,7 +86,7 @@
     }
 }
 
-/// What the box has of the fleet's retries, by service.
+/// Prints the box's part of the fleet's retry budget, by service.
 fn print_retries(status: &Value) {
     for retries in status["retries"].as_array().into_iter().flatten() {
         println!(
@@ -98,20 +98,20 @@
     }
 }
 
-/// Boxes that this one informs, by data centre.
+/// Prints the boxes that this box keeps up to date, by data centre.
 fn print_informed(status: &Value) {
-    for place in status["informs"].as_array().into_iter().flatten() {
+    for entry in status["informs"].as_array().into_iter().flatten() {
         println!(
-            "informs         {} of {} in {}, the last word {} ms old",
-            place["current"],
-            place["boxes"],
-            place["data_centre"].as_str().unwrap_or_default(),
-            place["oldest_ms"],
+            "informs         {} of {} in {}, oldest report {} ms old",
+            entry["current"],
+            entry["boxes"],
+            entry["data_centre"].as_str().unwrap_or_default(),
+            entry["oldest_ms"],
         );
     }
 }
 
-/// Services for which shedding is switched on, and their classes.
+/// Prints the services for which load shedding is enabled, and their classes.
 fn print_levels(status: &Value) {
     let levels = status["levels"].as_array().map_or(&[][..], |l| l);
     if levels.is_empty() {
@@ -153,7 +153,7 @@
     }
 }
 
-/// A class as the rank of its team, that of its route, and whether its callers retry.
+/// Formats a class: the priorities of its team and route, and whether its callers retry.
 fn format_class(class: &Value) -> String {
     if class.is_null() {
         return "all admitted".into();
@@ -165,7 +165,7 @@
     format!("{}/{}{retried}", class["team"], class["route"])
 }
 
-/// Requests a second; a rate without a bound is none in JSON.
+/// Formats a rate in requests per second; an unlimited rate is null in JSON.
 fn format_rate(rate: &Value) -> String {
     rate.as_f64().map_or("-".into(), |r| format!("{r:.1}"))
 }
@@ -175,21 +175,21 @@
 }
 
 fn format_state(upstream: &Value) -> String {
-    let mut words: Vec<String> = Vec::new();
+    let mut labels: Vec<String> = Vec::new();
     for name in ["leaving", "suspect"] {
         if upstream[name] == Value::Bool(true) {
-            words.push(name.into());
+            labels.push(name.into());
         }
     }
     let slowness = upstream["slowness"].as_f64().unwrap_or(1.0);
     if slowness > 1.0 {
-        words.push(format!("slow x{slowness:.1}"));
+        labels.push(format!("slow x{slowness:.1}"));
     }
     if let Some(rate) = upstream["limit"].as_f64() {
-        words.push(format!("takes {rate:.1}/s"));
+        labels.push(format!("takes {rate:.1}/s"));
     }
     if let Some(ms) = upstream["rest_ms"].as_f64() {
-        words.push(format!("rests {:.1} s", ms / 1e3));
+        labels.push(format!("rests {:.1} s", ms / 1e3));
     }
-    words.join(" ")
+    labels.join(" ")
 }
--- a/crates/ashctl/src/sheet.rs
+++ b/crates/ashctl/src/sheet.rs
@@ -1,4 +1,4 @@
-//! The table as text: aligned columns, and CSV.
+//! Text formats of the table: aligned columns and CSV.
 
 use std::collections::{BTreeMap, BTreeSet};
 
@@ -8,7 +8,7 @@
 /// Cells by row and column.
 pub type Rows = BTreeMap<String, BTreeMap<String, Cell>>;
 
-/// Lines up columns of text.
+/// Formats lines of cells as aligned columns.
 pub fn align(lines: &[Vec<String>]) -> String {
     let columns = lines.iter().map(Vec::len).max().unwrap_or(0);
     let width = |c: usize| {
@@ -29,15 +29,15 @@
     text
 }
 
-/// The table as one spreadsheet a kind of row.
+/// Formats the table as aligned columns, with one block for each kind of row.
 pub fn format_table(table: &Table) -> String {
     let mut text = String::new();
     for kind in ["tier", "team", "route", "upstream"] {
         let columns = COLUMNS.iter().filter(|c| c.row_kind == kind);
         let names: Vec<&str> = columns.map(|c| c.name).collect();
-        let mut head = vec![kind.to_uppercase()];
-        head.extend(names.iter().map(|n| n.to_string()));
-        let mut lines = vec![head];
+        let mut header = vec![kind.to_uppercase()];
+        header.extend(names.iter().map(|n| n.to_string()));
+        let mut lines = vec![header];
         for (row, cells) in &table.rows {
             let Some(name) = row.strip_prefix(&format!("{kind}/")) else {
                 continue;
@@ -58,13 +58,13 @@
     text
 }
 
-/// The table as CSV: a line a row, a column a column.
+/// Formats the table as CSV, with a line for each row and a field for each column.
 pub fn to_csv(table: &Table) -> Result<String> {
     let names: BTreeSet<&str> = COLUMNS.iter().map(|c| c.name).collect();
     let mut writer = csv::Writer::from_writer(Vec::new());
-    let mut head = vec!["row"];
-    head.extend(&names);
-    writer.write_record(&head)?;
+    let mut header = vec!["row"];
+    header.extend(&names);
+    writer.write_record(&header)?;
     for (row, cells) in &table.rows {
         let mut line = vec![row.clone()];
         line.extend(
@@ -77,11 +77,11 @@
     Ok(String::from_utf8(writer.into_inner()?)?)
 }
 
-/// Reads rows from CSV.
+/// Parses rows from CSV.
 pub fn from_csv(text: &str) -> Result<Rows> {
     let mut reader = csv::Reader::from_reader(text.as_bytes());
-    let head = reader.headers()?.clone();
-    if head.get(0) != Some("row") {
+    let header = reader.headers()?.clone();
+    if header.get(0) != Some("row") {
         return Err(eyre!(
             "the first column must be `row`; export shows the form"
         ));
@@ -91,7 +91,7 @@
         let record = record?;
         let name = record.get(0).unwrap_or_default().to_string();
         let cells = rows.entry(name).or_default();
-        for (column, value) in head.iter().zip(&record).skip(1) {
+        for (column, value) in header.iter().zip(&record).skip(1) {
             if !value.is_empty() {
                 cells.insert(column.into(), parse_cell(value));
             }
@@ -100,7 +100,7 @@
     Ok(rows)
 }
 
-/// Changes that lead from `old` to `new`.
+/// Returns the changes that turn `old` into `new`.
 pub fn diff(old: &Rows, new: &Rows) -> Vec<Change> {
     let mut changes = Vec::new();
     let rows: BTreeSet<&String> = old.keys().chain(new.keys()).collect();
@@ -124,7 +124,7 @@
     changes
 }
 
-/// Reads a cell's value as it is typed.
+/// Parses a cell's value as given by the operator: a finite number, or else text.
 pub fn parse_cell(value: &str) -> Cell {
     value.parse().unwrap_or_else(|_| Cell::Text(value.into()))
 }
--- a/crates/ashctl/src/table.rs
+++ b/crates/ashctl/src/table.rs
@@ -1,4 +1,4 @@
-//! Verbs about the table.
+//! Commands about the table.
 
 use std::path::Path;
 use std::time::{Instant, SystemTime, UNIX_EPOCH};
@@ -11,30 +11,35 @@
 use crate::args::Args;
 use crate::{EXIT_OK, EXIT_REFUSED, EXIT_UNKNOWN, fleet, sheet};
 
-/// `show`.
+/// Runs `show`: prints the table.
 pub async fn show(args: &Args) -> Result<i32> {
-    let answer = args.operator().table().await?;
+    let response = args.operator().table().await?;
     if args.json {
-        println!("{}", serde_json::to_string_pretty(&answer)?);
+        println!("{}", serde_json::to_string_pretty(&response)?);
     } else {
-        print!("{}", sheet::format_table(&answer.table));
-        println!("version {}", answer.version);
+        print!("{}", sheet::format_table(&response.table));
+        println!("version {}", response.version);
     }
     Ok(EXIT_OK)
 }
 
-/// `columns`.
+/// Runs `columns`: prints every column with its meaning.
 pub fn columns(_args: &Args) -> Result<i32> {
     let line = |c: &ashgauge::table::Column| {
-        let need = if c.required { "required" } else { "optional" };
-        vec![c.row_kind.into(), c.name.into(), need.into(), c.help.into()]
+        let presence = if c.required { "required" } else { "optional" };
+        vec![
+            c.row_kind.into(),
+            c.name.into(),
+            presence.into(),
+            c.help.into(),
+        ]
     };
     let lines: Vec<Vec<String>> = COLUMNS.iter().map(line).collect();
     print!("{}", sheet::align(&lines));
     Ok(EXIT_OK)
 }
 
-/// `set`.
+/// Runs `set`: sets cells in one edit.
 pub async fn set(args: &Args, cells: &[(String, String, String)]) -> Result<i32> {
     if args.seen.is_some() && cells.len() > 1 {
         bail!("--seen goes with one cell; set the others in another call");
@@ -59,14 +64,14 @@
     send_edit(args, cells.iter().map(change).collect()).await
 }
 
-/// `export`.
+/// Runs `export`: prints the table as CSV.
 pub async fn export(args: &Args) -> Result<i32> {
-    let answer = args.operator().table().await?;
-    print!("{}", sheet::to_csv(&answer.table)?);
+    let response = args.operator().table().await?;
+    print!("{}", sheet::to_csv(&response.table)?);
     Ok(EXIT_OK)
 }
 
-/// `import`.
+/// Runs `import`: makes the table equal to a CSV file.
 pub async fn import(args: &Args, file: &Path) -> Result<i32> {
     let new = sheet::from_csv(&read_file(file)?)?;
     let old = match &args.base {
@@ -81,7 +86,7 @@
     send_edit(args, changes).await
 }
 
-/// `history`.
+/// Runs `history`: prints the past edits.
 pub async fn history(args: &Args) -> Result<i32> {
     let table = args.operator().table().await?.table;
     if args.json {
@@ -108,7 +113,7 @@
     Ok(EXIT_OK)
 }
 
-/// `hash-key`.
+/// Runs `hash-key`: prints the hash of the bearer key on standard input.
 pub fn hash_key() -> Result<i32> {
     let mut key = String::new();
     std::io::stdin().read_line(&mut key)?;
@@ -120,21 +125,21 @@
     Ok(EXIT_OK)
 }
 
-async fn send_edit(args: &Args, cells: Vec<Change>) -> Result<i32> {
-    let since = SystemTime::now().duration_since(UNIX_EPOCH)?;
-    let made = format!("{}-{:x}-{}", args.who, since.as_nanos(), std::process::id());
+async fn send_edit(args: &Args, changes: Vec<Change>) -> Result<i32> {
+    let now = SystemTime::now().duration_since(UNIX_EPOCH)?;
+    let generated_id = format!("{}-{:x}-{}", args.who, now.as_nanos(), std::process::id());
     let edit = Edit {
-        id: args.id.clone().unwrap_or(made),
+        id: args.id.clone().unwrap_or(generated_id),
         who: args.who.clone(),
-        at: since.as_millis() as u64,
-        changes: cells,
+        at: now.as_millis() as u64,
+        changes,
     };
-    let began = Instant::now();
-    let answer = args.operator().edit(&edit).await?;
+    let started = Instant::now();
+    let response = args.operator().edit(&edit).await?;
     if args.json {
-        println!("{}", serde_json::to_string(&answer)?);
+        println!("{}", serde_json::to_string(&response)?);
     }
-    match answer {
+    match response {
         EditResult::Accepted { version } => {
             if !args.json {
                 println!("accepted, version {version}");
@@ -144,7 +149,7 @@
             }
             let code = fleet::wait_in_force(args, version).await?;
             if code == EXIT_OK && !args.json {
-                let ms = began.elapsed().as_millis();
+                let ms = started.elapsed().as_millis();
                 println!("in force on every box after {ms} ms");
             }
             Ok(code)
@@ -161,6 +166,6 @@
 }
 
 fn read_file(path: &Path) -> Result<String> {
-    let place = path.display();
-    std::fs::read_to_string(path).wrap_err_with(|| format!("cannot read {place}; name a CSV file"))
+    let name = path.display();
+    std::fs::read_to_string(path).wrap_err_with(|| format!("cannot read {name}; name a CSV file"))
 }
--- a/crates/operator/src/client.rs
+++ b/crates/operator/src/client.rs
@@ -1,4 +1,4 @@
-//! Calls of the operator API.
+//! Client of the operator API.
 
 use std::fmt;
 use std::time::Duration;
@@ -14,20 +14,21 @@
 
 use crate::{BoxesResponse, EventsResponse, TableResponse};
 
+/// Time limit for a call.
 const CALL_TIMEOUT: Duration = Duration::from_secs(10);
 
-/// Why a call brought no result.
+/// Error of a call of the operator API.
 #[derive(Debug)]
 pub enum CallError {
     /// The box could not be reached or did not answer.
     Network(Failure),
     /// The credential is wrong.
     Unauthorized,
-    /// The box refused, with its words.
+    /// The box refused the call; carries its response.
     Refused(String),
 }
 
-/// The operators' port of one box.
+/// Client of the operator API of one box.
 #[derive(Clone, Debug)]
 pub struct OperatorClient {
     addr: String,
@@ -36,7 +37,7 @@
 }
 
 impl OperatorClient {
-    /// Makes a client of the box at `addr`.
+    /// Creates a client of the box whose operator port is at `addr`.
     pub fn new(addr: &str, credential: &str) -> Self {
         OperatorClient {
             addr: addr.into(),
@@ -45,61 +46,61 @@
         }
     }
 
-    /// Reads the table.
+    /// Returns the table.
     ///
     /// # Errors
     ///
-    /// Fails if the box gives no result.
+    /// Fails if the box cannot be reached, refuses the call or sends an invalid response.
     pub async fn table(&self) -> Result<TableResponse, CallError> {
         self.get("/v1/table").await
     }
 
-    /// Reads the box's state.
+    /// Returns the box's status.
     ///
     /// # Errors
     ///
-    /// Fails if the box gives no result.
+    /// Fails if the box cannot be reached, refuses the call or sends an invalid response.
     pub async fn status(&self) -> Result<Status, CallError> {
         self.get("/v1/status").await
     }
 
-    /// Reads the boxes that the box knows.
+    /// Returns the boxes that the box knows of.
     ///
     /// # Errors
     ///
-    /// Fails if the box gives no result.
+    /// Fails if the box cannot be reached, refuses the call or sends an invalid response.
     pub async fn boxes(&self) -> Result<BoxesResponse, CallError> {
         self.get("/v1/boxes").await
     }
 
-    /// Reads the box's time line.
+    /// Returns the box's timeline.
     ///
     /// # Errors
     ///
-    /// Fails if the box gives no result.
+    /// Fails if the box cannot be reached, refuses the call or sends an invalid response.
     pub async fn events(&self) -> Result<EventsResponse, CallError> {
         self.get("/v1/events").await
     }
 
-    /// Edits the table.
+    /// Sends an edit of the table.
     ///
     /// # Errors
     ///
-    /// Fails if the box gives no result; the edit may then have taken effect,
-    /// and the same edit may be sent again.
+    /// Fails if the box cannot be reached, refuses the call or sends an invalid response. The
+    /// edit may have taken effect nevertheless; it is safe to send the same edit again.
     pub async fn edit(&self, edit: &Edit) -> Result<EditResult, CallError> {
         let body = serde_json::to_vec(edit).unwrap_or_default();
         self.call(Method::POST, "/v1/edits", body.into()).await
     }
 
-    /// Drains the box.
+    /// Starts to drain the box.
     ///
     /// # Errors
     ///
-    /// Fails if the box gives no result.
+    /// Fails if the box cannot be reached, refuses the call or sends an invalid response.
     pub async fn drain(&self) -> Result<(), CallError> {
-        let answer = self.call(Method::POST, "/v1/drain", Bytes::new()).await;
-        answer.map(|_: serde_json::Value| ())
+        let response = self.call(Method::POST, "/v1/drain", Bytes::new()).await;
+        response.map(|_: serde_json::Value| ())
     }
 
     async fn get<T: DeserializeOwned>(&self, path: &'static str) -> Result<T, CallError> {
@@ -119,11 +120,11 @@
         headers.insert(HOST, HeaderValue::from_static("box"));
         let bearer = HeaderValue::from_str(&format!("Bearer {}", self.credential));
         headers.insert(AUTHORIZATION, bearer.map_err(|_| CallError::Unauthorized)?);
-        let answer = self.client.send(&self.addr, request, CALL_TIMEOUT).await;
-        let answer = answer.map_err(CallError::Network)?;
-        let refused = || CallError::Refused(String::from_utf8_lossy(answer.body()).into());
-        match answer.status() {
-            StatusCode::OK => serde_json::from_slice(answer.body()).map_err(|_| refused()),
+        let response = self.client.send(&self.addr, request, CALL_TIMEOUT).await;
+        let response = response.map_err(CallError::Network)?;
+        let refused = || CallError::Refused(String::from_utf8_lossy(response.body()).into());
+        match response.status() {
+            StatusCode::OK => serde_json::from_slice(response.body()).map_err(|_| refused()),
             StatusCode::UNAUTHORIZED => Err(CallError::Unauthorized),
             _ => Err(refused()),
         }
--- a/crates/operator/src/lib.rs
+++ b/crates/operator/src/lib.rs
@@ -1,6 +1,6 @@
-//! Operator API: its types, the server's part and the client's part.
+//! Operator API of a box: types, server and client.
 //!
-//! JSON over HTTP. Every call but `/metrics` needs the operators' credential.
+//! The API is JSON over HTTP. Every call except `/metrics` needs the operators' credential.
 
 #![warn(missing_docs)]
 #![forbid(unsafe_code)]
@@ -19,25 +19,25 @@
 /// The table with its version.
 #[derive(Clone, Debug, Serialize, Deserialize)]
 pub struct TableResponse {
-    /// Version in force on the box that answered.
+    /// Version in force on the box that responded.
     pub version: Version,
     /// The table.
     pub table: Table,
 }
 
-/// A part of a box's time line.
+/// The part of a box's timeline that it still has.
 #[derive(Clone, Debug, Default, Serialize, Deserialize)]
 pub struct EventsResponse {
     /// Records, oldest first.
     pub records: Vec<Record>,
-    /// Records that the box no longer holds.
+    /// Number of older records that the box has dropped.
     #[serde(rename = "lost")]
     pub dropped: u64,
 }
 
-/// Boxes of the platform's list.
+/// Boxes that the platform lists.
 #[derive(Clone, Debug, Serialize, Deserialize)]
 pub struct BoxesResponse {
-    /// Boxes.
+    /// The boxes.
     pub boxes: Vec<BoxEntry>,
 }
--- a/crates/operator/src/server.rs
+++ b/crates/operator/src/server.rs
@@ -1,4 +1,4 @@
-//! The operators' port of a box.
+//! Server of the operator API.
 
 use std::future::Future;
 use std::sync::Arc;
@@ -17,51 +17,53 @@
 
 use crate::{BoxesResponse, EventsResponse, TableResponse};
 
+/// Maximum size of a request body.
 const MAX_BODY_BYTES: usize = 1 << 20;
+/// Time limit for reading a request body.
 const BODY_TIMEOUT: Duration = Duration::from_secs(5);
 
-/// What the operators' port asks of the rest of the process.
+/// Functions of the box that the operator API exposes.
 pub trait OperatorApi: Send + Sync + 'static {
-    /// The table in force.
+    /// Returns the table in force; `None` if the box is stopping.
     fn table(&self) -> impl Future<Output = Option<TableResponse>> + Send;
-    /// Edits the table.
+    /// Applies an edit of the table; `None` if the box is stopping.
     fn edit(&self, edit: Edit) -> impl Future<Output = Option<EditResult>> + Send;
-    /// The box's state.
+    /// Returns the box's status; `None` if the box is stopping.
     fn status(&self) -> impl Future<Output = Option<Status>> + Send;
-    /// The boxes it knows.
+    /// Returns the boxes that the box knows of; `None` if the box is stopping.
     fn boxes(&self) -> impl Future<Output = Option<BoxesResponse>> + Send;
-    /// Its time line, as far as it is kept.
+    /// Returns the part of the box's timeline that it still has.
     fn events(&self) -> EventsResponse;
-    /// Its metrics, in the text format of prometheus.
+    /// Returns the box's metrics in the Prometheus text format.
     fn metrics(&self) -> impl Future<Output = String> + Send;
     /// Starts to drain the box.
     fn drain(&self);
 }
 
-/// Serves the operators' port until `stop` turns true.
+/// Serves the operator API until `stop` becomes true.
 pub async fn listen<D: OperatorApi>(
     listener: TcpListener,
     credential: String,
     stop: watch::Receiver<bool>,
-    desk: Arc<D>,
+    api: Arc<D>,
 ) {
-    let wanted: Arc<str> = format!("Bearer {credential}").into();
+    let expected: Arc<str> = format!("Bearer {credential}").into();
     let handler = move |request| {
-        let (desk, wanted) = (desk.clone(), wanted.clone());
-        async move { handle(request, &wanted, &*desk).await }
+        let (api, expected) = (api.clone(), expected.clone());
+        async move { handle(request, &expected, &*api).await }
     };
     serve(listener, Limits::default(), stop, handler).await;
 }
 
 async fn handle<D: OperatorApi>(
     request: Request<Incoming>,
-    wanted: &str,
-    desk: &D,
+    expected: &str,
+    api: &D,
 ) -> Response<Body> {
     if request.uri().path() == "/metrics" {
-        return Response::new(full(desk.metrics().await));
+        return Response::new(full(api.metrics().await));
     }
-    if !is_authorized(&request, wanted) {
+    if !is_authorized(&request, expected) {
         return error_response(
             StatusCode::UNAUTHORIZED,
             "wrong credential; give the operators' one",
@@ -69,13 +71,13 @@
     }
     let (head, body) = request.into_parts();
     match (&head.method, head.uri.path()) {
-        (&Method::GET, "/v1/table") => json_response(desk.table().await),
-        (&Method::GET, "/v1/status") => json_response(desk.status().await),
-        (&Method::GET, "/v1/boxes") => json_response(desk.boxes().await),
-        (&Method::GET, "/v1/events") => json(StatusCode::OK, &desk.events()),
-        (&Method::POST, "/v1/edits") => edit(body, desk).await,
+        (&Method::GET, "/v1/table") => json_response(api.table().await),
+        (&Method::GET, "/v1/status") => json_response(api.status().await),
+        (&Method::GET, "/v1/boxes") => json_response(api.boxes().await),
+        (&Method::GET, "/v1/events") => json(StatusCode::OK, &api.events()),
+        (&Method::POST, "/v1/edits") => edit(body, api).await,
         (&Method::POST, "/v1/drain") => {
-            desk.drain();
+            api.drain();
             json(StatusCode::OK, &serde_json::json!({"draining": true}))
         }
         _ => error_response(
@@ -85,7 +87,7 @@
     }
 }
 
-async fn edit<D: OperatorApi>(body: Incoming, desk: &D) -> Response<Body> {
+async fn edit<D: OperatorApi>(body: Incoming, api: &D) -> Response<Body> {
     let body = match read_body(body, MAX_BODY_BYTES, BODY_TIMEOUT).await {
         Ok(body) => body,
         Err(status) => {
@@ -93,15 +95,15 @@
         }
     };
     match serde_json::from_slice::<Edit>(&body) {
-        Ok(edit) => json_response(desk.edit(edit).await),
+        Ok(edit) => json_response(api.edit(edit).await),
         Err(e) => error_response(StatusCode::BAD_REQUEST, &format!("not an edit: {e}")),
     }
 }
 
-fn is_authorized(request: &Request<Incoming>, wanted: &str) -> bool {
-    let shown = request.headers().get(AUTHORIZATION);
-    let shown = shown.map_or(&b""[..], |v| v.as_bytes());
-    bool::from(shown.ct_eq(wanted.as_bytes()))
+fn is_authorized(request: &Request<Incoming>, expected: &str) -> bool {
+    let given = request.headers().get(AUTHORIZATION);
+    let given = given.map_or(&b""[..], |v| v.as_bytes());
+    bool::from(given.ct_eq(expected.as_bytes()))
 }
 
 fn json_response(value: Option<impl serde::Serialize>) -> Response<Body> {
