--- a/crates/ashgauge/src/class.rs
+++ b/crates/ashgauge/src/class.rs
@@ -1,15 +1,17 @@
-//! The order of requests where not all of them can be served in time.
+//! Priority classes of requests, which decide who is served first under overload.
 
 use serde::{Deserialize, Serialize};
 
-/// Largest order that an engine takes; past it all requests are alike.
+/// Largest priority that engines accept; classes beyond it all get this value.
 const MAX_PRIORITY: u32 = 8;
 
-/// The priority class of a request, the most urgent first: by its team, then by its
-/// route; of the same ranks, first attempts go ahead.
+/// Priority class of a request.
 ///
-/// One that comes back is late already. If it went first, an overload that lasts would
-/// make each new request late as well, as each that is refused comes back.
+/// Classes are ordered from the most urgent to the least: by the priority of the team,
+/// then by that of the route. Within these, first attempts come before retries.
+///
+/// A retry is late already. If retries went first, a lasting overload would make each new
+/// request late as well, since each refused request is retried.
 ///
 /// # Example
 ///
@@ -24,17 +26,18 @@
     Clone, Copy, Debug, Default, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize,
 )]
 pub struct Class {
-    /// Rank of its team, or of its route if the team has none; 0 first.
+    /// Priority of the team, or of the route if the team has none; 0 is the most urgent.
     pub team: u8,
-    /// Rank of its route, 0 first.
+    /// Priority of the route; 0 is the most urgent.
     pub route: u8,
-    /// Whether its caller made it before.
+    /// Whether the caller repeats an earlier request.
     #[serde(rename = "back")]
     pub is_retry: bool,
 }
 
 impl Class {
-    /// The class of a request of a team with a rank, or none, on a route.
+    /// Creates the class of a request, from the priorities of its team, if the team has
+    /// one, and of its route.
     pub fn new(team: Option<u32>, route: u32, back: bool) -> Self {
         let narrow = |rank: u32| u8::try_from(rank).unwrap_or(u8::MAX);
         Class {
@@ -45,18 +48,18 @@
     }
 }
 
-/// The ranks that compete for a service.
+/// Priorities of the requests that compete for a service.
 #[derive(Clone, Debug, Default, PartialEq)]
 pub struct Ranks {
-    /// Ranks of teams and routes that may come together, the most urgent first.
+    /// Pairs of team and route priorities that may occur, the most urgent first.
     pairs: Vec<(u8, u8)>,
-    /// Distinct ranks of its routes.
+    /// Number of distinct priorities of the service's routes.
     route_ranks: usize,
 }
 
 impl Ranks {
-    /// The ranks of requests on these routes, of teams with these ranks; `None` stands
-    /// for teams without one, or requests without a team.
+    /// Creates the priorities of requests on these routes, made by these teams. `None`
+    /// stands for teams without a priority and for requests without a team.
     pub fn new(teams: &[Option<u32>], routes: &[u32]) -> Self {
         let both = |route: &u32| {
             let classes = teams.iter().map(|team| Class::new(*team, *route, false));
@@ -74,14 +77,15 @@
         }
     }
 
-    /// Whether the operators ranked the service's routes differently, so that some
-    /// requests are to be served before others.
+    /// Returns whether the service's routes have different priorities, so that some
+    /// requests are served before others.
     pub fn routes_differ(&self) -> bool {
         self.route_ranks > 1
     }
 
-    /// The order of a class at the engines, from 1, so that streams that go on can go
-    /// before the first.
+    /// Returns the priority of a class at the engines, from 1 to 8, the most urgent
+    /// first. Value 0 is left for streams under way, so that these go before all new
+    /// requests.
     ///
     /// # Example
     ///
--- a/crates/ashgauge/src/demand.rs
+++ b/crates/ashgauge/src/demand.rs
@@ -1,7 +1,8 @@
-//! How much the callers ask of a service, by class and team.
+//! Demand of callers for a service, by class and team.
 //!
-//! Each box learns what its own callers ask for and tells it with its loads, so that
-//! every box knows the sum and all refuse the same requests when not all can be served.
+//! Each box measures the demand of its own callers and sends it with its load reports.
+//! Every box thus knows the sum, and all boxes refuse the same requests when not all can
+//! be served.
 
 use std::cmp::Reverse;
 use std::collections::{BTreeMap, HashMap};
@@ -12,66 +13,68 @@
 
 use crate::class::Class;
 
-/// Number that stands for a team in a word.
+/// Hash that stands for a team in messages between boxes.
 pub type TeamKey = u32;
 
-/// Number that stands for a service in a word.
+/// Hash that stands for a service in messages between boxes.
 pub type ServiceKey = u32;
 
-/// Time over which a rate is learned: a burst shows within it. The sum over all boxes is
-/// steady though each has few requests.
+/// Time constant of the demand rates: short enough for a burst to show. The sum over all
+/// boxes is steady even if each box has few requests.
 pub(crate) const DEMAND_WINDOW: Duration = Duration::from_millis(250);
 
-/// Time over which is learned how many requests end: about as long as they stay, as what
-/// ends swings with what began that much earlier.
+/// Time constant of the completion rates: about as long as a request takes, since
+/// completions vary with what started that much earlier.
 pub(crate) const COMPLETION_WINDOW: Duration = Duration::from_secs(1);
 
-/// Demands in one word at most; with more teams the smallest are told together.
+/// Largest number of demands in one message; with more teams, the smallest are combined.
 const MAX_DEMANDS: usize = 64;
 
-/// Demand of a team up to which it is not told, in thousandths of a request a second:
-/// what is left of one request after two seconds.
+/// Demand of a team up to which it is not sent, in thousandths of a request a second:
+/// what remains of one request after two seconds.
 const MIN_RATE: u32 = 1;
 
-/// Most that a box is taken to be asked for, or to end, in thousandths of a request a
-/// second: two hundred times a box's part in a fleet of the size to design for.
+/// Largest demand or completion rate that is accepted from one box, in thousandths of a
+/// request a second: two hundred times a box's share in a fleet of the size that the
+/// system is designed for.
 const MAX_BOX_RATE: u32 = 1_000_000;
 
-/// Least and most work of one request, in usual ones: sizes are what callers say.
+/// Bounds of the work of one request, relative to a typical one: callers state the sizes,
+/// and these may be wrong.
 const WORK_RANGE: (f64, f64) = (0.1, 8.0);
 
-/// Whose demand it is.
+/// Key of a demand: who asks for what.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
 pub struct DemandSource {
-    /// The service that is asked.
+    /// Service that is requested.
     pub service: ServiceKey,
     /// Priority class of the requests.
     pub class: Class,
-    /// Their team; `None` for the teams that are told together.
+    /// Team of the callers; `None` for the combined demand of small teams.
     pub team: Option<TeamKey>,
 }
 
-/// What some teams ask for.
+/// Demand of one or more teams.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Serialize, Deserialize)]
 pub struct Demand {
-    /// Requests, in thousandths of one a second.
+    /// Thousandths of a request a second.
     pub rate: u32,
-    /// Their work, in thousandths of a usual request a second.
+    /// Work of these requests, in thousandths of a typical request a second.
     pub work: u32,
-    /// Teams that it stands for.
+    /// Teams that are included.
     pub teams: TeamSketch,
 }
 
-/// Words of [`TeamSketch`].
+/// Number of 64-bit words in a [`TeamSketch`].
 const SKETCH_WORDS: usize = 8;
 
-/// How many teams there are, of which each box knows some: one bit for each of them, by
-/// its key, so that a team counts once however many boxes tell of it.
+/// Sketch that counts distinct teams over all boxes (linear counting): each team sets one
+/// bit, chosen by its hash, so that it counts once however many boxes report it.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 pub struct TeamSketch([u64; SKETCH_WORDS]);
 
 impl TeamSketch {
-    /// One team.
+    /// Creates a sketch of one team.
     pub fn single(key: TeamKey) -> Self {
         let mixed = xxh3_64(&key.to_le_bytes()) as usize;
         let (word, bit) = (mixed % SKETCH_WORDS, mixed / SKETCH_WORDS);
@@ -80,15 +83,15 @@
         TeamSketch(words)
     }
 
-    /// Those teams and others.
+    /// Returns the union with `others`.
     pub fn union(mut self, others: TeamSketch) -> Self {
         let words = self.0.iter_mut().zip(others.0);
         words.for_each(|(word, other)| *word |= other);
         self
     }
 
-    /// About how many teams there are, one at the least. Bits that several share are made
-    /// up for by how many are free, up to some 3,000 teams.
+    /// Estimates the number of teams, at least one. The estimate corrects for teams that
+    /// share a bit, and is usable up to some 3,000 teams.
     ///
     /// # Example
     ///
@@ -107,29 +110,29 @@
     }
 }
 
-/// Demands, ordered by their sources.
+/// Demands, ordered by [`DemandSource`].
 pub type Demands = Vec<(DemandSource, Demand)>;
 
-/// Requests that end, in thousandths of one a second, ordered by their services.
+/// Completed requests in thousandths of one a second, ordered by service.
 pub type CompletionRates = Vec<(ServiceKey, u32)>;
 
-/// What callers ask for, and what ends.
+/// Requests that callers make, and admitted requests that complete.
 #[derive(Clone, Debug, Default, PartialEq, Serialize, Deserialize)]
 pub struct Traffic {
-    /// What callers ask for.
+    /// Demand of callers.
     pub demands: Demands,
-    /// What ends of that which was let in.
+    /// Completion rates of admitted requests.
     #[serde(rename = "ends")]
     pub completions: CompletionRates,
 }
 
-/// The number that stands for a service or a team.
+/// Returns the hash that stands for a service or a team.
 pub fn key(name: &str) -> u32 {
     xxh3_64(name.as_bytes()) as u32
 }
 
-/// Work of a request in usual ones, by the tokens of its prompt and answer: the memory
-/// that it holds, for as long as its answer takes.
+/// Returns the work of a request relative to a typical one, from the tokens of its prompt
+/// and answer: the memory that it occupies, multiplied by the time that its answer takes.
 ///
 /// # Example
 ///
@@ -157,14 +160,14 @@
     }
 }
 
-/// Learns what the callers of one box ask for.
+/// Measures the demand of one box's callers, and its completions.
 #[derive(Debug, Default)]
 pub struct DemandMeter {
     rates: HashMap<DemandSource, DecayingRate>,
     completions: HashMap<ServiceKey, DecayingRate>,
 }
 
-/// Requests and work a second, at a time.
+/// Exponentially decaying rates of requests and work a second.
 #[derive(Clone, Copy, Debug, Default)]
 struct DecayingRate {
     requests: f64,
@@ -181,13 +184,14 @@
         self.updated = now;
     }
 
-    /// Part of the rates that is left, where they are learned over `window`.
+    /// Returns the factor by which the rates have decayed by `now`, with the time
+    /// constant `window`.
     fn decay(&self, now: Duration, window: Duration) -> f64 {
         let age = now.saturating_sub(self.updated).as_secs_f64();
         (-age / window.as_secs_f64()).exp()
     }
 
-    /// Requests, and work, in thousandths of one a second.
+    /// Returns the rates of requests and work, in thousandths a second.
     fn milli_rates(&self, now: Duration, window: Duration) -> (u32, u32) {
         let thousandths = self.decay(now, window) * 1e3;
         let told = |rate: f64| (rate * thousandths) as u32;
@@ -196,19 +200,20 @@
 }
 
 impl DemandMeter {
-    /// Notes a request that asks for so much work.
+    /// Records a request of a source, with its relative work.
     pub fn record(&mut self, now: Duration, source: DemandSource, work: f64) {
         let rate = self.rates.entry(source).or_default();
         rate.record(now, DEMAND_WINDOW, work);
     }
 
-    /// Notes that a request ended that was let in.
+    /// Records that an admitted request of a service completed.
     pub fn record_completion(&mut self, now: Duration, service: ServiceKey) {
         let ends = self.completions.entry(service).or_default();
         ends.record(now, COMPLETION_WINDOW, 1.0);
     }
 
-    /// What is asked for now, and what ends; forgets those who asked for nothing lately.
+    /// Returns the present demands and completion rates, and forgets sources whose demand
+    /// has decayed.
     pub fn traffic(&mut self, now: Duration) -> Traffic {
         self.rates
             .retain(|_, rate| rate.milli_rates(now, DEMAND_WINDOW).0 > MIN_RATE);
@@ -233,7 +238,7 @@
 }
 
 impl Traffic {
-    /// Adds flows up.
+    /// Returns the sum of all traffic.
     pub fn sum<'a>(all: impl Iterator<Item = &'a Traffic>) -> Self {
         let mut demands: BTreeMap<DemandSource, Demand> = BTreeMap::new();
         let mut ends: BTreeMap<ServiceKey, u32> = BTreeMap::new();
@@ -252,7 +257,7 @@
         }
     }
 
-    /// These flows without those of `less`.
+    /// Returns this traffic minus `less`, without demands that are then zero.
     pub fn minus(mut self, less: &Traffic) -> Self {
         for (source, less) in &less.demands {
             if let Ok(at) = self.demands.binary_search_by_key(source, |(s, _)| *s) {
@@ -271,8 +276,8 @@
         self
     }
 
-    /// What so many boxes may tell: a box whose figures are wrong must not outweigh the
-    /// fleet.
+    /// Limits all rates to what so many boxes may report: a box with wrong figures must
+    /// not outweigh the fleet.
     pub fn clamped(mut self, boxes: u32) -> Self {
         let most = MAX_BOX_RATE.saturating_mul(boxes.max(1));
         for (_, demand) in &mut self.demands {
@@ -285,13 +290,13 @@
         self
     }
 
-    /// The part that a word holds: the largest demands, and the others of each class
-    /// together.
+    /// Truncates the demands to what one message holds: the largest are kept, and the
+    /// others of each class are combined.
     pub fn truncated(mut self) -> Self {
         if self.demands.len() <= MAX_DEMANDS {
             return self;
         }
-        // Each class may need an entry for its others besides those told singly.
+        // Each class may need one entry for its combined demands.
         let single = MAX_DEMANDS.saturating_sub(self.class_count());
         let demands = &mut self.demands;
         demands.sort_unstable_by_key(|(_, d)| Reverse(d.rate));
@@ -308,7 +313,8 @@
         self
     }
 
-    /// Classes of all services, where demands are ordered.
+    /// Returns the number of distinct classes over all services. The demands must be
+    /// ordered.
     fn class_count(&self) -> usize {
         let same = |a: &(DemandSource, Demand), b: &(DemandSource, Demand)| {
             (a.0.service, a.0.class) == (b.0.service, b.0.class)
@@ -316,13 +322,13 @@
         self.demands.chunk_by(same).count()
     }
 
-    /// What is asked of one service.
+    /// Returns the demands for one service.
     pub fn demands_of(&self, service: ServiceKey) -> Demands {
         let of = |(source, _): &&(DemandSource, Demand)| source.service == service;
         self.demands.iter().filter(of).copied().collect()
     }
 
-    /// Requests of one service that end each second.
+    /// Returns the requests of a service that complete each second.
     pub fn completion_rate(&self, service: ServiceKey) -> f64 {
         let mut ends = self.completions.iter().filter(|(s, _)| *s == service);
         ends.next().map_or(0.0, |(_, rate)| f64::from(*rate) / 1e3)
@@ -330,17 +336,18 @@
 }
 
 impl Demand {
-    /// Requests a second.
+    /// Returns the requests a second.
     pub fn rate(&self) -> f64 {
         f64::from(self.rate) / 1e3
     }
 
-    /// Work a second, in usual requests.
+    /// Returns the work a second, in typical requests.
     pub fn work(&self) -> f64 {
         f64::from(self.work) / 1e3
     }
 
-    /// This demand where boxes that were not heard ask for as much as those that were.
+    /// Returns this demand multiplied by `factor`. It extends a demand to boxes that were
+    /// not heard from, which are assumed to have as much as the others.
     pub fn scaled(&self, factor: f64) -> Self {
         let times = |rate: u32| (f64::from(rate) * factor) as u32;
         Demand {
@@ -350,7 +357,7 @@
         }
     }
 
-    /// Adds what others ask for.
+    /// Adds the demand of others.
     pub(crate) fn add(&mut self, more: &Demand) {
         self.rate = self.rate.saturating_add(more.rate);
         self.work = self.work.saturating_add(more.work);
--- a/crates/ashgauge/src/estimate.rs
+++ b/crates/ashgauge/src/estimate.rs
@@ -1,10 +1,10 @@
-//! Estimates demand and the engines' load now, from load reports that are some time old.
+//! Estimates the present demand and engine load from load reports that are some time old.
 //!
-//! Within one report age boxes start and engines end more requests than fit between an
-//! empty and an overfull fleet. A box knows which part of the requests it admitted in that
-//! time, as all boxes compute about the same level, and from earlier reports how many
-//! requests began when, so that it can tell how many of them have ended by now. All of it
-//! is derived from what reports hold already; nothing is sent for it.
+//! During the age of one report, boxes can start and engines can complete enough requests
+//! to go from empty to overfull engines. A box knows which share of the requests it
+//! admitted in that time, since all boxes compute about the same level. From earlier
+//! reports it knows when the requests in flight started, and thus how many have completed
+//! by now. All this is derived from existing reports; no further messages are sent.
 
 use std::collections::VecDeque;
 use std::time::Duration;
@@ -12,124 +12,129 @@
 use crate::demand::{COMPLETION_WINDOW, DEMAND_WINDOW, Demands};
 use crate::pressure::Pressure;
 
-/// Groups of requests that are kept, by the time at which they began. With [`COHORT_SHARE`]
-/// they cover four times as long as a request stays.
+/// Number of cohorts that are kept. With [`COHORT_SHARE`] they cover four times the
+/// duration of a request.
 const MAX_COHORTS: usize = 80;
 
-/// Time in which the requests of one group begin, as a part of how long requests stay.
+/// Time span of one cohort's starts, as a share of the request duration.
 const COHORT_SHARE: f64 = 0.05;
 
-/// Groups as which the requests are counted that were there before the first report.
+/// Number of cohorts into which the requests of the first report are divided.
 const INITIAL_COHORTS: u32 = 8;
 
-/// Admitted parts that are kept: at 20 a second, more than the oldest reports need.
+/// Number of samples that are kept. At 20 a second it is more than the oldest reports
+/// need.
 const MAX_SAMPLES: usize = 64;
 
-/// Requests stay for up to this part more or less than their mean, by their sizes.
+/// Share by which the duration of a request may differ from the mean, depending on its
+/// size.
 const DURATION_SPREAD: f64 = 0.25;
 
-/// Seconds that an only request is taken to stay before any has ended: users' answers
-/// take 1.7 to 2.9 s at engines that are full.
+/// Assumed duration of a request on an empty engine before any has completed: users'
+/// answers take 1.7 to 2.9 s on full engines.
 const INITIAL_DURATION_S: f64 = 1.5;
 
-/// Bounds of that time once it is learned.
+/// Bounds of the learned duration.
 const DURATION_RANGE_S: (f64, f64) = (0.05, 100.0);
 
-/// Weight of the newest observation in that time, on a logarithmic scale. With 1 the time
-/// oscillates where 985 boxes with reports 0.5 s old fill the engines at once.
+/// Weight of the newest observation in the learned duration, on a logarithmic scale. With
+/// a weight of 1 the duration oscillates when 985 boxes with reports 0.5 s old fill the
+/// engines at once.
 const DURATION_GAIN: f64 = 0.3;
 
-/// Most by which one observation may change it, as a factor.
+/// Largest factor by which one observation may change the duration.
 const MAX_DURATION_STEP: f64 = 2.0;
 
-/// Requests, and requests a second, that are counted at most.
+/// Largest accepted number of requests, and of requests a second.
 const MAX_COUNT: f64 = 1e12;
 
-/// Most that requests are taken to stay longer at full engines, as a part.
+/// Largest accepted slowdown at full engines.
 const MAX_SLOWDOWN: f64 = 4.0;
 
-/// Use of the engines past which requests are not taken to stay any longer: engines
+/// Utilization above which requests are assumed to slow down no further, as engines
 /// refuse what does not fit.
 const MAX_UTILIZATION: f64 = 2.0;
 
-/// Use of the engines for which [`Estimate::completion_rate`] holds.
+/// Utilization for which [`Estimate::completion_rate`] holds.
 const TYPICAL_UTILIZATION: f64 = 0.87;
 
-/// Part by which the boxes that count may change between two estimates; with more, the
-/// requests of other boxes are known, not more or fewer requests under way.
+/// Share by which the number of counted boxes may change between two samples. A larger
+/// change means that reports of other boxes were added or lost, not that requests started
+/// or completed.
 const MAX_BOX_CHANGE: f64 = 0.2;
 
-/// Seconds between two estimates after which what was known before is discarded.
+/// Gap between two samples from which earlier state is discarded.
 const MAX_SAMPLE_GAP_S: f64 = 1.0;
 
-/// Least time over which a change of demand is measured.
+/// Shortest time over which a change of demand is measured.
 const MIN_TREND_INTERVAL: Duration = Duration::from_millis(100);
 
-/// Standard deviations of a count up to which a change of demand counts as chance.
+/// Standard deviations of a request count within which a change of demand is taken for
+/// noise.
 const NOISE_SIGMAS: f64 = 2.0;
 
-/// Most by which demand is taken to differ from what reports tell, as a factor.
+/// Largest factor by which the estimated demand may differ from the reported one.
 const MAX_TREND_FACTOR: f64 = 4.0;
 
-/// What a box knows from its own state and the reports of others.
+/// What a box knows from its own state and from other boxes' reports.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Observation {
-    /// What all boxes are asked for.
+    /// Demand at all boxes.
     pub demands: Demands,
-    /// Use of the engines.
+    /// Load of the engines.
     pub pressure: Pressure,
-    /// Requests a second that end.
+    /// Requests that complete each second.
     pub completion_rate: f64,
-    /// Boxes for which it counts.
+    /// Number of boxes that are included.
     pub boxes: f64,
-    /// How old it is.
+    /// Age of the information.
     pub age: Duration,
     /// Time between two reports.
     pub report_interval: Duration,
-    /// Part by which requests stay longer at full engines than at empty ones.
+    /// Part by which requests take longer on full engines than on empty ones.
     pub full_slowdown: f64,
 }
 
-/// What is likely now.
+/// Estimate for the present moment.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Estimate {
-    /// What all boxes are asked for.
+    /// Demand at all boxes.
     pub demands: Demands,
-    /// Use of the engines.
+    /// Load of the engines.
     pub pressure: Pressure,
-    /// Requests a second that end where those under way began evenly. Those that really
-    /// end follow what began one stay earlier; to admit as many again would repeat each
-    /// swing of the past.
+    /// Requests that would complete each second if those in flight had started evenly
+    /// over time. Actual completions follow the starts of one request duration earlier;
+    /// admitting as many again would repeat each past oscillation.
     pub completion_rate: f64,
 }
 
-/// Estimates for one service at one box.
+/// Estimator for one service at one box.
 #[derive(Clone, Debug)]
 pub struct Estimator {
-    /// Requests that began, in groups, the oldest first.
+    /// Started requests, grouped by start time, the oldest first.
     cohorts: VecDeque<Cohort>,
-    /// Parts of the requests that were admitted from some time on.
+    /// Times in seconds, and the share of requests that was admitted from each time on.
     admitted_shares: VecDeque<(f64, f64)>,
     last_sample: Option<Sample>,
     trend: Trend,
-    /// Seconds that an only request stays.
+    /// Duration of a request on an empty engine, in seconds.
     base_duration: f64,
     demand_rate: f64,
 }
 
-/// Requests that began at about the same time.
+/// Requests that started at about the same time. Times are in seconds.
 #[derive(Clone, Copy, Debug)]
 struct Cohort {
-    /// When the first of them began.
+    /// Start of the first request.
     first_start: f64,
-    /// When they began on average.
+    /// Mean start time.
     mean_start: f64,
     requests: f64,
-    /// Factor on their stay, by the use of the engines as they began.
+    /// Factor on the duration, from the engines' utilization at the start.
     slowdown: f64,
 }
 
-/// What was known of one moment.
+/// State at one moment, which is in seconds.
 #[derive(Clone, Copy, Debug)]
 struct Sample {
     at: f64,
@@ -153,7 +158,7 @@
 }
 
 impl Estimator {
-    /// Estimates what holds now.
+    /// Estimates the state at `now`.
     ///
     /// # Example
     ///
@@ -174,7 +179,7 @@
     /// };
     /// let mut estimator = Estimator::default();
     /// let estimate = estimator.estimate(ms(5000), &known);
-    /// // Some have ended since, and nobody asked for more.
+    /// // Some have completed since, and there was no new demand.
     /// assert!((300.0..600.0).contains(&estimate.pressure.requests));
     /// ```
     pub fn estimate(&mut self, now: Duration, known: &Observation) -> Estimate {
@@ -218,8 +223,8 @@
         }
     }
 
-    /// Notes how many requests a second may begin by the level that was computed from the
-    /// last estimate.
+    /// Records how many requests a second may start, by the level that was computed from
+    /// the last estimate.
     pub fn record_allowed_rate(&mut self, now: Duration, allowed: f64) {
         let part = if self.demand_rate > 0.0 {
             allowed / self.demand_rate
@@ -233,7 +238,8 @@
         }
     }
 
-    /// Notes what is known of a moment, and returns that moment.
+    /// Adds a sample of the moment `at`, and returns the sample's time, which is never
+    /// before that of the last sample.
     fn add_sample(&mut self, of: f64, known: &Observation) -> f64 {
         let of = self.last_sample.map_or(of, |last| of.max(last.at));
         let sample = Sample {
@@ -256,7 +262,8 @@
         of
     }
 
-    /// Takes requests to have begun evenly, where nothing is known of the time before.
+    /// Assumes that the requests in flight started evenly over time, as nothing is known
+    /// of the time before.
     fn reset_cohorts(&mut self, growth: f64, sample: &Sample) {
         let slow = slowdown_factor(growth, sample.utilization);
         let each = self.base_duration * slow / f64::from(INITIAL_COHORTS);
@@ -269,10 +276,10 @@
         self.cohorts = (0..INITIAL_COHORTS).map(cohort).collect();
     }
 
-    /// Notes the requests that began between two moments: as many more as are under way,
-    /// and as many as ended.
+    /// Adds the requests that started between two samples: the increase of requests in
+    /// flight, plus those that completed.
     fn add_started(&mut self, growth: f64, last: &Sample, sample: &Sample) {
-        // The rate of ends is a mean that fades; both terms together are the count.
+        // The completion rate is a decaying mean; both terms together give the count.
         let mean = (sample.completion_rate + last.completion_rate) / 2.0 * (sample.at - last.at);
         let ended = mean
             + COMPLETION_WINDOW.as_secs_f64() * (sample.completion_rate - last.completion_rate);
@@ -306,7 +313,8 @@
         self.cohorts.iter_mut().for_each(|c| c.requests *= factor);
     }
 
-    /// Learns how long requests stay: as many must be left as are under way.
+    /// Updates the learned duration so that the cohorts' remaining requests match those
+    /// in flight.
     fn update_duration(&mut self, of: f64, requests: f64) {
         let left = self.remaining(of);
         if left <= 0.0 || requests <= 0.0 {
@@ -317,7 +325,7 @@
         self.base_duration = (self.base_duration * step.powf(DURATION_GAIN)).clamp(least, most);
     }
 
-    /// Requests of those that had begun by the last report that have not ended at a time.
+    /// Returns how many of the requests in all cohorts are still in flight at a time.
     fn remaining(&self, at: f64) -> f64 {
         let left = |cohort: &Cohort| {
             let stays = (at - cohort.mean_start) / (self.base_duration * cohort.slowdown);
@@ -327,8 +335,8 @@
         self.cohorts.iter().map(left).sum()
     }
 
-    /// Seconds between two times, each counted by the part of the requests that was
-    /// admitted.
+    /// Returns the seconds between two times, each weighted by the share of requests that
+    /// was admitted.
     fn admitted_seconds(&self, from: f64, to: f64) -> f64 {
         let (mut seconds, mut end) = (0.0, to);
         for (at, part) in self.admitted_shares.iter().rev() {
@@ -336,7 +344,7 @@
             seconds += part * (end - begin);
             end = begin;
         }
-        // All were admitted before the first level.
+        // Before the first level, all requests were admitted.
         seconds + (end - from)
     }
 }
@@ -355,13 +363,13 @@
     }
 }
 
-/// Factor on the stay of requests that begin at such a use of the engines: their passes
-/// take longer with more requests in them.
+/// Returns the factor on the duration of requests that start at a utilization of the
+/// engines: passes take longer with more requests in them.
 fn slowdown_factor(growth: f64, used: f64) -> f64 {
     1.0 + clamp_or_zero(growth, MAX_SLOWDOWN) * used
 }
 
-/// A figure from 0 to `most`; 0 for one that is not a number.
+/// Clamps a value to 0 to `max`; returns 0 for NaN.
 fn clamp_or_zero(told: f64, most: f64) -> f64 {
     match told.is_nan() {
         true => 0.0,
@@ -369,18 +377,19 @@
     }
 }
 
-/// How demand changes.
+/// Trend of the demand.
 #[derive(Clone, Debug, Default)]
 struct Trend {
-    /// Rates that were told, with the times that they are of.
+    /// Times in seconds, and the demand rates reported for them.
     samples: VecDeque<(f64, f64)>,
 }
 
 impl Trend {
-    /// The rate at which requests are asked for now.
+    /// Estimates the present demand rate.
     ///
-    /// What is told is a mean that fades over [`DEMAND_WINDOW`], so two of them tell the rate
-    /// between them. What differs from the mean by more than chance is taken to last.
+    /// Reported rates are means that decay over [`DEMAND_WINDOW`], so two of them give
+    /// the rate between them. The part of that rate's difference from the mean that
+    /// exceeds noise is assumed to continue.
     fn current_rate(&mut self, of: f64, told: f64, known: &Observation) -> f64 {
         let over = known.report_interval.max(MIN_TREND_INTERVAL).as_secs_f64();
         while self.samples.get(1).is_some_and(|(at, _)| *at <= of - over) {
--- a/crates/ashgauge/src/level.rs
+++ b/crates/ashgauge/src/level.rs
@@ -1,10 +1,11 @@
-//! Which requests begin where callers ask for more than the engines can do in time.
+//! Admission levels: which requests may start when demand exceeds the engines' capacity.
 //!
-//! Every box reckons the same level from the same words: how much is asked for, by class
-//! and team, and how much may begin. Classes are let in one after the other until that is
-//! used up; of the class at which it is, each team gets an equal part, and what a team
-//! does not use goes to the others. No box decides for the others, and nothing is kept:
-//! a level ends with the demand that it answers.
+//! Every box computes the same level from the same load reports: the demand by class and
+//! team, and the rate at which requests may start. Classes are admitted in order of
+//! urgency until that rate is used up. Within the class that is admitted only in part,
+//! each team gets an equal share, and what a team does not use goes to the others. No box
+//! decides for the others, and no state is kept: a level ends with the demand that caused
+//! it.
 
 use std::cmp::Ordering;
 use std::collections::HashMap;
@@ -14,35 +15,36 @@
 use crate::demand::{Demand, DemandSource, Demands, TeamKey};
 use crate::pressure::Pressure;
 
-/// Share of their bounds up to which engines are filled. Sizes vary: of some 180 requests
-/// in an engine's memory the deviation of their sum is 0.08.
+/// Utilization up to which engines are filled. Request sizes vary: the deviation of the
+/// sum of some 180 requests in an engine's memory is 0.08.
 const TARGET_UTILIZATION: f64 = 0.87;
 
-/// Share of their bounds below which all is let in: a box that has just started reckons
-/// the demand of all from its own few requests.
+/// Utilization below which all requests are admitted: a box that has just started
+/// estimates the fleet's demand from its own few requests.
 const SHED_THRESHOLD: f64 = 0.5;
 
-/// Time within which requests under way are brought to what the engines can do. With 500 ms
-/// the most urgent class was refused at times though its demand was far below that.
+/// Time within which the requests in flight are brought to the target. With 500 ms the
+/// most urgent class was refused at times though its demand was far below the capacity.
 const SETTLE_TIME: Duration = Duration::from_millis(700);
 
-/// Least part of a class's demand with which a team counts singly.
+/// Smallest share of a class's demand for which a team counts on its own.
 const MIN_SINGLE_SHARE: f64 = 1.0 / 64.0;
 
-/// Least part of what ends that may begin, so that engines do not run empty where what
-/// is known of them is wrong.
+/// Smallest rate of starts, as a share of the completion rate, so that engines do not run
+/// empty when the figures about them are wrong.
 const MIN_START_SHARE: f64 = 0.1;
 
-/// Time after which refused callers come back.
+/// Bounds of the time after which refused callers are told to retry.
 const RETRY_AFTER_RANGE: (Duration, Duration) =
     (Duration::from_secs(3), Duration::from_millis(6400));
 
-/// Part of their time for which callers stay away at most; past a third they ask earlier
-/// than they were told.
+/// Largest share of a caller's timeout that it is told to wait; from about a third on,
+/// callers retry earlier than told.
 const RETRY_AFTER_SHARE: f64 = 0.32;
 
-/// Requests a second that may begin over all boxes, where so many end as long as the
-/// engines are used as they are ([`crate::estimate::Estimate`]).
+/// Returns the requests a second that may start over all boxes, where `completion_rate`
+/// requests complete each second at the present load
+/// ([`crate::estimate::Estimate::completion_rate`]).
 ///
 /// # Example
 ///
@@ -52,7 +54,7 @@
 ///
 /// let pressure = |memory| Pressure { requests: 600.0, memory, slots: 0.1 };
 /// assert_eq!(allowed_rate(&pressure(0.4), 300.0), f64::INFINITY);
-/// // There is room left: more may begin than end.
+/// // There is capacity left: more may start than complete.
 /// assert!(allowed_rate(&pressure(0.6), 300.0) > 500.0);
 /// assert!(allowed_rate(&pressure(1.0), 300.0) < 300.0);
 /// ```
@@ -62,15 +64,18 @@
         return f64::INFINITY;
     }
     let more = pressure.requests * (TARGET_UTILIZATION / used - 1.0) / SETTLE_TIME.as_secs_f64();
-    // As many end of those that fill the engines up to their share as may begin for good.
+    // At the target utilization, this many requests complete and may start in the long
+    // run.
     (ends * TARGET_UTILIZATION / used + more).max(ends * MIN_START_SHARE)
 }
 
-/// When a refused caller is to come back that waits so much longer, with a `draw` from 0 to
-/// 1 at random, so that those who are refused together do not return together.
+/// Returns the time after which a refused caller is to retry, where `patience` is how
+/// much longer it would wait. `draw` is random from 0 to 1, so that callers that are
+/// refused together do not retry together.
 ///
-/// Callers stay away for a third of their time at most. An overload mostly lasts longer
-/// than a request does, and most callers ask twice only, so they come back late.
+/// Callers are told to wait for at most about a third of their timeout. An overload
+/// mostly lasts longer than a request takes, and most callers retry only once, so they
+/// are told to retry late.
 ///
 /// # Example
 ///
@@ -90,21 +95,24 @@
     least + (most - least).mul_f64(draw.clamp(0.0, 1.0))
 }
 
-/// Who is let in.
+/// Admission level: which classes and teams are admitted.
 #[derive(Clone, Debug, PartialEq)]
 pub struct AdmissionLevel {
-    /// Those of the classes before this one are let in, those behind it are not.
+    /// Class that is admitted in part. More urgent classes are admitted in full, less
+    /// urgent ones not at all.
     pub class: Class,
-    /// Work a second that each team of this class may begin.
+    /// Work a second that each team of this class may start.
     pub team_limit: f64,
-    /// What the teams of this class ask for.
+    /// Demands of the teams of this class.
     demands: Vec<(Option<TeamKey>, Demand)>,
 }
 
 impl AdmissionLevel {
-    /// The level at which so many requests a second begin; `None` if all are let in.
+    /// Computes the level at which `allowed` requests a second start; `None` if all are
+    /// admitted.
     ///
-    /// Room is shared by work, which requests of one team may have more of than others.
+    /// Capacity is shared by work, as the requests of one team may be larger than those
+    /// of another.
     pub fn new(demands: &Demands, allowed: f64) -> Option<Self> {
         if allowed.is_infinite() {
             return None;
@@ -130,7 +138,7 @@
         None
     }
 
-    /// Part of a team's requests of this class that are let in, 0 to 1.
+    /// Returns the admitted share of a team's requests of a class, 0 to 1.
     pub fn share(&self, class: Class, team: TeamKey) -> f64 {
         match class.cmp(&self.class) {
             Ordering::Less => 1.0,
@@ -142,15 +150,15 @@
     fn team_share(&self, team: TeamKey) -> f64 {
         let find = |team| self.demands.iter().find(|(t, _)| *t == team);
         let known = find(Some(team)).or_else(|| find(None));
-        // A team of which nothing was told yet has asked for little.
+        // A team that was not reported yet has little demand.
         known.map_or(1.0, |(_, demand)| {
             (self.team_limit * demand.teams.count() / demand.work()).min(1.0)
         })
     }
 }
 
-/// What the teams of one class ask for, where those that ask for little count together:
-/// some boxes tell them singly and others do not.
+/// Groups the demands of one class by team. Teams with a small demand are combined, as
+/// some boxes report them one by one and others do not.
 fn group_demands(same: &[(DemandSource, Demand)]) -> Vec<(Option<TeamKey>, Demand)> {
     let asked: f64 = same.iter().map(|(_, demand)| demand.work()).sum();
     let mut rest = Demand::default();
@@ -169,7 +177,8 @@
     gathered
 }
 
-/// The most that each team may get of `left` if none gets more than it asks for.
+/// Returns the max-min fair share of `left` for each team: no team gets more than its
+/// demand.
 fn fair_share(demands: &[(Option<TeamKey>, Demand)], left: f64) -> f64 {
     let each = |demand: &Demand| demand.work() / demand.teams.count();
     let mut sorted: Vec<&Demand> = demands.iter().map(|(_, d)| d).collect();
@@ -187,17 +196,17 @@
     f64::INFINITY
 }
 
-/// Lets requests of one box in by the level.
+/// Admits the requests of one box according to the level.
 #[derive(Debug, Default)]
 pub struct AdmissionGate {
     level: Option<AdmissionLevel>,
     since: Duration,
-    /// Parts of a request that each team is owed.
+    /// Fractions of a request that each team may still start.
     credits: HashMap<TeamKey, f64>,
 }
 
 impl AdmissionGate {
-    /// Puts a level in force; returns whether its class changed.
+    /// Sets the level; returns whether its class changed.
     pub fn set_level(&mut self, now: Duration, level: Option<AdmissionLevel>) -> bool {
         let class = |level: &Option<AdmissionLevel>| level.as_ref().map(|l| l.class);
         let changed = class(&level) != class(&self.level);
@@ -209,18 +218,19 @@
         changed
     }
 
-    /// The level in force.
+    /// Returns the present level.
     pub fn level(&self) -> Option<&AdmissionLevel> {
         self.level.as_ref()
     }
 
-    /// Since when requests of this class are the last to be let in, or all are.
+    /// Returns the time since which the partly admitted class has been the same, or all
+    /// classes have been admitted.
     pub fn since(&self) -> Duration {
         self.since
     }
 
-    /// Whether a request is let in; `start`, from 0 to 1 at random, spreads the first
-    /// refusals of boxes that have few requests each.
+    /// Returns whether a request is admitted. `start`, random from 0 to 1, spreads the
+    /// first refusals over boxes that have few requests each.
     pub fn admit(&mut self, class: Class, team: TeamKey, start: f64) -> bool {
         let Some(level) = &self.level else {
             return true;
--- a/crates/ashgauge/src/pressure.rs
+++ b/crates/ashgauge/src/pressure.rs
@@ -1,32 +1,32 @@
-//! How near the engines of a service are to what they can do.
+//! Pressure: how close a service's engines are to their capacity.
 
 use crate::context::{EstimatedLoad, SelectionContext};
 use crate::cost;
 use crate::routing::Model;
 use crate::upstream::Upstream;
 
-/// Part by which requests stay longer at full engines where the configuration does not tell
-/// it: 850 us for a pass and 3.82 us more for each of some 180 requests.
+/// Slowdown at full engines where the configuration gives no figures for it: 850 us for a
+/// pass and 3.82 us more for each of some 180 requests.
 const DEFAULT_SLOWDOWN: f64 = 0.8;
 
-/// Least and most of that part: figures of engines may be wrong.
+/// Bounds of the slowdown, as the configured figures may be wrong.
 const SLOWDOWN_RANGE: (f64, f64) = (0.2, 2.0);
 
-/// What all boxes have on the engines of a service, as shares of what these can take.
+/// Load of all boxes on the engines of a service, as shares of the engines' capacity.
 #[derive(Clone, Copy, Debug, Default, PartialEq)]
 pub struct Pressure {
-    /// Requests under way, also on engines that take no more.
+    /// Requests in flight, including those on engines that accept no more.
     pub requests: f64,
-    /// Share of the memory for requests that is used, of the layers that are shortest
-    /// of it.
+    /// Used share of the memory for requests, for the layer that has the least left.
     pub memory: f64,
-    /// Share of the first engines' slots that is used.
+    /// Used share of the slots of head engines, which hold a model's first layers.
     pub slots: f64,
 }
 
 impl Pressure {
-    /// What a box knows of the engines: the shares of those that take requests, and the
-    /// requests on all of them, as those on engines that take no more still run.
+    /// Computes the pressure from what this box knows of the engines. The shares cover
+    /// engines that accept requests; the request count covers all engines, as requests
+    /// still run on those that accept no more.
     pub fn from_context(context: &SelectionContext, model: &Model) -> Self {
         let layers = model.layers as usize;
         let (mut used, mut room) = (vec![0.0; layers], vec![0.0; layers]);
@@ -67,20 +67,21 @@
         }
     }
 
-    /// The share that is nearest to its bound.
+    /// Returns the higher of the memory and slot shares.
     pub fn max_share(&self) -> f64 {
         self.memory.max(self.slots)
     }
 }
 
-/// Part by which requests stay longer at full engines than at empty ones: a pass takes more
-/// time for each request in it.
+/// Returns the slowdown at full engines: by which part requests take longer there than at
+/// empty ones, since a pass takes longer with more requests in it.
 pub fn full_slowdown<'a>(model: &Model, engines: impl Iterator<Item = &'a Upstream>) -> f64 {
     let (prompt, answer) = (
         f64::from(model.typical_prompt),
         f64::from(model.typical_output),
     );
-    // Room is told for requests with all of their answer; they have half of it on average.
+    // The capacity counts requests with their whole answer; on average they hold half of
+    // it.
     let part_there = (prompt + answer / 2.0) / (prompt + answer).max(1.0);
     let held = engines
         .filter_map(|e| Some(model.request_capacity(e.accelerator.as_deref()?, e.layers?.len())));
@@ -95,14 +96,15 @@
     }
 }
 
-/// Factor on what was heard, where more boxes were heard than there are: after a start of
-/// all of them some tell for themselves and are in a hub's sum as well, for some seconds.
+/// Returns the factor that corrects for boxes that are counted twice. After a start of
+/// the whole fleet, some boxes report for themselves and are part of a hub's sum as well,
+/// for some seconds.
 fn overcount_factor(context: &SelectionContext) -> f64 {
     let heard = context.fleet_load.boxes() as f64 + 1.0;
     (context.boxes / heard).min(1.0)
 }
 
-/// A share of what there is; all of it where there is nothing.
+/// Returns the used share of a capacity; 1 if there is no capacity.
 fn share(used: f64, of: f64) -> f64 {
     match of > 0.0 {
         true => used / of,
--- a/crates/ashgauge/src/report.rs
+++ b/crates/ashgauge/src/report.rs
@@ -1,4 +1,5 @@
-//! What operators are told of a level: what it was computed from, and when it changed.
+//! Reports to operators on admission levels: what a level was computed from, and when it
+//! changed.
 
 use std::collections::BTreeMap;
 use std::time::Duration;
@@ -8,29 +9,29 @@
 use crate::level;
 use crate::pressure::Pressure;
 
-/// Least time between two reports of changes. Near its bound a level may change with each
-/// computation, 20 times a second.
+/// Shortest time between two reports of changes. Close to its bound, a level may change
+/// with each computation, 20 times a second.
 const MIN_REPORT_INTERVAL: Duration = Duration::from_secs(1);
 
-/// What a level was computed from.
+/// Figures from which a level was computed.
 #[derive(Clone, Debug, PartialEq)]
 pub struct LevelInputs {
-    /// Requests a second that are estimated to be asked for by class, the most urgent first.
+    /// Estimated demand in requests a second by class, the most urgent first.
     pub classes: Vec<(Class, f64)>,
-    /// Requests a second that may begin over all boxes; infinite if nothing limits them.
+    /// Requests a second that may start over all boxes; infinite if unlimited.
     pub allowed_rate: f64,
-    /// Requests a second that end as long as the engines are used as they are.
+    /// Requests that complete each second at the present load.
     pub completion_rate: f64,
-    /// Use of the engines, as it is estimated to be now.
+    /// Estimated present load of the engines.
     pub pressure: Pressure,
-    /// How old what is known of other boxes is.
+    /// Age of the information on other boxes.
     pub age: Duration,
-    /// Other boxes that were heard.
+    /// Number of other boxes that are included.
     pub boxes: usize,
 }
 
 impl LevelInputs {
-    /// The basis of a level for these demands.
+    /// Creates the inputs of a level for these demands.
     ///
     /// # Example
     ///
@@ -65,42 +66,43 @@
         }
     }
 
-    /// Requests a second that are asked for, over all classes.
+    /// Returns the demand in requests a second over all classes.
     pub fn demand_rate(&self) -> f64 {
         self.classes.iter().map(|(_, rate)| rate).sum()
     }
 
-    /// How many classes with demand are ahead of this one.
+    /// Returns the number of classes with demand that are more urgent than `class`.
     pub fn classes_before(&self, class: Class) -> usize {
         self.classes.iter().filter(|(c, _)| *c < class).count()
     }
 }
 
-/// How a level differs from the one that was reported last.
+/// Difference between a level and the one that was reported last.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub enum LevelChange {
-    /// All classes were admitted before.
+    /// A level was set; before, all classes were admitted.
     Started,
-    /// Another class was the last to be admitted.
+    /// Another class is now admitted in part.
     ClassChanged,
-    /// All classes are admitted again; the level lasted so long.
+    /// All classes are admitted again. Holds the time for which there was a level.
     Ended(Duration),
 }
 
-/// Decides when a change of a level is reported.
+/// Decides when a change of the level is reported.
 #[derive(Debug, Default)]
 pub struct ChangeReporter {
     /// Class of the level that was reported last.
     class: Option<Class>,
-    /// When that was.
+    /// Time of the last report.
     last_reported: Option<Duration>,
-    /// When the first level of this overload was reported.
+    /// Time at which the start of the present overload was reported.
     started: Duration,
 }
 
 impl ChangeReporter {
-    /// The change to report now, if there is one and the last report is old enough. A change
-    /// that comes too early is reported by a later call if it still holds.
+    /// Returns the change to report now, if there is one and the last report is old
+    /// enough. A change that comes too early is reported by a later call if it still
+    /// holds.
     ///
     /// # Example
     ///
