--- a/crates/ashgauge/src/forecast.rs
+++ b/crates/ashgauge/src/forecast.rs
@@ -1,7 +1,8 @@
-//! When the first event of a stream comes over a chain, and how far apart the next are.
+//! Forecasts when the first event of a stream arrives over a chain, and the time between
+//! the following events.
 //!
-//! [`forecast`] goes by what is known of the chain's engines; a [`Calibration`] learns by
-//! how much the first events of a service come later or earlier than that.
+//! [`forecast`] uses what is known of the chain's engines. A [`Calibration`] learns by
+//! which factor the first events of a service arrive later or earlier than forecast.
 
 use std::time::Duration;
 
@@ -11,38 +12,39 @@
 use crate::routing::Model;
 use crate::upstream_state::UpstreamState;
 
-/// Longest time that is forecast: past it no caller waits, and a product of absurd
-/// figures stays a time.
+/// Longest time that is forecast. No caller waits longer, and it keeps products of absurd
+/// figures within the range of a [`Duration`].
 pub const MAX_FORECAST: Duration = Duration::from_secs(60);
 
-/// Requests that an engine is taken to have at most, so that their time stays a number:
-/// a hundred times the requests that a large fleet begins each second.
+/// Largest number of requests that is assumed for an engine, to keep times finite: a
+/// hundred times the requests that a large fleet starts each second.
 const MAX_REQUESTS: f64 = 1e6;
 
-/// Weight of the newest ratio in a calibration: one late event changes little, and a
+/// Weight of the newest ratio in a calibration. One late event changes little, and a
 /// change of the load is learned within some forty streams.
 const LEARNING_RATE: f64 = 0.05;
 
-/// Least and most ratio that is learned: forecasts that are further off say nothing, and
-/// silences must be looked into whatever engines report.
+/// Bounds of the learned ratio. Forecasts that are further off are meaningless, and
+/// silent streams must be checked whatever engines report.
 const RATIO_RANGE: (f64, f64) = (0.25, 4.0);
 
-/// Multiple of its forecast after which a first event counts as late: most come within
-/// it, and engines that are only busy are not checked.
+/// Multiple of its forecast after which a first event counts as late. Most events arrive
+/// earlier, so engines that are only busy are not checked.
 const LATE_FACTOR: u32 = 2;
 
-/// What is expected of a request on a chain.
+/// Forecast for a request on a chain.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub struct Forecast {
-    /// Time from its send to its first event.
+    /// Time from sending the request to its first event.
     pub first_event: Duration,
     /// Time between two events.
     pub event_gap: Duration,
 }
 
 impl Forecast {
-    /// How many times as long as forecast the first event took; `None` if the forecast
-    /// says nothing, as no engine was known or the figures were absurd.
+    /// Returns the ratio of the actual time of the first event to its forecast; `None` if
+    /// the forecast is meaningless because no engine was known or the figures were
+    /// absurd.
     ///
     /// # Example
     ///
@@ -60,19 +62,19 @@
         is_known.then(|| actual.as_secs_f64() / self.first_event.as_secs_f64())
     }
 
-    /// Whether the figures gave a longer time than is forecast.
+    /// Returns whether the forecast was capped at [`MAX_FORECAST`].
     pub fn is_capped(&self) -> bool {
         self.first_event >= MAX_FORECAST
     }
 }
 
-/// Forecasts a request of `prompt` tokens on a chain, before it is counted on the chain's
-/// engines.
+/// Forecasts a request of `prompt` tokens on a chain, before the request is counted on
+/// the chain's engines.
 ///
-/// At each engine the prompt waits for those that are queued there and is read, and the
-/// first event takes as long as each later one. A prompt of 0 tokens counts as the usual
-/// one, as its caller did not say how long it is. Engines that are not known any more add
-/// nothing.
+/// At each engine the prompt waits for the prompts queued there and is then processed
+/// (prefill); the first event takes as long as each later one. With a `prompt` of 0,
+/// which means that the caller did not state a length, the typical length is used.
+/// Engines that are no longer known add nothing.
 pub fn forecast(
     context: &SelectionContext,
     model: &Model,
@@ -101,8 +103,8 @@
     }
 }
 
-/// Silence before a first event, forecast for `first`, after which the engines are looked
-/// at: `least`, or twice the forecast if that is longer, up to `most`.
+/// Returns the silence before a first event, forecast for `first`, after which the
+/// engines are checked: `least`, or twice the forecast if that is longer, up to `most`.
 ///
 /// # Example
 ///
@@ -119,7 +121,7 @@
     least.max(late.min(most))
 }
 
-/// Seconds that an event takes on an engine that works on so many requests.
+/// Returns the seconds that an event takes on an engine that processes so many requests.
 fn event_seconds(
     context: &SelectionContext,
     model: &Model,
@@ -127,7 +129,7 @@
     layers: Layer,
     requests: f64,
 ) -> f64 {
-    // Longer steps would not fit into a time with the requests in them.
+    // Longer steps, multiplied by the requests, would overflow a `Duration`.
     if model.step_time.max(model.step_per_request) >= MAX_FORECAST {
         return MAX_FORECAST.as_secs_f64();
     }
@@ -137,7 +139,7 @@
     clamp_seconds(layer * f64::from(layers) * entry.slowness(context.now))
 }
 
-/// A number from 0 to `most`; what is no number counts as 0.
+/// Clamps a value to 0 to `max`; returns 0 for NaN.
 fn clamp_or_zero(value: f64, most: f64) -> f64 {
     match value.is_nan() {
         true => 0.0,
@@ -145,7 +147,7 @@
     }
 }
 
-/// Seconds that may be forecast.
+/// Clamps seconds to the range that may be forecast.
 fn clamp_seconds(seconds: f64) -> f64 {
     clamp_or_zero(seconds, MAX_FORECAST.as_secs_f64())
 }
@@ -154,11 +156,11 @@
     Duration::from_secs_f64(clamp_seconds(seconds))
 }
 
-/// How many times as long as forecast the first events of a service take, and how far
-/// they differ in that.
+/// Learned ratio of the first events' actual times to their forecasts, for one service,
+/// and its mean deviation.
 ///
-/// Learned on a logarithmic scale, on which twice as long and half as long are errors of
-/// one size.
+/// It is learned on a logarithmic scale, on which twice as long and half as long are
+/// errors of the same size.
 ///
 /// # Example
 ///
@@ -176,12 +178,13 @@
 pub struct Calibration {
     /// Learned logarithm of the ratio.
     mean: f64,
-    /// Learned distance of a ratio's logarithm from that.
+    /// Learned mean absolute deviation of the ratios' logarithms from it.
     deviation: f64,
 }
 
 impl Default for Calibration {
-    /// Forecasts hold as they are, and nothing is known of how good they are.
+    /// Creates a calibration that leaves forecasts unchanged and has the largest error
+    /// factor.
     fn default() -> Self {
         Calibration {
             mean: 0.0,
@@ -191,7 +194,7 @@
 }
 
 impl Calibration {
-    /// Learns from the ratio of a first event's time to its forecast.
+    /// Records the ratio of a first event's time to its forecast.
     pub fn record(&mut self, ratio: f64) {
         if ratio.is_nan() {
             return;
@@ -202,18 +205,18 @@
         self.deviation += LEARNING_RATE * (error.abs() - self.deviation);
     }
 
-    /// Factor on a forecast, 0.25 to 4.
+    /// Returns the factor on a forecast, 0.25 to 4.
     pub fn factor(&self) -> f64 {
         self.mean.exp()
     }
 
-    /// How sure the factor is: by which factor first events differ from calibrated
-    /// forecasts on average, 1 if they never do, and 4 before anything was learned.
+    /// Returns by which factor first events differ from calibrated forecasts on average:
+    /// 1 if they never do, and 4 before anything was learned.
     pub fn error_factor(&self) -> f64 {
         self.deviation.exp()
     }
 
-    /// The forecast time of a first event, corrected by what was learned.
+    /// Returns the forecast time of a first event, corrected by the learned factor.
     pub fn apply(&self, first: Duration) -> Duration {
         to_duration(first.as_secs_f64() * self.factor())
     }
--- a/crates/ashgauge/src/notice.rs
+++ b/crates/ashgauge/src/notice.rs
@@ -1,18 +1,18 @@
-//! What upstreams say of themselves in their answers, and how long that holds.
+//! Notices that upstreams give in their answers, and how long these hold.
 //!
-//! It is the upstream's own word to this box, newer than its entry in the store, so no
-//! change of the entry takes it back.
+//! A notice comes from the upstream itself and is newer than its entry in the store, so
+//! changes of the entry do not revoke it.
 
 use std::collections::HashMap;
 use std::time::Duration;
 
 use crate::member::UpstreamId;
 
-/// How long a notice is kept after its upstream's entry is gone. Entries lapse in an
-/// outage of the store though their upstreams live, and come back after it.
+/// How long a notice is kept after the upstream's entry has gone. Entries expire in an
+/// outage of the store although their upstreams live, and return after it.
 const NOTICE_TTL: Duration = Duration::from_secs(600);
 
-/// What one upstream said.
+/// Notices of one upstream.
 ///
 /// # Example
 ///
@@ -29,11 +29,11 @@
 #[derive(Clone, Copy, Debug, Default, PartialEq)]
 pub struct UpstreamNotice {
     leaving: bool,
-    /// Until when it wants nothing from this box.
+    /// End of the time in which it accepts no requests from this box.
     backoff_until: Option<Duration>,
 }
 
-/// Notices of upstreams that have no entry.
+/// Notices of upstreams without an entry.
 #[derive(Clone, Debug, Default)]
 pub struct AbsentNotices {
     notices: HashMap<UpstreamId, KeptNotice>,
@@ -41,37 +41,38 @@
 
 #[derive(Clone, Copy, Debug)]
 struct KeptNotice {
-    /// The start that it is of, if that is known.
+    /// Start of the upstream's process that gave the notice, if known.
     started_ms: Option<u64>,
     notice: UpstreamNotice,
     until: Duration,
 }
 
 impl UpstreamNotice {
-    /// Notes that the upstream is leaving; returns true if that is new.
+    /// Records that the upstream is leaving; returns true if that is new.
     pub fn set_leaving(&mut self) -> bool {
         !std::mem::replace(&mut self.leaving, true)
     }
 
-    /// Notes that the upstream wants nothing from this box for so long. A shorter rest
-    /// does not end a longer one.
+    /// Records that the upstream accepts no requests from this box for `rest`. A shorter
+    /// backoff does not end a longer one.
     pub fn extend_backoff(&mut self, now: Duration, rest: Duration) {
         self.backoff_until = self.backoff_until.max(Some(now.saturating_add(rest)));
     }
 
-    /// Whether the upstream is leaving.
+    /// Returns whether the upstream is leaving.
     pub fn is_leaving(&self) -> bool {
         self.leaving
     }
 
-    /// How much longer the upstream wants nothing from this box.
+    /// Returns how much longer the upstream accepts no requests from this box.
     pub fn backoff(&self, now: Duration) -> Option<Duration> {
         let left = self.backoff_until?.saturating_sub(now);
         (!left.is_zero()).then_some(left)
     }
 
-    /// What still holds once the upstream has started anew. The answer that asked for
-    /// rest may be of the new start, as entries come later than answers.
+    /// Returns what still holds after a restart of the upstream. The backoff is kept: the
+    /// answer that requested it may already come from the new process, as entries arrive
+    /// later than answers.
     pub fn after_restart(self) -> Self {
         UpstreamNotice {
             leaving: false,
@@ -81,7 +82,7 @@
 }
 
 impl AbsentNotices {
-    /// Keeps the notice of an upstream whose entry is gone.
+    /// Keeps the notice of an upstream whose entry has gone.
     pub fn insert(&mut self, now: Duration, id: &str, born: Option<u64>, notice: UpstreamNotice) {
         self.notices.retain(|_, k| now < k.until);
         if notice == UpstreamNotice::default() {
@@ -96,7 +97,7 @@
         self.notices.insert(id.into(), kept);
     }
 
-    /// Changes the notice of an upstream that answers though it has no entry.
+    /// Changes the notice of an upstream that answers although it has no entry.
     pub fn update<T>(
         &mut self,
         now: Duration,
@@ -110,7 +111,7 @@
         result
     }
 
-    /// Takes back the notice of an upstream whose entry comes.
+    /// Removes and returns the notice of an upstream whose entry arrives.
     pub fn remove(&mut self, id: &str, born: Option<u64>) -> UpstreamNotice {
         match self.notices.remove(id) {
             Some(k) if k.started_ms.is_none() || k.started_ms == born => k.notice,
@@ -119,12 +120,12 @@
         }
     }
 
-    /// Number of notices kept.
+    /// Returns the number of notices.
     pub fn len(&self) -> usize {
         self.notices.len()
     }
 
-    /// Whether none is kept.
+    /// Returns whether there are no notices.
     pub fn is_empty(&self) -> bool {
         self.notices.is_empty()
     }
--- a/crates/ashgauge/src/recovery.rs
+++ b/crates/ashgauge/src/recovery.rs
@@ -1,60 +1,62 @@
-//! How much a box does for streams that are held up, so that an overload does not make
-//! more work of its own.
+//! Budget for the recovery of stalled streams, so that an overload does not create
+//! further load.
 //!
-//! Changes of chain, resends and checks of engines are work for engines that may have too
-//! much already. A box earns them with the requests that it lets in, and earns fewer the
-//! nearer the engines are to what they can do.
+//! Repairs over another chain, resends and checks of engines add load to engines that may
+//! be overloaded already. A box earns credits for them with the requests that it admits.
+//! The closer the engines are to their capacity, the fewer credits it earns.
 
 use std::time::Duration;
 
-/// Pressure up to which a box earns the most: engines below it have time for all checks.
+/// Pressure up to which a box earns credits at the full rate: engines below it have time
+/// for all checks.
 pub const LOW_PRESSURE: f64 = 0.6;
 
-/// Pressure from which an engine's refusal ends a request that has no second chain: the
-/// other engines are as full, and one more send is refused as well.
+/// Pressure from which a refusal by an engine ends a request that has no second chain.
+/// The other engines are as full, and one more send would be refused as well.
 pub const HIGH_PRESSURE: f64 = 0.8;
 
-/// Part that a box earns at a pressure of 1.
+/// Share of the full credit rate that is earned at a pressure of 1.
 const MIN_EARNED_SHARE: f64 = 0.1;
 
-/// Uses earned by each request. A quarter is for checks: at a pressure of 1 one for five
-/// requests.
+/// Credits earned by each request. A quarter of them is for checks: at a pressure of 1
+/// that is one check for five requests.
 const CREDITS_PER_REQUEST: f64 = 8.0;
 
-/// Uses earned each second without requests: a check each second at a pressure of 1, and
-/// six at once without it, as many as a chain has engines.
+/// Credits a second that are earned without requests. This allows one check a second at a
+/// pressure of 1. Without pressure it allows six at once, as many as a chain has engines.
 const IDLE_CREDIT_RATE: f64 = 40.0;
 
-/// Time over which requests are counted.
+/// Time constant of the request rate.
 const RATE_WINDOW: Duration = Duration::from_secs(1);
 
-/// Time of earnings that may be saved. With [`PRESSURE_TTL`] it makes the second after
-/// which an account is full once the load has gone.
+/// Time for which credits accumulate. Together with [`PRESSURE_TTL`] it makes the second
+/// after which a budget is full once the load has gone.
 const BURST_TIME: Duration = Duration::from_millis(600);
 
-/// Time for which a pressure counts. It is reckoned when requests come, and by a watch
-/// without them.
+/// Time for which a pressure value holds. It is computed when requests arrive, and by a
+/// periodic task without them.
 const PRESSURE_TTL: Duration = Duration::from_millis(400);
 
-/// Parts of what is earned: for repairs only, for repairs and resends, for all uses.
+/// Shares of the earned credits: for repairs only, for repairs and resends, and for all
+/// actions.
 const POOL_SHARES: [f64; 3] = [0.5, 0.25, 0.25];
 
-/// What one use takes, without the rounding of sums.
+/// Smallest balance that counts as one credit, allowing for rounding errors.
 const ONE_CREDIT: f64 = 1.0 - 1e-9;
 
-/// What a box does for a stream that is held up, the most useful first.
+/// Recovery action for a stalled stream, the most useful first.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum RecoveryAction {
-    /// Leads a stream of which the caller has a part over another chain.
+    /// Continues a stream that the caller has received in part over another chain.
     Repair,
-    /// Sends a request again of which the caller has nothing.
+    /// Sends a request again whose caller has received nothing yet.
     Resend,
-    /// Connects to an engine, or asks it how it is.
+    /// Connects to an engine or requests its status.
     Check,
 }
 
 impl RecoveryAction {
-    /// Its name in logs and metrics.
+    /// Returns the name in logs and metrics.
     pub fn name(self) -> &'static str {
         match self {
             RecoveryAction::Repair => "repair",
@@ -64,9 +66,10 @@
     }
 }
 
-/// What a box may do for streams of one service that are held up.
+/// Credits of a box for the recovery of one service's stalled streams.
 ///
-/// A part is for repairs only, so that none waits for checks or resends.
+/// Some credits are for repairs only, so that checks and resends cannot use up all of
+/// them.
 ///
 /// # Example
 ///
@@ -83,18 +86,18 @@
 /// ```
 #[derive(Clone, Debug)]
 pub struct RecoveryBudget {
-    /// The pressure, and when it was reckoned.
+    /// Time at which the pressure was computed, and its value.
     pressure: Option<(Duration, f64)>,
     /// Requests a second.
     request_rate: f64,
-    /// What is left of each part.
+    /// Credits left in each pool.
     credits: [f64; POOL_SHARES.len()],
-    /// Up to when earnings are counted.
+    /// Time up to which credits were accrued.
     updated: Duration,
 }
 
 impl Default for RecoveryBudget {
-    /// Makes an account that is full without requests.
+    /// Creates a budget that is as full as it gets without requests.
     fn default() -> Self {
         RecoveryBudget {
             pressure: None,
@@ -106,34 +109,34 @@
 }
 
 impl RecoveryBudget {
-    /// Notes a request that was let in.
+    /// Records an admitted request.
     pub fn record_request(&mut self, now: Duration) {
         self.accrue(now);
         self.request_rate += 1.0 / RATE_WINDOW.as_secs_f64();
     }
 
-    /// Sets how near the engines are to what they can do.
+    /// Sets the pressure on the engines.
     pub fn set_pressure(&mut self, now: Duration, pressure: f64) {
         self.accrue(now);
-        // What is no number came from engines of which nothing is known.
+        // NaN comes from engines of which nothing is known.
         let pressure = if pressure.is_nan() { 1.0 } else { pressure };
         self.pressure = Some((now, pressure.clamp(0.0, 1.0)));
         self.cap_credits();
     }
 
-    /// The pressure, 0 to 1, if it was set a short while ago; else 0.
+    /// Returns the pressure, 0 to 1; 0 if it was not set recently.
     pub fn pressure(&self, now: Duration) -> f64 {
         let known = self.pressure.filter(|(at, _)| now < *at + PRESSURE_TTL);
         known.map_or(0.0, |(_, pressure)| pressure)
     }
 
-    /// Whether there is enough for one use.
+    /// Returns whether there is a credit for an action.
     pub fn has_credit(&mut self, now: Duration, what: RecoveryAction) -> bool {
         self.accrue(now);
         self.pool(what).is_some()
     }
 
-    /// Takes one use out; returns false if there is not enough for it.
+    /// Withdraws one credit for an action; returns false if there is none.
     pub fn withdraw(&mut self, now: Duration, what: RecoveryAction) -> bool {
         self.accrue(now);
         let part = self.pool(what);
@@ -143,12 +146,13 @@
         part.is_some()
     }
 
-    /// The part from which a use is taken: its own, else one for less useful ones.
+    /// Returns the pool from which an action is paid: its own, or else that of a less
+    /// useful action.
     fn pool(&self, what: RecoveryAction) -> Option<usize> {
         (what as usize..POOL_SHARES.len()).find(|part| self.credits[*part] >= ONE_CREDIT)
     }
 
-    /// Adds what was earned since the last time.
+    /// Adds the credits earned since the last call.
     fn accrue(&mut self, now: Duration) {
         if now <= self.updated {
             return;
@@ -167,18 +171,18 @@
         self.cap_credits();
     }
 
-    /// How much of the time since the last earnings the pressure counted.
+    /// Returns for how much of the time since the last accrual the pressure was valid.
     fn time_under_pressure(&self, now: Duration) -> Duration {
         let set = self.pressure.map_or(Duration::ZERO, |(at, _)| at);
         now.min(set + PRESSURE_TTL).saturating_sub(self.updated)
     }
 
-    /// Uses earned each second without pressure.
+    /// Returns the credits earned each second without pressure.
     fn credit_rate(&self) -> f64 {
         (self.request_rate * CREDITS_PER_REQUEST).max(IDLE_CREDIT_RATE)
     }
 
-    /// Drops what is more than may be saved.
+    /// Drops credits beyond the largest balance.
     fn cap_credits(&mut self) {
         let earned = self.credit_rate() * earned_share(self.pressure(self.updated));
         for (saved, part) in self.credits.iter_mut().zip(POOL_SHARES) {
@@ -187,21 +191,24 @@
     }
 }
 
-/// Part that is earned at a pressure, 0 to 1.
+/// Returns the share of the full credit rate that is earned at a pressure, 0 to 1.
 fn earned_share(pressure: f64) -> f64 {
     let over = (pressure - LOW_PRESSURE) / (1.0 - LOW_PRESSURE);
     1.0 - over.clamp(0.0, 1.0) * (1.0 - MIN_EARNED_SHARE)
 }
 
-/// What may be saved of so much a second; one in any case, as less is of no use.
+/// Returns the largest balance for a credit rate; at least one credit, as less is of no
+/// use.
 fn max_credits(earned: f64) -> f64 {
     (earned * BURST_TIME.as_secs_f64()).max(1.0)
 }
 
-/// Whether a stream that cannot go on otherwise does without what it waits for, at one of
-/// its looks, if it may wait for `left` more; `draw` is from 0 to 1 at random.
+/// Returns whether a stream that waits for a credit stops waiting and proceeds without
+/// one. It is called at each `interval`, for a stream that may wait for `left` more; `draw`
+/// is random from 0 to 1.
 ///
-/// Streams that are cut off together end their waits evenly over the time that they have.
+/// Streams that are interrupted together thus proceed evenly spread over the time that
+/// they have left.
 ///
 /// # Example
 ///
@@ -210,7 +217,7 @@
 /// use ashgauge::recovery::stops_waiting;
 ///
 /// let ms = Duration::from_millis;
-/// // One in twenty goes updated this look.
+/// // One in twenty proceeds at this call.
 /// assert!(stops_waiting(ms(1000), ms(50), 0.04));
 /// assert!(!stops_waiting(ms(1000), ms(50), 0.06));
 /// assert!(stops_waiting(ms(0), ms(50), 0.99));
--- a/crates/ashgauge/src/silence.rs
+++ b/crates/ashgauge/src/silence.rs
@@ -1,21 +1,22 @@
-//! When a stream has been silent for so long that its engines are checked.
+//! Decides when a stream has been silent for so long that its engines are checked.
 
 use std::time::Duration;
 
-/// Weight of the newest pause in a stream's pace.
+/// Weight of the newest gap in the mean time between a stream's events.
 const GAP_WEIGHT: f64 = 0.2;
 
-/// A stream counts as silent after this multiple of its own pace.
+/// Multiple of a stream's mean event gap after which it counts as silent.
 ///
-/// At 1.6 and a least silence of 60 ms losses were found after 85 ms, not 152 (by
-/// the boxes' lines), but the pauses stayed as long, as engines were reading
-/// anew; engines that are only slow were asked eighteen times as often.
+/// With 1.6 and a shortest silence of 60 ms, losses were found after 85 ms instead of 152
+/// ms, according to the boxes' logs. The pauses stayed as long, as engines were
+/// processing prompts again, and engines that were only slow were checked eighteen times
+/// as often.
 const GAP_FACTOR: f64 = 2.5;
 
-/// Doublings of the time between checks at most.
+/// Largest number of doublings of the time between checks.
 const MAX_DOUBLINGS: u32 = 5;
 
-/// What is known of a stream's silence.
+/// Timer for the silence of a stream.
 ///
 /// # Example
 ///
@@ -34,18 +35,18 @@
 /// ```
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct SilenceTimer {
-    /// When something last came, or a repair began to count anew.
+    /// Time of the last event, or of the last reset.
     last_event: Duration,
-    /// Learned time between two pieces, in seconds; nothing before the second.
+    /// Learned time between two events in seconds; none before the second event.
     event_gap: Option<f64>,
-    /// Whether a piece has come.
+    /// Whether an event has arrived.
     started: bool,
-    /// Checks of the engines since something last came.
+    /// Checks of the engines since the last event.
     checks: u32,
 }
 
 impl SilenceTimer {
-    /// A stream of which nothing has come yet.
+    /// Creates the timer of a stream without events.
     pub fn new(now: Duration) -> Self {
         SilenceTimer {
             last_event: now,
@@ -55,7 +56,7 @@
         }
     }
 
-    /// Notes that a piece came.
+    /// Records an event.
     pub fn record_event(&mut self, now: Duration) {
         let pause = (now - self.last_event).as_secs_f64();
         if self.started {
@@ -66,38 +67,40 @@
         self.reset(now);
     }
 
-    /// Counts the silence from now on, as the stream was led elsewhere.
+    /// Restarts the silence at `now`, as the stream was moved to another chain.
     pub fn reset(&mut self, now: Duration) {
         self.last_event = now;
         self.checks = 0;
     }
 
-    /// Notes that a check of the engines found nothing.
+    /// Records that a check of the engines found no fault.
     pub fn record_check(&mut self) {
         self.checks += 1;
     }
 
-    /// When something last came.
+    /// Returns the time of the last event.
     pub fn last_event(&self) -> Duration {
         self.last_event
     }
 
-    /// Learned time between two pieces, in seconds; 0 if it is not known.
+    /// Returns the learned time between two events in seconds; 0 if unknown.
     pub fn event_gap(&self) -> f64 {
         self.event_gap.unwrap_or(0.0)
     }
 
-    /// When the engines are to be checked; `first` is the least silence before
-    /// the first piece, `least` that between two. It doubles with each check in
-    /// vain: the cause is none that a check finds, such as long prompts.
+    /// Returns when the engines are to be checked. `first` is the shortest silence before
+    /// the first event, `least` that between two events. The time doubles with each check
+    /// that finds no fault, since the cause is then one that checks cannot find, such as
+    /// long prompts.
     pub fn next_check(&self, first: Duration, least: Duration) -> Duration {
         let least = if self.started { least } else { first };
         let silence = Duration::from_secs_f64(self.event_gap() * GAP_FACTOR).max(least);
         self.last_event + silence * 2u32.pow(self.checks.min(MAX_DOUBLINGS))
     }
 
-    /// As [`SilenceTimer::next_check`], but one of the checks comes after a silence of `most`, if the
-    /// first comes no later: after a long `first` the next would come late by far.
+    /// Like [`SilenceTimer::next_check`], but one of the checks comes after a silence of
+    /// `most`, unless the first check is later than that: after a long `first`, the
+    /// doubled time would be far too late.
     ///
     /// # Example
     ///
@@ -123,12 +126,12 @@
     }
 }
 
-/// How long to wait for the head of an answer before the engines are looked at
-/// again: twice as long as the `last` time, but not past `most` in all, of which
-/// so much has been `waited`.
+/// Returns how long to wait for the head of an answer before the engines are checked
+/// again: twice the `last` time, but not past `most` in total, of which `waited` has
+/// passed.
 ///
-/// A wait that doubled past `most` gave up sends whose answer was lost after
-/// 1.75 s, not 1.3 s; callers leave after two.
+/// When waits could double past `most`, sends whose answer was lost were given up after
+/// 1.75 s instead of 1.3 s; callers leave after two.
 ///
 /// # Example
 ///
--- a/crates/ashgauge/src/suspicion.rs
+++ b/crates/ashgauge/src/suspicion.rs
@@ -1,29 +1,29 @@
-//! Engines that accept no connections, and what boxes tell each other of them.
+//! Engines that accept no connections, and the reports on them between boxes.
 //!
-//! A box that finds such an engine notifies the others, which check it with connections of
-//! their own. Nothing here makes an engine suspect: a box that is cut off from an engine
-//! must not make others abandon it.
+//! A box that finds such an engine notifies the others, which check it with connections
+//! of their own. Nothing here makes an engine suspect: a box that is cut off from an
+//! engine must not make others abandon it.
 
 use std::collections::HashMap;
 use std::time::Duration;
 
 use crate::quarantine::{Audience, InstanceKey};
 
-/// How long an engine that was told of is not told of again, and one that was checked is
-/// not checked again for another box's report. Each box thus connects at most twice a
-/// second to an engine that others falsely report.
+/// Time in which an engine is not reported again, and is not checked again for another
+/// box's report. Each box thus connects at most twice a second to an engine that others
+/// falsely report.
 pub const MIN_REPEAT_INTERVAL: Duration = Duration::from_millis(500);
 
-/// Engines in one notification: 170 bytes or so.
+/// Largest number of engines in one notification, which is then about 170 bytes.
 pub const MAX_SUSPECTS_SENT: usize = 32;
 
-/// Engines of which something is kept, at 40 bytes or so each.
+/// Largest number of engines with an entry, at about 40 bytes each.
 pub const MAX_ENTRIES: usize = 256;
 
-/// Checks of reported engines that are under way at one time.
+/// Largest number of concurrent checks of reported engines.
 pub const MAX_CHECKS: usize = 8;
 
-/// What a box has sent, forwarded and checked a moment ago, by engine.
+/// Engines that a box has reported, forwarded or checked recently.
 ///
 /// # Example
 ///
@@ -37,7 +37,7 @@
 /// let mut suspicions = SuspectReports::default();
 /// assert!(suspicions.record_found(now, lost));
 /// assert_eq!(suspicions.take_pending(now), [(lost, Audience::All)]);
-/// // It was reported.
+/// // It was already reported.
 /// assert!(!suspicions.record_found(now, lost));
 /// ```
 #[derive(Clone, Debug, Default)]
@@ -46,25 +46,26 @@
     active_checks: usize,
 }
 
-/// What was done about one start of an engine.
+/// State of one instance of an engine, which is one run of its process.
 #[derive(Clone, Copy, Debug, Default)]
 struct Entry {
-    /// When this box found it, or first heard of it from another.
+    /// Time at which this box found it, or first received a report on it.
     reported: Option<Duration>,
-    /// Whom to tell of it, until that is done.
+    /// Boxes that are still to be notified.
     pending: Option<Audience>,
-    /// When it was last checked for another box's report.
+    /// Time of the last check for another box's report.
     checked: Option<Duration>,
 }
 
 impl SuspectReports {
-    /// Notes an engine that this box found to accept no connections; returns whether there
-    /// is something to send. One that another box has just told of is known to all.
+    /// Records that this box found an engine that accepts no connections; returns whether
+    /// there is something to send. If another box has just reported it, all boxes know
+    /// already.
     pub fn record_found(&mut self, now: Duration, start: InstanceKey) -> bool {
         self.record_entry(now, start, Some(Audience::All))
     }
 
-    /// Notes that another box has told of an engine; returns whether there is something to
+    /// Records another box's report of an engine; returns whether there is something to
     /// forward to `audience`.
     pub fn record_report(
         &mut self,
@@ -75,7 +76,8 @@
         self.record_entry(now, start, audience)
     }
 
-    /// Takes out what is to be sent now, the oldest first; at most [`MAX_SUSPECTS_SENT`].
+    /// Takes the reports that are to be sent now, the oldest first; at most
+    /// [`MAX_SUSPECTS_SENT`].
     pub fn take_pending(&mut self, now: Duration) -> Vec<(InstanceKey, Audience)> {
         self.expire(now);
         let waiting = self.entries.iter();
@@ -93,9 +95,10 @@
         told
     }
 
-    /// Begins a check of an engine that another box has told of, if there was none for
-    /// [`MIN_REPEAT_INTERVAL`], few others are under way and `has_budget`, which is asked last.
-    /// Each check that begins must be ended by [`SuspectReports::end_check`].
+    /// Starts a check of an engine that another box has reported. It does so only if
+    /// there was none for [`MIN_REPEAT_INTERVAL`], fewer than [`MAX_CHECKS`] are active,
+    /// and `has_budget`, which is called last, returns true. Each check that starts must
+    /// be ended by [`SuspectReports::end_check`].
     pub fn begin_check(
         &mut self,
         now: Duration,
@@ -116,22 +119,22 @@
         true
     }
 
-    /// Notes that a check has ended.
+    /// Records that a check has ended.
     pub fn end_check(&mut self) {
         self.active_checks = self.active_checks.saturating_sub(1);
     }
 
-    /// Checks that are under way.
+    /// Returns the number of active checks.
     pub fn active_checks(&self) -> usize {
         self.active_checks
     }
 
-    /// Engines of which something is kept.
+    /// Returns the number of engines with an entry.
     pub fn len(&self) -> usize {
         self.entries.len()
     }
 
-    /// Whether nothing is kept.
+    /// Returns whether there are no entries.
     pub fn is_empty(&self) -> bool {
         self.entries.is_empty()
     }
@@ -153,8 +156,9 @@
         audience.is_some()
     }
 
-    /// The entry of an engine; none if there are too many others. Those that are there are
-    /// not dropped for it: whoever reports many engines would have each told of anew.
+    /// Returns the entry of an engine; `None` if there are too many others. Existing
+    /// entries are not dropped for it, since a box that reports many engines could then
+    /// have each of them reported again.
     fn entry(&mut self, now: Duration, start: InstanceKey) -> Option<&mut Entry> {
         self.expire(now);
         if self.entries.len() >= MAX_ENTRIES && !self.entries.contains_key(&start) {
@@ -163,8 +167,8 @@
         Some(self.entries.entry(start).or_default())
     }
 
-    /// Drops what was done too long ago to count. What is still to be sent by then comes
-    /// too late to be of use.
+    /// Drops outdated entries. Reports that were not sent by then are too late to be of
+    /// use.
     fn expire(&mut self, now: Duration) {
         self.entries
             .retain(|_, e| is_recent(now, e.reported) || is_recent(now, e.checked));
