--- a/crates/ashgauge/src/limit.rs
+++ b/crates/ashgauge/src/limit.rs
@@ -1,10 +1,10 @@
-//! Team limits that hold over the whole fleet.
+//! Rate limits of teams that hold over the whole fleet.
 //!
-//! Every box owns an equal share of a team's rate. A box with more demand than
-//! its share borrows from boxes with less; a loan runs out by itself. Nobody
-//! arbitrates, so neither a dead box, a cut nor an outage of the platform can
-//! make the fleet pass the limit: a lender counts a loan until it must have
-//! run out, the borrower only until a little before.
+//! Each box owns an equal share of a team's rate. A box whose demand exceeds its share
+//! borrows from boxes with less demand, and loans expire by themselves. There is no
+//! coordinator, so neither a dead box, a network partition nor an outage of the platform
+//! can make the fleet exceed the limit: the lender counts a loan until it has certainly
+//! expired, the borrower only until shortly before.
 
 use std::collections::{BTreeMap, HashMap};
 use std::time::Duration;
@@ -12,28 +12,28 @@
 use crate::member::BoxId;
 use crate::policy::TeamId;
 
-/// How long a loan is valid, counted by its borrower from before it asked.
+/// How long a loan is valid, counted by its borrower from before the request.
 pub const LOAN_TTL: Duration = Duration::from_secs(2);
 
-/// Allowance on top of [`LOAN_TTL`] for clocks that run at other speeds.
+/// Margin on top of [`LOAN_TTL`] for clocks that run at different speeds.
 const CLOCK_MARGIN: Duration = Duration::from_millis(200);
 
-/// Time between two asks of one team.
+/// Time between two loan requests for one team.
 const REQUEST_INTERVAL: Duration = Duration::from_millis(500);
 
-/// Time of rate that may be saved up.
+/// Seconds of the rate that may be saved up as a burst.
 const BURST_S: f64 = 0.25;
 
-/// Span over which demand is learned, in seconds.
+/// Time constant of the learned demand, in seconds.
 const DEMAND_WINDOW_S: f64 = 1.0;
 
-/// What a lender keeps beyond its own demand, as a factor.
+/// Factor on its own demand that a lender keeps for itself.
 const RESERVE_FACTOR: f64 = 1.1;
 
-/// What a borrower asks for beyond its need, as some lenders have nothing.
+/// Factor on its need that a borrower requests, as some lenders have nothing to lend.
 const REQUEST_FACTOR: f64 = 1.25;
 
-/// Limits of one box: its shares, what it lent and what it borrowed.
+/// Team limits of one box: its shares, and its loans in both directions.
 #[derive(Debug, Default)]
 pub struct TeamLimits {
     teams: BTreeMap<TeamId, TeamState>,
@@ -51,8 +51,8 @@
     last_request: Option<Duration>,
 }
 
-/// What one box may be spending of ours: any loan that has not run out, since
-/// newer ones may be on their way or lost.
+/// Rates that one borrower may be using: all loans to it that have not expired, since
+/// newer ones may be in transit or lost.
 #[derive(Debug, Default)]
 struct LentRates {
     loans: Vec<(f64, Duration)>,
@@ -67,36 +67,36 @@
 impl TeamLimits {
     /// Sets the box's own share of a team's rate, in tokens a second.
     ///
-    /// A box that has just started may have lent its share before; it must
-    /// leave the share at 0 for [`settle_time`].
+    /// The process before a restart may have lent its share; the share must stay 0 for
+    /// [`settle_time`] after a start.
     pub fn set_share(&mut self, now: Duration, team: &TeamId, share: f64) {
         let t = self.entry(now, team);
         t.refill(now);
         t.share = share;
     }
 
-    /// Notes tokens that a new request would like to spend.
+    /// Records the tokens that a new request needs.
     pub fn record_demand(&mut self, now: Duration, team: &TeamId, tokens: f64) {
         self.entry(now, team).add_demand(now, tokens);
     }
 
-    /// Returns true if there is room for a request now.
+    /// Returns true if a request may start now.
     ///
-    /// One request may overdraw; the next waits until that is paid.
+    /// One request may overdraw the balance; the next one waits until that is repaid.
     pub fn has_room(&mut self, now: Duration, team: &TeamId) -> bool {
         let t = self.entry(now, team);
         t.refill(now);
         t.tokens > 0.0
     }
 
-    /// Takes tokens; a negative number gives them back.
+    /// Takes tokens from the balance; a negative number returns them.
     pub fn spend(&mut self, now: Duration, team: &TeamId, tokens: f64) {
         let t = self.entry(now, team);
         t.refill(now);
         t.tokens -= tokens;
     }
 
-    /// Time until there is room again, at the present rate.
+    /// Returns the time until a request may start, at the present rate.
     pub fn time_to_room(&mut self, now: Duration, team: &TeamId) -> Option<Duration> {
         let t = self.entry(now, team);
         t.refill(now);
@@ -107,12 +107,13 @@
         Some(Duration::from_secs_f64((-t.tokens).max(0.0) / rate))
     }
 
-    /// Rate that this box may spend now: what it has left and has borrowed.
+    /// Returns the rate that this box may use now: what is left of its share, and what it
+    /// has borrowed.
     pub fn rate(&self, now: Duration, team: &str) -> f64 {
         self.teams.get(team).map_or(0.0, |t| t.rate(now))
     }
 
-    /// Returns what to ask `lender` for, of those of `lenders` boxes.
+    /// Returns the rate to request from `lender`, which is one of `lenders` boxes.
     pub fn wanted_rate(&self, now: Duration, team: &str, lender: &str, lenders: usize) -> f64 {
         let Some(t) = self.teams.get(team) else {
             return 0.0;
@@ -123,8 +124,8 @@
         (has.map_or(0.0, |l| l.rate) + more).max(0.0)
     }
 
-    /// Returns the teams whose demand passes the box's own share and for which
-    /// it is time to ask.
+    /// Returns the teams whose demand exceeds the box's own share and whose next loan
+    /// request is due.
     pub fn teams_to_borrow(&mut self, now: Duration) -> Vec<TeamId> {
         let mut due = Vec::new();
         for (id, t) in &mut self.teams {
@@ -137,7 +138,7 @@
         due
     }
 
-    /// Takes over a loan that was asked for at `asked`.
+    /// Records a loan that was requested at `asked`.
     pub fn record_loan(
         &mut self,
         now: Duration,
@@ -152,19 +153,19 @@
         t.borrowed.insert(lender.clone(), Loan { rate, until });
     }
 
-    /// Lends a borrower up to `want` of the box's own share.
+    /// Lends a borrower up to `want` of the box's own share; returns the rate lent.
     pub fn lend(&mut self, now: Duration, team: &TeamId, borrower: &BoxId, want: f64) -> f64 {
         let t = self.entry(now, team);
         t.refill(now);
         t.lend(now, borrower, want)
     }
 
-    /// Teams that this box keeps track of.
+    /// Returns the teams that this box tracks.
     pub fn teams(&self) -> Vec<TeamId> {
         self.teams.keys().cloned().collect()
     }
 
-    /// Forgets teams that have been idle for some time.
+    /// Drops teams that have been idle for some time.
     pub fn expire(&mut self, now: Duration) {
         let idle = |t: &TeamState| now > t.last_demand + LOAN_TTL * 10 && t.lent_rate(now) == 0.0;
         self.teams.retain(|_, t| !idle(t));
@@ -184,7 +185,8 @@
     }
 }
 
-/// Time after a start in which loans of an earlier process may be valid.
+/// Returns the time after a start in which loans by an earlier process may still be
+/// valid.
 pub fn settle_time() -> Duration {
     LOAN_TTL + CLOCK_MARGIN
 }
@@ -197,7 +199,7 @@
 }
 
 impl TeamState {
-    /// What is left of the own share.
+    /// Returns what is left of the box's own share.
     fn own_rate(&self, now: Duration) -> f64 {
         (self.share - self.lent_rate(now)).max(0.0)
     }
--- a/crates/ashgauge/src/policy.rs
+++ b/crates/ashgauge/src/policy.rs
@@ -1,4 +1,4 @@
-//! The table compiled into the form that decisions read.
+//! Policy: the configuration table, compiled into the form that decisions use.
 
 use std::collections::{BTreeMap, HashMap};
 use std::sync::Arc;
@@ -20,34 +20,34 @@
 const DEFAULT_QUEUE_LIMIT: usize = 64;
 const DEFAULT_DEADLINE: Duration = Duration::from_secs(60);
 
-/// One team's weights and limits.
+/// Weight and limits of one team.
 #[derive(Clone, Debug)]
 pub struct Team {
     /// Name.
     pub id: TeamId,
-    /// Order of the tier; 0 goes first.
+    /// Rank of the tier; 0 goes first.
     pub rank: u32,
-    /// Share within the tier.
+    /// Weight within the tier.
     pub weight: f64,
     /// Tokens a second over the fleet, if limited.
     pub token_rate: Option<f64>,
-    /// Requests that may wait on one box.
+    /// Largest number of requests that may wait on one box.
     pub queue_limit: usize,
 }
 
-/// What a route leads to.
+/// Target of a route.
 #[derive(Clone, Debug, PartialEq)]
 pub enum Target {
-    /// A model with this many layers.
+    /// Model with this many layers.
     Model(u32),
-    /// A plain service under this path prefix.
+    /// Plain service under this path prefix.
     Service(String),
 }
 
-/// One route.
+/// Route of requests.
 #[derive(Clone, Debug)]
 pub struct Route {
-    /// What it leads to.
+    /// Target.
     pub target: Target,
     /// Whether a request may be sent twice.
     pub repeatable: bool,
@@ -55,16 +55,16 @@
     pub deadline: Duration,
 }
 
-/// A table version, ready for decisions.
+/// Policy of one version of the table.
 #[derive(Clone, Debug, Default)]
 pub struct Policy {
-    /// Version of the table it was made from.
+    /// Version of the table.
     pub version: Version,
     /// Routes by name.
     pub routes: HashMap<String, Route>,
-    /// Floor share by tier rank, 0 to 1.
+    /// Reserved share of tokens by tier rank, 0 to 1.
     pub tier_floors: HashMap<u32, f64>,
-    /// Wanted states of upstreams.
+    /// Desired states of upstreams.
     pub goals: BTreeMap<UpstreamId, DesiredState>,
     teams_by_key: HashMap<u64, Vec<(KeyHash, Arc<Team>)>>,
     teams_by_name: HashMap<TeamId, Arc<Team>>,
@@ -76,7 +76,7 @@
 }
 
 impl Policy {
-    /// Compiles a checked table.
+    /// Compiles a validated table.
     pub fn new(version: Version, table: &Table) -> Self {
         let mut p = Policy {
             version,
@@ -94,10 +94,10 @@
         p
     }
 
-    /// Finds the team that a key hash belongs to.
+    /// Finds the team with a key hash.
     ///
-    /// Candidates share the hash's first eight bytes and are compared in
-    /// constant time.
+    /// Candidates share the first eight bytes of the hash and are compared in constant
+    /// time.
     pub fn find_team(&self, hash: &KeyHash) -> Option<&Arc<Team>> {
         let same = self.teams_by_key.get(&hash_prefix(hash))?;
         let found = same.iter().find(|(h, _)| bool::from(h.ct_eq(hash)));
@@ -109,7 +109,7 @@
         self.teams_by_name.get(id)
     }
 
-    /// Number of teams.
+    /// Returns the number of teams.
     pub fn team_count(&self) -> usize {
         self.teams_by_name.len()
     }
--- a/crates/ashgauge/src/queue.rs
+++ b/crates/ashgauge/src/queue.rs
@@ -1,40 +1,42 @@
-//! Which waiting request goes next: tiers, then weighted fair order by tokens.
+//! Queue of waiting requests: tiers by rank, and weighted fair queueing by tokens among
+//! the teams of a tier.
 
 use std::collections::{BTreeMap, HashMap, VecDeque};
 use std::time::Duration;
 
 use crate::policy::TeamId;
 
-/// A request on one box, unique while the box's process lives.
+/// Identifies a request on one box; unique while the box's process lives.
 pub type RequestId = u64;
 
-/// Tokens after which old service counts half in the floor shares.
+/// Tokens after which the served tokens are halved, so that older service counts less in
+/// the floor shares.
 const FLOOR_WINDOW_TOKENS: f64 = 100_000.0;
 
 /// Weight of the newest gap in the learned drain rate.
 const DRAIN_GAIN: f64 = 0.05;
 
-/// One request that waits.
+/// A waiting request.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Job {
-    /// The request.
+    /// Request.
     pub id: RequestId,
-    /// Its team.
+    /// Team of the request.
     pub team: TeamId,
-    /// Order of its tier; 0 goes first.
+    /// Rank of the team's tier; 0 goes first.
     pub rank: u32,
-    /// The team's share within the tier.
+    /// Weight of the team within its tier.
     pub weight: f64,
     /// Estimated tokens.
     pub cost: f64,
-    /// When it must be answered.
+    /// Time by which it must be answered.
     pub deadline: Duration,
 }
 
 /// Requests waiting for one model or service.
 ///
-/// Teams of a tier are served by start-time fair queueing: each has a virtual
-/// start time that grows by cost over weight, and the least goes first.
+/// Teams of a tier are served by start-time fair queueing: each has a virtual start time
+/// that grows by cost over weight, and the team with the smallest goes first.
 #[derive(Debug, Default)]
 pub struct Queue {
     tiers: BTreeMap<u32, Tier>,
@@ -59,17 +61,17 @@
 }
 
 impl Queue {
-    /// Number of waiting requests.
+    /// Returns the number of waiting requests.
     pub fn len(&self) -> usize {
         self.len
     }
 
-    /// Returns true if nothing waits.
+    /// Returns true if no request waits.
     pub fn is_empty(&self) -> bool {
         self.len == 0
     }
 
-    /// Number of the team's waiting requests.
+    /// Returns the number of a team's waiting requests.
     pub fn team_len(&self, rank: u32, team: &str) -> usize {
         let lane = self.tiers.get(&rank).and_then(|t| t.teams.get(team));
         lane.map_or(0, |l| l.jobs.len())
@@ -89,7 +91,7 @@
         lane.jobs.push_back(job);
     }
 
-    /// Puts a request back at the head of its team, as if never taken.
+    /// Returns a request to the front of its team's queue, as if it had not been popped.
     pub fn push_front(&mut self, job: Job) {
         let tier = self.tiers.entry(job.rank).or_default();
         tier.served_tokens -= job.cost;
@@ -101,9 +103,9 @@
         lane.jobs.push_front(job);
     }
 
-    /// Takes the next request of a team that `allowed` lets pass.
+    /// Removes and returns the next request for which `allowed` returns true.
     ///
-    /// `floors` gives the share of tokens kept for a tier by its rank.
+    /// `floors` holds the share of tokens that is reserved for a tier, by rank.
     pub fn pop(
         &mut self,
         now: Duration,
@@ -122,17 +124,17 @@
         None
     }
 
-    /// Takes out one request that is no longer wanted.
+    /// Removes one request that is no longer needed.
     pub fn remove(&mut self, id: RequestId) -> Option<Job> {
         self.drain_where(|j| j.id == id).pop()
     }
 
-    /// Takes out every request whose deadline has passed.
+    /// Removes all requests whose deadline has passed.
     pub fn expire(&mut self, now: Duration) -> Vec<Job> {
         self.drain_where(|j| j.deadline <= now)
     }
 
-    /// Corrects a team's virtual time once the true cost is known.
+    /// Corrects a team's virtual time once the actual cost is known.
     pub fn correct_cost(&mut self, job: &Job, cost: f64) {
         let Some(tier) = self.tiers.get_mut(&job.rank) else {
             return;
@@ -145,10 +147,10 @@
         tier.drop_idle();
     }
 
-    /// Expected wait of a team's new request, from the drain rate.
+    /// Returns the expected wait of a team's new request, from the drain rate.
     ///
-    /// Ahead are the higher tiers, and of its own tier what is served while
-    /// the team's own requests are, by its weight.
+    /// Served before it are the requests of higher tiers and, in its own tier, the team's
+    /// own requests and what other teams are served meanwhile according to the weights.
     pub fn expected_wait(&self, rank: u32, team: &str, weight: f64) -> Duration {
         if self.drain_rate <= 0.0 {
             return Duration::ZERO;
@@ -189,7 +191,7 @@
             return;
         };
         let gap = now.saturating_sub(last).as_secs_f64().max(1e-6);
-        // An average of gaps, not of rates: bursts would else count too much.
+        // This averages gaps rather than rates, in which bursts would weigh too much.
         let gap_per_token = gap / cost.max(1.0);
         let old = if self.drain_rate > 0.0 {
             1.0 / self.drain_rate
@@ -198,7 +200,7 @@
         };
         self.drain_rate = 1.0 / (old + DRAIN_GAIN * (gap_per_token - old)).max(1e-9);
         if self.is_empty() {
-            // Idle time says nothing of how fast a backlog would drain.
+            // Idle time does not show how fast a backlog would drain.
             self.last_pop = None;
         }
     }
@@ -228,7 +230,7 @@
             let Some(job) = lane.jobs.front() else {
                 continue;
             };
-            // The name breaks ties, so that equal inputs give equal order.
+            // The name breaks ties, so that equal inputs give an equal order.
             let sooner = best.is_none_or(|(s, t)| (lane.virtual_start, team) < (s, t));
             if sooner && allowed(job) {
                 best = Some((lane.virtual_start, team));
@@ -244,7 +246,7 @@
         Some(job)
     }
 
-    /// Cost that is served before a new request of the team.
+    /// Returns the cost that is served before a new request of the team.
     fn cost_ahead(&self, team: &str, weight: f64) -> f64 {
         let mut weights = weight;
         let (mut own, mut all) = (0.0, 0.0);
@@ -260,8 +262,8 @@
                 weights += first.weight;
             }
         }
-        // Other teams go on asking while this one waits; as much again is the
-        // most that a short look ahead can know.
+        // Other teams send more requests while this one waits. This estimate allows them
+        // at most as much again as is queued now.
         (own * weights / weight).min(all * 2.0)
     }
 
@@ -270,7 +272,7 @@
         jobs.map(|j| j.cost).sum()
     }
 
-    /// Drops idle teams whose virtual time is past.
+    /// Drops teams that have no requests and whose virtual start time has passed.
     fn drop_idle(&mut self) {
         let clock = self.virtual_time;
         self.teams
--- a/crates/ashgauge/src/retry.rs
+++ b/crates/ashgauge/src/retry.rs
@@ -1,12 +1,12 @@
-//! Budgets that keep retries a small share of first tries.
+//! Retry budgets, which limit retries to a small share of first tries.
 
 use std::ops::Range;
 use std::time::Duration;
 
-/// Retries saved up at most.
+/// Largest number of retries that may be saved up.
 const MAX_CREDITS: f64 = 20.0;
 
-/// Allows one retry for every so many first tries.
+/// Retry budget that earns a share of a retry with each first try.
 #[derive(Clone, Copy, Debug)]
 pub struct RetryBudget {
     share: f64,
@@ -14,7 +14,7 @@
 }
 
 impl RetryBudget {
-    /// Makes a budget of `share` retries for each first try, 0 to 1.
+    /// Creates a budget of `share` retries for each first try, 0 to 1.
     pub fn new(share: f64) -> Self {
         RetryBudget {
             share,
@@ -22,12 +22,12 @@
         }
     }
 
-    /// Notes a first try.
+    /// Records a first try.
     pub fn deposit(&mut self) {
         self.credits = (self.credits + self.share).min(MAX_CREDITS);
     }
 
-    /// Takes one retry out; returns false if none is left.
+    /// Withdraws one retry; returns false if none is left.
     pub fn withdraw(&mut self) -> bool {
         let enough = self.credits >= 1.0;
         if enough {
@@ -37,64 +37,65 @@
     }
 }
 
-/// Parts that a window is counted in.
+/// Number of buckets in a window.
 const WINDOW_BUCKETS: usize = 10;
 
-/// Parts of the longest span that is bounded: a window that begins within a part.
+/// Number of buckets in the longest span that is limited: a window that starts within a
+/// bucket.
 const SPAN_BUCKETS: usize = WINDOW_BUCKETS + 1;
 
-/// Parts that are kept: the longest span, and the window before it.
+/// Number of buckets that are kept: the longest span, and the window before it.
 const KEPT_BUCKETS: usize = SPAN_BUCKETS + WINDOW_BUCKETS;
 
-/// Share of the allowance that is used; the rest covers the grain of the
-/// parts and requests that cross the edge of a window on their way.
+/// Share of the allowance that is used. The rest covers the resolution of the buckets,
+/// and requests that cross the edge of a window in transit.
 const USABLE_SHARE: f64 = 0.9;
 
-/// Share of what a span brings that may be spent within it; the rest comes from the
-/// window before. A larger one leaves more to a process that has just started, a
-/// smaller one more for engines that are lost after calm.
+/// Share of what is earned in a span that may be spent within it; the rest comes from the
+/// window before. A larger share leaves more to a process that has just started, a
+/// smaller one more for the loss of engines after a calm period.
 const SPAN_SHARE: f64 = 0.5;
 
-/// Retries that the fleet must be allowed, for each square root of its boxes, for parts
-/// of a retry to be rounded at random: the sum of that over all boxes then keeps within
-/// what [`USABLE_SHARE`] leaves.
+/// Smallest number of fleet-wide extra retries, for each square root of the number of
+/// boxes, with which fractions of a retry are rounded at random. With fewer, the sum of
+/// the random errors over all boxes might exceed what [`USABLE_SHARE`] leaves.
 const MIN_ROUNDING_EXTRA: f64 = 28.0;
 
-/// What a fleet allows for one service in any window of time.
+/// Retries that a fleet allows for one service in any window of time.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct Allowance {
     /// Length of the window.
     pub window: Duration,
     /// Retries for each first try, 0 to 1.
     pub ratio: f64,
-    /// Retries besides, over all boxes.
+    /// Additional retries in each window, over all boxes.
     pub extra: f64,
 }
 
-/// What a box has of the allowance in the present window.
+/// State of a box's share of the allowance in the present window.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct Balance {
-    /// Retries that its first tries and its part of the rest brought.
+    /// Retries earned by first tries and by the box's share of the additional ones.
     pub earned: f64,
-    /// Retries that it took.
+    /// Retries made.
     pub spent: f64,
-    /// Retries that it may still take.
+    /// Retries that are still allowed.
     pub left: f64,
 }
 
-/// Counts first tries and retries of one box in a sliding window.
+/// Retry budget of one box over a sliding window.
 ///
-/// Each box keeps within its own part of the fleet's [`Allowance`], so the
-/// boxes need not speak to each other.
+/// Each box keeps within its own share of the fleet's [`Allowance`], so boxes need not
+/// communicate.
 ///
-/// A process that starts does not know what the one before it spent. So in any span of
-/// time a process spends half of what the span brings, and half of what the window
-/// before the span brought; one that has just started has seen nothing of the latter.
-/// Whichever processes end and start in a window, together they spend the mean of what
-/// it brings and of what the window before it brought, each of which is allowed.
+/// A process does not know what its predecessor spent. Therefore in any span of time a
+/// process spends half of what it earns in the span, and half of what it earned in the
+/// window before the span; a process that has just started earned nothing in the latter.
+/// Whichever processes end and start in a window, together they spend the mean of what is
+/// earned in it and in the window before, and each of the two is allowed.
 ///
-/// In a large fleet a box's part may be less than one retry. It is rounded up or down at
-/// random, once for each process, so that the fleet uses what it is allowed on average.
+/// In a large fleet a box's share may be less than one retry. It is rounded up or down at
+/// random, once for each process, so that the fleet uses its allowance on average.
 ///
 /// # Example
 ///
@@ -112,18 +113,18 @@
 #[derive(Clone, Debug)]
 pub struct SlidingBudget {
     allowance: Allowance,
-    /// Boxes that share what is allowed besides, once they are counted.
+    /// Number of boxes that share the additional retries, once known.
     boxes: Option<u32>,
     started: Duration,
-    /// Part of a retry that is added before it is rounded down.
+    /// Fraction of a retry that is added before rounding down.
     rounding: f64,
-    /// The parts up to the present one, each in the place of its number.
+    /// Buckets up to the present one, in a ring indexed by bucket number.
     buckets: [Bucket; KEPT_BUCKETS],
-    /// Number of the present part.
+    /// Number of the present bucket.
     current_bucket: u64,
 }
 
-/// What a part of the time brought.
+/// Counts of one bucket.
 #[derive(Clone, Copy, Debug, Default)]
 struct Bucket {
     first_tries: f64,
@@ -131,8 +132,8 @@
 }
 
 impl SlidingBudget {
-    /// Makes the window of a process that started at `started`. What it adds to its part
-    /// before that is rounded down, `rounding`, is drawn at random from 0 to 1.
+    /// Creates the budget of a process that started at `started`. `rounding`, drawn at
+    /// random from 0 to 1, is added to the box's share before that is rounded down.
     pub fn new(allowance: Allowance, started: Duration, rounding: f64) -> Self {
         let mut window = SlidingBudget {
             allowance,
@@ -146,14 +147,14 @@
         window
     }
 
-    /// Sets the number of boxes that share what is allowed besides. Before it is known,
-    /// none of that may be spent; afterwards it counts from the start on.
+    /// Sets the number of boxes that share the additional retries. Before it is known,
+    /// none of these may be spent; afterwards they count from the start of the process.
     pub fn set_boxes(&mut self, boxes: u32) {
         self.boxes = Some(boxes.max(1));
     }
 
-    /// Changes what the fleet allows. What was spent stays counted; in a window of
-    /// another length, the box begins as a process does that starts now.
+    /// Changes the allowance. What was spent stays counted. If the window's length
+    /// changes, the budget restarts as for a process that starts now.
     pub fn set_allowance(&mut self, now: Duration, allowance: Allowance) {
         if allowance.window == self.allowance.window {
             self.allowance = allowance;
@@ -165,12 +166,12 @@
         };
     }
 
-    /// Notes a first try.
+    /// Records a first try.
     pub fn deposit(&mut self, now: Duration) {
         self.advance(now).first_tries += 1.0;
     }
 
-    /// Takes one retry out; returns false if none is left.
+    /// Withdraws one retry; returns false if none is left.
     pub fn withdraw(&mut self, now: Duration) -> bool {
         if self.balance(now).left < 1.0 {
             return false;
@@ -179,7 +180,7 @@
         true
     }
 
-    /// What was earned and spent in the window that ends now.
+    /// Returns what was earned and spent in the window that ends now.
     pub fn balance(&mut self, now: Duration) -> Balance {
         self.advance(now);
         let left = (1..=SPAN_BUCKETS).map(|parts| self.span_left(now, parts));
@@ -190,7 +191,8 @@
         }
     }
 
-    /// Retries that may still be taken in the span of so many parts that ends now.
+    /// Returns the retries that are still allowed in the span of so many buckets that
+    /// ends now.
     fn span_left(&self, now: Duration, parts: usize) -> f64 {
         let within = self.earned(now, 0..parts);
         let before = self.earned(now, parts..parts + WINDOW_BUCKETS);
@@ -198,8 +200,8 @@
         most * USABLE_SHARE - self.sum(0..parts, |part| part.retries)
     }
 
-    /// What is added to a part of a retry: nothing where random errors of so many boxes
-    /// may be more than the margin.
+    /// Returns the fraction that is added before rounding down; 0 if the random errors of
+    /// so many boxes might exceed the margin.
     fn rounding(&self) -> f64 {
         let least = |boxes: u32| MIN_ROUNDING_EXTRA * f64::from(boxes).sqrt();
         match self.boxes {
@@ -208,7 +210,8 @@
         }
     }
 
-    /// Retries that some of the last parts brought, the present one being the first.
+    /// Returns the retries earned in some of the last buckets, where bucket 0 is the
+    /// present one.
     fn earned(&self, now: Duration, parts: Range<usize>) -> f64 {
         let firsts = self.sum(parts.clone(), |part| part.first_tries);
         let extra = self.boxes.map(|n| self.allowance.extra / f64::from(n));
@@ -217,7 +220,7 @@
         self.allowance.ratio * firsts + extra.unwrap_or(0.0) * time
     }
 
-    /// Time of some of the last parts in which the process ran.
+    /// Returns the time within some of the last buckets in which the process ran.
     fn running_time(&self, now: Duration, parts: Range<usize>) -> Duration {
         let end = match parts.start {
             0 => now,
@@ -226,7 +229,8 @@
         end.saturating_sub(self.started.max(self.bucket_start(parts.end - 1)))
     }
 
-    /// When the part began that is so many parts back.
+    /// Returns the start time of the bucket that is `back` buckets before the present
+    /// one.
     fn bucket_start(&self, back: usize) -> Duration {
         let number = self.current_bucket.saturating_sub(back as u64);
         Duration::from_nanos(number.saturating_mul(self.bucket_length().as_nanos() as u64))
@@ -239,7 +243,7 @@
             .sum()
     }
 
-    /// Clears the parts that are new; returns the present one.
+    /// Clears the buckets that are new; returns the present one.
     fn advance(&mut self, now: Duration) -> &mut Bucket {
         let number = self.bucket_number(now).max(self.current_bucket);
         let new = (self.current_bucket + 1..=number).rev().take(KEPT_BUCKETS);
@@ -257,7 +261,7 @@
     }
 }
 
-/// Where a part is kept.
+/// Returns the index of a bucket in the ring.
 fn bucket_index(number: u64) -> usize {
     (number % KEPT_BUCKETS as u64) as usize
 }
