--- a/crates/ashgauge/src/permit/grants.rs
+++ b/crates/ashgauge/src/permit/grants.rs
@@ -1,4 +1,4 @@
-//! Permits for single requests, which one box gives for each upstream in need.
+//! Issues permits for single requests to upstreams that name a limit.
 
 use std::collections::HashMap;
 use std::time::Duration;
@@ -6,42 +6,45 @@
 use super::{LimitReport, UpstreamLimits, Verdict};
 use crate::ident::UpstreamKey;
 
-/// Time since an upstream first named a limit before which nothing is given: what was sent
-/// before it was heard of counts against it, and is often more than it takes.
+/// Time for which nothing is issued after an upstream first named a limit. Requests sent
+/// before the limit was known count against it, and are often more than the upstream
+/// accepts.
 const INITIAL_HOLD_TIME: Duration = Duration::from_secs(4);
 
-/// What the box that gives may have saved up: some requests, and those of some seconds.
-/// With what the next box may give while the first is thought to be lost, it stays below
-/// half of what an upstream takes in four seconds, and five.
+/// Burst of the primary issuer: a number of requests, and the seconds of the rate on top
+/// of them. Together with what the secondary issuer may grant while the primary is
+/// believed to be lost, it stays below half of what an upstream accepts in four seconds,
+/// plus five requests.
 const PRIMARY_BURST: (f64, f64) = (3.0, 0.25);
 
-/// The same for the next box, and for boxes that go by themselves.
+/// Burst of the secondary issuer, and of boxes that cannot hear others.
 const SECONDARY_BURST: (f64, f64) = (1.0, 0.1);
 
-/// Part of the rate that the next box gives while the first one may be giving as well.
+/// Share of the rate that the secondary issuer grants while the primary may be granting
+/// as well.
 const SECONDARY_SHARE: f64 = 0.4;
 
-/// How long to wait where nothing is given.
+/// Time that a standby issuer tells boxes to wait.
 const STANDBY_WAIT: Duration = Duration::from_secs(1);
 
-/// How long a bucket is kept that nobody asks of; it has been full for long then.
+/// How long an unused bucket is kept; it has been full for long by then.
 const BUCKET_TTL: Duration = Duration::from_secs(60);
 
-/// What a box is among those that may give permits for an upstream.
+/// Rank of a box among those that may issue permits for an upstream.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub enum IssuerRank {
-    /// It goes first.
+    /// First in the order.
     Primary,
-    /// One that goes before it is there, but did not answer some box.
+    /// One box before it is reachable, but did not reply to some box.
     Secondary,
-    /// More than one goes before it.
+    /// More than one box before it is reachable.
     Standby,
-    /// It cannot hear the other boxes, which number so many with it.
+    /// It cannot hear the other boxes. Holds the number of boxes, itself included.
     Isolated(u32),
 }
 
 impl IssuerRank {
-    /// The place of a box before which so many others go that are there.
+    /// Returns the rank of a box that has `others` reachable boxes before it.
     pub fn from_preceding(others: usize) -> Self {
         match others {
             0 => IssuerRank::Primary,
@@ -50,7 +53,7 @@
         }
     }
 
-    /// Part of the rate that it gives.
+    /// Returns the share of the rate that the box issues.
     fn share(self) -> f64 {
         match self {
             IssuerRank::Primary => 1.0,
@@ -60,7 +63,7 @@
         }
     }
 
-    /// What it may save up, of a rate.
+    /// Returns how many permits the box may save up at a rate.
     fn burst(self, rate: f64) -> f64 {
         let (requests, seconds) = match self {
             IssuerRank::Primary | IssuerRank::Isolated(0 | 1) => PRIMARY_BURST,
@@ -70,7 +73,7 @@
     }
 }
 
-/// What this box gave for each upstream.
+/// Token buckets of permits, one for each upstream.
 ///
 /// # Example
 ///
@@ -90,7 +93,8 @@
     buckets: HashMap<UpstreamKey, Bucket>,
 }
 
-/// Requests that may go to an upstream; below zero while it has had too many.
+/// Bucket of permits for one upstream; below zero while the upstream has received too
+/// many requests.
 #[derive(Clone, Copy, Debug)]
 struct Bucket {
     rate: f64,
@@ -100,7 +104,8 @@
 }
 
 impl PermitBuckets {
-    /// Answers an ask by what this box knows, of which it is told first.
+    /// Decides on a permit from `limits`, into which the requesting box's report must
+    /// have been merged.
     pub fn decide(
         &mut self,
         now: Duration,
@@ -117,7 +122,7 @@
         }
     }
 
-    /// Takes one permit for an upstream of this rate.
+    /// Withdraws one permit for an upstream with this rate.
     ///
     /// # Errors
     ///
@@ -130,7 +135,7 @@
         place: IssuerRank,
     ) -> Result<(), Duration> {
         let named = now.saturating_sub(told.limited_for());
-        // One from before the limit was named knows nothing of what was sent since.
+        // A bucket from before the limit was named does not count what was sent since.
         self.buckets
             .retain(|key, b| *key != told.key || b.updated >= named);
         let new = || Bucket::new(now, told, rate);
@@ -140,12 +145,12 @@
         bucket.withdraw(place)
     }
 
-    /// Permits that were given for an upstream.
+    /// Returns the number of permits issued for an upstream.
     pub fn issued(&self, key: UpstreamKey) -> u64 {
         self.buckets.get(&key).map_or(0, |b| b.issued)
     }
 
-    /// Forgets buckets that nobody asks of.
+    /// Drops unused buckets.
     pub fn expire(&mut self, now: Duration) {
         self.buckets.retain(|_, b| now < b.updated + BUCKET_TTL);
     }
@@ -164,7 +169,7 @@
         }
     }
 
-    /// Adds what the time brought.
+    /// Adds the permits for the time that has passed.
     fn refill(&mut self, now: Duration, place: IssuerRank) {
         let passed = now.saturating_sub(self.updated).as_secs_f64();
         let saved = self.permits + passed * self.rate * place.share();
@@ -172,7 +177,8 @@
         self.updated = self.updated.max(now);
     }
 
-    /// Changes the rate. What was given at a higher one counts against a lower one.
+    /// Changes the rate. If it falls, permits issued at the higher rate count against the
+    /// lower one.
     fn set_rate(&mut self, rate: f64) {
         let more = (self.rate - rate).max(0.0) * INITIAL_HOLD_TIME.as_secs_f64();
         let least = self.permits.min(-rate * INITIAL_HOLD_TIME.as_secs_f64());
--- a/crates/ashgauge/src/permit/limits.rs
+++ b/crates/ashgauge/src/permit/limits.rs
@@ -1,4 +1,4 @@
-//! What is known of the limits that upstreams name.
+//! Limits that upstreams name.
 
 use std::collections::{BTreeMap, HashMap};
 use std::time::Duration;
@@ -7,61 +7,66 @@
 
 use crate::ident::{self, UpstreamKey};
 
-/// Least rate that is kept to, in requests a second. Only an answer tells that an
-/// upstream takes more, so one that takes nothing is still asked now and then.
+/// Smallest rate that is enforced, in requests a second. Only an answer shows that an
+/// upstream accepts more, so an upstream that accepts nothing is still tried now and
+/// then.
 const MIN_RATE: f64 = 0.05;
 
-/// How long it is told that an upstream names no limit any more; words of those that
-/// have not heard of it come until then.
+/// How long the removal of a limit is reported. Reports by boxes that have not heard of
+/// the removal may arrive until then.
 const REMOVED_TTL: Duration = Duration::from_secs(10);
 
-/// How long a limit is kept that no answer has named again. Entries lapse though their
-/// upstreams live, and come back; one that is gone for good is forgotten then.
+/// How long a limit is kept that no answer has confirmed. Entries of upstreams may expire
+/// and return while the upstreams live; a limit of one that is gone for good is dropped
+/// then.
 const LIMIT_TTL: Duration = Duration::from_secs(600);
 
-/// Change of a rate, as a share, that is worth a line.
+/// Smallest change of a rate, as a share, that is logged.
 const MIN_RATE_CHANGE: f64 = 0.01;
 
-/// Least time between two lines on limits that cannot be read.
+/// Shortest time between two log lines on limits that cannot be parsed.
 const LOG_INTERVAL: Duration = Duration::from_secs(1);
 
-/// Upstreams of which a word tells at most, so that it fits in a datagram with the loads.
+/// Largest number of upstreams in one message, so that it fits into a datagram with the
+/// load report.
 const MAX_REPORTS: usize = 1000;
 
-/// What a box tells the others of one upstream's limit.
+/// Report on the limit of one upstream, as boxes exchange it.
 #[derive(Clone, Copy, Debug, PartialEq, Serialize, Deserialize)]
 pub struct LimitReport {
-    /// The upstream.
+    /// Upstream.
     pub key: UpstreamKey,
-    /// Requests a second that it takes from all boxes; none if it names no limit any more.
+    /// Requests a second that the upstream accepts from all boxes; none if it no longer
+    /// names a limit.
     pub rate: Option<f32>,
-    /// Milliseconds since it was first known to name one.
+    /// Milliseconds since the upstream was first known to name a limit.
     pub since_ms: u32,
-    /// Milliseconds since an answer last said so.
+    /// Milliseconds since an answer last confirmed it.
     pub age_ms: u32,
 }
 
 impl LimitReport {
-    /// Time for which the upstream has named a limit.
+    /// Returns how long the upstream has named a limit.
     pub fn limited_for(&self) -> Duration {
         Duration::from_millis(self.since_ms.into())
     }
 }
 
-/// Requests a second that upstreams take; none of one that names no limit any more.
+/// Requests a second that upstreams accept; none for an upstream that no longer names a
+/// limit.
 pub type LimitRates = BTreeMap<UpstreamKey, Option<f64>>;
 
-/// What is known of one upstream.
+/// Knowledge of one upstream's limit.
 #[derive(Clone, Copy, Debug, PartialEq)]
 struct LimitRecord {
     rate: Option<f64>,
     since: Duration,
-    /// As of when.
+    /// Time of the information.
     as_of: Duration,
 }
 
-/// Limits that upstreams named, by their own answers and the other boxes' words. Of two
-/// that contradict each other the later one holds.
+/// Limits of upstreams, from their own answers and from other boxes' reports. The newest
+/// information counts.
 ///
 /// # Example
 ///
@@ -72,7 +77,7 @@
 /// let ms = Duration::from_millis;
 /// let mut limits = UpstreamLimits::default();
 /// assert!(limits.record(ms(100), "e1", ms(50), Some(6.3)));
-/// // This answer may have been made before the limit was named.
+/// // This answer may predate the limit.
 /// assert!(!limits.record(ms(120), "e1", ms(90), None));
 /// assert_eq!(limits.rate("e1"), Some(6.3));
 /// assert!(limits.record(ms(300), "e1", ms(200), None));
@@ -81,13 +86,13 @@
 #[derive(Clone, Debug, Default)]
 pub struct UpstreamLimits {
     records: HashMap<UpstreamKey, LimitRecord>,
-    /// When it was last told that one could not be read.
+    /// Time of the last log line on a limit that could not be parsed.
     last_logged: Option<Duration>,
 }
 
 impl UpstreamLimits {
-    /// Notes what an upstream's answer to a request sent at `sent` says; returns whether
-    /// that is news.
+    /// Records the limit in an upstream's answer to a request that was sent at `sent`;
+    /// returns whether it differs noticeably from what was known.
     pub fn record(&mut self, now: Duration, id: &str, sent: Duration, rate: Option<f64>) -> bool {
         let key = ident::upstream_key(id);
         let rate = rate.map(|r| r.max(MIN_RATE));
@@ -95,7 +100,7 @@
         if rate.is_none() && before.is_none() {
             return false;
         }
-        // It named no limit at some moment since the request went out.
+        // The upstream named no limit at some moment since the request was sent.
         let at = if rate.is_some() { now } else { sent };
         let since = before.filter(|k| k.rate.is_some()).map_or(now, |k| k.since);
         self.update(
@@ -108,7 +113,8 @@
         )
     }
 
-    /// Whether a limit that cannot be read is worth a line: each answer may bring one.
+    /// Returns whether to log a limit that cannot be parsed, as each answer may contain
+    /// one.
     pub fn should_log(&mut self, now: Duration) -> bool {
         let may = self.last_logged.is_none_or(|at| now >= at + LOG_INTERVAL);
         if may {
@@ -117,7 +123,8 @@
         may
     }
 
-    /// Takes what another box told; returns the upstreams of which that is news.
+    /// Merges another box's reports; returns the upstreams whose limit changed
+    /// noticeably.
     pub fn merge(&mut self, now: Duration, told: &[LimitReport]) -> Vec<UpstreamKey> {
         let ago = |ms: u32| now.saturating_sub(Duration::from_millis(ms.into()));
         let mut news = Vec::new();
@@ -135,7 +142,7 @@
         news
     }
 
-    /// Forgets what is too old to matter.
+    /// Drops outdated records.
     pub fn expire(&mut self, now: Duration) {
         self.records.retain(|_, k| {
             let most = match k.rate {
@@ -146,22 +153,24 @@
         });
     }
 
-    /// Requests a second that an upstream takes from all boxes, if it names a limit.
+    /// Returns the requests a second that an upstream accepts from all boxes, if it names
+    /// a limit.
     pub fn rate(&self, id: &str) -> Option<f64> {
         self.rate_of(ident::upstream_key(id))
     }
 
-    /// The same by its key.
+    /// Returns the same as [`UpstreamLimits::rate`], by the upstream's key.
     pub fn rate_of(&self, key: UpstreamKey) -> Option<f64> {
         self.records.get(&key)?.rate
     }
 
-    /// What is known of one upstream, to tell another box.
+    /// Returns the report on one upstream for another box.
     pub fn report_of(&self, now: Duration, key: UpstreamKey) -> Option<LimitReport> {
         self.records.get(&key).map(|known| known.report(now, key))
     }
 
-    /// What to tell the other boxes, ordered by upstream: the latest if there is too much.
+    /// Returns the reports for the other boxes, ordered by upstream. If there are too
+    /// many, only the newest are returned.
     pub fn reports(&self, now: Duration) -> Vec<LimitReport> {
         let told = self
             .records
@@ -176,23 +185,23 @@
         told
     }
 
-    /// What holds of each upstream, without its age.
+    /// Returns the present rate of each upstream, without its age.
     pub fn rates(&self) -> LimitRates {
         let rates = self.records.iter();
         rates.map(|(key, known)| (*key, known.rate)).collect()
     }
 
-    /// Upstreams in need.
+    /// Returns the number of upstreams that name a limit.
     pub fn len(&self) -> usize {
         self.records.values().filter(|k| k.rate.is_some()).count()
     }
 
-    /// Whether no upstream is in need.
+    /// Returns whether no upstream names a limit.
     pub fn is_empty(&self) -> bool {
         self.len() == 0
     }
 
-    /// Returns whether it changes what holds.
+    /// Updates a record; returns whether the limit changed noticeably.
     fn update(&mut self, key: UpstreamKey, new: LimitRecord) -> bool {
         let Some(old) = self.records.get(&key).copied() else {
             self.records.insert(key, new);
--- a/crates/ashgauge/src/permit/mod.rs
+++ b/crates/ashgauge/src/permit/mod.rs
@@ -1,10 +1,12 @@
-//! Upstreams in need name how many requests a second they take from all boxes together.
+//! Permits for upstreams that name a limit: how many requests a second they accept from
+//! all boxes together.
 //!
-//! For each such upstream one box counts: it gives a permit for a single request to
-//! whoever asks, itself as well, as fast as the upstream takes them. So whole requests
-//! are shared out however small the rate is and however many boxes there are, to those
-//! that have some to send. Which box it is follows from the upstream and the boxes that
-//! all know; while it does not answer, the next one gives a part.
+//! For each such upstream one box, the primary issuer, grants permits for single requests
+//! to all boxes, itself included, at the rate that the upstream accepts. Whole requests
+//! are thus shared among the boxes that have some to send, however small the rate is and
+//! however many boxes there are. The primary issuer follows from the upstream and the
+//! known boxes, so all boxes agree on it. While it does not answer, the next issuer
+//! grants a share of the rate.
 
 mod grants;
 mod limits;
@@ -24,64 +26,65 @@
 
 use crate::ident::{BoxId, UpstreamKey};
 
-/// Least and most time for which an upstream is left alone once no permit was given.
+/// Shortest and longest time for which an upstream is closed after a permit was not
+/// granted.
 const CLOSED_TIME_RANGE: (Duration, Duration) = (Duration::from_millis(10), Duration::from_secs(5));
 
-/// Number of an ask, chosen at random.
+/// Random number that identifies a permit request.
 pub type PermitRequestId = u64;
 
-/// Asks for one permit.
+/// Request for one permit.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub struct PermitRequest {
-    /// The box that asks.
+    /// Box that makes the request.
     pub from: BoxId,
-    /// Number of the ask.
+    /// Number of the request.
     pub id: PermitRequestId,
-    /// What it knows of the upstream's limit.
+    /// The box's knowledge of the upstream's limit.
     #[serde(rename = "told")]
     pub limit: LimitReport,
 }
 
-/// Answers an ask.
+/// Reply to a permit request.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub struct PermitReply {
-    /// The box that answers.
+    /// Box that replies.
     pub from: BoxId,
-    /// The ask that it answers.
+    /// Number of the request.
     pub id: PermitRequestId,
-    /// Whether the request may go out.
+    /// Whether the request may be sent.
     pub verdict: Verdict,
-    /// What the answering box knows of the upstream's limit.
+    /// The replying box's knowledge of the upstream's limit.
     #[serde(rename = "told")]
     pub limit: Option<LimitReport>,
 }
 
-/// Whether one request may go to an upstream.
+/// Whether one request may be sent to an upstream.
 #[derive(Clone, Copy, Debug, PartialEq, Serialize, Deserialize)]
 pub enum Verdict {
-    /// It may.
+    /// It may be sent.
     #[serde(rename = "Given")]
     Granted,
-    /// The upstream names no limit any more.
+    /// The upstream no longer names a limit.
     #[serde(rename = "Free")]
     Unlimited,
-    /// Not before so many milliseconds.
+    /// It must wait for so many milliseconds.
     Wait(u32),
 }
 
-/// Who decides on a permit.
+/// Box that issues a permit.
 #[derive(Clone, Debug, PartialEq)]
 pub enum Issuer {
-    /// The box that needs it.
+    /// The box that needs the permit.
     Local(IssuerRank),
-    /// Another box, which is to be asked.
+    /// Another box, to which a request must be sent.
     Remote(BoxId),
 }
 
-/// Who decides on a permit that the box `own` needs at `now`, among so many `boxes`.
+/// Chooses the issuer of a permit that the box `own` needs at `now`, among `boxes` boxes.
 ///
-/// `order` is that of [`issuer_order`], `silent` the box that has just not answered; `hears`
-/// tells whether another box is there.
+/// `order` is that of [`issuer_order`]. `silent` is a box that has just failed to reply.
+/// `hears` returns whether another box is reachable.
 pub fn choose_issuer(
     now: Duration,
     own: &str,
@@ -99,14 +102,14 @@
     }
 }
 
-/// What the box `own` is among those that may give permits.
+/// Returns the rank of the box `own` among those that issue permits.
 pub fn issuer_rank(own: &str, order: &[BoxId], hears: impl Fn(&BoxId) -> bool) -> IssuerRank {
     let before = order.iter().take_while(|id| ***id != *own);
     IssuerRank::from_preceding(before.filter(|id| hears(id)).count())
 }
 
-/// How long an upstream is left alone after an ask, or after one that nobody answered;
-/// nothing if the request may go out.
+/// Returns how long an upstream is closed after a verdict, or after no box replied;
+/// `None` if the request may be sent.
 pub fn closed_for(verdict: Option<Verdict>) -> Option<Duration> {
     let (least, most) = CLOSED_TIME_RANGE;
     match verdict {
@@ -116,7 +119,7 @@
     }
 }
 
-/// The order in which boxes give permits for an upstream.
+/// Returns the boxes in the order in which they issue permits for an upstream.
 ///
 /// # Example
 ///
@@ -126,7 +129,7 @@
 /// let boxes = ["b1".into(), "b2".into(), "b3".into()];
 /// let all = issuer_order(7, &boxes);
 /// assert_eq!(all.len(), 3);
-/// // Without the first one the others stay in order.
+/// // Without the first one, the others stay in order.
 /// let rest: Vec<_> = boxes.into_iter().filter(|b| *b != all[0]).collect();
 /// assert_eq!(issuer_order(7, &rest), all[1..]);
 /// ```
--- a/crates/ashgauge/src/permit/schedule.rs
+++ b/crates/ashgauge/src/permit/schedule.rs
@@ -1,17 +1,18 @@
-//! When callers come back to a service whose upstreams take no more requests.
+//! Schedules retries of callers to a service whose upstreams accept no more requests.
 
 use std::collections::HashMap;
 use std::time::Duration;
 
 use crate::routing::ServiceId;
 
-/// Longest time that a caller is told.
+/// Longest time that a caller is told to wait.
 const MAX_RETRY_AFTER: Duration = Duration::from_secs(30);
 
-/// Turns that callers were told to come back at, by service.
+/// Times at which callers were told to retry, by service.
 ///
-/// Told the same time, all would come back together and most be refused again; each gets
-/// a turn of its own, as fast as the upstreams take requests.
+/// If all callers were told the same time, they would retry together and most would be
+/// refused again. Instead each gets a time of its own, at the rate at which the upstreams
+/// accept requests.
 ///
 /// # Example
 ///
@@ -30,8 +31,8 @@
 }
 
 impl RetrySchedule {
-    /// Time after which a caller comes back where nothing is taken for `wait`, and then
-    /// `rate` requests a second of those that this box refuses.
+    /// Returns the time after which a caller is to retry. The upstreams accept nothing
+    /// for `wait`, and then `rate` requests a second of those that this box refuses.
     pub fn retry_after(
         &mut self,
         now: Duration,
--- a/crates/ashgauge/src/permit/skipped.rs
+++ b/crates/ashgauge/src/permit/skipped.rs
@@ -1,22 +1,22 @@
-//! Boxes that are passed over, as they do not answer.
+//! Boxes that are skipped for permit requests because they do not reply.
 
 use std::collections::HashMap;
 use std::time::Duration;
 
 use crate::ident::BoxId;
 
-/// Asks in a row without an answer after which a box is passed over: one datagram may be
+/// Consecutive requests without a reply after which a box is skipped. A datagram may be
 /// lost, and a box that is only slow must not count as gone.
 const MAX_MISSES: u32 = 2;
 
-/// How long it is passed over before it is asked again; doubled each time.
+/// Time for which a box is skipped at first; it doubles each time.
 const INITIAL_SKIP_TIME: Duration = Duration::from_secs(1);
 
-/// Longest time for which it is passed over: boxes that are gone for good stay listed, and
-/// one that comes back is needed again.
+/// Longest time for which a box is skipped. Boxes that are gone for good stay listed, and
+/// one that returns is needed again.
 const MAX_SKIP_TIME: Duration = Duration::from_secs(4);
 
-/// Boxes that did not answer lately.
+/// Boxes that did not reply recently.
 ///
 /// # Example
 ///
@@ -40,13 +40,13 @@
 #[derive(Clone, Copy, Debug, Default)]
 struct Misses {
     count: u32,
-    /// How long it was passed over last.
+    /// Length of the last time for which the box was skipped.
     skip_time: Duration,
     skipped_until: Duration,
 }
 
 impl SkippedBoxes {
-    /// Notes that a box did not answer.
+    /// Records that a box did not reply.
     pub fn record_miss(&mut self, now: Duration, id: &BoxId) {
         let misses = self.boxes.entry(id.clone()).or_default();
         misses.count += 1;
@@ -56,12 +56,12 @@
         }
     }
 
-    /// Notes that a box answered.
+    /// Records that a box replied.
     pub fn clear(&mut self, id: &str) {
         self.boxes.remove(id);
     }
 
-    /// Whether a box is passed over.
+    /// Returns whether a box is skipped.
     pub fn is_skipped(&self, now: Duration, id: &str) -> bool {
         self.boxes.get(id).is_some_and(|m| now < m.skipped_until)
     }
--- a/crates/caller/src/answer.rs
+++ b/crates/caller/src/answer.rs
@@ -1,4 +1,4 @@
-//! From a node's replies to an HTTP answer.
+//! Converts a node's replies into an HTTP answer.
 
 use std::convert::Infallible;
 use std::pin::Pin;
@@ -16,13 +16,13 @@
 
 use crate::{Answer, AnswerFormat};
 
-/// Header that carries the outcome.
+/// Header with the outcome of the request.
 pub const OUTCOME_HEADER: &str = "ashgauge-outcome";
 
-/// Header that carries the request's name.
+/// Header with the request's name.
 const REQUEST_HEADER: &str = "ashgauge-request";
 
-/// An error answer.
+/// Error answer.
 #[derive(Clone, Debug)]
 pub struct Problem {
     status: StatusCode,
@@ -62,7 +62,7 @@
         }
     }
 
-    /// The answer, with all that it says as JSON.
+    /// Returns the HTTP response, with all details as JSON.
     pub fn response(&self) -> Response<Body> {
         let mut response = json(self.status, &self.to_json());
         let headers = response.headers_mut();
@@ -85,7 +85,7 @@
     }
 }
 
-/// Waits for the first part and answers in the wanted form.
+/// Waits for the first reply and answers in the requested format.
 pub(crate) async fn respond(answer: Answer, shape: AnswerFormat) -> Response<Body> {
     let name = HeaderValue::from_str(&answer.request_name);
     let mut response = build_response(answer, shape).await;
@@ -179,7 +179,7 @@
     }
 }
 
-/// A server-sent event stream over a node's replies.
+/// Stream of server-sent events, made from a node's replies.
 struct EventStream {
     first: Option<ReplyPart>,
     answer: Answer,
--- a/crates/caller/src/lib.rs
+++ b/crates/caller/src/lib.rs
@@ -1,8 +1,8 @@
-//! HTTP towards callers: OpenAI-shaped model routes and plain services.
+//! HTTP interface for callers: OpenAI-compatible model routes and plain services.
 //!
-//! Every answer carries the header `ashgauge-outcome` with `done`, `not_run`
-//! or `unknown`; a stream carries it in its last event. A stream that breaks
-//! ends with an `error` event and without `[DONE]`.
+//! Every answer carries the header `ashgauge-outcome` with `done`, `not_run` or
+//! `unknown`; a stream carries the outcome in its last event. A stream that breaks ends
+//! with an `error` event and without `[DONE]`.
 
 #![warn(missing_docs)]
 #![forbid(unsafe_code)]
@@ -25,40 +25,41 @@
 pub use answer::{OUTCOME_HEADER, Problem};
 pub use request::{AnswerFormat, tokenize};
 
-/// Bounds of the callers' port.
+/// Limits of the callers' port.
 #[derive(Clone, Copy, Debug)]
 pub struct PortLimits {
-    /// Connections and request heads.
+    /// Limits on connections and request headers.
     pub server: Limits,
-    /// Bytes of a request's body.
+    /// Largest body of a request in bytes.
     pub max_body_bytes: usize,
-    /// Time for a request's body.
+    /// Time in which a request's body must arrive.
     pub body_timeout: Duration,
-    /// Tokens that one request may ask for.
+    /// Largest number of tokens that one request may ask for.
     pub max_tokens: u32,
 }
 
-/// An answer on its way: its parts, and what ends the request if dropped.
+/// Answer in progress.
 pub struct Answer {
-    /// Name of the request in the time line and in the engines' records.
+    /// Name of the request in the timeline and in the engines' records.
     pub request_name: String,
-    /// Parts; bounded in number by the tokens asked for.
+    /// Replies of the node; the tokens asked for limit their number.
     pub replies: UnboundedReceiver<ReplyPart>,
-    /// Dropped when the caller is gone or the answer is whole.
+    /// Ends the request when dropped, which happens once the caller has gone or the
+    /// answer is complete.
     pub guard: Box<dyn Send + Sync>,
 }
 
-/// What the callers' port asks of the rest of the process.
+/// Interface of the rest of the process to the callers' port.
 pub trait Router: Send + Sync + 'static {
-    /// Starts a request; its id is filled in by the router.
+    /// Starts a request; the router fills in its id.
     fn start(&self, order: IncomingRequest) -> impl Future<Output = Option<Answer>> + Send;
 
-    /// Whether the balancer may send requests here.
+    /// Returns whether the load balancer may send requests to this box.
     fn is_ready(&self) -> impl Future<Output = bool> + Send;
 }
 
-/// Serves the callers' port until `stop` turns true, then ends what is in
-/// flight.
+/// Serves the callers' port until `stop` turns true, then lets the requests in flight
+/// finish.
 pub async fn listen<R: Router>(
     listener: TcpListener,
     bounds: PortLimits,
--- a/crates/caller/src/request.rs
+++ b/crates/caller/src/request.rs
@@ -1,4 +1,4 @@
-//! From an HTTP request to an [`IncomingRequest`].
+//! Converts an HTTP request into an [`IncomingRequest`].
 
 use std::time::Duration;
 
@@ -16,31 +16,31 @@
 /// Header that marks a request as not repeatable, with the value `no`.
 const REPEAT_HEADER: &str = "ashgauge-repeat";
 
-/// Header with the request's longest time in milliseconds.
+/// Header with the request's timeout in milliseconds.
 const TIMEOUT_HEADER: &str = "ashgauge-timeout-ms";
 
 const IDEMPOTENCY_HEADER: &str = "idempotency-key";
 
 const DEFAULT_MAX_TOKENS: u32 = 16;
 
-/// Form in which the caller wants its answer.
+/// Format in which the caller expects the answer.
 #[derive(Clone, Debug, PartialEq)]
 pub enum AnswerFormat {
     /// `/v1/completions`.
     Completion {
         /// Model.
         model: String,
-        /// Whether by server-sent events.
+        /// Whether the answer is streamed as server-sent events.
         stream: bool,
     },
     /// `/v1/chat/completions`.
     Chat {
         /// Model.
         model: String,
-        /// Whether by server-sent events.
+        /// Whether the answer is streamed as server-sent events.
         stream: bool,
     },
-    /// A plain service's own.
+    /// Format of a plain service.
     Service,
 }
 
@@ -68,12 +68,12 @@
     content: String,
 }
 
-/// Splits a prompt into tokens, one a byte.
+/// Splits a prompt into tokens, one for each byte.
 pub fn tokenize(text: &str) -> Vec<StageValue> {
     text.bytes().map(StageValue::from).collect()
 }
 
-/// Reads a request whole and checks it.
+/// Reads a whole request and validates it.
 pub(crate) async fn parse(
     request: Request<Incoming>,
     bounds: &PortLimits,
