--- a/crates/ashgauge/src/class.rs
+++ b/crates/ashgauge/src/class.rs
@@ -50,14 +50,14 @@
 
 /// Priorities of the requests that compete for a service.
 #[derive(Clone, Debug, Default, PartialEq)]
-pub struct Ranks {
+pub struct Priorities {
     /// Pairs of team and route priorities that may occur, the most urgent first.
     pairs: Vec<(u8, u8)>,
     /// Number of distinct priorities of the service's routes.
-    route_ranks: usize,
+    route_priorities: usize,
 }
 
-impl Ranks {
+impl Priorities {
     /// Creates the priorities of requests on these routes, made by these teams. `None`
     /// stands for teams without a priority and for requests without a team.
     pub fn new(teams: &[Option<u32>], routes: &[u32]) -> Self {
@@ -71,16 +71,16 @@
         let mut routes = routes.to_vec();
         routes.sort_unstable();
         routes.dedup();
-        Ranks {
+        Priorities {
             pairs,
-            route_ranks: routes.len(),
+            route_priorities: routes.len(),
         }
     }
 
     /// Returns whether the service's routes have different priorities, so that some
     /// requests are served before others.
     pub fn routes_differ(&self) -> bool {
-        self.route_ranks > 1
+        self.route_priorities > 1
     }
 
     /// Returns the priority of a class at the engines, from 1 to 8, the most urgent
@@ -97,7 +97,7 @@
     /// assert_eq!(ranks.priority(Class::new(Some(0), 2, false)), 2);
     /// assert_eq!(ranks.priority(Class::new(Some(1), 0, false)), 3);
     /// ```
-    pub fn priority(&self, class: Class) -> u32 {
+    pub fn engine_priority(&self, class: Class) -> u32 {
         let before = self
             .pairs
             .partition_point(|p| *p < (class.team, class.route));
--- a/crates/ashgauge/src/demand.rs
+++ b/crates/ashgauge/src/demand.rs
@@ -127,7 +127,7 @@
 }
 
 /// Returns the hash that stands for a service or a team.
-pub fn key(name: &str) -> u32 {
+pub fn name_key(name: &str) -> u32 {
     xxh3_64(name.as_bytes()) as u32
 }
 
--- a/crates/ashgauge/src/node/peers.rs
+++ b/crates/ashgauge/src/node/peers.rs
@@ -218,7 +218,7 @@
         let fenced = |id: &str| members.upstream(id).is_some_and(|u| u.fenced);
         let due = self
             .orders
-            .due_orders(self.now, term, &self.policy.goals, fenced);
+            .due_orders(self.now, term, &self.policy.desired_states, fenced);
         for (upstream, goal) in due {
             let addr = pipeline::upstream_addr(&self.members, &upstream);
             if addr.is_empty() {
@@ -240,7 +240,7 @@
             term,
             order: self
                 .policy
-                .goals
+                .desired_states
                 .get(id)
                 .map_or(String::new(), |g| format!("{:x}", g.hash)),
             result: format!("{reply:?}"),
--- a/crates/ashgauge/src/node/store.rs
+++ b/crates/ashgauge/src/node/store.rs
@@ -228,7 +228,7 @@
     /// Only the lease's home box asks for it, so that the others cost nothing.
     fn tick_lease(&mut self) {
         let home = self.members.owner_of(self.now, "lease");
-        let wanted = !self.policy.goals.is_empty() && !self.control.draining;
+        let wanted = !self.policy.desired_states.is_empty() && !self.control.draining;
         if !wanted || home.as_ref() != Some(&self.config.id) {
             return;
         }
--- a/crates/ashgauge/src/permit/schedule.rs
+++ b/crates/ashgauge/src/permit/schedule.rs
@@ -27,7 +27,7 @@
 /// ```
 #[derive(Clone, Debug, Default)]
 pub struct RetrySchedule {
-    next: HashMap<ServiceId, Duration>,
+    next_retry: HashMap<ServiceId, Duration>,
 }
 
 impl RetrySchedule {
@@ -41,7 +41,7 @@
         rate: f64,
     ) -> Duration {
         let gap = Duration::try_from_secs_f64(1.0 / rate).unwrap_or(MAX_RETRY_AFTER);
-        let next = self.next.entry(service.clone()).or_default();
+        let next = self.next_retry.entry(service.clone()).or_default();
         let turn = (*next).max(now + wait) + gap.min(MAX_RETRY_AFTER);
         *next = turn.min(now + MAX_RETRY_AFTER);
         *next - now
--- a/crates/ashgauge/src/permit/skipped.rs
+++ b/crates/ashgauge/src/permit/skipped.rs
@@ -57,7 +57,7 @@
     }
 
     /// Records that a box replied.
-    pub fn clear(&mut self, id: &str) {
+    pub fn record_reply(&mut self, id: &str) {
         self.boxes.remove(id);
     }
 
--- a/crates/ashgauge/src/policy.rs
+++ b/crates/ashgauge/src/policy.rs
@@ -65,7 +65,7 @@
     /// Reserved share of tokens by tier rank, 0 to 1.
     pub tier_floors: HashMap<u32, f64>,
     /// Desired states of upstreams.
-    pub goals: BTreeMap<UpstreamId, DesiredState>,
+    pub desired_states: BTreeMap<UpstreamId, DesiredState>,
     teams_by_key: HashMap<u64, Vec<(KeyHash, Arc<Team>)>>,
     teams_by_name: HashMap<TeamId, Arc<Team>>,
 }
@@ -87,7 +87,7 @@
                 Some(("tier", _)) => p.add_tier(table, row),
                 Some(("team", name)) => p.add_team(table, row, name),
                 Some(("route", name)) => p.add_route(table, row, name),
-                Some(("upstream", name)) => p.add_goal(table, row, name),
+                Some(("upstream", name)) => p.add_desired_state(table, row, name),
                 _ => {}
             }
         }
@@ -153,7 +153,7 @@
         }
     }
 
-    fn add_goal(&mut self, table: &Table, row: &str, name: &str) {
+    fn add_desired_state(&mut self, table: &Table, row: &str, name: &str) {
         let get = |column| text_cell(table, row, column).map(String::from);
         let goal = DesiredState {
             hash: 0,
@@ -162,7 +162,7 @@
             version: get("version"),
             role: get("role"),
         };
-        self.goals.insert(name.into(), goal.with_hash());
+        self.desired_states.insert(name.into(), goal.with_hash());
     }
 
     fn add_route(&mut self, table: &Table, row: &str, name: &str) {
--- a/crates/ashgauge/src/routing.rs
+++ b/crates/ashgauge/src/routing.rs
@@ -8,7 +8,7 @@
 use rand::Rng;
 
 use crate::chain::Layer;
-use crate::class::Ranks;
+use crate::class::Priorities;
 
 /// Name of a service.
 pub type ServiceId = Arc<str>;
@@ -28,7 +28,7 @@
     /// Teams by key, if requests need one.
     keys: Option<HashMap<String, Arc<Team>>>,
     /// Ranks of the streams that compete for each service.
-    priorities: HashMap<ServiceId, Ranks>,
+    priorities: HashMap<ServiceId, Priorities>,
     /// Bounds for clients.
     pub client_limits: ClientLimits,
 }
@@ -234,7 +234,7 @@
 
     /// The ranks of the streams that compete for a service; `None` if no route brings it
     /// streams.
-    pub fn priorities(&self, service: &str) -> Option<&Ranks> {
+    pub fn priorities(&self, service: &str) -> Option<&Priorities> {
         self.priorities.get(service)
     }
 
@@ -297,7 +297,10 @@
 }
 
 /// The ranks of the streams that compete for each service.
-fn priorities_by_service(routes: &[Route], teams: Option<&[Team]>) -> HashMap<ServiceId, Ranks> {
+fn priorities_by_service(
+    routes: &[Route],
+    teams: Option<&[Team]>,
+) -> HashMap<ServiceId, Priorities> {
     let mut by_team: Vec<Option<u32>> = teams
         .unwrap_or_default()
         .iter()
@@ -319,7 +322,7 @@
     }
     let ranks = by_route.into_iter();
     ranks
-        .map(|(service, routes)| (service, Ranks::new(&by_team, &routes)))
+        .map(|(service, routes)| (service, Priorities::new(&by_team, &routes)))
         .collect()
 }
 
--- a/crates/ashgauge/tests/demand.rs
+++ b/crates/ashgauge/tests/demand.rs
@@ -7,7 +7,7 @@
 
 use ashgauge::class::Class;
 use ashgauge::demand::{
-    Demand, DemandMeter, DemandSource, Demands, TeamSketch, Traffic, key, relative_work,
+    Demand, DemandMeter, DemandSource, Demands, TeamSketch, Traffic, name_key, relative_work,
 };
 use ashgauge::level::AdmissionLevel;
 use proptest::prelude::*;
@@ -236,7 +236,7 @@
 #[test]
 fn steady_requests_are_told_as_their_rate() {
     let mut meter = DemandMeter::default();
-    let service = key("model");
+    let service = name_key("model");
     for n in 0..500 {
         meter.record(ms(n * 10), source(service, 0, 0, Some(1)), 1.0);
         meter.record_completion(ms(n * 10), service);
--- a/crates/ashgauge/tests/estimate.rs
+++ b/crates/ashgauge/tests/estimate.rs
@@ -5,7 +5,7 @@
 use std::time::Duration;
 
 use ashgauge::class::Class;
-use ashgauge::demand::{Demand, DemandSource, Demands, TeamSketch, key};
+use ashgauge::demand::{Demand, DemandSource, Demands, TeamSketch, name_key};
 use ashgauge::estimate::{Estimate, Estimator, Observation};
 use ashgauge::pressure::{self, Pressure};
 use ashgauge::routing::{Accelerator, Model};
@@ -23,7 +23,7 @@
 
 fn demands(rate: f64) -> Demands {
     let source = DemandSource {
-        service: key("model"),
+        service: name_key("model"),
         class: Class::default(),
         team: Some(1),
     };
--- a/crates/ashgauge/tests/fleet/mod.rs
+++ b/crates/ashgauge/tests/fleet/mod.rs
@@ -232,7 +232,7 @@
         let from = &self.run.callers[caller];
         let class = Class::new(Some(0), from.route, is_back);
         let (team, work) = (from.team, demand::relative_work(size, USUAL));
-        let service = demand::key(SERVICE);
+        let service = demand::name_key(SERVICE);
         let source = DemandSource {
             service,
             class,
@@ -280,7 +280,8 @@
         }
         node.held -= memory;
         node.count -= 1;
-        node.meter.record_completion(self.now, demand::key(SERVICE));
+        node.meter
+            .record_completion(self.now, demand::name_key(SERVICE));
         self.engines.end(memory);
         if in_time {
             self.seen[seen].served = Some(self.now.as_secs_f64());
@@ -392,7 +393,7 @@
         let unheard = self.shares.present_boxes(boxes as f64) / (heard + 1.0);
         let own = self.meter.traffic(now);
         let flows = self.shares.flows(&own);
-        let mut demands = flows.demands_of(demand::key(SERVICE));
+        let mut demands = flows.demands_of(demand::name_key(SERVICE));
         for (_, demand) in &mut demands {
             *demand = demand.scaled(unheard);
         }
@@ -406,7 +407,7 @@
         let known = Observation {
             demands,
             pressure,
-            completion_rate: flows.completion_rate(demand::key(SERVICE)) * unheard,
+            completion_rate: flows.completion_rate(demand::name_key(SERVICE)) * unheard,
             boxes: self.shares.present_boxes(boxes as f64),
             age: age.mul_f64(heard / (heard + 1.0)),
             report_interval: Duration::from_secs_f64(TELL),
--- a/crates/ashgauge/tests/limited/mod.rs
+++ b/crates/ashgauge/tests/limited/mod.rs
@@ -364,7 +364,7 @@
             return;
         };
         let giver = self.names[giver].clone();
-        self.nodes[to].passed.clear(&giver);
+        self.nodes[to].passed.record_reply(&giver);
         self.judge(to, verdict);
     }
 
--- a/crates/ashgauge/tests/overload_faults.rs
+++ b/crates/ashgauge/tests/overload_faults.rs
@@ -77,7 +77,7 @@
 /// What a box tells whose figures are wrong.
 fn absurd(demands: Vec<(u8, Demand)>, ends: u32, used: u32) -> LoadSum {
     let source = |route| DemandSource {
-        service: demand::key(SERVICE),
+        service: demand::name_key(SERVICE),
         class: Class::new(Some(0), u32::from(route), false),
         team: None,
     };
@@ -94,7 +94,7 @@
         suspects: Vec::new(),
         flows: Traffic {
             demands: demands.collect(),
-            completions: vec![(demand::key(SERVICE), ends)],
+            completions: vec![(demand::name_key(SERVICE), ends)],
         },
         slow: Vec::new(),
     }
--- a/crates/ashgauge/tests/report.rs
+++ b/crates/ashgauge/tests/report.rs
@@ -3,7 +3,7 @@
 use std::time::Duration;
 
 use ashgauge::class::Class;
-use ashgauge::demand::{Demand, DemandSource, Demands, TeamSketch, key};
+use ashgauge::demand::{Demand, DemandSource, Demands, TeamSketch, name_key};
 use ashgauge::level::AdmissionLevel;
 use ashgauge::pressure::Pressure;
 use ashgauge::report::{ChangeReporter, LevelChange, LevelInputs};
@@ -64,11 +64,11 @@
 fn demands(of: &[(u32, &str, u32)]) -> Demands {
     let demand = |(route, team, rate): &(u32, &str, u32)| {
         let source = DemandSource {
-            service: key("model"),
+            service: name_key("model"),
             class: class(*route),
-            team: Some(key(team)),
+            team: Some(name_key(team)),
         };
-        let (rate, teams) = (rate * 1000, TeamSketch::single(key(team)));
+        let (rate, teams) = (rate * 1000, TeamSketch::single(name_key(team)));
         let work = rate;
         (source, Demand { rate, work, teams })
     };
--- a/crates/ashgauged/src/relay/permit.rs
+++ b/crates/ashgauged/src/relay/permit.rs
@@ -104,7 +104,7 @@
     let mut passed = shared.permits.silent_boxes.borrow_mut();
     match verdict {
         Ok(Ok(verdict)) => {
-            passed.clear(to);
+            passed.record_reply(to);
             Some(verdict)
         }
         // The sender is dropped by the answer only.
--- a/crates/ashgauged/src/relay/request.rs
+++ b/crates/ashgauged/src/relay/request.rs
@@ -87,7 +87,7 @@
         let routing = shared.routing();
         let ranks = routing.priorities(&self.service.name);
         if let (Some(class), Some(ranks)) = (self.class, ranks) {
-            return ranks.priority(class);
+            return ranks.engine_priority(class);
         }
         let team = self.team.as_ref().and_then(|t| t.priority);
         team.unwrap_or(self.route.priority)
--- a/crates/ashgauged/src/relay/select.rs
+++ b/crates/ashgauged/src/relay/select.rs
@@ -133,7 +133,7 @@
         let heard = shares.boxes() as f64 + 1.0;
         // More are heard than there are where some are in a hub's sum as well.
         let factor = shares.present_boxes(f64::from(self.fleet_size())) / heard;
-        let key = demand::key(service);
+        let key = demand::name_key(service);
         let mut demands = flows.demands_of(key);
         for (_, demand) in &mut demands {
             *demand = demand.scaled(factor);
--- a/crates/ashgauged/src/relay/settings.rs
+++ b/crates/ashgauged/src/relay/settings.rs
@@ -4,7 +4,7 @@
 use std::path::Path;
 use std::time::Duration;
 
-use ashgauge::class::Ranks;
+use ashgauge::class::Priorities;
 use ashgauge::poller::PollTiming;
 use ashgauge::retry::Allowance;
 use eyre::{Result, WrapErr, bail, eyre};
@@ -251,7 +251,7 @@
     }
 
     /// Whether streams of a service for which these ranks compete are refused by class.
-    pub fn sheds(&self, ranks: &Ranks) -> bool {
+    pub fn sheds(&self, ranks: &Priorities) -> bool {
         match self.shedding {
             Shedding::Ranked => ranks.routes_differ(),
             Shedding::All => true,
--- a/crates/ashgauged/src/relay/shedding.rs
+++ b/crates/ashgauged/src/relay/shedding.rs
@@ -57,7 +57,7 @@
     let (Some(model), Some(class)) = (a.service.model.as_ref(), a.class) else {
         return Ok(None);
     };
-    let team = demand::key(a.team.as_ref().map_or("", |t| t.name.as_str()));
+    let team = demand::name_key(a.team.as_ref().map_or("", |t| t.name.as_str()));
     note_demand(shared, a, model, class, team);
     update_level(shared, &a.service, model);
     let start = shared.rng().random_range(0.0..1.0);
@@ -98,7 +98,7 @@
     team: demand::TeamKey,
 ) {
     let source = DemandSource {
-        service: demand::key(&a.service.name),
+        service: demand::name_key(&a.service.name),
         class,
         team: Some(team),
     };
@@ -224,7 +224,7 @@
         if !self.begun.get() {
             return;
         }
-        let (now, key) = (self.shared.now(), demand::key(&self.service));
+        let (now, key) = (self.shared.now(), demand::name_key(&self.service));
         self.shared
             .admissions
             .with(&self.service, |s| s.meter.record_completion(now, key));
--- a/crates/bench/src/decision.rs
+++ b/crates/bench/src/decision.rs
@@ -131,7 +131,7 @@
     for _ in 0..CHOICES {
         let pressure = Pressure::from_context(&context, model);
         let flows = shares.flows(&own);
-        let service = demand::key(MODEL);
+        let service = demand::name_key(MODEL);
         let known = Observation {
             demands: flows.demands_of(service),
             pressure,
@@ -182,13 +182,13 @@
     let mut meter = DemandMeter::default();
     for n in 0..DEMANDS {
         let source = DemandSource {
-            service: demand::key(MODEL),
+            service: demand::name_key(MODEL),
             class: Class::new(Some(n % 3), 0, false),
             team: Some(n),
         };
         meter.record(Duration::ZERO, source, 1.0);
     }
-    meter.record_completion(Duration::ZERO, demand::key(MODEL));
+    meter.record_completion(Duration::ZERO, demand::name_key(MODEL));
     meter.traffic(Duration::ZERO)
 }
 
--- a/crates/caller/src/answer.rs
+++ b/crates/caller/src/answer.rs
@@ -86,9 +86,9 @@
 }
 
 /// Waits for the first reply and answers in the requested format.
-pub(crate) async fn respond(answer: Answer, shape: AnswerFormat) -> Response<Body> {
+pub(crate) async fn respond(answer: Answer, format: AnswerFormat) -> Response<Body> {
     let name = HeaderValue::from_str(&answer.request_name);
-    let mut response = build_response(answer, shape).await;
+    let mut response = build_response(answer, format).await;
     if let Ok(name) = name {
         response.headers_mut().insert(REQUEST_HEADER, name);
     }
@@ -181,7 +181,7 @@
 
 /// Stream of server-sent events, made from a node's replies.
 struct EventStream {
-    first: Option<ReplyPart>,
+    first_reply: Option<ReplyPart>,
     answer: Answer,
     shape: AnswerFormat,
     finish_reason: &'static str,
@@ -225,7 +225,7 @@
         if self.finished {
             return Poll::Ready(None);
         }
-        let reply = match self.first.take() {
+        let reply = match self.first_reply.take() {
             Some(reply) => Some(reply),
             None => ready!(self.answer.replies.poll_recv(cx)),
         };
@@ -243,7 +243,7 @@
 
 fn stream_answer(first: ReplyPart, answer: Answer, shape: AnswerFormat) -> Response<Body> {
     let events = EventStream {
-        first: Some(first),
+        first_reply: Some(first),
         answer,
         shape,
         finish_reason: "length",
