--- a/crates/ashgauge/src/class.rs
+++ b/crates/ashgauge/src/class.rs
@@ -38,12 +38,12 @@
 impl Class {
     /// Creates the class of a request, from the priorities of its team, if the team has
     /// one, and of its route.
-    pub fn new(team: Option<u32>, route: u32, back: bool) -> Self {
-        let narrow = |rank: u32| u8::try_from(rank).unwrap_or(u8::MAX);
+    pub fn new(team: Option<u32>, route: u32, is_retry: bool) -> Self {
+        let saturate = |priority: u32| u8::try_from(priority).unwrap_or(u8::MAX);
         Class {
-            team: narrow(team.unwrap_or(route)),
-            route: narrow(route),
-            is_retry: back,
+            team: saturate(team.unwrap_or(route)),
+            route: saturate(route),
+            is_retry,
         }
     }
 }
@@ -61,11 +61,11 @@
     /// Creates the priorities of requests on these routes, made by these teams. `None`
     /// stands for teams without a priority and for requests without a team.
     pub fn new(teams: &[Option<u32>], routes: &[u32]) -> Self {
-        let both = |route: &u32| {
+        let with_teams = |route: &u32| {
             let classes = teams.iter().map(|team| Class::new(*team, *route, false));
             classes.map(|c| (c.team, c.route)).collect::<Vec<_>>()
         };
-        let mut pairs: Vec<_> = routes.iter().flat_map(both).collect();
+        let mut pairs: Vec<_> = routes.iter().flat_map(with_teams).collect();
         pairs.sort_unstable();
         pairs.dedup();
         let mut routes = routes.to_vec();
@@ -90,12 +90,12 @@
     /// # Example
     ///
     /// ```
-    /// use ashgauge::class::{Class, Ranks};
+    /// use ashgauge::class::{Class, Priorities};
     ///
-    /// let ranks = Ranks::new(&[Some(0), Some(1)], &[0, 2]);
-    /// assert!(ranks.routes_differ());
-    /// assert_eq!(ranks.priority(Class::new(Some(0), 2, false)), 2);
-    /// assert_eq!(ranks.priority(Class::new(Some(1), 0, false)), 3);
+    /// let priorities = Priorities::new(&[Some(0), Some(1)], &[0, 2]);
+    /// assert!(priorities.routes_differ());
+    /// assert_eq!(priorities.engine_priority(Class::new(Some(0), 2, false)), 2);
+    /// assert_eq!(priorities.engine_priority(Class::new(Some(1), 0, false)), 3);
     /// ```
     pub fn engine_priority(&self, class: Class) -> u32 {
         let before = self
--- a/crates/ashgauge/src/demand.rs
+++ b/crates/ashgauge/src/demand.rs
@@ -76,8 +76,8 @@
 impl TeamSketch {
     /// Creates a sketch of one team.
     pub fn single(key: TeamKey) -> Self {
-        let mixed = xxh3_64(&key.to_le_bytes()) as usize;
-        let (word, bit) = (mixed % SKETCH_WORDS, mixed / SKETCH_WORDS);
+        let hash = xxh3_64(&key.to_le_bytes()) as usize;
+        let (word, bit) = (hash % SKETCH_WORDS, hash / SKETCH_WORDS);
         let mut words = [0; SKETCH_WORDS];
         words[word] = 1 << (bit % u64::BITS as usize);
         TeamSketch(words)
@@ -96,17 +96,17 @@
     /// # Example
     ///
     /// ```
-    /// use ashgauge::demand::{key, TeamSketch};
+    /// use ashgauge::demand::{name_key, TeamSketch};
     ///
-    /// let teams = (0..100).map(|n| TeamSketch::single(key(&format!("team-{n}"))));
+    /// let teams = (0..100).map(|n| TeamSketch::single(name_key(&format!("team-{n}"))));
     /// let all = teams.fold(TeamSketch::default(), TeamSketch::union);
     /// assert!((80.0..120.0).contains(&all.count()));
     /// assert_eq!(TeamSketch::single(7).union(TeamSketch::single(7)).count().round(), 1.0);
     /// ```
     pub fn count(self) -> f64 {
         let bits = f64::from(u64::BITS) * SKETCH_WORDS as f64;
-        let free: u32 = self.0.iter().map(|word| word.count_zeros()).sum();
-        (bits * (bits / f64::from(free).max(1.0)).ln()).max(1.0)
+        let zero_bits: u32 = self.0.iter().map(|word| word.count_zeros()).sum();
+        (bits * (bits / f64::from(zero_bits).max(1.0)).ln()).max(1.0)
     }
 }
 
@@ -146,16 +146,16 @@
 /// ```
 pub fn relative_work(
     (prompt, answer): (u32, u32),
-    (usual_prompt, usual_answer): (u32, u32),
+    (typical_prompt, typical_answer): (u32, u32),
 ) -> f64 {
-    let held = |prompt: u32, answer: u32| {
+    let occupancy = |prompt: u32, answer: u32| {
         let (prompt, answer) = (f64::from(prompt), f64::from(answer));
         (prompt + answer / 2.0) * answer
     };
-    let usual = held(usual_prompt, usual_answer);
-    let (least, most) = WORK_RANGE;
-    match usual > 0.0 {
-        true => (held(prompt, answer) / usual).clamp(least, most),
+    let typical = occupancy(typical_prompt, typical_answer);
+    let (min, max) = WORK_RANGE;
+    match typical > 0.0 {
+        true => (occupancy(prompt, answer) / typical).clamp(min, max),
         false => 1.0,
     }
 }
@@ -177,10 +177,10 @@
 
 impl DecayingRate {
     fn record(&mut self, now: Duration, window: Duration, work: f64) {
-        let faded = self.decay(now, window);
+        let decay = self.decay(now, window);
         let window = window.as_secs_f64();
-        self.requests = self.requests * faded + 1.0 / window;
-        self.work = self.work * faded + work / window;
+        self.requests = self.requests * decay + 1.0 / window;
+        self.work = self.work * decay + work / window;
         self.updated = now;
     }
 
@@ -194,8 +194,8 @@
     /// Returns the rates of requests and work, in thousandths a second.
     fn milli_rates(&self, now: Duration, window: Duration) -> (u32, u32) {
         let thousandths = self.decay(now, window) * 1e3;
-        let told = |rate: f64| (rate * thousandths) as u32;
-        (told(self.requests), told(self.work))
+        let milli = |rate: f64| (rate * thousandths) as u32;
+        (milli(self.requests), milli(self.work))
     }
 }
 
@@ -208,8 +208,8 @@
 
     /// Records that an admitted request of a service completed.
     pub fn record_completion(&mut self, now: Duration, service: ServiceKey) {
-        let ends = self.completions.entry(service).or_default();
-        ends.record(now, COMPLETION_WINDOW, 1.0);
+        let rate = self.completions.entry(service).or_default();
+        rate.record(now, COMPLETION_WINDOW, 1.0);
     }
 
     /// Returns the present demands and completion rates, and forgets sources whose demand
@@ -223,16 +223,16 @@
             (*source, Demand { rate, work, teams })
         };
         let mut demands: Demands = self.rates.iter().map(demand).collect();
-        let ends = self
+        let completions = self
             .completions
             .iter()
             .map(|(s, rate)| (*s, rate.milli_rates(now, COMPLETION_WINDOW).0));
-        let mut ends: CompletionRates = ends.collect();
+        let mut completions: CompletionRates = completions.collect();
         demands.sort_unstable_by_key(|(source, _)| *source);
-        ends.sort_unstable();
+        completions.sort_unstable();
         Traffic {
             demands,
-            completions: ends,
+            completions,
         }
     }
 }
@@ -241,35 +241,35 @@
     /// Returns the sum of all traffic.
     pub fn sum<'a>(all: impl Iterator<Item = &'a Traffic>) -> Self {
         let mut demands: BTreeMap<DemandSource, Demand> = BTreeMap::new();
-        let mut ends: BTreeMap<ServiceKey, u32> = BTreeMap::new();
-        for flows in all {
-            for (source, more) in &flows.demands {
-                demands.entry(*source).or_default().add(more);
+        let mut completions: BTreeMap<ServiceKey, u32> = BTreeMap::new();
+        for traffic in all {
+            for (source, addend) in &traffic.demands {
+                demands.entry(*source).or_default().add(addend);
             }
-            for (service, more) in &flows.completions {
-                let sum = ends.entry(*service).or_default();
-                *sum = sum.saturating_add(*more);
+            for (service, addend) in &traffic.completions {
+                let sum = completions.entry(*service).or_default();
+                *sum = sum.saturating_add(*addend);
             }
         }
         Traffic {
             demands: demands.into_iter().collect(),
-            completions: ends.into_iter().collect(),
+            completions: completions.into_iter().collect(),
         }
     }
 
     /// Returns this traffic minus `less`, without demands that are then zero.
     pub fn minus(mut self, less: &Traffic) -> Self {
         for (source, less) in &less.demands {
-            if let Ok(at) = self.demands.binary_search_by_key(source, |(s, _)| *s) {
-                let rest = &mut self.demands[at].1;
-                rest.rate = rest.rate.saturating_sub(less.rate);
-                rest.work = rest.work.saturating_sub(less.work);
+            if let Ok(index) = self.demands.binary_search_by_key(source, |(s, _)| *s) {
+                let remaining = &mut self.demands[index].1;
+                remaining.rate = remaining.rate.saturating_sub(less.rate);
+                remaining.work = remaining.work.saturating_sub(less.work);
             }
         }
         for (service, less) in &less.completions {
-            if let Ok(at) = self.completions.binary_search_by_key(service, |(s, _)| *s) {
-                let rest = &mut self.completions[at].1;
-                *rest = rest.saturating_sub(*less);
+            if let Ok(index) = self.completions.binary_search_by_key(service, |(s, _)| *s) {
+                let remaining = &mut self.completions[index].1;
+                *remaining = remaining.saturating_sub(*less);
             }
         }
         self.demands.retain(|(_, demand)| demand.rate > 0);
@@ -279,13 +279,13 @@
     /// Limits all rates to what so many boxes may report: a box with wrong figures must
     /// not outweigh the fleet.
     pub fn clamped(mut self, boxes: u32) -> Self {
-        let most = MAX_BOX_RATE.saturating_mul(boxes.max(1));
+        let max_rate = MAX_BOX_RATE.saturating_mul(boxes.max(1));
         for (_, demand) in &mut self.demands {
-            demand.rate = demand.rate.min(most);
-            demand.work = demand.work.min(most);
+            demand.rate = demand.rate.min(max_rate);
+            demand.work = demand.work.min(max_rate);
         }
-        for (_, ends) in &mut self.completions {
-            *ends = (*ends).min(most);
+        for (_, rate) in &mut self.completions {
+            *rate = (*rate).min(max_rate);
         }
         self
     }
@@ -301,37 +301,37 @@
         let demands = &mut self.demands;
         demands.sort_unstable_by_key(|(_, d)| Reverse(d.rate));
         let small = demands.split_off(single.min(MAX_DEMANDS / 2));
-        let mut together: BTreeMap<DemandSource, Demand> = demands.iter().copied().collect();
-        for (source, more) in &small {
+        let mut combined: BTreeMap<DemandSource, Demand> = demands.iter().copied().collect();
+        for (source, addend) in &small {
             let source = DemandSource {
                 team: None,
                 ..*source
             };
-            together.entry(source).or_default().add(more);
+            combined.entry(source).or_default().add(addend);
         }
-        self.demands = together.into_iter().take(MAX_DEMANDS).collect();
+        self.demands = combined.into_iter().take(MAX_DEMANDS).collect();
         self
     }
 
     /// Returns the number of distinct classes over all services. The demands must be
     /// ordered.
     fn class_count(&self) -> usize {
-        let same = |a: &(DemandSource, Demand), b: &(DemandSource, Demand)| {
+        let is_same_class = |a: &(DemandSource, Demand), b: &(DemandSource, Demand)| {
             (a.0.service, a.0.class) == (b.0.service, b.0.class)
         };
-        self.demands.chunk_by(same).count()
+        self.demands.chunk_by(is_same_class).count()
     }
 
     /// Returns the demands for one service.
     pub fn demands_of(&self, service: ServiceKey) -> Demands {
-        let of = |(source, _): &&(DemandSource, Demand)| source.service == service;
-        self.demands.iter().filter(of).copied().collect()
+        let is_of_service = |(source, _): &&(DemandSource, Demand)| source.service == service;
+        self.demands.iter().filter(is_of_service).copied().collect()
     }
 
     /// Returns the requests of a service that complete each second.
     pub fn completion_rate(&self, service: ServiceKey) -> f64 {
-        let mut ends = self.completions.iter().filter(|(s, _)| *s == service);
-        ends.next().map_or(0.0, |(_, rate)| f64::from(*rate) / 1e3)
+        let mut rates = self.completions.iter().filter(|(s, _)| *s == service);
+        rates.next().map_or(0.0, |(_, rate)| f64::from(*rate) / 1e3)
     }
 }
 
@@ -349,18 +349,18 @@
     /// Returns this demand multiplied by `factor`. It extends a demand to boxes that were
     /// not heard from, which are assumed to have as much as the others.
     pub fn scaled(&self, factor: f64) -> Self {
-        let times = |rate: u32| (f64::from(rate) * factor) as u32;
+        let scale = |rate: u32| (f64::from(rate) * factor) as u32;
         Demand {
-            rate: times(self.rate),
-            work: times(self.work),
+            rate: scale(self.rate),
+            work: scale(self.work),
             teams: self.teams,
         }
     }
 
     /// Adds the demand of others.
-    pub(crate) fn add(&mut self, more: &Demand) {
-        self.rate = self.rate.saturating_add(more.rate);
-        self.work = self.work.saturating_add(more.work);
-        self.teams = self.teams.union(more.teams);
+    pub(crate) fn add(&mut self, other: &Demand) {
+        self.rate = self.rate.saturating_add(other.rate);
+        self.work = self.work.saturating_add(other.work);
+        self.teams = self.teams.union(other.teams);
     }
 }
--- a/crates/ashgauge/src/estimate.rs
+++ b/crates/ashgauge/src/estimate.rs
@@ -168,7 +168,7 @@
     /// use std::time::Duration;
     ///
     /// let ms = Duration::from_millis;
-    /// let known = Observation {
+    /// let observation = Observation {
     ///     demands: Vec::new(),
     ///     pressure: Pressure { requests: 600.0, memory: 0.75, slots: 0.1 },
     ///     completion_rate: 300.0,
@@ -178,61 +178,71 @@
     ///     full_slowdown: 0.8,
     /// };
     /// let mut estimator = Estimator::default();
-    /// let estimate = estimator.estimate(ms(5000), &known);
+    /// let estimate = estimator.estimate(ms(5000), &observation);
     /// // Some have completed since, and there was no new demand.
     /// assert!((300.0..600.0).contains(&estimate.pressure.requests));
     /// ```
-    pub fn estimate(&mut self, now: Duration, known: &Observation) -> Estimate {
-        let of = self.add_sample(now.saturating_sub(known.age).as_secs_f64(), known);
-        let now = now.as_secs_f64().max(of);
-        let requests = clamp_or_zero(known.pressure.requests, MAX_COUNT);
-        self.update_duration(of, requests);
-
-        let told: f64 = known.demands.iter().map(|(_, demand)| demand.rate()).sum();
-        self.demand_rate = self.trend.current_rate(of, told, known);
-        let factor = if told > 0.0 {
-            self.demand_rate / told
+    pub fn estimate(&mut self, now: Duration, observation: &Observation) -> Estimate {
+        let observed_at = self.add_sample(
+            now.saturating_sub(observation.age).as_secs_f64(),
+            observation,
+        );
+        let now = now.as_secs_f64().max(observed_at);
+        let requests = clamp_or_zero(observation.pressure.requests, MAX_COUNT);
+        self.update_duration(observed_at, requests);
+
+        let reported_rate: f64 = observation
+            .demands
+            .iter()
+            .map(|(_, demand)| demand.rate())
+            .sum();
+        self.demand_rate = self
+            .trend
+            .current_rate(observed_at, reported_rate, observation);
+        let factor = if reported_rate > 0.0 {
+            self.demand_rate / reported_rate
         } else {
             1.0
         };
-        let demands = known.demands.iter();
+        let demands = observation.demands.iter();
         let demands = demands.map(|(source, demand)| (*source, demand.scaled(factor)));
 
-        let left = self.remaining(of);
-        let kept = if left > 0.0 {
-            self.remaining(now) / left
+        let before = self.remaining(observed_at);
+        let remaining_share = if before > 0.0 {
+            self.remaining(now) / before
         } else {
             1.0
         };
-        let begun = self.admitted_seconds(of, now) * self.demand_rate;
-        let under_way = requests * kept.clamp(0.0, 1.0) + begun;
+        let started = self.admitted_seconds(observed_at, now) * self.demand_rate;
+        let in_flight = requests * remaining_share.clamp(0.0, 1.0) + started;
         let factor = if requests > 0.0 {
-            under_way / requests
+            in_flight / requests
         } else {
             1.0
         };
         Estimate {
             demands: demands.collect(),
             pressure: Pressure {
-                requests: under_way,
-                memory: clamp_or_zero(known.pressure.memory, MAX_COUNT) * factor,
-                slots: clamp_or_zero(known.pressure.slots, MAX_COUNT) * factor,
+                requests: in_flight,
+                memory: clamp_or_zero(observation.pressure.memory, MAX_COUNT) * factor,
+                slots: clamp_or_zero(observation.pressure.slots, MAX_COUNT) * factor,
             },
-            completion_rate: under_way
-                / (self.base_duration * slowdown_factor(known.full_slowdown, TYPICAL_UTILIZATION)),
+            completion_rate: in_flight
+                / (self.base_duration
+                    * slowdown_factor(observation.full_slowdown, TYPICAL_UTILIZATION)),
         }
     }
 
     /// Records how many requests a second may start, by the level that was computed from
     /// the last estimate.
     pub fn record_allowed_rate(&mut self, now: Duration, allowed: f64) {
-        let part = if self.demand_rate > 0.0 {
+        let share = if self.demand_rate > 0.0 {
             allowed / self.demand_rate
         } else {
             1.0
         };
         self.admitted_shares
-            .push_back((now.as_secs_f64(), part.clamp(0.0, 1.0)));
+            .push_back((now.as_secs_f64(), share.clamp(0.0, 1.0)));
         if self.admitted_shares.len() > MAX_SAMPLES {
             self.admitted_shares.pop_front();
         }
@@ -240,66 +250,66 @@
 
     /// Adds a sample of the moment `at`, and returns the sample's time, which is never
     /// before that of the last sample.
-    fn add_sample(&mut self, of: f64, known: &Observation) -> f64 {
-        let of = self.last_sample.map_or(of, |last| of.max(last.at));
+    fn add_sample(&mut self, at: f64, observation: &Observation) -> f64 {
+        let at = self.last_sample.map_or(at, |last| at.max(last.at));
         let sample = Sample {
-            at: of,
-            requests: clamp_or_zero(known.pressure.requests, MAX_COUNT),
-            completion_rate: clamp_or_zero(known.completion_rate, MAX_COUNT),
-            utilization: clamp_or_zero(known.pressure.max_share(), MAX_UTILIZATION),
-            boxes: known.boxes,
+            at,
+            requests: clamp_or_zero(observation.pressure.requests, MAX_COUNT),
+            completion_rate: clamp_or_zero(observation.completion_rate, MAX_COUNT),
+            utilization: clamp_or_zero(observation.pressure.max_share(), MAX_UTILIZATION),
+            boxes: observation.boxes,
         };
         match self.last_sample.replace(sample) {
-            Some(last) if of - last.at >= MAX_SAMPLE_GAP_S => {
-                self.reset_cohorts(known.full_slowdown, &sample)
+            Some(last) if at - last.at >= MAX_SAMPLE_GAP_S => {
+                self.reset_cohorts(observation.full_slowdown, &sample)
             }
             Some(last) if (last.boxes - sample.boxes).abs() > last.boxes * MAX_BOX_CHANGE => {
                 self.scale_cohorts(sample.requests / last.requests.max(1.0));
             }
-            Some(last) => self.add_started(known.full_slowdown, &last, &sample),
-            None => self.reset_cohorts(known.full_slowdown, &sample),
+            Some(last) => self.add_started(observation.full_slowdown, &last, &sample),
+            None => self.reset_cohorts(observation.full_slowdown, &sample),
         }
-        of
+        at
     }
 
     /// Assumes that the requests in flight started evenly over time, as nothing is known
     /// of the time before.
-    fn reset_cohorts(&mut self, growth: f64, sample: &Sample) {
-        let slow = slowdown_factor(growth, sample.utilization);
-        let each = self.base_duration * slow / f64::from(INITIAL_COHORTS);
+    fn reset_cohorts(&mut self, full_slowdown: f64, sample: &Sample) {
+        let slowdown = slowdown_factor(full_slowdown, sample.utilization);
+        let span = self.base_duration * slowdown / f64::from(INITIAL_COHORTS);
         let cohort = |n: u32| Cohort {
-            first_start: sample.at - each * f64::from(INITIAL_COHORTS - n),
-            mean_start: sample.at - each * (f64::from(INITIAL_COHORTS - n) - 0.5),
+            first_start: sample.at - span * f64::from(INITIAL_COHORTS - n),
+            mean_start: sample.at - span * (f64::from(INITIAL_COHORTS - n) - 0.5),
             requests: sample.requests / f64::from(INITIAL_COHORTS),
-            slowdown: slow,
+            slowdown,
         };
         self.cohorts = (0..INITIAL_COHORTS).map(cohort).collect();
     }
 
     /// Adds the requests that started between two samples: the increase of requests in
     /// flight, plus those that completed.
-    fn add_started(&mut self, growth: f64, last: &Sample, sample: &Sample) {
+    fn add_started(&mut self, full_slowdown: f64, last: &Sample, sample: &Sample) {
         // The completion rate is a decaying mean; both terms together give the count.
         let mean = (sample.completion_rate + last.completion_rate) / 2.0 * (sample.at - last.at);
-        let ended = mean
+        let completed = mean
             + COMPLETION_WINDOW.as_secs_f64() * (sample.completion_rate - last.completion_rate);
-        let rest = (last.requests - ended.max(0.0)).max(0.0);
-        let begun = (sample.requests - rest).max(0.0);
-        if sample.requests < rest {
+        let remaining = (last.requests - completed.max(0.0)).max(0.0);
+        let started = (sample.requests - remaining).max(0.0);
+        if sample.requests < remaining {
             // Some were lost with their box or engine.
-            self.scale_cohorts(sample.requests / rest);
+            self.scale_cohorts(sample.requests / remaining);
         }
         let new = Cohort {
             first_start: last.at,
             mean_start: (sample.at + last.at) / 2.0,
-            requests: begun,
-            slowdown: slowdown_factor(growth, (sample.utilization + last.utilization) / 2.0),
+            requests: started,
+            slowdown: slowdown_factor(full_slowdown, (sample.utilization + last.utilization) / 2.0),
         };
-        let least = self.base_duration * COHORT_SHARE;
+        let min_span = self.base_duration * COHORT_SHARE;
         match self
             .cohorts
             .back_mut()
-            .filter(|c| sample.at < c.first_start + least)
+            .filter(|c| sample.at < c.first_start + min_span)
         {
             Some(cohort) => cohort.merge(&new),
             None => self.cohorts.push_back(new),
@@ -315,34 +325,34 @@
 
     /// Updates the learned duration so that the cohorts' remaining requests match those
     /// in flight.
-    fn update_duration(&mut self, of: f64, requests: f64) {
-        let left = self.remaining(of);
-        if left <= 0.0 || requests <= 0.0 {
+    fn update_duration(&mut self, at: f64, requests: f64) {
+        let remaining = self.remaining(at);
+        if remaining <= 0.0 || requests <= 0.0 {
             return;
         }
-        let step = (requests / left).clamp(1.0 / MAX_DURATION_STEP, MAX_DURATION_STEP);
-        let (least, most) = DURATION_RANGE_S;
-        self.base_duration = (self.base_duration * step.powf(DURATION_GAIN)).clamp(least, most);
+        let step = (requests / remaining).clamp(1.0 / MAX_DURATION_STEP, MAX_DURATION_STEP);
+        let (min, max) = DURATION_RANGE_S;
+        self.base_duration = (self.base_duration * step.powf(DURATION_GAIN)).clamp(min, max);
     }
 
     /// Returns how many of the requests in all cohorts are still in flight at a time.
     fn remaining(&self, at: f64) -> f64 {
-        let left = |cohort: &Cohort| {
-            let stays = (at - cohort.mean_start) / (self.base_duration * cohort.slowdown);
+        let in_flight = |cohort: &Cohort| {
+            let age = (at - cohort.mean_start) / (self.base_duration * cohort.slowdown);
             cohort.requests
-                * ((1.0 + DURATION_SPREAD - stays) / (2.0 * DURATION_SPREAD)).clamp(0.0, 1.0)
+                * ((1.0 + DURATION_SPREAD - age) / (2.0 * DURATION_SPREAD)).clamp(0.0, 1.0)
         };
-        self.cohorts.iter().map(left).sum()
+        self.cohorts.iter().map(in_flight).sum()
     }
 
     /// Returns the seconds between two times, each weighted by the share of requests that
     /// was admitted.
     fn admitted_seconds(&self, from: f64, to: f64) -> f64 {
         let (mut seconds, mut end) = (0.0, to);
-        for (at, part) in self.admitted_shares.iter().rev() {
-            let begin = at.clamp(from, end);
-            seconds += part * (end - begin);
-            end = begin;
+        for (at, share) in self.admitted_shares.iter().rev() {
+            let start = at.clamp(from, end);
+            seconds += share * (end - start);
+            end = start;
         }
         // Before the first level, all requests were admitted.
         seconds + (end - from)
@@ -350,13 +360,13 @@
 }
 
 impl Cohort {
-    fn merge(&mut self, more: &Cohort) {
-        let sum = self.requests + more.requests;
+    fn merge(&mut self, other: &Cohort) {
+        let sum = self.requests + other.requests;
         if sum > 0.0 {
-            let mean = |a: f64, b: f64| (a * self.requests + b * more.requests) / sum;
+            let mean = |a: f64, b: f64| (a * self.requests + b * other.requests) / sum;
             (self.mean_start, self.slowdown) = (
-                mean(self.mean_start, more.mean_start),
-                mean(self.slowdown, more.slowdown),
+                mean(self.mean_start, other.mean_start),
+                mean(self.slowdown, other.slowdown),
             );
         }
         self.requests = sum;
@@ -365,15 +375,15 @@
 
 /// Returns the factor on the duration of requests that start at a utilization of the
 /// engines: passes take longer with more requests in them.
-fn slowdown_factor(growth: f64, used: f64) -> f64 {
-    1.0 + clamp_or_zero(growth, MAX_SLOWDOWN) * used
+fn slowdown_factor(full_slowdown: f64, utilization: f64) -> f64 {
+    1.0 + clamp_or_zero(full_slowdown, MAX_SLOWDOWN) * utilization
 }
 
 /// Clamps a value to 0 to `max`; returns 0 for NaN.
-fn clamp_or_zero(told: f64, most: f64) -> f64 {
-    match told.is_nan() {
+fn clamp_or_zero(value: f64, max: f64) -> f64 {
+    match value.is_nan() {
         true => 0.0,
-        false => told.clamp(0.0, most),
+        false => value.clamp(0.0, max),
     }
 }
 
@@ -390,27 +400,44 @@
     /// Reported rates are means that decay over [`DEMAND_WINDOW`], so two of them give
     /// the rate between them. The part of that rate's difference from the mean that
     /// exceeds noise is assumed to continue.
-    fn current_rate(&mut self, of: f64, told: f64, known: &Observation) -> f64 {
-        let over = known.report_interval.max(MIN_TREND_INTERVAL).as_secs_f64();
-        while self.samples.get(1).is_some_and(|(at, _)| *at <= of - over) {
+    fn current_rate(
+        &mut self,
+        observed_at: f64,
+        reported_rate: f64,
+        observation: &Observation,
+    ) -> f64 {
+        let interval = observation
+            .report_interval
+            .max(MIN_TREND_INTERVAL)
+            .as_secs_f64();
+        while self
+            .samples
+            .get(1)
+            .is_some_and(|(at, _)| *at <= observed_at - interval)
+        {
             self.samples.pop_front();
         }
-        let before = self.samples.front().copied();
-        self.samples.push_back((of, told));
+        let previous = self.samples.front().copied();
+        self.samples.push_back((observed_at, reported_rate));
         if self.samples.len() > MAX_SAMPLES {
             self.samples.pop_front();
         }
-        let is_apart = |(at, _): &(f64, f64)| (over..MAX_SAMPLE_GAP_S).contains(&(of - at));
-        let Some((at, before)) = before.filter(is_apart) else {
-            return told;
+        let is_apart =
+            |(at, _): &(f64, f64)| (interval..MAX_SAMPLE_GAP_S).contains(&(observed_at - at));
+        let Some((at, previous)) = previous.filter(is_apart) else {
+            return reported_rate;
         };
         let window = DEMAND_WINDOW.as_secs_f64();
-        let faded = (-(of - at) / window).exp();
-        let between = (told - before * faded) / (1.0 - faded);
-        let chance = NOISE_SIGMAS * (told / (of - at) + told / (2.0 * window)).sqrt();
-        let change = between - told;
-        let more = (change.abs() - chance).max(0.0).copysign(change);
-        let followed = 1.0 - (-known.age.as_secs_f64() / window).exp();
-        (told + more * followed).clamp(told / MAX_TREND_FACTOR, told * MAX_TREND_FACTOR)
+        let decay = (-(observed_at - at) / window).exp();
+        let recent_rate = (reported_rate - previous * decay) / (1.0 - decay);
+        let noise = NOISE_SIGMAS
+            * (reported_rate / (observed_at - at) + reported_rate / (2.0 * window)).sqrt();
+        let change = recent_rate - reported_rate;
+        let trend = (change.abs() - noise).max(0.0).copysign(change);
+        let weight = 1.0 - (-observation.age.as_secs_f64() / window).exp();
+        (reported_rate + trend * weight).clamp(
+            reported_rate / MAX_TREND_FACTOR,
+            reported_rate * MAX_TREND_FACTOR,
+        )
     }
 }
--- a/crates/ashgauge/src/forecast.rs
+++ b/crates/ashgauge/src/forecast.rs
@@ -83,28 +83,29 @@
 ) -> Forecast {
     let tokens = match prompt {
         0 => model.typical_prompt,
-        named => named,
+        stated => stated,
     };
-    let (mut first, mut pause) = (0.0, 0.0);
+    let (mut first_event, mut event_gap) = (0.0, 0.0);
     for stage in stages {
         let Some(entry) = context.registry.get(&stage.upstream) else {
             continue;
         };
         let layers = stage.end.saturating_sub(stage.first);
-        let total = EstimatedLoad::estimate(context, entry);
-        let read = cost::prefill_seconds(context, model, entry, layers, tokens);
-        let event = event_seconds(context, model, entry, layers, total.requests);
-        first += clamp_seconds(total.prefill_seconds) + clamp_seconds(read) + event;
-        pause += event;
+        let load = EstimatedLoad::estimate(context, entry);
+        let prefill = cost::prefill_seconds(context, model, entry, layers, tokens);
+        let event = event_seconds(context, model, entry, layers, load.requests);
+        first_event += clamp_seconds(load.prefill_seconds) + clamp_seconds(prefill) + event;
+        event_gap += event;
     }
     Forecast {
-        first_event: to_duration(first),
-        event_gap: to_duration(pause),
+        first_event: to_duration(first_event),
+        event_gap: to_duration(event_gap),
     }
 }
 
 /// Returns the silence before a first event, forecast for `first`, after which the
-/// engines are checked: `least`, or twice the forecast if that is longer, up to `most`.
+/// engines are checked: `min_delay`, or twice the forecast if that is longer, up to
+/// `max_delay`.
 ///
 /// # Example
 ///
@@ -116,9 +117,9 @@
 /// assert_eq!(check_delay(ms(20), ms(250), ms(1300)), ms(250));
 /// assert_eq!(check_delay(ms(400), ms(250), ms(1300)), ms(800));
 /// ```
-pub fn check_delay(first: Duration, least: Duration, most: Duration) -> Duration {
+pub fn check_delay(first: Duration, min_delay: Duration, max_delay: Duration) -> Duration {
     let late = first.saturating_mul(LATE_FACTOR);
-    least.max(late.min(most))
+    min_delay.max(late.min(max_delay))
 }
 
 /// Returns the seconds that an event takes on an engine that processes so many requests.
@@ -140,10 +141,10 @@
 }
 
 /// Clamps a value to 0 to `max`; returns 0 for NaN.
-fn clamp_or_zero(value: f64, most: f64) -> f64 {
+fn clamp_or_zero(value: f64, max: f64) -> f64 {
     match value.is_nan() {
         true => 0.0,
-        false => value.clamp(0.0, most),
+        false => value.clamp(0.0, max),
     }
 }
 
@@ -199,8 +200,8 @@
         if ratio.is_nan() {
             return;
         }
-        let (least, most) = RATIO_RANGE;
-        let error = ratio.clamp(least, most).ln() - self.mean;
+        let (min, max) = RATIO_RANGE;
+        let error = ratio.clamp(min, max).ln() - self.mean;
         self.mean += LEARNING_RATE * error;
         self.deviation += LEARNING_RATE * (error.abs() - self.deviation);
     }
--- a/crates/ashgauge/src/level.rs
+++ b/crates/ashgauge/src/level.rs
@@ -58,15 +58,17 @@
 /// assert!(allowed_rate(&pressure(0.6), 300.0) > 500.0);
 /// assert!(allowed_rate(&pressure(1.0), 300.0) < 300.0);
 /// ```
-pub fn allowed_rate(pressure: &Pressure, ends: f64) -> f64 {
-    let used = pressure.max_share();
-    if used < SHED_THRESHOLD || pressure.requests <= 0.0 {
+pub fn allowed_rate(pressure: &Pressure, completion_rate: f64) -> f64 {
+    let utilization = pressure.max_share();
+    if utilization < SHED_THRESHOLD || pressure.requests <= 0.0 {
         return f64::INFINITY;
     }
-    let more = pressure.requests * (TARGET_UTILIZATION / used - 1.0) / SETTLE_TIME.as_secs_f64();
+    let adjustment =
+        pressure.requests * (TARGET_UTILIZATION / utilization - 1.0) / SETTLE_TIME.as_secs_f64();
     // At the target utilization, this many requests complete and may start in the long
     // run.
-    (ends * TARGET_UTILIZATION / used + more).max(ends * MIN_START_SHARE)
+    (completion_rate * TARGET_UTILIZATION / utilization + adjustment)
+        .max(completion_rate * MIN_START_SHARE)
 }
 
 /// Returns the time after which a refused caller is to retry, where `patience` is how
@@ -89,10 +91,10 @@
 /// assert!(retry_after(ms(300), 1.0) < ms(100));
 /// ```
 pub fn retry_after(patience: Duration, draw: f64) -> Duration {
-    let (least, most) = RETRY_AFTER_RANGE;
-    let most = most.min(patience.mul_f64(RETRY_AFTER_SHARE));
-    let least = least.min(most / 2);
-    least + (most - least).mul_f64(draw.clamp(0.0, 1.0))
+    let (min_wait, max_wait) = RETRY_AFTER_RANGE;
+    let max_wait = max_wait.min(patience.mul_f64(RETRY_AFTER_SHARE));
+    let min_wait = min_wait.min(max_wait / 2);
+    min_wait + (max_wait - min_wait).mul_f64(draw.clamp(0.0, 1.0))
 }
 
 /// Admission level: which classes and teams are admitted.
@@ -117,20 +119,20 @@
         if allowed.is_infinite() {
             return None;
         }
-        let sum = |of: fn(&Demand) -> f64| demands.iter().map(|(_, d)| of(d)).sum::<f64>();
+        let sum = |get: fn(&Demand) -> f64| demands.iter().map(|(_, d)| get(d)).sum::<f64>();
         let mean = sum(Demand::work) / sum(Demand::rate).max(f64::MIN_POSITIVE);
         let mut left = allowed * mean;
         let mut by_class = demands.clone();
         by_class.sort_by_key(|(source, _)| source.class);
-        for same in by_class.chunk_by(|a, b| a.0.class == b.0.class) {
-            let asked: f64 = same.iter().map(|(_, demand)| demand.work()).sum();
-            if asked <= left {
-                left -= asked;
+        for class_demands in by_class.chunk_by(|a, b| a.0.class == b.0.class) {
+            let work: f64 = class_demands.iter().map(|(_, demand)| demand.work()).sum();
+            if work <= left {
+                left -= work;
                 continue;
             }
-            let demands = group_demands(same);
+            let demands = group_demands(class_demands);
             return Some(AdmissionLevel {
-                class: same[0].0.class,
+                class: class_demands[0].0.class,
                 team_limit: fair_share(&demands, left),
                 demands,
             });
@@ -149,9 +151,9 @@
 
     fn team_share(&self, team: TeamKey) -> f64 {
         let find = |team| self.demands.iter().find(|(t, _)| *t == team);
-        let known = find(Some(team)).or_else(|| find(None));
+        let found = find(Some(team)).or_else(|| find(None));
         // A team that was not reported yet has little demand.
-        known.map_or(1.0, |(_, demand)| {
+        found.map_or(1.0, |(_, demand)| {
             (self.team_limit * demand.teams.count() / demand.work()).min(1.0)
         })
     }
@@ -159,36 +161,36 @@
 
 /// Groups the demands of one class by team. Teams with a small demand are combined, as
 /// some boxes report them one by one and others do not.
-fn group_demands(same: &[(DemandSource, Demand)]) -> Vec<(Option<TeamKey>, Demand)> {
-    let asked: f64 = same.iter().map(|(_, demand)| demand.work()).sum();
-    let mut rest = Demand::default();
-    let mut gathered = Vec::new();
-    for (source, demand) in same {
+fn group_demands(class_demands: &[(DemandSource, Demand)]) -> Vec<(Option<TeamKey>, Demand)> {
+    let work: f64 = class_demands.iter().map(|(_, demand)| demand.work()).sum();
+    let mut combined = Demand::default();
+    let mut grouped = Vec::new();
+    for (source, demand) in class_demands {
         match source.team {
-            Some(_) if demand.work() >= asked * MIN_SINGLE_SHARE => {
-                gathered.push((source.team, *demand));
+            Some(_) if demand.work() >= work * MIN_SINGLE_SHARE => {
+                grouped.push((source.team, *demand));
             }
-            _ => rest.add(demand),
+            _ => combined.add(demand),
         }
     }
-    if rest.rate > 0 {
-        gathered.push((None, rest));
+    if combined.rate > 0 {
+        grouped.push((None, combined));
     }
-    gathered
+    grouped
 }
 
 /// Returns the max-min fair share of `left` for each team: no team gets more than its
 /// demand.
 fn fair_share(demands: &[(Option<TeamKey>, Demand)], left: f64) -> f64 {
-    let each = |demand: &Demand| demand.work() / demand.teams.count();
+    let per_team = |demand: &Demand| demand.work() / demand.teams.count();
     let mut sorted: Vec<&Demand> = demands.iter().map(|(_, d)| d).collect();
-    sorted.sort_by(|a, b| each(a).total_cmp(&each(b)));
+    sorted.sort_by(|a, b| per_team(a).total_cmp(&per_team(b)));
     let mut teams: f64 = sorted.iter().map(|d| d.teams.count()).sum();
     let mut left = left.max(0.0);
     for demand in sorted {
-        let part = left / teams.max(1.0);
-        if each(demand) >= part {
-            return part;
+        let share = left / teams.max(1.0);
+        if per_team(demand) >= share {
+            return share;
         }
         left -= demand.work();
         teams -= demand.teams.count();
@@ -239,12 +241,12 @@
         if class != level.class {
             return share >= 1.0;
         }
-        let owed = self.credits.entry(team).or_insert(start);
-        *owed += share;
-        let is_in = *owed >= 1.0;
-        if is_in {
-            *owed -= 1.0;
+        let credit = self.credits.entry(team).or_insert(start);
+        *credit += share;
+        let is_admitted = *credit >= 1.0;
+        if is_admitted {
+            *credit -= 1.0;
         }
-        is_in
+        is_admitted
     }
 }
--- a/crates/ashgauge/src/limit.rs
+++ b/crates/ashgauge/src/limit.rs
@@ -70,9 +70,9 @@
     /// The process before a restart may have lent its share; the share must stay 0 for
     /// [`settle_time`] after a start.
     pub fn set_share(&mut self, now: Duration, team: &TeamId, share: f64) {
-        let t = self.entry(now, team);
-        t.refill(now);
-        t.share = share;
+        let state = self.entry(now, team);
+        state.refill(now);
+        state.share = share;
     }
 
     /// Records the tokens that a new request needs.
@@ -84,54 +84,56 @@
     ///
     /// One request may overdraw the balance; the next one waits until that is repaid.
     pub fn has_room(&mut self, now: Duration, team: &TeamId) -> bool {
-        let t = self.entry(now, team);
-        t.refill(now);
-        t.tokens > 0.0
+        let state = self.entry(now, team);
+        state.refill(now);
+        state.tokens > 0.0
     }
 
     /// Takes tokens from the balance; a negative number returns them.
     pub fn spend(&mut self, now: Duration, team: &TeamId, tokens: f64) {
-        let t = self.entry(now, team);
-        t.refill(now);
-        t.tokens -= tokens;
+        let state = self.entry(now, team);
+        state.refill(now);
+        state.tokens -= tokens;
     }
 
     /// Returns the time until a request may start, at the present rate.
     pub fn time_to_room(&mut self, now: Duration, team: &TeamId) -> Option<Duration> {
-        let t = self.entry(now, team);
-        t.refill(now);
-        let rate = t.rate(now);
+        let state = self.entry(now, team);
+        state.refill(now);
+        let rate = state.rate(now);
         if rate <= 0.0 {
             return None;
         }
-        Some(Duration::from_secs_f64((-t.tokens).max(0.0) / rate))
+        Some(Duration::from_secs_f64((-state.tokens).max(0.0) / rate))
     }
 
     /// Returns the rate that this box may use now: what is left of its share, and what it
     /// has borrowed.
     pub fn rate(&self, now: Duration, team: &str) -> f64 {
-        self.teams.get(team).map_or(0.0, |t| t.rate(now))
+        self.teams.get(team).map_or(0.0, |state| state.rate(now))
     }
 
     /// Returns the rate to request from `lender`, which is one of `lenders` boxes.
     pub fn wanted_rate(&self, now: Duration, team: &str, lender: &str, lenders: usize) -> f64 {
-        let Some(t) = self.teams.get(team) else {
+        let Some(state) = self.teams.get(team) else {
             return 0.0;
         };
-        let missing = t.demand_rate(now) - t.rate(now);
-        let has = t.borrowed.get(lender).filter(|l| now < l.until);
-        let more = missing * REQUEST_FACTOR / lenders.max(1) as f64;
-        (has.map_or(0.0, |l| l.rate) + more).max(0.0)
+        let missing = state.demand_rate(now) - state.rate(now);
+        let current = state.borrowed.get(lender).filter(|l| now < l.until);
+        let additional = missing * REQUEST_FACTOR / lenders.max(1) as f64;
+        (current.map_or(0.0, |l| l.rate) + additional).max(0.0)
     }
 
     /// Returns the teams whose demand exceeds the box's own share and whose next loan
     /// request is due.
     pub fn teams_to_borrow(&mut self, now: Duration) -> Vec<TeamId> {
         let mut due = Vec::new();
-        for (id, t) in &mut self.teams {
-            let waits = t.last_request.is_some_and(|at| now < at + REQUEST_INTERVAL);
-            if !waits && t.demand_rate(now) > t.own_rate(now) {
-                t.last_request = Some(now);
+        for (id, state) in &mut self.teams {
+            let is_waiting = state
+                .last_request
+                .is_some_and(|at| now < at + REQUEST_INTERVAL);
+            if !is_waiting && state.demand_rate(now) > state.own_rate(now) {
+                state.last_request = Some(now);
                 due.push(id.clone());
             }
         }
@@ -147,17 +149,17 @@
         rate: f64,
         asked: Duration,
     ) {
-        let t = self.entry(now, team);
-        t.refill(now);
+        let state = self.entry(now, team);
+        state.refill(now);
         let until = asked + LOAN_TTL;
-        t.borrowed.insert(lender.clone(), Loan { rate, until });
+        state.borrowed.insert(lender.clone(), Loan { rate, until });
     }
 
-    /// Lends a borrower up to `want` of the box's own share; returns the rate lent.
-    pub fn lend(&mut self, now: Duration, team: &TeamId, borrower: &BoxId, want: f64) -> f64 {
-        let t = self.entry(now, team);
-        t.refill(now);
-        t.lend(now, borrower, want)
+    /// Lends a borrower up to `wanted` of the box's own share; returns the rate lent.
+    pub fn lend(&mut self, now: Duration, team: &TeamId, borrower: &BoxId, wanted: f64) -> f64 {
+        let state = self.entry(now, team);
+        state.refill(now);
+        state.lend(now, borrower, wanted)
     }
 
     /// Returns the teams that this box tracks.
@@ -167,8 +169,10 @@
 
     /// Drops teams that have been idle for some time.
     pub fn expire(&mut self, now: Duration) {
-        let idle = |t: &TeamState| now > t.last_demand + LOAN_TTL * 10 && t.lent_rate(now) == 0.0;
-        self.teams.retain(|_, t| !idle(t));
+        let is_idle = |state: &TeamState| {
+            now > state.last_demand + LOAN_TTL * 10 && state.lent_rate(now) == 0.0
+        };
+        self.teams.retain(|_, state| !is_idle(state));
     }
 
     fn entry(&mut self, now: Duration, team: &TeamId) -> &mut TeamState {
@@ -224,33 +228,33 @@
     }
 
     fn refill(&mut self, now: Duration) {
-        let span = now.saturating_sub(self.refilled).as_secs_f64();
+        let elapsed = now.saturating_sub(self.refilled).as_secs_f64();
         let borrowed = self.borrowed.values().map(|l| {
             let end = now.min(l.until);
             l.rate * end.saturating_sub(self.refilled).as_secs_f64()
         });
-        let gained = self.own_rate(now) * span + borrowed.sum::<f64>();
-        let most = (self.rate(now) * BURST_S).max(self.tokens);
-        self.tokens = (self.tokens + gained).min(most);
+        let earned = self.own_rate(now) * elapsed + borrowed.sum::<f64>();
+        let max_tokens = (self.rate(now) * BURST_S).max(self.tokens);
+        self.tokens = (self.tokens + earned).min(max_tokens);
         self.refilled = now;
         self.borrowed.retain(|_, l| now < l.until);
     }
 
-    fn lend(&mut self, now: Duration, borrower: &BoxId, want: f64) -> f64 {
+    fn lend(&mut self, now: Duration, borrower: &BoxId, wanted: f64) -> f64 {
         for lent in self.lent.values_mut() {
             lent.loans.retain(|(_, until)| *until > now);
         }
         self.lent.retain(|_, l| !l.loans.is_empty());
         let others = self.lent.iter().filter(|(id, _)| *id != borrower);
-        let taken: f64 = others.map(|(_, l)| l.rate(now)).sum();
-        let spare = self.share - self.demand_rate(now) * RESERVE_FACTOR - taken;
-        let rate = want.min(spare).max(0.0);
-        let part = (rate, now + LOAN_TTL + CLOCK_MARGIN);
+        let lent: f64 = others.map(|(_, l)| l.rate(now)).sum();
+        let spare = self.share - self.demand_rate(now) * RESERVE_FACTOR - lent;
+        let rate = wanted.min(spare).max(0.0);
+        let loan = (rate, now + LOAN_TTL + CLOCK_MARGIN);
         self.lent
             .entry(borrower.clone())
             .or_default()
             .loans
-            .push(part);
+            .push(loan);
         rate
     }
 }
--- a/crates/ashgauge/src/notice.rs
+++ b/crates/ashgauge/src/notice.rs
@@ -53,10 +53,10 @@
         !std::mem::replace(&mut self.leaving, true)
     }
 
-    /// Records that the upstream accepts no requests from this box for `rest`. A shorter
+    /// Records that the upstream accepts no requests from this box for `duration`. A shorter
     /// backoff does not end a longer one.
-    pub fn extend_backoff(&mut self, now: Duration, rest: Duration) {
-        self.backoff_until = self.backoff_until.max(Some(now.saturating_add(rest)));
+    pub fn extend_backoff(&mut self, now: Duration, duration: Duration) {
+        self.backoff_until = self.backoff_until.max(Some(now.saturating_add(duration)));
     }
 
     /// Returns whether the upstream is leaving.
@@ -83,14 +83,20 @@
 
 impl AbsentNotices {
     /// Keeps the notice of an upstream whose entry has gone.
-    pub fn insert(&mut self, now: Duration, id: &str, born: Option<u64>, notice: UpstreamNotice) {
+    pub fn insert(
+        &mut self,
+        now: Duration,
+        id: &str,
+        started_ms: Option<u64>,
+        notice: UpstreamNotice,
+    ) {
         self.notices.retain(|_, k| now < k.until);
         if notice == UpstreamNotice::default() {
             return;
         }
         let until = now + NOTICE_TTL;
         let kept = KeptNotice {
-            started_ms: born,
+            started_ms,
             notice,
             until,
         };
@@ -104,17 +110,18 @@
         id: &str,
         change: impl FnOnce(&mut UpstreamNotice) -> T,
     ) -> T {
-        let known = self.notices.remove(id);
-        let (born, mut notice) = known.map_or_else(Default::default, |k| (k.started_ms, k.notice));
+        let kept = self.notices.remove(id);
+        let (started_ms, mut notice) =
+            kept.map_or_else(Default::default, |k| (k.started_ms, k.notice));
         let result = change(&mut notice);
-        self.insert(now, id, born, notice);
+        self.insert(now, id, started_ms, notice);
         result
     }
 
     /// Removes and returns the notice of an upstream whose entry arrives.
-    pub fn remove(&mut self, id: &str, born: Option<u64>) -> UpstreamNotice {
+    pub fn remove(&mut self, id: &str, started_ms: Option<u64>) -> UpstreamNotice {
         match self.notices.remove(id) {
-            Some(k) if k.started_ms.is_none() || k.started_ms == born => k.notice,
+            Some(k) if k.started_ms.is_none() || k.started_ms == started_ms => k.notice,
             Some(k) => k.notice.after_restart(),
             None => UpstreamNotice::default(),
         }
--- a/crates/ashgauge/src/permit/grants.rs
+++ b/crates/ashgauge/src/permit/grants.rs
@@ -44,9 +44,9 @@
 }
 
 impl IssuerRank {
-    /// Returns the rank of a box that has `others` reachable boxes before it.
-    pub fn from_preceding(others: usize) -> Self {
-        match others {
+    /// Returns the rank of a box that has `preceding` reachable boxes before it.
+    pub fn from_preceding(preceding: usize) -> Self {
+        match preceding {
             0 => IssuerRank::Primary,
             1 => IssuerRank::Secondary,
             _ => IssuerRank::Standby,
@@ -83,10 +83,10 @@
 ///
 /// let second = Duration::from_secs(1);
 /// let limit = LimitReport { key: 1, rate: Some(2.0), since_ms: 60_000, age_ms: 0 };
-/// let mut grants = PermitBuckets::default();
+/// let mut buckets = PermitBuckets::default();
 /// let half = Duration::from_millis(500);
-/// assert_eq!(grants.withdraw(second, &limit, 2.0, IssuerRank::Primary), Ok(()));
-/// assert_eq!(grants.withdraw(second, &limit, 2.0, IssuerRank::Primary), Err(half));
+/// assert_eq!(buckets.withdraw(second, &limit, 2.0, IssuerRank::Primary), Ok(()));
+/// assert_eq!(buckets.withdraw(second, &limit, 2.0, IssuerRank::Primary), Err(half));
 /// ```
 #[derive(Clone, Debug, Default)]
 pub struct PermitBuckets {
@@ -111,12 +111,12 @@
         now: Duration,
         limits: &UpstreamLimits,
         key: UpstreamKey,
-        place: IssuerRank,
+        rank: IssuerRank,
     ) -> Verdict {
-        let (Some(told), Some(rate)) = (limits.report_of(now, key), limits.rate_of(key)) else {
+        let (Some(report), Some(rate)) = (limits.report_of(now, key), limits.rate_of(key)) else {
             return Verdict::Unlimited;
         };
-        match self.withdraw(now, &told, rate, place) {
+        match self.withdraw(now, &report, rate, rank) {
             Ok(()) => Verdict::Granted,
             Err(wait) => Verdict::Wait(wait.as_millis().try_into().unwrap_or(u32::MAX)),
         }
@@ -130,19 +130,19 @@
     pub fn withdraw(
         &mut self,
         now: Duration,
-        told: &LimitReport,
+        report: &LimitReport,
         rate: f64,
-        place: IssuerRank,
+        rank: IssuerRank,
     ) -> Result<(), Duration> {
-        let named = now.saturating_sub(told.limited_for());
+        let limited_since = now.saturating_sub(report.limited_for());
         // A bucket from before the limit was named does not count what was sent since.
         self.buckets
-            .retain(|key, b| *key != told.key || b.updated >= named);
-        let new = || Bucket::new(now, told, rate);
-        let bucket = self.buckets.entry(told.key).or_insert_with(new);
-        bucket.refill(now, place);
+            .retain(|key, b| *key != report.key || b.updated >= limited_since);
+        let new = || Bucket::new(now, report, rate);
+        let bucket = self.buckets.entry(report.key).or_insert_with(new);
+        bucket.refill(now, rank);
         bucket.set_rate(rate);
-        bucket.withdraw(place)
+        bucket.withdraw(rank)
     }
 
     /// Returns the number of permits issued for an upstream.
@@ -157,9 +157,9 @@
 }
 
 impl Bucket {
-    fn new(now: Duration, told: &LimitReport, rate: f64) -> Self {
+    fn new(now: Duration, report: &LimitReport, rate: f64) -> Self {
         let hold = INITIAL_HOLD_TIME
-            .saturating_sub(told.limited_for())
+            .saturating_sub(report.limited_for())
             .as_secs_f64();
         Bucket {
             rate,
@@ -170,29 +170,29 @@
     }
 
     /// Adds the permits for the time that has passed.
-    fn refill(&mut self, now: Duration, place: IssuerRank) {
+    fn refill(&mut self, now: Duration, rank: IssuerRank) {
         let passed = now.saturating_sub(self.updated).as_secs_f64();
-        let saved = self.permits + passed * self.rate * place.share();
-        self.permits = saved.min(place.burst(self.rate));
+        let permits = self.permits + passed * self.rate * rank.share();
+        self.permits = permits.min(rank.burst(self.rate));
         self.updated = self.updated.max(now);
     }
 
     /// Changes the rate. If it falls, permits issued at the higher rate count against the
     /// lower one.
     fn set_rate(&mut self, rate: f64) {
-        let more = (self.rate - rate).max(0.0) * INITIAL_HOLD_TIME.as_secs_f64();
-        let least = self.permits.min(-rate * INITIAL_HOLD_TIME.as_secs_f64());
-        self.permits = (self.permits - more).max(least);
+        let excess = (self.rate - rate).max(0.0) * INITIAL_HOLD_TIME.as_secs_f64();
+        let min = self.permits.min(-rate * INITIAL_HOLD_TIME.as_secs_f64());
+        self.permits = (self.permits - excess).max(min);
         self.rate = rate;
     }
 
-    fn withdraw(&mut self, place: IssuerRank) -> Result<(), Duration> {
-        if place == IssuerRank::Standby {
+    fn withdraw(&mut self, rank: IssuerRank) -> Result<(), Duration> {
+        if rank == IssuerRank::Standby {
             return Err(STANDBY_WAIT);
         }
         if self.permits < 1.0 {
-            let pace = self.rate * place.share();
-            let wait = (1.0 - self.permits) / pace.max(f64::MIN_POSITIVE);
+            let issue_rate = self.rate * rank.share();
+            let wait = (1.0 - self.permits) / issue_rate.max(f64::MIN_POSITIVE);
             return Err(Duration::try_from_secs_f64(wait).unwrap_or(Duration::MAX));
         }
         self.permits -= 1.0;
--- a/crates/ashgauge/src/permit/limits.rs
+++ b/crates/ashgauge/src/permit/limits.rs
@@ -96,60 +96,55 @@
     pub fn record(&mut self, now: Duration, id: &str, sent: Duration, rate: Option<f64>) -> bool {
         let key = ident::upstream_key(id);
         let rate = rate.map(|r| r.max(MIN_RATE));
-        let before = self.records.get(&key).copied();
-        if rate.is_none() && before.is_none() {
+        let previous = self.records.get(&key).copied();
+        if rate.is_none() && previous.is_none() {
             return false;
         }
         // The upstream named no limit at some moment since the request was sent.
-        let at = if rate.is_some() { now } else { sent };
-        let since = before.filter(|k| k.rate.is_some()).map_or(now, |k| k.since);
-        self.update(
-            key,
-            LimitRecord {
-                rate,
-                since,
-                as_of: at,
-            },
-        )
+        let as_of = if rate.is_some() { now } else { sent };
+        let since = previous
+            .filter(|k| k.rate.is_some())
+            .map_or(now, |k| k.since);
+        self.update(key, LimitRecord { rate, since, as_of })
     }
 
     /// Returns whether to log a limit that cannot be parsed, as each answer may contain
     /// one.
     pub fn should_log(&mut self, now: Duration) -> bool {
-        let may = self.last_logged.is_none_or(|at| now >= at + LOG_INTERVAL);
-        if may {
+        let is_due = self.last_logged.is_none_or(|at| now >= at + LOG_INTERVAL);
+        if is_due {
             self.last_logged = Some(now);
         }
-        may
+        is_due
     }
 
     /// Merges another box's reports; returns the upstreams whose limit changed
     /// noticeably.
-    pub fn merge(&mut self, now: Duration, told: &[LimitReport]) -> Vec<UpstreamKey> {
+    pub fn merge(&mut self, now: Duration, reports: &[LimitReport]) -> Vec<UpstreamKey> {
         let ago = |ms: u32| now.saturating_sub(Duration::from_millis(ms.into()));
-        let mut news = Vec::new();
-        for told in told {
-            let known = LimitRecord {
-                rate: told.rate.map(|r| f64::from(r).max(MIN_RATE)),
-                since: ago(told.since_ms),
-                as_of: ago(told.age_ms),
+        let mut changed = Vec::new();
+        for report in reports {
+            let record = LimitRecord {
+                rate: report.rate.map(|r| f64::from(r).max(MIN_RATE)),
+                since: ago(report.since_ms),
+                as_of: ago(report.age_ms),
             };
-            let is_sound = known.rate.is_none_or(f64::is_finite);
-            if is_sound && self.update(told.key, known) {
-                news.push(told.key);
+            let is_valid = record.rate.is_none_or(f64::is_finite);
+            if is_valid && self.update(report.key, record) {
+                changed.push(report.key);
             }
         }
-        news
+        changed
     }
 
     /// Drops outdated records.
     pub fn expire(&mut self, now: Duration) {
         self.records.retain(|_, k| {
-            let most = match k.rate {
+            let ttl = match k.rate {
                 Some(_) => LIMIT_TTL,
                 None => REMOVED_TTL,
             };
-            now < k.as_of + most
+            now < k.as_of + ttl
         });
     }
 
@@ -166,29 +161,29 @@
 
     /// Returns the report on one upstream for another box.
     pub fn report_of(&self, now: Duration, key: UpstreamKey) -> Option<LimitReport> {
-        self.records.get(&key).map(|known| known.report(now, key))
+        self.records.get(&key).map(|record| record.report(now, key))
     }
 
     /// Returns the reports for the other boxes, ordered by upstream. If there are too
     /// many, only the newest are returned.
     pub fn reports(&self, now: Duration) -> Vec<LimitReport> {
-        let told = self
+        let reports = self
             .records
             .iter()
-            .map(|(key, known)| known.report(now, *key));
-        let mut told: Vec<LimitReport> = told.collect();
-        if told.len() > MAX_REPORTS {
-            told.select_nth_unstable_by_key(MAX_REPORTS, |t| t.age_ms);
-            told.truncate(MAX_REPORTS);
+            .map(|(key, record)| record.report(now, *key));
+        let mut reports: Vec<LimitReport> = reports.collect();
+        if reports.len() > MAX_REPORTS {
+            reports.select_nth_unstable_by_key(MAX_REPORTS, |t| t.age_ms);
+            reports.truncate(MAX_REPORTS);
         }
-        told.sort_unstable_by_key(|t| t.key);
-        told
+        reports.sort_unstable_by_key(|t| t.key);
+        reports
     }
 
     /// Returns the present rate of each upstream, without its age.
     pub fn rates(&self) -> LimitRates {
         let rates = self.records.iter();
-        rates.map(|(key, known)| (*key, known.rate)).collect()
+        rates.map(|(key, record)| (*key, record.rate)).collect()
     }
 
     /// Returns the number of upstreams that name a limit.
--- a/crates/ashgauge/src/permit/mod.rs
+++ b/crates/ashgauge/src/permit/mod.rs
@@ -90,12 +90,12 @@
     own: &str,
     boxes: u32,
     order: &[BoxId],
-    passed: &SkippedBoxes,
+    skipped: &SkippedBoxes,
     silent: Option<&BoxId>,
     hears: impl Fn(&BoxId) -> bool,
 ) -> Issuer {
-    let is_asked = |id: &&BoxId| !passed.is_skipped(now, id) && Some(*id) != silent;
-    match order.iter().find(is_asked) {
+    let is_candidate = |id: &&BoxId| !skipped.is_skipped(now, id) && Some(*id) != silent;
+    match order.iter().find(is_candidate) {
         Some(id) if **id == *own => Issuer::Local(issuer_rank(own, order, hears)),
         Some(id) => Issuer::Remote(id.clone()),
         None => Issuer::Local(IssuerRank::Isolated(boxes)),
@@ -104,18 +104,18 @@
 
 /// Returns the rank of the box `own` among those that issue permits.
 pub fn issuer_rank(own: &str, order: &[BoxId], hears: impl Fn(&BoxId) -> bool) -> IssuerRank {
-    let before = order.iter().take_while(|id| ***id != *own);
-    IssuerRank::from_preceding(before.filter(|id| hears(id)).count())
+    let preceding = order.iter().take_while(|id| ***id != *own);
+    IssuerRank::from_preceding(preceding.filter(|id| hears(id)).count())
 }
 
 /// Returns how long an upstream is closed after a verdict, or after no box replied;
 /// `None` if the request may be sent.
 pub fn closed_for(verdict: Option<Verdict>) -> Option<Duration> {
-    let (least, most) = CLOSED_TIME_RANGE;
+    let (min, max) = CLOSED_TIME_RANGE;
     match verdict {
         Some(Verdict::Granted | Verdict::Unlimited) => None,
-        Some(Verdict::Wait(ms)) => Some(Duration::from_millis(ms.into()).clamp(least, most)),
-        None => Some(least),
+        Some(Verdict::Wait(ms)) => Some(Duration::from_millis(ms.into()).clamp(min, max)),
+        None => Some(min),
     }
 }
 
--- a/crates/ashgauge/src/permit/schedule.rs
+++ b/crates/ashgauge/src/permit/schedule.rs
@@ -42,8 +42,8 @@
     ) -> Duration {
         let gap = Duration::try_from_secs_f64(1.0 / rate).unwrap_or(MAX_RETRY_AFTER);
         let next = self.next_retry.entry(service.clone()).or_default();
-        let turn = (*next).max(now + wait) + gap.min(MAX_RETRY_AFTER);
-        *next = turn.min(now + MAX_RETRY_AFTER);
+        let retry_at = (*next).max(now + wait) + gap.min(MAX_RETRY_AFTER);
+        *next = retry_at.min(now + MAX_RETRY_AFTER);
         *next - now
     }
 }
--- a/crates/ashgauge/src/permit/skipped.rs
+++ b/crates/ashgauge/src/permit/skipped.rs
@@ -25,12 +25,12 @@
 /// use std::time::Duration;
 ///
 /// let second = Duration::from_secs(1);
-/// let mut passed = SkippedBoxes::default();
-/// passed.record_miss(second, &"b1".into());
-/// assert!(!passed.is_skipped(second, "b1"));
-/// passed.record_miss(second, &"b1".into());
-/// assert!(passed.is_skipped(second, "b1"));
-/// assert!(!passed.is_skipped(second * 2, "b1"));
+/// let mut skipped = SkippedBoxes::default();
+/// skipped.record_miss(second, &"b1".into());
+/// assert!(!skipped.is_skipped(second, "b1"));
+/// skipped.record_miss(second, &"b1".into());
+/// assert!(skipped.is_skipped(second, "b1"));
+/// assert!(!skipped.is_skipped(second * 2, "b1"));
 /// ```
 #[derive(Clone, Debug, Default)]
 pub struct SkippedBoxes {
--- a/crates/ashgauge/src/policy.rs
+++ b/crates/ashgauge/src/policy.rs
@@ -78,20 +78,20 @@
 impl Policy {
     /// Compiles a validated table.
     pub fn new(version: Version, table: &Table) -> Self {
-        let mut p = Policy {
+        let mut policy = Policy {
             version,
             ..Policy::default()
         };
         for row in table.rows.keys() {
             match row.split_once('/') {
-                Some(("tier", _)) => p.add_tier(table, row),
-                Some(("team", name)) => p.add_team(table, row, name),
-                Some(("route", name)) => p.add_route(table, row, name),
-                Some(("upstream", name)) => p.add_desired_state(table, row, name),
+                Some(("tier", _)) => policy.add_tier(table, row),
+                Some(("team", name)) => policy.add_team(table, row, name),
+                Some(("route", name)) => policy.add_route(table, row, name),
+                Some(("upstream", name)) => policy.add_desired_state(table, row, name),
                 _ => {}
             }
         }
-        p
+        policy
     }
 
     /// Finds the team with a key hash.
@@ -99,8 +99,8 @@
     /// Candidates share the first eight bytes of the hash and are compared in constant
     /// time.
     pub fn find_team(&self, hash: &KeyHash) -> Option<&Arc<Team>> {
-        let same = self.teams_by_key.get(&hash_prefix(hash))?;
-        let found = same.iter().find(|(h, _)| bool::from(h.ct_eq(hash)));
+        let candidates = self.teams_by_key.get(&hash_prefix(hash))?;
+        let found = candidates.iter().find(|(h, _)| bool::from(h.ct_eq(hash)));
         found.map(|(_, t)| t)
     }
 
@@ -116,14 +116,14 @@
 
     /// Finds the service route with the longest path prefix of `path`.
     pub fn find_service(&self, path: &str) -> Option<&str> {
-        let prefix = |r: &Route| match &r.target {
+        let prefix_len = |r: &Route| match &r.target {
             Target::Service(p) if is_under(path, p) => Some(p.len()),
             _ => None,
         };
         let matches = self
             .routes
             .iter()
-            .filter_map(|(n, r)| Some((prefix(r)?, n)));
+            .filter_map(|(n, r)| Some((prefix_len(r)?, n)));
         matches.max().map(|(_, n)| n.as_str())
     }
 
@@ -155,14 +155,14 @@
 
     fn add_desired_state(&mut self, table: &Table, row: &str, name: &str) {
         let get = |column| text_cell(table, row, column).map(String::from);
-        let goal = DesiredState {
+        let state = DesiredState {
             hash: 0,
             load: get("load"),
             adapter: get("adapter"),
             version: get("version"),
             role: get("role"),
         };
-        self.desired_states.insert(name.into(), goal.with_hash());
+        self.desired_states.insert(name.into(), state.with_hash());
     }
 
     fn add_route(&mut self, table: &Table, row: &str, name: &str) {
--- a/crates/ashgauge/src/pressure.rs
+++ b/crates/ashgauge/src/pressure.rs
@@ -29,41 +29,41 @@
     /// still run on those that accept no more.
     pub fn from_context(context: &SelectionContext, model: &Model) -> Self {
         let layers = model.layers as usize;
-        let (mut used, mut room) = (vec![0.0; layers], vec![0.0; layers]);
-        let (mut requests, mut leads, mut slots) = (0.0, 0.0, 0.0);
+        let (mut used, mut capacity) = (vec![0.0; layers], vec![0.0; layers]);
+        let (mut requests, mut head_requests, mut slots) = (0.0, 0.0, 0.0);
         for entry in context.registry.of_service(context.service) {
-            let Some(held) = entry.upstream.layers else {
+            let Some(held_layers) = entry.upstream.layers else {
                 continue;
             };
-            let total = EstimatedLoad::estimate(context, entry);
-            requests += total.head_requests;
+            let load = EstimatedLoad::estimate(context, entry);
+            requests += load.head_requests;
             if !entry.takes_requests(context.now) {
                 continue;
             }
-            if held.first == 0 {
-                leads += total.head_requests;
+            if held_layers.first == 0 {
+                head_requests += load.head_requests;
                 slots += f64::from(entry.upstream.slots);
             }
-            let each = f64::from(held.len().max(1));
+            let layer_count = f64::from(held_layers.len().max(1));
             let (tokens, memory) = (
-                total.token_layers,
-                cost::memory_capacity(model, entry, held),
+                load.token_layers,
+                cost::memory_capacity(model, entry, held_layers),
             );
-            let end = (held.end as usize).min(layers);
-            for layer in (held.first as usize).min(end)..end {
-                used[layer] += tokens / each;
-                room[layer] += memory / each;
+            let end = (held_layers.end as usize).min(layers);
+            for layer in (held_layers.first as usize).min(end)..end {
+                used[layer] += tokens / layer_count;
+                capacity[layer] += memory / layer_count;
             }
         }
-        let once = overcount_factor(context);
+        let correction = overcount_factor(context);
         let shares = used
             .iter()
-            .zip(&room)
-            .map(|(used, room)| share(*used, *room));
+            .zip(&capacity)
+            .map(|(used, capacity)| share(*used, *capacity));
         Pressure {
-            requests: requests * once,
-            memory: shares.fold(0.0, f64::max) * once,
-            slots: share(leads, slots) * once,
+            requests: requests * correction,
+            memory: shares.fold(0.0, f64::max) * correction,
+            slots: share(head_requests, slots) * correction,
         }
     }
 
@@ -82,16 +82,18 @@
     );
     // The capacity counts requests with their whole answer; on average they hold half of
     // it.
-    let part_there = (prompt + answer / 2.0) / (prompt + answer).max(1.0);
-    let held = engines
+    let held_share = (prompt + answer / 2.0) / (prompt + answer).max(1.0);
+    let requests = engines
         .filter_map(|e| Some(model.request_capacity(e.accelerator.as_deref()?, e.layers?.len())));
-    let held = held.map(|room| (room / part_there).min(f64::from(model.slots)));
-    let (sum, count) = held.fold((0.0, 0.0), |(sum, count), held| (sum + held, count + 1.0));
-    let more = model.step_per_request.as_secs_f64() * sum / count;
-    let growth = more / model.step_time.as_secs_f64();
-    let (least, most) = SLOWDOWN_RANGE;
-    match growth > 0.0 && growth.is_finite() {
-        true => growth.clamp(least, most),
+    let requests = requests.map(|capacity| (capacity / held_share).min(f64::from(model.slots)));
+    let (sum, count) = requests.fold((0.0, 0.0), |(sum, count), requests| {
+        (sum + requests, count + 1.0)
+    });
+    let added_time = model.step_per_request.as_secs_f64() * sum / count;
+    let slowdown = added_time / model.step_time.as_secs_f64();
+    let (min, max) = SLOWDOWN_RANGE;
+    match slowdown > 0.0 && slowdown.is_finite() {
+        true => slowdown.clamp(min, max),
         false => DEFAULT_SLOWDOWN,
     }
 }
@@ -100,14 +102,14 @@
 /// the whole fleet, some boxes report for themselves and are part of a hub's sum as well,
 /// for some seconds.
 fn overcount_factor(context: &SelectionContext) -> f64 {
-    let heard = context.fleet_load.boxes() as f64 + 1.0;
-    (context.boxes / heard).min(1.0)
+    let counted = context.fleet_load.boxes() as f64 + 1.0;
+    (context.boxes / counted).min(1.0)
 }
 
 /// Returns the used share of a capacity; 1 if there is no capacity.
-fn share(used: f64, of: f64) -> f64 {
-    match of > 0.0 {
-        true => used / of,
+fn share(used: f64, capacity: f64) -> f64 {
+    match capacity > 0.0 {
+        true => used / capacity,
         false => 1.0,
     }
 }
--- a/crates/ashgauge/src/progress.rs
+++ b/crates/ashgauge/src/progress.rs
@@ -30,8 +30,8 @@
     /// tokens.
     pub fn time_left(&self, event_tokens: u32) -> Duration {
         let events = f64::from(self.answer_tokens) / f64::from(event_tokens.max(1));
-        let missing = (events - self.events as f64).max(0.0);
-        Duration::from_secs_f64(missing * self.event_gap)
+        let events_left = (events - self.events as f64).max(0.0);
+        Duration::from_secs_f64(events_left * self.event_gap)
     }
 
     /// Returns whether the stream ends by itself within `time`, so that it need not be
--- a/crates/ashgauge/src/queue.rs
+++ b/crates/ashgauge/src/queue.rs
@@ -73,22 +73,22 @@
 
     /// Returns the number of a team's waiting requests.
     pub fn team_len(&self, rank: u32, team: &str) -> usize {
-        let lane = self.tiers.get(&rank).and_then(|t| t.teams.get(team));
-        lane.map_or(0, |l| l.jobs.len())
+        let queue = self.tiers.get(&rank).and_then(|t| t.teams.get(team));
+        queue.map_or(0, |q| q.jobs.len())
     }
 
     /// Adds a request.
     pub fn push(&mut self, job: Job) {
         let tier = self.tiers.entry(job.rank).or_default();
-        let clock = tier.virtual_time;
-        let lane = tier.teams.entry(job.team.clone()).or_default();
-        if lane.jobs.is_empty() {
-            lane.virtual_start = lane.virtual_start.max(clock);
+        let virtual_time = tier.virtual_time;
+        let queue = tier.teams.entry(job.team.clone()).or_default();
+        if queue.jobs.is_empty() {
+            queue.virtual_start = queue.virtual_start.max(virtual_time);
         }
         self.len += 1;
         self.queued_tokens += job.cost;
         tier.waiting += 1;
-        lane.jobs.push_back(job);
+        queue.jobs.push_back(job);
     }
 
     /// Returns a request to the front of its team's queue, as if it had not been popped.
@@ -96,11 +96,11 @@
         let tier = self.tiers.entry(job.rank).or_default();
         tier.served_tokens -= job.cost;
         tier.waiting += 1;
-        let lane = tier.teams.entry(job.team.clone()).or_default();
-        lane.virtual_start -= job.cost / job.weight;
+        let queue = tier.teams.entry(job.team.clone()).or_default();
+        queue.virtual_start -= job.cost / job.weight;
         self.len += 1;
         self.queued_tokens += job.cost;
-        lane.jobs.push_front(job);
+        queue.jobs.push_front(job);
     }
 
     /// Removes and returns the next request for which `allowed` returns true.
@@ -140,9 +140,10 @@
             return;
         };
         tier.served_tokens += cost - job.cost;
-        let clock = tier.virtual_time;
-        if let Some(lane) = tier.teams.get_mut(&job.team) {
-            lane.virtual_start = (lane.virtual_start + (cost - job.cost) / job.weight).max(clock);
+        let virtual_time = tier.virtual_time;
+        if let Some(queue) = tier.teams.get_mut(&job.team) {
+            queue.virtual_start =
+                (queue.virtual_start + (cost - job.cost) / job.weight).max(virtual_time);
         }
         tier.drop_idle();
     }
@@ -193,12 +194,12 @@
         let gap = now.saturating_sub(last).as_secs_f64().max(1e-6);
         // This averages gaps rather than rates, in which bursts would weigh too much.
         let gap_per_token = gap / cost.max(1.0);
-        let old = if self.drain_rate > 0.0 {
+        let mean_gap = if self.drain_rate > 0.0 {
             1.0 / self.drain_rate
         } else {
             gap_per_token
         };
-        self.drain_rate = 1.0 / (old + DRAIN_GAIN * (gap_per_token - old)).max(1e-9);
+        self.drain_rate = 1.0 / (mean_gap + DRAIN_GAIN * (gap_per_token - mean_gap)).max(1e-9);
         if self.is_empty() {
             // Idle time does not show how fast a backlog would drain.
             self.last_pop = None;
@@ -206,41 +207,41 @@
     }
 
     fn drain_where(&mut self, mut test: impl FnMut(&Job) -> bool) -> Vec<Job> {
-        let mut out = Vec::new();
+        let mut removed = Vec::new();
         for tier in self.tiers.values_mut() {
-            for lane in tier.teams.values_mut() {
-                let jobs = lane.jobs.drain(..);
+            for queue in tier.teams.values_mut() {
+                let jobs = queue.jobs.drain(..);
                 let (gone, kept): (Vec<Job>, Vec<Job>) = jobs.partition(|j| test(j));
-                lane.jobs = kept.into();
+                queue.jobs = kept.into();
                 tier.waiting -= gone.len();
-                out.extend(gone);
+                removed.extend(gone);
             }
             tier.drop_idle();
         }
-        self.len -= out.len();
-        self.queued_tokens -= out.iter().map(|j| j.cost).sum::<f64>();
-        out
+        self.len -= removed.len();
+        self.queued_tokens -= removed.iter().map(|j| j.cost).sum::<f64>();
+        removed
     }
 }
 
 impl Tier {
     fn pop(&mut self, allowed: &mut impl FnMut(&Job) -> bool) -> Option<Job> {
         let mut best: Option<(f64, &TeamId)> = None;
-        for (team, lane) in &self.teams {
-            let Some(job) = lane.jobs.front() else {
+        for (team, queue) in &self.teams {
+            let Some(job) = queue.jobs.front() else {
                 continue;
             };
             // The name breaks ties, so that equal inputs give an equal order.
-            let sooner = best.is_none_or(|(s, t)| (lane.virtual_start, team) < (s, t));
-            if sooner && allowed(job) {
-                best = Some((lane.virtual_start, team));
+            let is_earlier = best.is_none_or(|(s, t)| (queue.virtual_start, team) < (s, t));
+            if is_earlier && allowed(job) {
+                best = Some((queue.virtual_start, team));
             }
         }
         let team = best?.1.clone();
-        let lane = self.teams.get_mut(&team)?;
-        let job = lane.jobs.pop_front()?;
-        self.virtual_time = self.virtual_time.max(lane.virtual_start);
-        lane.virtual_start += job.cost / job.weight;
+        let queue = self.teams.get_mut(&team)?;
+        let job = queue.jobs.pop_front()?;
+        self.virtual_time = self.virtual_time.max(queue.virtual_start);
+        queue.virtual_start += job.cost / job.weight;
         self.served_tokens += job.cost;
         self.waiting -= 1;
         Some(job)
@@ -250,11 +251,11 @@
     fn cost_ahead(&self, team: &str, weight: f64) -> f64 {
         let mut weights = weight;
         let (mut own, mut all) = (0.0, 0.0);
-        for (id, lane) in &self.teams {
-            let Some(first) = lane.jobs.front() else {
+        for (id, queue) in &self.teams {
+            let Some(first) = queue.jobs.front() else {
                 continue;
             };
-            let cost: f64 = lane.jobs.iter().map(|j| j.cost).sum();
+            let cost: f64 = queue.jobs.iter().map(|j| j.cost).sum();
             all += cost;
             if **id == *team {
                 own = cost;
@@ -274,8 +275,8 @@
 
     /// Drops teams that have no requests and whose virtual start time has passed.
     fn drop_idle(&mut self) {
-        let clock = self.virtual_time;
+        let virtual_time = self.virtual_time;
         self.teams
-            .retain(|_, l| !l.jobs.is_empty() || l.virtual_start > clock);
+            .retain(|_, q| !q.jobs.is_empty() || q.virtual_start > virtual_time);
     }
 }
--- a/crates/ashgauge/src/recovery.rs
+++ b/crates/ashgauge/src/recovery.rs
@@ -78,11 +78,11 @@
 /// use ashgauge::recovery::{RecoveryBudget, RecoveryAction};
 ///
 /// let now = Duration::from_secs(60);
-/// let mut account = RecoveryBudget::default();
-/// account.set_pressure(now, 1.0);
-/// assert!(account.withdraw(now, RecoveryAction::Check));
-/// assert!(!account.withdraw(now, RecoveryAction::Check));
-/// assert!(account.withdraw(now, RecoveryAction::Repair));
+/// let mut budget = RecoveryBudget::default();
+/// budget.set_pressure(now, 1.0);
+/// assert!(budget.withdraw(now, RecoveryAction::Check));
+/// assert!(!budget.withdraw(now, RecoveryAction::Check));
+/// assert!(budget.withdraw(now, RecoveryAction::Repair));
 /// ```
 #[derive(Clone, Debug)]
 pub struct RecoveryBudget {
@@ -102,7 +102,7 @@
         RecoveryBudget {
             pressure: None,
             request_rate: 0.0,
-            credits: POOL_SHARES.map(|part| max_credits(part * IDLE_CREDIT_RATE)),
+            credits: POOL_SHARES.map(|share| max_credits(share * IDLE_CREDIT_RATE)),
             updated: Duration::ZERO,
         }
     }
@@ -126,30 +126,30 @@
 
     /// Returns the pressure, 0 to 1; 0 if it was not set recently.
     pub fn pressure(&self, now: Duration) -> f64 {
-        let known = self.pressure.filter(|(at, _)| now < *at + PRESSURE_TTL);
-        known.map_or(0.0, |(_, pressure)| pressure)
+        let current = self.pressure.filter(|(at, _)| now < *at + PRESSURE_TTL);
+        current.map_or(0.0, |(_, pressure)| pressure)
     }
 
     /// Returns whether there is a credit for an action.
-    pub fn has_credit(&mut self, now: Duration, what: RecoveryAction) -> bool {
+    pub fn has_credit(&mut self, now: Duration, action: RecoveryAction) -> bool {
         self.accrue(now);
-        self.pool(what).is_some()
+        self.pool(action).is_some()
     }
 
     /// Withdraws one credit for an action; returns false if there is none.
-    pub fn withdraw(&mut self, now: Duration, what: RecoveryAction) -> bool {
+    pub fn withdraw(&mut self, now: Duration, action: RecoveryAction) -> bool {
         self.accrue(now);
-        let part = self.pool(what);
-        if let Some(part) = part {
-            self.credits[part] = (self.credits[part] - 1.0).max(0.0);
+        let pool = self.pool(action);
+        if let Some(pool) = pool {
+            self.credits[pool] = (self.credits[pool] - 1.0).max(0.0);
         }
-        part.is_some()
+        pool.is_some()
     }
 
     /// Returns the pool from which an action is paid: its own, or else that of a less
     /// useful action.
-    fn pool(&self, what: RecoveryAction) -> Option<usize> {
-        (what as usize..POOL_SHARES.len()).find(|part| self.credits[*part] >= ONE_CREDIT)
+    fn pool(&self, action: RecoveryAction) -> Option<usize> {
+        (action as usize..POOL_SHARES.len()).find(|pool| self.credits[*pool] >= ONE_CREDIT)
     }
 
     /// Adds the credits earned since the last call.
@@ -158,14 +158,14 @@
             return;
         }
         let passed = now - self.updated;
-        let counted = passed.as_secs_f64() / RATE_WINDOW.as_secs_f64();
-        self.request_rate *= (-counted).exp();
-        let pressed = self.time_under_pressure(now);
-        let part = earned_share(self.pressure.map_or(0.0, |(_, pressure)| pressure));
-        let time = pressed.as_secs_f64() * part + (passed - pressed).as_secs_f64();
+        let windows = passed.as_secs_f64() / RATE_WINDOW.as_secs_f64();
+        self.request_rate *= (-windows).exp();
+        let under_pressure = self.time_under_pressure(now);
+        let share = earned_share(self.pressure.map_or(0.0, |(_, pressure)| pressure));
+        let time = under_pressure.as_secs_f64() * share + (passed - under_pressure).as_secs_f64();
         let earned = self.credit_rate() * time;
-        for (saved, part) in self.credits.iter_mut().zip(POOL_SHARES) {
-            *saved += earned * part;
+        for (credits, share) in self.credits.iter_mut().zip(POOL_SHARES) {
+            *credits += earned * share;
         }
         self.updated = now;
         self.cap_credits();
@@ -184,23 +184,23 @@
 
     /// Drops credits beyond the largest balance.
     fn cap_credits(&mut self) {
-        let earned = self.credit_rate() * earned_share(self.pressure(self.updated));
-        for (saved, part) in self.credits.iter_mut().zip(POOL_SHARES) {
-            *saved = saved.min(max_credits(part * earned));
+        let rate = self.credit_rate() * earned_share(self.pressure(self.updated));
+        for (credits, share) in self.credits.iter_mut().zip(POOL_SHARES) {
+            *credits = credits.min(max_credits(share * rate));
         }
     }
 }
 
 /// Returns the share of the full credit rate that is earned at a pressure, 0 to 1.
 fn earned_share(pressure: f64) -> f64 {
-    let over = (pressure - LOW_PRESSURE) / (1.0 - LOW_PRESSURE);
-    1.0 - over.clamp(0.0, 1.0) * (1.0 - MIN_EARNED_SHARE)
+    let excess = (pressure - LOW_PRESSURE) / (1.0 - LOW_PRESSURE);
+    1.0 - excess.clamp(0.0, 1.0) * (1.0 - MIN_EARNED_SHARE)
 }
 
 /// Returns the largest balance for a credit rate; at least one credit, as less is of no
 /// use.
-fn max_credits(earned: f64) -> f64 {
-    (earned * BURST_TIME.as_secs_f64()).max(1.0)
+fn max_credits(rate: f64) -> f64 {
+    (rate * BURST_TIME.as_secs_f64()).max(1.0)
 }
 
 /// Returns whether a stream that waits for a credit stops waiting and proceeds without
@@ -222,6 +222,6 @@
 /// assert!(!stops_waiting(ms(1000), ms(50), 0.06));
 /// assert!(stops_waiting(ms(0), ms(50), 0.99));
 /// ```
-pub fn stops_waiting(left: Duration, every: Duration, draw: f64) -> bool {
-    left.mul_f64(draw.clamp(0.0, 1.0)) <= every
+pub fn stops_waiting(left: Duration, interval: Duration, draw: f64) -> bool {
+    left.mul_f64(draw.clamp(0.0, 1.0)) <= interval
 }
--- a/crates/ashgauge/src/report.rs
+++ b/crates/ashgauge/src/report.rs
@@ -41,14 +41,14 @@
     /// use std::time::Duration;
     ///
     /// let age = Duration::from_millis(100);
-    /// let basis = LevelInputs::new(&Vec::new(), Pressure::default(), 0.0, age, 0);
-    /// assert_eq!(basis.demand_rate(), 0.0);
-    /// assert_eq!(basis.allowed_rate, f64::INFINITY);
+    /// let inputs = LevelInputs::new(&Vec::new(), Pressure::default(), 0.0, age, 0);
+    /// assert_eq!(inputs.demand_rate(), 0.0);
+    /// assert_eq!(inputs.allowed_rate, f64::INFINITY);
     /// ```
     pub fn new(
         demands: &Demands,
         pressure: Pressure,
-        ends: f64,
+        completion_rate: f64,
         age: Duration,
         boxes: usize,
     ) -> Self {
@@ -58,8 +58,8 @@
         }
         LevelInputs {
             classes: classes.into_iter().collect(),
-            allowed_rate: level::allowed_rate(&pressure, ends),
-            completion_rate: ends,
+            allowed_rate: level::allowed_rate(&pressure, completion_rate),
+            completion_rate,
             pressure,
             age,
             boxes,
@@ -111,16 +111,16 @@
     /// use ashgauge::class::Class;
     /// use ashgauge::report::{LevelChange, ChangeReporter};
     ///
-    /// let (mut report, class) = (ChangeReporter::default(), Class::default());
+    /// let (mut reporter, class) = (ChangeReporter::default(), Class::default());
     /// let second = Duration::from_secs(1);
-    /// assert_eq!(report.change(second, Some(class)), Some(LevelChange::Started));
-    /// assert_eq!(report.change(second, None), None);
-    /// assert_eq!(report.change(second * 2, None), Some(LevelChange::Ended(second)));
+    /// assert_eq!(reporter.change(second, Some(class)), Some(LevelChange::Started));
+    /// assert_eq!(reporter.change(second, None), None);
+    /// assert_eq!(reporter.change(second * 2, None), Some(LevelChange::Ended(second)));
     /// ```
     pub fn change(&mut self, now: Duration, class: Option<Class>) -> Option<LevelChange> {
         let is_early = self
             .last_reported
-            .is_some_and(|told| now < told + MIN_REPORT_INTERVAL);
+            .is_some_and(|last| now < last + MIN_REPORT_INTERVAL);
         if class == self.class || is_early {
             return None;
         }
--- a/crates/ashgauge/src/retry.rs
+++ b/crates/ashgauge/src/retry.rs
@@ -135,7 +135,7 @@
     /// Creates the budget of a process that started at `started`. `rounding`, drawn at
     /// random from 0 to 1, is added to the box's share before that is rounded down.
     pub fn new(allowance: Allowance, started: Duration, rounding: f64) -> Self {
-        let mut window = SlidingBudget {
+        let mut budget = SlidingBudget {
             allowance,
             boxes: None,
             started,
@@ -143,8 +143,8 @@
             buckets: [Bucket::default(); KEPT_BUCKETS],
             current_bucket: 0,
         };
-        window.current_bucket = window.bucket_number(started);
-        window
+        budget.current_bucket = budget.bucket_number(started);
+        budget
     }
 
     /// Sets the number of boxes that share the additional retries. Before it is known,
@@ -183,50 +183,50 @@
     /// Returns what was earned and spent in the window that ends now.
     pub fn balance(&mut self, now: Duration) -> Balance {
         self.advance(now);
-        let left = (1..=SPAN_BUCKETS).map(|parts| self.span_left(now, parts));
+        let left = (1..=SPAN_BUCKETS).map(|buckets| self.span_left(now, buckets));
         Balance {
             earned: self.earned(now, 0..WINDOW_BUCKETS),
-            spent: self.sum(0..WINDOW_BUCKETS, |part| part.retries),
+            spent: self.sum(0..WINDOW_BUCKETS, |bucket| bucket.retries),
             left: left.fold(f64::INFINITY, f64::min) + self.rounding(),
         }
     }
 
     /// Returns the retries that are still allowed in the span of so many buckets that
     /// ends now.
-    fn span_left(&self, now: Duration, parts: usize) -> f64 {
-        let within = self.earned(now, 0..parts);
-        let before = self.earned(now, parts..parts + WINDOW_BUCKETS);
-        let most = SPAN_SHARE * within + (1.0 - SPAN_SHARE) * before;
-        most * USABLE_SHARE - self.sum(0..parts, |part| part.retries)
+    fn span_left(&self, now: Duration, buckets: usize) -> f64 {
+        let within = self.earned(now, 0..buckets);
+        let before = self.earned(now, buckets..buckets + WINDOW_BUCKETS);
+        let allowed = SPAN_SHARE * within + (1.0 - SPAN_SHARE) * before;
+        allowed * USABLE_SHARE - self.sum(0..buckets, |bucket| bucket.retries)
     }
 
     /// Returns the fraction that is added before rounding down; 0 if the random errors of
     /// so many boxes might exceed the margin.
     fn rounding(&self) -> f64 {
-        let least = |boxes: u32| MIN_ROUNDING_EXTRA * f64::from(boxes).sqrt();
+        let min_extra = |boxes: u32| MIN_ROUNDING_EXTRA * f64::from(boxes).sqrt();
         match self.boxes {
-            Some(boxes) if self.allowance.extra >= least(boxes) => self.rounding,
+            Some(boxes) if self.allowance.extra >= min_extra(boxes) => self.rounding,
             _ => 0.0,
         }
     }
 
     /// Returns the retries earned in some of the last buckets, where bucket 0 is the
     /// present one.
-    fn earned(&self, now: Duration, parts: Range<usize>) -> f64 {
-        let firsts = self.sum(parts.clone(), |part| part.first_tries);
+    fn earned(&self, now: Duration, buckets: Range<usize>) -> f64 {
+        let first_tries = self.sum(buckets.clone(), |bucket| bucket.first_tries);
         let extra = self.boxes.map(|n| self.allowance.extra / f64::from(n));
         let time =
-            self.running_time(now, parts).as_secs_f64() / self.allowance.window.as_secs_f64();
-        self.allowance.ratio * firsts + extra.unwrap_or(0.0) * time
+            self.running_time(now, buckets).as_secs_f64() / self.allowance.window.as_secs_f64();
+        self.allowance.ratio * first_tries + extra.unwrap_or(0.0) * time
     }
 
     /// Returns the time within some of the last buckets in which the process ran.
-    fn running_time(&self, now: Duration, parts: Range<usize>) -> Duration {
-        let end = match parts.start {
+    fn running_time(&self, now: Duration, buckets: Range<usize>) -> Duration {
+        let end = match buckets.start {
             0 => now,
             back => self.bucket_start(back - 1),
         };
-        end.saturating_sub(self.started.max(self.bucket_start(parts.end - 1)))
+        end.saturating_sub(self.started.max(self.bucket_start(buckets.end - 1)))
     }
 
     /// Returns the start time of the bucket that is `back` buckets before the present
@@ -236,10 +236,10 @@
         Duration::from_nanos(number.saturating_mul(self.bucket_length().as_nanos() as u64))
     }
 
-    fn sum(&self, parts: Range<usize>, of: impl Fn(&Bucket) -> f64) -> f64 {
-        let numbers = parts.map_while(|back| self.current_bucket.checked_sub(back as u64));
+    fn sum(&self, buckets: Range<usize>, get: impl Fn(&Bucket) -> f64) -> f64 {
+        let numbers = buckets.map_while(|back| self.current_bucket.checked_sub(back as u64));
         numbers
-            .map(|number| of(&self.buckets[bucket_index(number)]))
+            .map(|number| get(&self.buckets[bucket_index(number)]))
             .sum()
     }
 
--- a/crates/ashgauge/src/silence.rs
+++ b/crates/ashgauge/src/silence.rs
@@ -58,10 +58,10 @@
 
     /// Records an event.
     pub fn record_event(&mut self, now: Duration) {
-        let pause = (now - self.last_event).as_secs_f64();
+        let gap = (now - self.last_event).as_secs_f64();
         if self.started {
-            let pace = self.event_gap.unwrap_or(pause);
-            self.event_gap = Some(pace + GAP_WEIGHT * (pause - pace));
+            let mean = self.event_gap.unwrap_or(gap);
+            self.event_gap = Some(mean + GAP_WEIGHT * (gap - mean));
         }
         self.started = true;
         self.reset(now);
@@ -89,17 +89,17 @@
     }
 
     /// Returns when the engines are to be checked. `first` is the shortest silence before
-    /// the first event, `least` that between two events. The time doubles with each check
-    /// that finds no fault, since the cause is then one that checks cannot find, such as
-    /// long prompts.
-    pub fn next_check(&self, first: Duration, least: Duration) -> Duration {
-        let least = if self.started { least } else { first };
-        let silence = Duration::from_secs_f64(self.event_gap() * GAP_FACTOR).max(least);
+    /// the first event, `min_silence` that between two events. The time doubles with each
+    /// check that finds no fault, since the cause is then one that checks cannot find, such
+    /// as long prompts.
+    pub fn next_check(&self, first: Duration, min_silence: Duration) -> Duration {
+        let min_silence = if self.started { min_silence } else { first };
+        let silence = Duration::from_secs_f64(self.event_gap() * GAP_FACTOR).max(min_silence);
         self.last_event + silence * 2u32.pow(self.checks.min(MAX_DOUBLINGS))
     }
 
     /// Like [`SilenceTimer::next_check`], but one of the checks comes after a silence of
-    /// `most`, unless the first check is later than that: after a long `first`, the
+    /// `max_silence`, unless the first check is later than that: after a long `first`, the
     /// doubled time would be far too late.
     ///
     /// # Example
@@ -114,23 +114,28 @@
     /// silence.record_check();
     /// assert_eq!(silence.next_check_within(ms(800), ms(100), ms(1300)), ms(1300));
     /// ```
-    pub fn next_check_within(&self, first: Duration, least: Duration, most: Duration) -> Duration {
-        let due = self.next_check(first, least);
+    pub fn next_check_within(
+        &self,
+        first: Duration,
+        min_silence: Duration,
+        max_silence: Duration,
+    ) -> Duration {
+        let check = self.next_check(first, min_silence);
         let checks = self.checks.saturating_sub(1);
-        let before = SilenceTimer { checks, ..*self }.next_check(first, least);
-        let end = self.last_event + most;
-        match before < end {
-            true => due.min(end),
-            false => due,
+        let previous = SilenceTimer { checks, ..*self }.next_check(first, min_silence);
+        let latest = self.last_event + max_silence;
+        match previous < latest {
+            true => check.min(latest),
+            false => check,
         }
     }
 }
 
 /// Returns how long to wait for the head of an answer before the engines are checked
-/// again: twice the `last` time, but not past `most` in total, of which `waited` has
+/// again: twice the `last` time, but not past `max_wait` in total, of which `waited` has
 /// passed.
 ///
-/// When waits could double past `most`, sends whose answer was lost were given up after
+/// When waits could double past `max_wait`, sends whose answer was lost were given up after
 /// 1.75 s instead of 1.3 s; callers leave after two.
 ///
 /// # Example
@@ -143,6 +148,6 @@
 /// assert_eq!(next_wait(ms(250), ms(250), ms(1300)), ms(500));
 /// assert_eq!(next_wait(ms(500), ms(760), ms(1300)), ms(540));
 /// ```
-pub fn next_wait(last: Duration, waited: Duration, most: Duration) -> Duration {
-    (last * 2).min(most.saturating_sub(waited))
+pub fn next_wait(last: Duration, waited: Duration, max_wait: Duration) -> Duration {
+    (last * 2).min(max_wait.saturating_sub(waited))
 }
--- a/crates/ashgauge/src/suspicion.rs
+++ b/crates/ashgauge/src/suspicion.rs
@@ -34,11 +34,11 @@
 ///
 /// let now = Duration::from_secs(1);
 /// let lost = instance_key("e1", None);
-/// let mut suspicions = SuspectReports::default();
-/// assert!(suspicions.record_found(now, lost));
-/// assert_eq!(suspicions.take_pending(now), [(lost, Audience::All)]);
+/// let mut reports = SuspectReports::default();
+/// assert!(reports.record_found(now, lost));
+/// assert_eq!(reports.take_pending(now), [(lost, Audience::All)]);
 /// // It was already reported.
-/// assert!(!suspicions.record_found(now, lost));
+/// assert!(!reports.record_found(now, lost));
 /// ```
 #[derive(Clone, Debug, Default)]
 pub struct SuspectReports {
@@ -61,8 +61,8 @@
     /// Records that this box found an engine that accepts no connections; returns whether
     /// there is something to send. If another box has just reported it, all boxes know
     /// already.
-    pub fn record_found(&mut self, now: Duration, start: InstanceKey) -> bool {
-        self.record_entry(now, start, Some(Audience::All))
+    pub fn record_found(&mut self, now: Duration, instance: InstanceKey) -> bool {
+        self.record_entry(now, instance, Some(Audience::All))
     }
 
     /// Records another box's report of an engine; returns whether there is something to
@@ -70,29 +70,32 @@
     pub fn record_report(
         &mut self,
         now: Duration,
-        start: InstanceKey,
+        instance: InstanceKey,
         audience: Option<Audience>,
     ) -> bool {
-        self.record_entry(now, start, audience)
+        self.record_entry(now, instance, audience)
     }
 
     /// Takes the reports that are to be sent now, the oldest first; at most
     /// [`MAX_SUSPECTS_SENT`].
     pub fn take_pending(&mut self, now: Duration) -> Vec<(InstanceKey, Audience)> {
         self.expire(now);
-        let waiting = self.entries.iter();
-        let waiting = waiting.filter_map(|(start, e)| Some((e.reported?, *start, e.pending?)));
-        let mut waiting: Vec<_> = waiting.collect();
-        waiting.sort_unstable_by_key(|(told, start, _)| (*told, *start));
-        waiting.truncate(MAX_SUSPECTS_SENT);
-        let told = waiting.into_iter().map(|(_, start, to)| (start, to));
-        let told: Vec<_> = told.collect();
-        for (start, _) in &told {
-            if let Some(entry) = self.entries.get_mut(start) {
+        let pending = self.entries.iter();
+        let pending =
+            pending.filter_map(|(instance, e)| Some((e.reported?, *instance, e.pending?)));
+        let mut pending: Vec<_> = pending.collect();
+        pending.sort_unstable_by_key(|(reported, instance, _)| (*reported, *instance));
+        pending.truncate(MAX_SUSPECTS_SENT);
+        let taken = pending
+            .into_iter()
+            .map(|(_, instance, audience)| (instance, audience));
+        let taken: Vec<_> = taken.collect();
+        for (instance, _) in &taken {
+            if let Some(entry) = self.entries.get_mut(instance) {
                 entry.pending = None;
             }
         }
-        told
+        taken
     }
 
     /// Starts a check of an engine that another box has reported. It does so only if
@@ -102,13 +105,13 @@
     pub fn begin_check(
         &mut self,
         now: Duration,
-        start: InstanceKey,
+        instance: InstanceKey,
         has_budget: impl FnOnce() -> bool,
     ) -> bool {
         if self.active_checks >= MAX_CHECKS {
             return false;
         }
-        let Some(entry) = self.entry(now, start) else {
+        let Some(entry) = self.entry(now, instance) else {
             return false;
         };
         if is_recent(now, entry.checked) || !has_budget() {
@@ -142,10 +145,10 @@
     fn record_entry(
         &mut self,
         now: Duration,
-        start: InstanceKey,
+        instance: InstanceKey,
         audience: Option<Audience>,
     ) -> bool {
-        let Some(entry) = self.entry(now, start) else {
+        let Some(entry) = self.entry(now, instance) else {
             return false;
         };
         if is_recent(now, entry.reported) {
@@ -159,12 +162,12 @@
     /// Returns the entry of an engine; `None` if there are too many others. Existing
     /// entries are not dropped for it, since a box that reports many engines could then
     /// have each of them reported again.
-    fn entry(&mut self, now: Duration, start: InstanceKey) -> Option<&mut Entry> {
+    fn entry(&mut self, now: Duration, instance: InstanceKey) -> Option<&mut Entry> {
         self.expire(now);
-        if self.entries.len() >= MAX_ENTRIES && !self.entries.contains_key(&start) {
+        if self.entries.len() >= MAX_ENTRIES && !self.entries.contains_key(&instance) {
             return None;
         }
-        Some(self.entries.entry(start).or_default())
+        Some(self.entries.entry(instance).or_default())
     }
 
     /// Drops outdated entries. Reports that were not sent by then are too late to be of
--- a/crates/caller/src/answer.rs
+++ b/crates/caller/src/answer.rs
@@ -95,11 +95,11 @@
     response
 }
 
-async fn build_response(mut answer: Answer, shape: AnswerFormat) -> Response<Body> {
+async fn build_response(mut answer: Answer, format: AnswerFormat) -> Response<Body> {
     let Some(first) = answer.replies.recv().await else {
         return Problem::stopped().response();
     };
-    match (first, shape) {
+    match (first, format) {
         (ReplyPart::Refused(refusal), _) => Problem::from_refusal(&refusal).response(),
         (ReplyPart::Called(called), _) => {
             let mut response = Response::new(full(called.body));
@@ -112,8 +112,8 @@
             }
             response
         }
-        (first, shape) if shape.is_stream() => stream_answer(first, answer, shape),
-        (first, shape) => collect_answer(first, answer, &shape).await,
+        (first, format) if format.is_stream() => stream_answer(first, answer, format),
+        (first, format) => collect_answer(first, answer, &format).await,
     }
 }
 
@@ -183,7 +183,7 @@
 struct EventStream {
     first_reply: Option<ReplyPart>,
     answer: Answer,
-    shape: AnswerFormat,
+    format: AnswerFormat,
     finish_reason: &'static str,
     finished: bool,
 }
@@ -193,11 +193,11 @@
         match reply {
             ReplyPart::Token(Token { text, end, .. }) => {
                 self.finish_reason = if end { "stop" } else { "length" };
-                sse_event(&self.shape.chunk_json(&text, None))
+                sse_event(&self.format.chunk_json(&text, None))
             }
             ReplyPart::End { .. } => {
                 self.finished = true;
-                let mut last = self.shape.chunk_json("", Some(self.finish_reason));
+                let mut last = self.format.chunk_json("", Some(self.finish_reason));
                 last["ashgauge_outcome"] = json!(serialized_name(&Outcome::Done));
                 let mut bytes = sse_event(&last).to_vec();
                 bytes.extend_from_slice(b"data: [DONE]\n\n");
@@ -241,24 +241,24 @@
     }
 }
 
-fn stream_answer(first: ReplyPart, answer: Answer, shape: AnswerFormat) -> Response<Body> {
+fn stream_answer(first: ReplyPart, answer: Answer, format: AnswerFormat) -> Response<Body> {
     let events = EventStream {
         first_reply: Some(first),
         answer,
-        shape,
+        format,
         finish_reason: "length",
         finished: false,
     };
     let mut response = Response::new(events.boxed());
-    let kind = HeaderValue::from_static("text/event-stream");
-    response.headers_mut().insert(CONTENT_TYPE, kind);
+    let content_type = HeaderValue::from_static("text/event-stream");
+    response.headers_mut().insert(CONTENT_TYPE, content_type);
     response
 }
 
 async fn collect_answer(
     first: ReplyPart,
     mut answer: Answer,
-    shape: &AnswerFormat,
+    format: &AnswerFormat,
 ) -> Response<Body> {
     let mut text = String::new();
     let mut finish = "length";
@@ -272,7 +272,7 @@
                 }
             }
             ReplyPart::End { prompt, generated } => {
-                let value = shape.completion_json(&text, (prompt, generated), finish);
+                let value = format.completion_json(&text, (prompt, generated), finish);
                 let mut response = json(StatusCode::OK, &value);
                 let headers = response.headers_mut();
                 headers.insert(OUTCOME_HEADER, outcome_value(Outcome::Done));
--- a/crates/caller/src/lib.rs
+++ b/crates/caller/src/lib.rs
@@ -62,20 +62,20 @@
 /// finish.
 pub async fn listen<R: Router>(
     listener: TcpListener,
-    bounds: PortLimits,
+    limits: PortLimits,
     stop: watch::Receiver<bool>,
     router: Arc<R>,
 ) {
     let handler = move |request| {
         let router = router.clone();
-        async move { handle(request, bounds, &*router).await }
+        async move { handle(request, limits, &*router).await }
     };
-    serve(listener, bounds.server, stop, handler).await;
+    serve(listener, limits.server, stop, handler).await;
 }
 
 async fn handle<R: Router>(
     request: Request<Incoming>,
-    bounds: PortLimits,
+    limits: PortLimits,
     router: &R,
 ) -> Response<Body> {
     match request.uri().path() {
@@ -84,12 +84,12 @@
         "/readyz" => return answer::plain_text(StatusCode::SERVICE_UNAVAILABLE, "not ready"),
         _ => {}
     }
-    let (order, shape) = match request::parse(request, &bounds).await {
+    let (incoming, format) = match request::parse(request, &limits).await {
         Ok(parsed) => parsed,
         Err(problem) => return problem.response(),
     };
-    match router.start(order).await {
-        Some(started) => answer::respond(started, shape).await,
+    match router.start(incoming).await {
+        Some(started) => answer::respond(started, format).await,
         None => Problem::stopped().response(),
     }
 }
--- a/crates/caller/src/request.rs
+++ b/crates/caller/src/request.rs
@@ -76,12 +76,12 @@
 /// Reads a whole request and validates it.
 pub(crate) async fn parse(
     request: Request<Incoming>,
-    bounds: &PortLimits,
+    limits: &PortLimits,
 ) -> Result<(IncomingRequest, AnswerFormat), Problem> {
     let (head, body) = request.into_parts();
     let key = bearer_key(&head.headers)?;
     let timeout = parse_timeout(&head.headers)?;
-    let name = header_text(&head.headers, IDEMPOTENCY_HEADER)?;
+    let idempotency_key = header_text(&head.headers, IDEMPOTENCY_HEADER)?;
     let repeatable = header_text(&head.headers, REPEAT_HEADER)?.as_deref() != Some("no");
     let path = head
         .uri
@@ -92,11 +92,11 @@
     if model && head.method != Method::POST {
         return Err(Problem::bad_method());
     }
-    let body = read_body(body, bounds.max_body_bytes, bounds.body_timeout).await;
-    let body = body.map_err(|status| Problem::bad_body(status, bounds.max_body_bytes))?;
-    let (work, shape) = match head.uri.path() {
-        "/v1/completions" => parse_completion(&body, bounds)?,
-        "/v1/chat/completions" => parse_chat(&body, bounds)?,
+    let body = read_body(body, limits.max_body_bytes, limits.body_timeout).await;
+    let body = body.map_err(|status| Problem::bad_body(status, limits.max_body_bytes))?;
+    let (work, format) = match head.uri.path() {
+        "/v1/completions" => parse_completion(&body, limits)?,
+        "/v1/chat/completions" => parse_chat(&body, limits)?,
         _ => {
             let content = header_text(&head.headers, CONTENT_TYPE.as_str())?;
             let work = Work::Call {
@@ -108,31 +108,31 @@
             (work, AnswerFormat::Service)
         }
     };
-    let order = IncomingRequest {
+    let incoming = IncomingRequest {
         id: 0,
         key_hash: hash_key(&key),
         work,
-        idempotency_key: name,
+        idempotency_key,
         repeatable,
         timeout,
     };
-    Ok((order, shape))
+    Ok((incoming, format))
 }
 
-fn parse_completion(body: &[u8], bounds: &PortLimits) -> Result<(Work, AnswerFormat), Problem> {
+fn parse_completion(body: &[u8], limits: &PortLimits) -> Result<(Work, AnswerFormat), Problem> {
     let body: CompletionBody = decode(body)?;
-    let work = generate_work(&body.model, &body.prompt, body.max_tokens, bounds)?;
+    let work = generate_work(&body.model, &body.prompt, body.max_tokens, limits)?;
     let (model, stream) = (body.model, body.stream);
     Ok((work, AnswerFormat::Completion { model, stream }))
 }
 
-fn parse_chat(body: &[u8], bounds: &PortLimits) -> Result<(Work, AnswerFormat), Problem> {
+fn parse_chat(body: &[u8], limits: &PortLimits) -> Result<(Work, AnswerFormat), Problem> {
     let body: ChatBody = decode(body)?;
     let lines = body.messages.iter();
     let lines: Vec<String> = lines
         .map(|m| format!("{}: {}\n", m.role, m.content))
         .collect();
-    let work = generate_work(&body.model, &lines.concat(), body.max_tokens, bounds)?;
+    let work = generate_work(&body.model, &lines.concat(), body.max_tokens, limits)?;
     let (model, stream) = (body.model, body.stream);
     Ok((work, AnswerFormat::Chat { model, stream }))
 }
@@ -140,12 +140,12 @@
 fn generate_work(
     model: &str,
     prompt: &str,
-    most: Option<u32>,
-    bounds: &PortLimits,
+    max_tokens: Option<u32>,
+    limits: &PortLimits,
 ) -> Result<Work, Problem> {
-    let most = most.unwrap_or(DEFAULT_MAX_TOKENS);
-    if most == 0 || most > bounds.max_tokens {
-        let limit = bounds.max_tokens;
+    let max_tokens = max_tokens.unwrap_or(DEFAULT_MAX_TOKENS);
+    if max_tokens == 0 || max_tokens > limits.max_tokens {
+        let limit = limits.max_tokens;
         return Err(Problem::bad_request(&format!(
             "max_tokens must be 1 to {limit}"
         )));
@@ -156,7 +156,7 @@
     Ok(Work::Generate {
         model: model.into(),
         prompt: tokenize(prompt),
-        max_tokens: most,
+        max_tokens,
     })
 }
 
@@ -193,9 +193,9 @@
 }
 
 impl Problem {
-    fn bad_body(status: StatusCode, most: usize) -> Self {
+    fn bad_body(status: StatusCode, max_bytes: usize) -> Self {
         let message = match status {
-            StatusCode::PAYLOAD_TOO_LARGE => format!("the body is longer than {most} bytes"),
+            StatusCode::PAYLOAD_TOO_LARGE => format!("the body is longer than {max_bytes} bytes"),
             StatusCode::REQUEST_TIMEOUT => "the body took too long to arrive".into(),
             _ => "the body could not be read".into(),
         };
