--- a/crates/ashgauge/src/level.rs
+++ b/crates/ashgauge/src/level.rs
@@ -71,7 +71,7 @@
         .max(completion_rate * MIN_START_SHARE)
 }
 
-/// Returns the time after which a refused caller is to retry, where `patience` is how
+/// Returns the time after which a refused caller is to retry, where `time_left` is how
 /// much longer it would wait. `draw` is random from 0 to 1, so that callers that are
 /// refused together do not retry together.
 ///
@@ -90,9 +90,9 @@
 /// assert!(retry_after(ms(20_000), 1.0) < ms(6667));
 /// assert!(retry_after(ms(300), 1.0) < ms(100));
 /// ```
-pub fn retry_after(patience: Duration, draw: f64) -> Duration {
+pub fn retry_after(time_left: Duration, draw: f64) -> Duration {
     let (min_wait, max_wait) = RETRY_AFTER_RANGE;
-    let max_wait = max_wait.min(patience.mul_f64(RETRY_AFTER_SHARE));
+    let max_wait = max_wait.min(time_left.mul_f64(RETRY_AFTER_SHARE));
     let min_wait = min_wait.min(max_wait / 2);
     min_wait + (max_wait - min_wait).mul_f64(draw.clamp(0.0, 1.0))
 }
--- a/crates/ashgauge/src/limit.rs
+++ b/crates/ashgauge/src/limit.rs
@@ -96,7 +96,7 @@
         state.tokens -= tokens;
     }
 
-    /// Returns the time until a request may start, at the present rate.
+    /// Returns the time until a request may start, at the present rate; `None` if the rate is 0.
     pub fn time_to_room(&mut self, now: Duration, team: &TeamId) -> Option<Duration> {
         let state = self.entry(now, team);
         state.refill(now);
--- a/crates/ashgauge/src/permit/mod.rs
+++ b/crates/ashgauge/src/permit/mod.rs
@@ -26,9 +26,9 @@
 
 use crate::ident::{BoxId, UpstreamKey};
 
-/// Shortest and longest time for which an upstream is closed after a permit was not
-/// granted.
-const CLOSED_TIME_RANGE: (Duration, Duration) = (Duration::from_millis(10), Duration::from_secs(5));
+/// Shortest and longest time for which sends to an upstream are blocked after a permit was
+/// not granted.
+const BLOCK_TIME_RANGE: (Duration, Duration) = (Duration::from_millis(10), Duration::from_secs(5));
 
 /// Random number that identifies a permit request.
 pub type PermitRequestId = u64;
@@ -84,7 +84,7 @@
 /// Chooses the issuer of a permit that the box `own` needs at `now`, among `boxes` boxes.
 ///
 /// `order` is that of [`issuer_order`]. `silent` is a box that has just failed to reply.
-/// `hears` returns whether another box is reachable.
+/// `is_reachable` returns whether another box is heard from.
 pub fn choose_issuer(
     now: Duration,
     own: &str,
@@ -92,26 +92,30 @@
     order: &[BoxId],
     skipped: &SkippedBoxes,
     silent: Option<&BoxId>,
-    hears: impl Fn(&BoxId) -> bool,
+    is_reachable: impl Fn(&BoxId) -> bool,
 ) -> Issuer {
     let is_candidate = |id: &&BoxId| !skipped.is_skipped(now, id) && Some(*id) != silent;
     match order.iter().find(is_candidate) {
-        Some(id) if **id == *own => Issuer::Local(issuer_rank(own, order, hears)),
+        Some(id) if **id == *own => Issuer::Local(issuer_rank(own, order, is_reachable)),
         Some(id) => Issuer::Remote(id.clone()),
         None => Issuer::Local(IssuerRank::Isolated(boxes)),
     }
 }
 
 /// Returns the rank of the box `own` among those that issue permits.
-pub fn issuer_rank(own: &str, order: &[BoxId], hears: impl Fn(&BoxId) -> bool) -> IssuerRank {
+pub fn issuer_rank(
+    own: &str,
+    order: &[BoxId],
+    is_reachable: impl Fn(&BoxId) -> bool,
+) -> IssuerRank {
     let preceding = order.iter().take_while(|id| ***id != *own);
-    IssuerRank::from_preceding(preceding.filter(|id| hears(id)).count())
+    IssuerRank::from_preceding(preceding.filter(|id| is_reachable(id)).count())
 }
 
-/// Returns how long an upstream is closed after a verdict, or after no box replied;
-/// `None` if the request may be sent.
-pub fn closed_for(verdict: Option<Verdict>) -> Option<Duration> {
-    let (min, max) = CLOSED_TIME_RANGE;
+/// Returns how long sends to an upstream are blocked after a verdict, or after no box
+/// replied; `None` if the request may be sent.
+pub fn block_time(verdict: Option<Verdict>) -> Option<Duration> {
+    let (min, max) = BLOCK_TIME_RANGE;
     match verdict {
         Some(Verdict::Granted | Verdict::Unlimited) => None,
         Some(Verdict::Wait(ms)) => Some(Duration::from_millis(ms.into()).clamp(min, max)),
--- a/crates/ashgauge/src/suspicion.rs
+++ b/crates/ashgauge/src/suspicion.rs
@@ -33,12 +33,12 @@
 /// use ashgauge::suspicion::SuspectReports;
 ///
 /// let now = Duration::from_secs(1);
-/// let lost = instance_key("e1", None);
+/// let instance = instance_key("e1", None);
 /// let mut reports = SuspectReports::default();
-/// assert!(reports.record_found(now, lost));
-/// assert_eq!(reports.take_pending(now), [(lost, Audience::All)]);
+/// assert!(reports.record_found(now, instance));
+/// assert_eq!(reports.take_pending(now), [(instance, Audience::All)]);
 /// // It was already reported.
-/// assert!(!reports.record_found(now, lost));
+/// assert!(!reports.record_found(now, instance));
 /// ```
 #[derive(Clone, Debug, Default)]
 pub struct SuspectReports {
--- a/crates/ashgauge/tests/limited/mod.rs
+++ b/crates/ashgauge/tests/limited/mod.rs
@@ -7,7 +7,7 @@
 use ashgauge::load_report;
 use ashgauge::member::BoxId;
 use ashgauge::permit::{
-    Issuer, PermitBuckets, SkippedBoxes, UpstreamLimits, Verdict, choose_issuer, closed_for,
+    Issuer, PermitBuckets, SkippedBoxes, UpstreamLimits, Verdict, block_time, choose_issuer,
     issuer_order, issuer_rank,
 };
 use rand::rngs::SmallRng;
@@ -369,14 +369,14 @@
     }
 
     fn judge(&mut self, n: usize, verdict: Verdict) {
-        match closed_for(Some(verdict)) {
+        match block_time(Some(verdict)) {
             None => self.send(n),
             Some(_) => self.close(n, Some(verdict)),
         }
     }
 
     fn close(&mut self, n: usize, verdict: Option<Verdict>) {
-        let time = closed_for(verdict).unwrap_or_default();
+        let time = block_time(verdict).unwrap_or_default();
         self.nodes[n].closed = self.now + time.as_secs_f64();
     }
 
--- a/crates/ashgauged/src/relay/permit.rs
+++ b/crates/ashgauged/src/relay/permit.rs
@@ -42,7 +42,7 @@
         None => "no answer",
     };
     shared.metrics.permits.with_label_values(&[result]).inc();
-    let Some(time) = permit::closed_for(verdict) else {
+    let Some(time) = permit::block_time(verdict) else {
         return true;
     };
     shared.registry.borrow_mut().block(shared.now(), id, time);
