--- a/crates/ashgauge/src/estimate.rs
+++ b/crates/ashgauge/src/estimate.rs
@@ -1,10 +1,10 @@
-//! Estimates demand and the engines' load now, from load reports that are some time old.
+//! Estimates the present demand and engine load from load reports that are some time old.
 //!
-//! Within one report age boxes start and engines end more requests than fit between an
-//! empty and an overfull fleet. A box knows which part of the requests it admitted in that
-//! time, as all boxes compute about the same level, and from earlier reports how many
-//! requests began when, so that it can tell how many of them have ended by now. All of it
-//! is derived from what reports hold already; nothing is sent for it.
+//! During the age of one report, boxes can start and engines can complete enough requests
+//! to go from empty to overfull engines. A box knows which share of the requests it
+//! admitted in that time, since all boxes compute about the same level. From earlier
+//! reports it knows when the requests in flight started, and thus how many have completed
+//! by now. All this is derived from existing reports; no further messages are sent.
 
 use std::collections::VecDeque;
 use std::time::Duration;
@@ -12,124 +12,129 @@
 use crate::demand::{COMPLETION_WINDOW, DEMAND_WINDOW, Demands};
 use crate::pressure::Pressure;
 
-/// Groups of requests that are kept, by the time at which they began. With [`COHORT_SHARE`]
-/// they cover four times as long as a request stays.
+/// Number of cohorts that are kept. With [`COHORT_SHARE`] they cover four times the
+/// duration of a request.
 const MAX_COHORTS: usize = 80;
 
-/// Time in which the requests of one group begin, as a part of how long requests stay.
+/// Time span of one cohort's starts, as a share of the request duration.
 const COHORT_SHARE: f64 = 0.05;
 
-/// Groups as which the requests are counted that were there before the first report.
+/// Number of cohorts into which the requests of the first report are divided.
 const INITIAL_COHORTS: u32 = 8;
 
-/// Admitted parts that are kept: at 20 a second, more than the oldest reports need.
+/// Number of samples that are kept. At 20 a second it is more than the oldest reports
+/// need.
 const MAX_SAMPLES: usize = 64;
 
-/// Requests stay for up to this part more or less than their mean, by their sizes.
+/// Share by which the duration of a request may differ from the mean, depending on its
+/// size.
 const DURATION_SPREAD: f64 = 0.25;
 
-/// Seconds that an only request is taken to stay before any has ended: users' answers
-/// take 1.7 to 2.9 s at engines that are full.
+/// Assumed duration of a request on an empty engine before any has completed: users'
+/// answers take 1.7 to 2.9 s on full engines.
 const INITIAL_DURATION_S: f64 = 1.5;
 
-/// Bounds of that time once it is learned.
+/// Bounds of the learned duration.
 const DURATION_RANGE_S: (f64, f64) = (0.05, 100.0);
 
-/// Weight of the newest observation in that time, on a logarithmic scale. With 1 the time
-/// oscillates where 985 boxes with reports 0.5 s old fill the engines at once.
+/// Weight of the newest observation in the learned duration, on a logarithmic scale. With
+/// a weight of 1 the duration oscillates when 985 boxes with reports 0.5 s old fill the
+/// engines at once.
 const DURATION_GAIN: f64 = 0.3;
 
-/// Most by which one observation may change it, as a factor.
+/// Largest factor by which one observation may change the duration.
 const MAX_DURATION_STEP: f64 = 2.0;
 
-/// Requests, and requests a second, that are counted at most.
+/// Largest accepted number of requests, and of requests a second.
 const MAX_COUNT: f64 = 1e12;
 
-/// Most that requests are taken to stay longer at full engines, as a part.
+/// Largest accepted slowdown at full engines.
 const MAX_SLOWDOWN: f64 = 4.0;
 
-/// Use of the engines past which requests are not taken to stay any longer: engines
+/// Utilization above which requests are assumed to slow down no further, as engines
 /// refuse what does not fit.
 const MAX_UTILIZATION: f64 = 2.0;
 
-/// Use of the engines for which [`Estimate::completion_rate`] holds.
+/// Utilization for which [`Estimate::completion_rate`] holds.
 const TYPICAL_UTILIZATION: f64 = 0.87;
 
-/// Part by which the boxes that count may change between two estimates; with more, the
-/// requests of other boxes are known, not more or fewer requests under way.
+/// Share by which the number of counted boxes may change between two samples. A larger
+/// change means that reports of other boxes were added or lost, not that requests started
+/// or completed.
 const MAX_BOX_CHANGE: f64 = 0.2;
 
-/// Seconds between two estimates after which what was known before is discarded.
+/// Gap between two samples from which earlier state is discarded.
 const MAX_SAMPLE_GAP_S: f64 = 1.0;
 
-/// Least time over which a change of demand is measured.
+/// Shortest time over which a change of demand is measured.
 const MIN_TREND_INTERVAL: Duration = Duration::from_millis(100);
 
-/// Standard deviations of a count up to which a change of demand counts as chance.
+/// Standard deviations of a request count within which a change of demand is taken for
+/// noise.
 const NOISE_SIGMAS: f64 = 2.0;
 
-/// Most by which demand is taken to differ from what reports tell, as a factor.
+/// Largest factor by which the estimated demand may differ from the reported one.
 const MAX_TREND_FACTOR: f64 = 4.0;
 
-/// What a box knows from its own state and the reports of others.
+/// What a box knows from its own state and from other boxes' reports.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Observation {
-    /// What all boxes are asked for.
+    /// Demand at all boxes.
     pub demands: Demands,
-    /// Use of the engines.
+    /// Load of the engines.
     pub pressure: Pressure,
-    /// Requests a second that end.
+    /// Requests that complete each second.
     pub completion_rate: f64,
-    /// Boxes for which it counts.
+    /// Number of boxes that are included.
     pub boxes: f64,
-    /// How old it is.
+    /// Age of the information.
     pub age: Duration,
     /// Time between two reports.
     pub report_interval: Duration,
-    /// Part by which requests stay longer at full engines than at empty ones.
+    /// Part by which requests take longer on full engines than on empty ones.
     pub full_slowdown: f64,
 }
 
-/// What is likely now.
+/// Estimate for the present moment.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Estimate {
-    /// What all boxes are asked for.
+    /// Demand at all boxes.
     pub demands: Demands,
-    /// Use of the engines.
+    /// Load of the engines.
     pub pressure: Pressure,
-    /// Requests a second that end where those under way began evenly. Those that really
-    /// end follow what began one stay earlier; to admit as many again would repeat each
-    /// swing of the past.
+    /// Requests that would complete each second if those in flight had started evenly
+    /// over time. Actual completions follow the starts of one request duration earlier;
+    /// admitting as many again would repeat each past oscillation.
     pub completion_rate: f64,
 }
 
-/// Estimates for one service at one box.
+/// Estimator for one service at one box.
 #[derive(Clone, Debug)]
 pub struct Estimator {
-    /// Requests that began, in groups, the oldest first.
+    /// Started requests, grouped by start time, the oldest first.
     cohorts: VecDeque<Cohort>,
-    /// Parts of the requests that were admitted from some time on.
+    /// Times in seconds, and the share of requests that was admitted from each time on.
     admitted_shares: VecDeque<(f64, f64)>,
     last_sample: Option<Sample>,
     trend: Trend,
-    /// Seconds that an only request stays.
+    /// Duration of a request on an empty engine, in seconds.
     base_duration: f64,
     demand_rate: f64,
 }
 
-/// Requests that began at about the same time.
+/// Requests that started at about the same time. Times are in seconds.
 #[derive(Clone, Copy, Debug)]
 struct Cohort {
-    /// When the first of them began.
+    /// Start of the first request.
     first_start: f64,
-    /// When they began on average.
+    /// Mean start time.
     mean_start: f64,
     requests: f64,
-    /// Factor on their stay, by the use of the engines as they began.
+    /// Factor on the duration, from the engines' utilization at the start.
     slowdown: f64,
 }
 
-/// What was known of one moment.
+/// State at one moment, which is in seconds.
 #[derive(Clone, Copy, Debug)]
 struct Sample {
     at: f64,
@@ -153,7 +158,7 @@
 }
 
 impl Estimator {
-    /// Estimates what holds now.
+    /// Estimates the state at `now`.
     ///
     /// # Example
     ///
@@ -163,7 +168,7 @@
     /// use std::time::Duration;
     ///
     /// let ms = Duration::from_millis;
-    /// let known = Observation {
+    /// let observation = Observation {
     ///     demands: Vec::new(),
     ///     pressure: Pressure { requests: 600.0, memory: 0.75, slots: 0.1 },
     ///     completion_rate: 300.0,
@@ -173,126 +178,138 @@
     ///     full_slowdown: 0.8,
     /// };
     /// let mut estimator = Estimator::default();
-    /// let estimate = estimator.estimate(ms(5000), &known);
-    /// // Some have ended since, and nobody asked for more.
+    /// let estimate = estimator.estimate(ms(5000), &observation);
+    /// // Some have completed since, and there was no new demand.
     /// assert!((300.0..600.0).contains(&estimate.pressure.requests));
     /// ```
-    pub fn estimate(&mut self, now: Duration, known: &Observation) -> Estimate {
-        let of = self.add_sample(now.saturating_sub(known.age).as_secs_f64(), known);
-        let now = now.as_secs_f64().max(of);
-        let requests = clamp_or_zero(known.pressure.requests, MAX_COUNT);
-        self.update_duration(of, requests);
-
-        let told: f64 = known.demands.iter().map(|(_, demand)| demand.rate()).sum();
-        self.demand_rate = self.trend.current_rate(of, told, known);
-        let factor = if told > 0.0 {
-            self.demand_rate / told
+    pub fn estimate(&mut self, now: Duration, observation: &Observation) -> Estimate {
+        let observed_at = self.add_sample(
+            now.saturating_sub(observation.age).as_secs_f64(),
+            observation,
+        );
+        let now = now.as_secs_f64().max(observed_at);
+        let requests = clamp_or_zero(observation.pressure.requests, MAX_COUNT);
+        self.update_duration(observed_at, requests);
+
+        let reported_rate: f64 = observation
+            .demands
+            .iter()
+            .map(|(_, demand)| demand.rate())
+            .sum();
+        self.demand_rate = self
+            .trend
+            .current_rate(observed_at, reported_rate, observation);
+        let factor = if reported_rate > 0.0 {
+            self.demand_rate / reported_rate
         } else {
             1.0
         };
-        let demands = known.demands.iter();
+        let demands = observation.demands.iter();
         let demands = demands.map(|(source, demand)| (*source, demand.scaled(factor)));
 
-        let left = self.remaining(of);
-        let kept = if left > 0.0 {
-            self.remaining(now) / left
+        let before = self.remaining(observed_at);
+        let remaining_share = if before > 0.0 {
+            self.remaining(now) / before
         } else {
             1.0
         };
-        let begun = self.admitted_seconds(of, now) * self.demand_rate;
-        let under_way = requests * kept.clamp(0.0, 1.0) + begun;
+        let started = self.admitted_seconds(observed_at, now) * self.demand_rate;
+        let in_flight = requests * remaining_share.clamp(0.0, 1.0) + started;
         let factor = if requests > 0.0 {
-            under_way / requests
+            in_flight / requests
         } else {
             1.0
         };
         Estimate {
             demands: demands.collect(),
             pressure: Pressure {
-                requests: under_way,
-                memory: clamp_or_zero(known.pressure.memory, MAX_COUNT) * factor,
-                slots: clamp_or_zero(known.pressure.slots, MAX_COUNT) * factor,
+                requests: in_flight,
+                memory: clamp_or_zero(observation.pressure.memory, MAX_COUNT) * factor,
+                slots: clamp_or_zero(observation.pressure.slots, MAX_COUNT) * factor,
             },
-            completion_rate: under_way
-                / (self.base_duration * slowdown_factor(known.full_slowdown, TYPICAL_UTILIZATION)),
+            completion_rate: in_flight
+                / (self.base_duration
+                    * slowdown_factor(observation.full_slowdown, TYPICAL_UTILIZATION)),
         }
     }
 
-    /// Notes how many requests a second may begin by the level that was computed from the
-    /// last estimate.
+    /// Records how many requests a second may start, by the level that was computed from
+    /// the last estimate.
     pub fn record_allowed_rate(&mut self, now: Duration, allowed: f64) {
-        let part = if self.demand_rate > 0.0 {
+        let share = if self.demand_rate > 0.0 {
             allowed / self.demand_rate
         } else {
             1.0
         };
         self.admitted_shares
-            .push_back((now.as_secs_f64(), part.clamp(0.0, 1.0)));
+            .push_back((now.as_secs_f64(), share.clamp(0.0, 1.0)));
         if self.admitted_shares.len() > MAX_SAMPLES {
             self.admitted_shares.pop_front();
         }
     }
 
-    /// Notes what is known of a moment, and returns that moment.
-    fn add_sample(&mut self, of: f64, known: &Observation) -> f64 {
-        let of = self.last_sample.map_or(of, |last| of.max(last.at));
+    /// Adds a sample of the moment `at`, and returns the sample's time, which is never
+    /// before that of the last sample.
+    fn add_sample(&mut self, at: f64, observation: &Observation) -> f64 {
+        let at = self.last_sample.map_or(at, |last| at.max(last.at));
         let sample = Sample {
-            at: of,
-            requests: clamp_or_zero(known.pressure.requests, MAX_COUNT),
-            completion_rate: clamp_or_zero(known.completion_rate, MAX_COUNT),
-            utilization: clamp_or_zero(known.pressure.max_share(), MAX_UTILIZATION),
-            boxes: known.boxes,
+            at,
+            requests: clamp_or_zero(observation.pressure.requests, MAX_COUNT),
+            completion_rate: clamp_or_zero(observation.completion_rate, MAX_COUNT),
+            utilization: clamp_or_zero(observation.pressure.max_share(), MAX_UTILIZATION),
+            boxes: observation.boxes,
         };
         match self.last_sample.replace(sample) {
-            Some(last) if of - last.at >= MAX_SAMPLE_GAP_S => {
-                self.reset_cohorts(known.full_slowdown, &sample)
+            Some(last) if at - last.at >= MAX_SAMPLE_GAP_S => {
+                self.reset_cohorts(observation.full_slowdown, &sample)
             }
             Some(last) if (last.boxes - sample.boxes).abs() > last.boxes * MAX_BOX_CHANGE => {
                 self.scale_cohorts(sample.requests / last.requests.max(1.0));
             }
-            Some(last) => self.add_started(known.full_slowdown, &last, &sample),
-            None => self.reset_cohorts(known.full_slowdown, &sample),
+            Some(last) => self.add_started(observation.full_slowdown, &last, &sample),
+            None => self.reset_cohorts(observation.full_slowdown, &sample),
         }
-        of
+        at
     }
 
-    /// Takes requests to have begun evenly, where nothing is known of the time before.
-    fn reset_cohorts(&mut self, growth: f64, sample: &Sample) {
-        let slow = slowdown_factor(growth, sample.utilization);
-        let each = self.base_duration * slow / f64::from(INITIAL_COHORTS);
+    /// Assumes that the requests in flight started evenly over time, as nothing is known
+    /// of the time before.
+    fn reset_cohorts(&mut self, full_slowdown: f64, sample: &Sample) {
+        let slowdown = slowdown_factor(full_slowdown, sample.utilization);
+        let span = self.base_duration * slowdown / f64::from(INITIAL_COHORTS);
         let cohort = |n: u32| Cohort {
-            first_start: sample.at - each * f64::from(INITIAL_COHORTS - n),
-            mean_start: sample.at - each * (f64::from(INITIAL_COHORTS - n) - 0.5),
+            first_start: sample.at - span * f64::from(INITIAL_COHORTS - n),
+            mean_start: sample.at - span * (f64::from(INITIAL_COHORTS - n) - 0.5),
             requests: sample.requests / f64::from(INITIAL_COHORTS),
-            slowdown: slow,
+            slowdown,
         };
         self.cohorts = (0..INITIAL_COHORTS).map(cohort).collect();
     }
 
-    /// Notes the requests that began between two moments: as many more as are under way,
-    /// and as many as ended.
-    fn add_started(&mut self, growth: f64, last: &Sample, sample: &Sample) {
-        // The rate of ends is a mean that fades; both terms together are the count.
+    /// Adds the requests that started between two samples: the increase of requests in
+    /// flight, plus those that completed.
+    fn add_started(&mut self, full_slowdown: f64, last: &Sample, sample: &Sample) {
+        // The completion rate is a decaying mean; both terms together give the count.
         let mean = (sample.completion_rate + last.completion_rate) / 2.0 * (sample.at - last.at);
-        let ended = mean
+        let completed = mean
             + COMPLETION_WINDOW.as_secs_f64() * (sample.completion_rate - last.completion_rate);
-        let rest = (last.requests - ended.max(0.0)).max(0.0);
-        let begun = (sample.requests - rest).max(0.0);
-        if sample.requests < rest {
+        let remaining = (last.requests - completed.max(0.0)).max(0.0);
+        let started = (sample.requests - remaining).max(0.0);
+        if sample.requests < remaining {
             // Some were lost with their box or engine.
-            self.scale_cohorts(sample.requests / rest);
+            self.scale_cohorts(sample.requests / remaining);
         }
         let new = Cohort {
             first_start: last.at,
             mean_start: (sample.at + last.at) / 2.0,
-            requests: begun,
-            slowdown: slowdown_factor(growth, (sample.utilization + last.utilization) / 2.0),
+            requests: started,
+            slowdown: slowdown_factor(full_slowdown, (sample.utilization + last.utilization) / 2.0),
         };
-        let least = self.base_duration * COHORT_SHARE;
+        let min_span = self.base_duration * COHORT_SHARE;
         match self
             .cohorts
             .back_mut()
-            .filter(|c| sample.at < c.first_start + least)
+            .filter(|c| sample.at < c.first_start + min_span)
         {
             Some(cohort) => cohort.merge(&new),
             None => self.cohorts.push_back(new),
@@ -306,102 +323,121 @@
         self.cohorts.iter_mut().for_each(|c| c.requests *= factor);
     }
 
-    /// Learns how long requests stay: as many must be left as are under way.
-    fn update_duration(&mut self, of: f64, requests: f64) {
-        let left = self.remaining(of);
-        if left <= 0.0 || requests <= 0.0 {
+    /// Updates the learned duration so that the cohorts' remaining requests match those
+    /// in flight.
+    fn update_duration(&mut self, at: f64, requests: f64) {
+        let remaining = self.remaining(at);
+        if remaining <= 0.0 || requests <= 0.0 {
             return;
         }
-        let step = (requests / left).clamp(1.0 / MAX_DURATION_STEP, MAX_DURATION_STEP);
-        let (least, most) = DURATION_RANGE_S;
-        self.base_duration = (self.base_duration * step.powf(DURATION_GAIN)).clamp(least, most);
+        let step = (requests / remaining).clamp(1.0 / MAX_DURATION_STEP, MAX_DURATION_STEP);
+        let (min, max) = DURATION_RANGE_S;
+        self.base_duration = (self.base_duration * step.powf(DURATION_GAIN)).clamp(min, max);
     }
 
-    /// Requests of those that had begun by the last report that have not ended at a time.
+    /// Returns how many of the requests in all cohorts are still in flight at a time.
     fn remaining(&self, at: f64) -> f64 {
-        let left = |cohort: &Cohort| {
-            let stays = (at - cohort.mean_start) / (self.base_duration * cohort.slowdown);
+        let in_flight = |cohort: &Cohort| {
+            let age = (at - cohort.mean_start) / (self.base_duration * cohort.slowdown);
             cohort.requests
-                * ((1.0 + DURATION_SPREAD - stays) / (2.0 * DURATION_SPREAD)).clamp(0.0, 1.0)
+                * ((1.0 + DURATION_SPREAD - age) / (2.0 * DURATION_SPREAD)).clamp(0.0, 1.0)
         };
-        self.cohorts.iter().map(left).sum()
+        self.cohorts.iter().map(in_flight).sum()
     }
 
-    /// Seconds between two times, each counted by the part of the requests that was
-    /// admitted.
+    /// Returns the seconds between two times, each weighted by the share of requests that
+    /// was admitted.
     fn admitted_seconds(&self, from: f64, to: f64) -> f64 {
         let (mut seconds, mut end) = (0.0, to);
-        for (at, part) in self.admitted_shares.iter().rev() {
-            let begin = at.clamp(from, end);
-            seconds += part * (end - begin);
-            end = begin;
+        for (at, share) in self.admitted_shares.iter().rev() {
+            let start = at.clamp(from, end);
+            seconds += share * (end - start);
+            end = start;
         }
-        // All were admitted before the first level.
+        // Before the first level, all requests were admitted.
         seconds + (end - from)
     }
 }
 
 impl Cohort {
-    fn merge(&mut self, more: &Cohort) {
-        let sum = self.requests + more.requests;
+    fn merge(&mut self, other: &Cohort) {
+        let sum = self.requests + other.requests;
         if sum > 0.0 {
-            let mean = |a: f64, b: f64| (a * self.requests + b * more.requests) / sum;
+            let mean = |a: f64, b: f64| (a * self.requests + b * other.requests) / sum;
             (self.mean_start, self.slowdown) = (
-                mean(self.mean_start, more.mean_start),
-                mean(self.slowdown, more.slowdown),
+                mean(self.mean_start, other.mean_start),
+                mean(self.slowdown, other.slowdown),
             );
         }
         self.requests = sum;
     }
 }
 
-/// Factor on the stay of requests that begin at such a use of the engines: their passes
-/// take longer with more requests in them.
-fn slowdown_factor(growth: f64, used: f64) -> f64 {
-    1.0 + clamp_or_zero(growth, MAX_SLOWDOWN) * used
+/// Returns the factor on the duration of requests that start at a utilization of the
+/// engines: passes take longer with more requests in them.
+fn slowdown_factor(full_slowdown: f64, utilization: f64) -> f64 {
+    1.0 + clamp_or_zero(full_slowdown, MAX_SLOWDOWN) * utilization
 }
 
-/// A figure from 0 to `most`; 0 for one that is not a number.
-fn clamp_or_zero(told: f64, most: f64) -> f64 {
-    match told.is_nan() {
+/// Clamps a value to 0 to `max`; returns 0 for NaN.
+fn clamp_or_zero(value: f64, max: f64) -> f64 {
+    match value.is_nan() {
         true => 0.0,
-        false => told.clamp(0.0, most),
+        false => value.clamp(0.0, max),
     }
 }
 
-/// How demand changes.
+/// Trend of the demand.
 #[derive(Clone, Debug, Default)]
 struct Trend {
-    /// Rates that were told, with the times that they are of.
+    /// Times in seconds, and the demand rates reported for them.
     samples: VecDeque<(f64, f64)>,
 }
 
 impl Trend {
-    /// The rate at which requests are asked for now.
+    /// Estimates the present demand rate.
     ///
-    /// What is told is a mean that fades over [`DEMAND_WINDOW`], so two of them tell the rate
-    /// between them. What differs from the mean by more than chance is taken to last.
-    fn current_rate(&mut self, of: f64, told: f64, known: &Observation) -> f64 {
-        let over = known.report_interval.max(MIN_TREND_INTERVAL).as_secs_f64();
-        while self.samples.get(1).is_some_and(|(at, _)| *at <= of - over) {
+    /// Reported rates are means that decay over [`DEMAND_WINDOW`], so two of them give
+    /// the rate between them. The part of that rate's difference from the mean that
+    /// exceeds noise is assumed to continue.
+    fn current_rate(
+        &mut self,
+        observed_at: f64,
+        reported_rate: f64,
+        observation: &Observation,
+    ) -> f64 {
+        let interval = observation
+            .report_interval
+            .max(MIN_TREND_INTERVAL)
+            .as_secs_f64();
+        while self
+            .samples
+            .get(1)
+            .is_some_and(|(at, _)| *at <= observed_at - interval)
+        {
             self.samples.pop_front();
         }
-        let before = self.samples.front().copied();
-        self.samples.push_back((of, told));
+        let previous = self.samples.front().copied();
+        self.samples.push_back((observed_at, reported_rate));
         if self.samples.len() > MAX_SAMPLES {
             self.samples.pop_front();
         }
-        let is_apart = |(at, _): &(f64, f64)| (over..MAX_SAMPLE_GAP_S).contains(&(of - at));
-        let Some((at, before)) = before.filter(is_apart) else {
-            return told;
+        let is_apart =
+            |(at, _): &(f64, f64)| (interval..MAX_SAMPLE_GAP_S).contains(&(observed_at - at));
+        let Some((at, previous)) = previous.filter(is_apart) else {
+            return reported_rate;
         };
         let window = DEMAND_WINDOW.as_secs_f64();
-        let faded = (-(of - at) / window).exp();
-        let between = (told - before * faded) / (1.0 - faded);
-        let chance = NOISE_SIGMAS * (told / (of - at) + told / (2.0 * window)).sqrt();
-        let change = between - told;
-        let more = (change.abs() - chance).max(0.0).copysign(change);
-        let followed = 1.0 - (-known.age.as_secs_f64() / window).exp();
-        (told + more * followed).clamp(told / MAX_TREND_FACTOR, told * MAX_TREND_FACTOR)
+        let decay = (-(observed_at - at) / window).exp();
+        let recent_rate = (reported_rate - previous * decay) / (1.0 - decay);
+        let noise = NOISE_SIGMAS
+            * (reported_rate / (observed_at - at) + reported_rate / (2.0 * window)).sqrt();
+        let change = recent_rate - reported_rate;
+        let trend = (change.abs() - noise).max(0.0).copysign(change);
+        let weight = 1.0 - (-observation.age.as_secs_f64() / window).exp();
+        (reported_rate + trend * weight).clamp(
+            reported_rate / MAX_TREND_FACTOR,
+            reported_rate * MAX_TREND_FACTOR,
+        )
     }
 }
--- a/crates/ashgauge/src/node/store.rs
+++ b/crates/ashgauge/src/node/store.rs
@@ -217,7 +217,7 @@
     /// that the other boxes make no calls.
     fn tick_lease(&mut self) {
         let owner = self.members.owner_of(self.now, "lease");
-        let wanted = !self.policy.goals.is_empty() && !self.control.draining;
+        let wanted = !self.policy.desired_states.is_empty() && !self.control.draining;
         if !wanted || owner.as_ref() != Some(&self.config.id) {
             return;
         }
--- a/crates/ashgauge/src/policy.rs
+++ b/crates/ashgauge/src/policy.rs
@@ -1,4 +1,4 @@
-//! The table compiled into the form that decisions read.
+//! Policy: the configuration table, compiled into the form that decisions use.
 
 use std::collections::{BTreeMap, HashMap};
 use std::sync::Arc;
@@ -20,34 +20,34 @@
 const DEFAULT_QUEUE_LIMIT: usize = 64;
 const DEFAULT_DEADLINE: Duration = Duration::from_secs(60);
 
-/// One team's weights and limits.
+/// Weight and limits of one team.
 #[derive(Clone, Debug)]
 pub struct Team {
     /// Name.
     pub id: TeamId,
-    /// Order of the tier; 0 goes first.
+    /// Rank of the tier; 0 goes first.
     pub rank: u32,
-    /// Share within the tier.
+    /// Weight within the tier.
     pub weight: f64,
     /// Tokens a second over the fleet, if limited.
     pub token_rate: Option<f64>,
-    /// Requests that may wait on one box.
+    /// Largest number of requests that may wait on one box.
     pub queue_limit: usize,
 }
 
-/// What a route leads to.
+/// Target of a route.
 #[derive(Clone, Debug, PartialEq)]
 pub enum Target {
-    /// A model with this many layers.
+    /// Model with this many layers.
     Model(u32),
-    /// A plain service under this path prefix.
+    /// Plain service under this path prefix.
     Service(String),
 }
 
-/// One route.
+/// Route of requests.
 #[derive(Clone, Debug)]
 pub struct Route {
-    /// What it leads to.
+    /// Target.
     pub target: Target,
     /// Whether a request may be sent twice.
     pub repeatable: bool,
@@ -55,17 +55,17 @@
     pub deadline: Duration,
 }
 
-/// A table version, ready for decisions.
+/// Policy of one version of the table.
 #[derive(Clone, Debug, Default)]
 pub struct Policy {
-    /// Version of the table it was made from.
+    /// Version of the table.
     pub version: Version,
     /// Routes by name.
     pub routes: HashMap<String, Route>,
-    /// Floor share by tier rank, 0 to 1.
+    /// Reserved share of tokens by tier rank, 0 to 1.
     pub tier_floors: HashMap<u32, f64>,
-    /// Wanted states of upstreams.
-    pub goals: BTreeMap<UpstreamId, DesiredState>,
+    /// Desired states of upstreams.
+    pub desired_states: BTreeMap<UpstreamId, DesiredState>,
     teams_by_key: HashMap<u64, Vec<(KeyHash, Arc<Team>)>>,
     teams_by_name: HashMap<TeamId, Arc<Team>>,
 }
@@ -76,31 +76,31 @@
 }
 
 impl Policy {
-    /// Compiles a checked table.
+    /// Compiles a validated table.
     pub fn new(version: Version, table: &Table) -> Self {
-        let mut p = Policy {
+        let mut policy = Policy {
             version,
             ..Policy::default()
         };
         for row in table.rows.keys() {
             match row.split_once('/') {
-                Some(("tier", _)) => p.add_tier(table, row),
-                Some(("team", name)) => p.add_team(table, row, name),
-                Some(("route", name)) => p.add_route(table, row, name),
-                Some(("upstream", name)) => p.add_goal(table, row, name),
+                Some(("tier", _)) => policy.add_tier(table, row),
+                Some(("team", name)) => policy.add_team(table, row, name),
+                Some(("route", name)) => policy.add_route(table, row, name),
+                Some(("upstream", name)) => policy.add_desired_state(table, row, name),
                 _ => {}
             }
         }
-        p
+        policy
     }
 
-    /// Finds the team that a key hash belongs to.
+    /// Finds the team with a key hash.
     ///
-    /// Candidates share the hash's first eight bytes and are compared in
-    /// constant time.
+    /// Candidates share the first eight bytes of the hash and are compared in constant
+    /// time.
     pub fn find_team(&self, hash: &KeyHash) -> Option<&Arc<Team>> {
-        let same = self.teams_by_key.get(&hash_prefix(hash))?;
-        let found = same.iter().find(|(h, _)| bool::from(h.ct_eq(hash)));
+        let candidates = self.teams_by_key.get(&hash_prefix(hash))?;
+        let found = candidates.iter().find(|(h, _)| bool::from(h.ct_eq(hash)));
         found.map(|(_, t)| t)
     }
 
@@ -109,21 +109,21 @@
         self.teams_by_name.get(id)
     }
 
-    /// Number of teams.
+    /// Returns the number of teams.
     pub fn team_count(&self) -> usize {
         self.teams_by_name.len()
     }
 
     /// Finds the service route with the longest path prefix of `path`.
     pub fn find_service(&self, path: &str) -> Option<&str> {
-        let prefix = |r: &Route| match &r.target {
+        let prefix_len = |r: &Route| match &r.target {
             Target::Service(p) if is_under(path, p) => Some(p.len()),
             _ => None,
         };
         let matches = self
             .routes
             .iter()
-            .filter_map(|(n, r)| Some((prefix(r)?, n)));
+            .filter_map(|(n, r)| Some((prefix_len(r)?, n)));
         matches.max().map(|(_, n)| n.as_str())
     }
 
@@ -153,16 +153,16 @@
         }
     }
 
-    fn add_goal(&mut self, table: &Table, row: &str, name: &str) {
+    fn add_desired_state(&mut self, table: &Table, row: &str, name: &str) {
         let get = |column| text_cell(table, row, column).map(String::from);
-        let goal = DesiredState {
+        let state = DesiredState {
             hash: 0,
             load: get("load"),
             adapter: get("adapter"),
             version: get("version"),
             role: get("role"),
         };
-        self.goals.insert(name.into(), goal.with_hash());
+        self.desired_states.insert(name.into(), state.with_hash());
     }
 
     fn add_route(&mut self, table: &Table, row: &str, name: &str) {
--- a/crates/ashgauged/src/relay/permit.rs
+++ b/crates/ashgauged/src/relay/permit.rs
@@ -42,7 +42,7 @@
         None => "no answer",
     };
     shared.metrics.permits.with_label_values(&[result]).inc();
-    let Some(time) = permit::closed_for(verdict) else {
+    let Some(time) = permit::block_time(verdict) else {
         return true;
     };
     shared.registry.borrow_mut().block(shared.now(), id, time);
@@ -104,7 +104,7 @@
     let mut passed = shared.permits.silent_boxes.borrow_mut();
     match verdict {
         Ok(Ok(verdict)) => {
-            passed.clear(to);
+            passed.record_reply(to);
             Some(verdict)
         }
         // The sender is dropped by the answer only.
--- a/crates/ashgauged/src/relay/request.rs
+++ b/crates/ashgauged/src/relay/request.rs
@@ -87,7 +87,7 @@
         let routing = shared.routing();
         let priorities = routing.priorities(&self.service.name);
         if let (Some(class), Some(priorities)) = (self.class, priorities) {
-            return priorities.priority(class);
+            return priorities.engine_priority(class);
         }
         let team_rank = self.team.as_ref().and_then(|t| t.priority);
         team_rank.unwrap_or(self.route.priority)
--- a/crates/ashgauged/src/relay/select.rs
+++ b/crates/ashgauged/src/relay/select.rs
@@ -142,7 +142,7 @@
         let reporting = fleet_load.boxes() as f64 + 1.0;
         // More boxes are heard from than exist if some are also part of a hub's sum.
         let factor = fleet_load.present_boxes(f64::from(self.fleet_size())) / reporting;
-        let key = demand::key(service);
+        let key = demand::name_key(service);
         let mut demands = traffic.demands_of(key);
         for (_, demand) in &mut demands {
             *demand = demand.scaled(factor);
--- a/crates/caller/src/answer.rs
+++ b/crates/caller/src/answer.rs
@@ -1,4 +1,4 @@
-//! From a node's replies to an HTTP answer.
+//! Converts a node's replies into an HTTP answer.
 
 use std::convert::Infallible;
 use std::pin::Pin;
@@ -16,13 +16,13 @@
 
 use crate::{Answer, AnswerFormat};
 
-/// Header that carries the outcome.
+/// Header with the outcome of the request.
 pub const OUTCOME_HEADER: &str = "ashgauge-outcome";
 
-/// Header that carries the request's name.
+/// Header with the request's name.
 const REQUEST_HEADER: &str = "ashgauge-request";
 
-/// An error answer.
+/// Error answer.
 #[derive(Clone, Debug)]
 pub struct Problem {
     status: StatusCode,
@@ -62,7 +62,7 @@
         }
     }
 
-    /// The answer, with all that it says as JSON.
+    /// Returns the HTTP response, with all details as JSON.
     pub fn response(&self) -> Response<Body> {
         let mut response = json(self.status, &self.to_json());
         let headers = response.headers_mut();
@@ -85,21 +85,21 @@
     }
 }
 
-/// Waits for the first part and answers in the wanted form.
-pub(crate) async fn respond(answer: Answer, shape: AnswerFormat) -> Response<Body> {
+/// Waits for the first reply and answers in the requested format.
+pub(crate) async fn respond(answer: Answer, format: AnswerFormat) -> Response<Body> {
     let name = HeaderValue::from_str(&answer.request_name);
-    let mut response = build_response(answer, shape).await;
+    let mut response = build_response(answer, format).await;
     if let Ok(name) = name {
         response.headers_mut().insert(REQUEST_HEADER, name);
     }
     response
 }
 
-async fn build_response(mut answer: Answer, shape: AnswerFormat) -> Response<Body> {
+async fn build_response(mut answer: Answer, format: AnswerFormat) -> Response<Body> {
     let Some(first) = answer.replies.recv().await else {
         return Problem::stopped().response();
     };
-    match (first, shape) {
+    match (first, format) {
         (ReplyPart::Refused(refusal), _) => Problem::from_refusal(&refusal).response(),
         (ReplyPart::Called(called), _) => {
             let mut response = Response::new(full(called.body));
@@ -112,8 +112,8 @@
             }
             response
         }
-        (first, shape) if shape.is_stream() => stream_answer(first, answer, shape),
-        (first, shape) => collect_answer(first, answer, &shape).await,
+        (first, format) if format.is_stream() => stream_answer(first, answer, format),
+        (first, format) => collect_answer(first, answer, &format).await,
     }
 }
 
@@ -179,11 +179,11 @@
     }
 }
 
-/// A server-sent event stream over a node's replies.
+/// Stream of server-sent events, made from a node's replies.
 struct EventStream {
-    first: Option<ReplyPart>,
+    first_reply: Option<ReplyPart>,
     answer: Answer,
-    shape: AnswerFormat,
+    format: AnswerFormat,
     finish_reason: &'static str,
     finished: bool,
 }
@@ -193,11 +193,11 @@
         match reply {
             ReplyPart::Token(Token { text, end, .. }) => {
                 self.finish_reason = if end { "stop" } else { "length" };
-                sse_event(&self.shape.chunk_json(&text, None))
+                sse_event(&self.format.chunk_json(&text, None))
             }
             ReplyPart::End { .. } => {
                 self.finished = true;
-                let mut last = self.shape.chunk_json("", Some(self.finish_reason));
+                let mut last = self.format.chunk_json("", Some(self.finish_reason));
                 last["ashgauge_outcome"] = json!(serialized_name(&Outcome::Done));
                 let mut bytes = sse_event(&last).to_vec();
                 bytes.extend_from_slice(b"data: [DONE]\n\n");
@@ -225,7 +225,7 @@
         if self.finished {
             return Poll::Ready(None);
         }
-        let reply = match self.first.take() {
+        let reply = match self.first_reply.take() {
             Some(reply) => Some(reply),
             None => ready!(self.answer.replies.poll_recv(cx)),
         };
@@ -241,24 +241,24 @@
     }
 }
 
-fn stream_answer(first: ReplyPart, answer: Answer, shape: AnswerFormat) -> Response<Body> {
+fn stream_answer(first: ReplyPart, answer: Answer, format: AnswerFormat) -> Response<Body> {
     let events = EventStream {
-        first: Some(first),
+        first_reply: Some(first),
         answer,
-        shape,
+        format,
         finish_reason: "length",
         finished: false,
     };
     let mut response = Response::new(events.boxed());
-    let kind = HeaderValue::from_static("text/event-stream");
-    response.headers_mut().insert(CONTENT_TYPE, kind);
+    let content_type = HeaderValue::from_static("text/event-stream");
+    response.headers_mut().insert(CONTENT_TYPE, content_type);
     response
 }
 
 async fn collect_answer(
     first: ReplyPart,
     mut answer: Answer,
-    shape: &AnswerFormat,
+    format: &AnswerFormat,
 ) -> Response<Body> {
     let mut text = String::new();
     let mut finish = "length";
@@ -272,7 +272,7 @@
                 }
             }
             ReplyPart::End { prompt, generated } => {
-                let value = shape.completion_json(&text, (prompt, generated), finish);
+                let value = format.completion_json(&text, (prompt, generated), finish);
                 let mut response = json(StatusCode::OK, &value);
                 let headers = response.headers_mut();
                 headers.insert(OUTCOME_HEADER, outcome_value(Outcome::Done));
