--- a/crates/ashgauge/src/context.rs
+++ b/crates/ashgauge/src/context.rs
@@ -1,4 +1,4 @@
-//! What a choice is made from: the upstreams, and what all boxes have on them.
+//! Context of a selection: the upstreams, and the load that all boxes put on them.
 
 use std::sync::Arc;
 use std::time::Duration;
@@ -11,52 +11,54 @@
 use crate::upstream_state::UpstreamState;
 use crate::wan::WanUsage;
 
-/// Costs are spread by this share at random, so that boxes that know the same
-/// do not all choose the same.
+/// Random share by which costs vary, so that boxes with the same knowledge do not all
+/// select the same upstream.
 const COST_JITTER: f64 = 0.08;
 
-/// The same where boxes choose together: what they choose now is in no word of
-/// theirs yet, and the same two would read all streams of a lost engine anew.
+/// The same for simultaneous selections. The load that results from them is in no report
+/// yet, so without more variation the same two engines would read all streams of a lost
+/// engine again.
 const SIMULTANEOUS_COST_JITTER: f64 = 0.4;
 
-/// What is chosen from, and by whom.
+/// What a selection is made from, and by which box.
 #[derive(Clone, Copy)]
 pub struct SelectionContext<'a> {
     /// The upstreams.
     pub registry: &'a UpstreamRegistry,
-    /// What crosses between data centres.
+    /// Recent traffic between data centres.
     pub wan_usage: &'a WanUsage,
-    /// What the other boxes have on the upstreams.
+    /// Load that the other boxes report.
     pub fleet_load: &'a FleetLoad,
     /// Name of the service.
     pub service: &'a str,
     /// Data centre of the box.
     pub data_centre: &'a Arc<str>,
-    /// Time between two words of a box in another data centre.
+    /// Time between two load reports of a box in another data centre.
     pub remote_interval: Duration,
     /// Boxes of the fleet, this one included.
     pub boxes: f64,
     /// Boxes in one data centre, on average.
     pub local_boxes: f64,
-    /// Time that requests stay on the service's upstreams.
+    /// Mean duration of requests on the service's upstreams.
     pub request_duration: Duration,
-    /// Whether the other boxes choose at the same moment for the same cause, such
-    /// as the loss of an engine that all of them use.
+    /// Whether the other boxes select at the same moment for the same reason, such as the
+    /// loss of an engine that all of them use.
     pub simultaneous: bool,
-    /// What the request has to read and to write; `None` for a usual one.
+    /// Tokens that the request has to read and to write; `None` for a typical request.
     pub size: Option<RequestSize>,
-    /// Time of the choice.
+    /// Time of the selection.
     pub now: Duration,
 }
 
 impl SelectionContext<'_> {
-    /// The service's upstreams in the box's data centre that may be used.
+    /// Iterates over the service's usable upstreams in the data centre of the box.
     pub(crate) fn local_upstreams(&self) -> impl Iterator<Item = &UpstreamState> {
         let all = self.registry.of_service(self.service);
         all.filter(|e| e.upstream.data_centre == *self.data_centre && e.is_usable(self.now))
     }
 
-    /// A factor on a cost, so that boxes do not all choose the same.
+    /// Returns a random factor for a cost, so that boxes do not all select the same
+    /// upstream.
     pub(crate) fn jitter(&self, rng: &mut impl Rng) -> f64 {
         let spread = if self.simultaneous {
             SIMULTANEOUS_COST_JITTER
@@ -67,16 +69,16 @@
     }
 }
 
-/// What all boxes have on an upstream, as far as this one knows.
+/// Estimated load of an upstream from all boxes.
 ///
-/// Boxes that were not heard lately are taken to do as those that were: all of
-/// them, or the part of them that stands in the upstream's data centre if it is
-/// this box's own.
+/// Boxes without a recent report are assumed to cause the same load as those that report:
+/// all boxes of the fleet, or, for an upstream in this box's data centre, those of that
+/// data centre.
 pub(crate) struct EstimatedLoad {
     pub requests: f64,
     pub head_requests: f64,
     pub token_layers: f64,
-    /// Seconds for which it has prompts to read.
+    /// Seconds that it still needs to read prompts.
     pub prefill_seconds: f64,
 }
 
@@ -102,7 +104,7 @@
     }
 }
 
-/// Boxes that are taken to use an engine as this one does.
+/// Returns the number of boxes that are assumed to use an engine as this one does.
 fn similar_boxes(context: &SelectionContext, entry: &UpstreamState) -> f64 {
     match entry.upstream.data_centre == *context.data_centre {
         true => context.local_boxes,
--- a/crates/ashgauge/src/hub.rs
+++ b/crates/ashgauge/src/hub.rs
@@ -1,10 +1,9 @@
-//! Whom a box tells its loads, and how often.
+//! Which boxes a box sends its load reports to, and how often.
 //!
-//! In a small fleet each box tells every other one. What that takes grows with the
-//! square of the fleet, so in a large one the boxes that read the store are hubs: a
-//! box tells its hub, hubs tell each other what their boxes have together, and hand
-//! on the sum of all. What a box keeps and sends stays the same then, however many
-//! there are.
+//! In a small fleet each box reports to every other one. That traffic grows with the square
+//! of the fleet, so in a large fleet the boxes that read the store are hubs: a box reports
+//! to its hub, hubs send each other the sums of their boxes and forward the total to them.
+//! The state and the traffic of a box are then independent of the size of the fleet.
 
 use std::time::Duration;
 
@@ -12,29 +11,31 @@
 use crate::member::BoxId;
 use crate::reader::Readers;
 
-/// Boxes of a fleet in which each tells every other one: a word from far away comes
-/// about twice a second then, as over hubs.
+/// Largest fleet in which each box reports to every other one: with this many boxes a
+/// report from another data centre arrives about twice a second, which is as often as
+/// through hubs.
 const MAX_DIRECT_BOXES: usize = 40;
 
-/// Time between two words of a box to its hub, if something changed.
+/// Time between two reports of a box to its hub, if something changed.
 const UPLINK_INTERVAL: Duration = Duration::from_millis(150);
 
-/// Time between two words of a hub to its boxes on upstreams of their data centre.
+/// Time between two reports of a hub to its boxes about upstreams in their data centre.
 pub const LOCAL_INTERVAL: Duration = Duration::from_millis(250);
 
-/// The same on the other upstreams, which are used when those near do not do; there
-/// are several times as many.
+/// The same for upstreams in other data centres. These are only used when the local ones do
+/// not suffice, and there are several times as many.
 pub const REMOTE_INTERVAL: Duration = Duration::from_millis(1000);
 
-/// Words in which what boxes have on far upstreams is told.
+/// Number of reports over which the upstreams of other data centres are split.
 const REMOTE_PARTS: u8 = 2;
 
-/// The words that a hub tells its boxes.
+/// Iterates over the scopes of the reports that a hub sends to its boxes.
 pub fn leaf_scopes() -> impl Iterator<Item = Scope> {
     std::iter::once(Scope::Local).chain((0..REMOTE_PARTS).map(Scope::Remote))
 }
 
-/// Whether such a word tells of an upstream, which may be near its receiver.
+/// Returns whether a report of this scope includes an upstream, which may be in the data
+/// centre of the receiver (`is_local`).
 pub fn is_in_scope(scope: Scope, key: UpstreamKey, is_near: bool) -> bool {
     match scope {
         Scope::Own => true,
@@ -43,7 +44,7 @@
     }
 }
 
-/// Time between two such words.
+/// Returns the time between two such reports.
 pub fn leaf_interval(scope: Scope) -> Duration {
     match scope {
         Scope::Remote(_) => REMOTE_INTERVAL,
@@ -51,23 +52,24 @@
     }
 }
 
-/// What a box is to the others.
+/// Role of a box in the exchange of load reports.
 #[derive(Clone, Debug, PartialEq)]
 pub enum Role {
-    /// It tells every other box.
+    /// Reports to every other box.
     Peer,
-    /// It tells the other hubs, and the boxes that tell it.
+    /// Reports to the other hubs, and to the boxes that report to it.
     Hub,
-    /// It tells this hub.
+    /// Reports to this hub only.
     Leaf(BoxId),
 }
 
-/// Whether a fleet of so many boxes is small enough for each to tell every other one.
+/// Returns whether a fleet of so many boxes is small enough for each to report to every
+/// other one.
 pub fn is_full_mesh(boxes: usize) -> bool {
     boxes <= MAX_DIRECT_BOXES
 }
 
-/// The role of a box in a fleet of so many, that sees these readers.
+/// Returns the role of a box in a fleet of so many boxes, given the readers that it sees.
 ///
 /// # Example
 ///
@@ -75,9 +77,9 @@
 /// use ashgauge::hub::{role, Role};
 /// use ashgauge::reader::Readers;
 ///
-/// let reader_count = Readers { ids: vec!["b1".into()], sources: vec!["b1".into()], ..Default::default() };
-/// assert_eq!(role(7, &reader_count), Role::Peer);
-/// assert_eq!(role(985, &reader_count), Role::Leaf("b1".into()));
+/// let readers = Readers { ids: vec!["b1".into()], sources: vec!["b1".into()], ..Default::default() };
+/// assert_eq!(role(7, &readers), Role::Peer);
+/// assert_eq!(role(985, &readers), Role::Leaf("b1".into()));
 /// ```
 pub fn role(boxes: usize, readers: &Readers) -> Role {
     if is_full_mesh(boxes) || readers.ids.is_empty() {
@@ -91,8 +93,8 @@
 }
 
 impl Role {
-    /// Times between two words to boxes of the own data centre, of which there are
-    /// `near`, and to those elsewhere, of `others` in all that this box tells.
+    /// Returns the time between two reports to boxes in the same data centre, of which
+    /// there are `local`, and to those elsewhere, if this box reports to `others` in total.
     pub fn intervals(&self, near: usize, others: usize) -> (Duration, Duration) {
         match self {
             Role::Leaf(_) => (UPLINK_INTERVAL, UPLINK_INTERVAL),
@@ -100,8 +102,8 @@
         }
     }
 
-    /// Time between two words on what boxes elsewhere have, where this box tells
-    /// `others`.
+    /// Returns the time between two reports about the usage of boxes in other data centres,
+    /// if this box reports to `others`.
     pub fn remote_interval(&self, others: usize) -> Duration {
         let told = report_intervals(0, others).1;
         match self {
@@ -111,8 +113,9 @@
         }
     }
 
-    /// Time between two words of one box on what its callers ask for. In a small fleet
-    /// those of several boxes come in between where it is longer.
+    /// Returns the time between two reports of one box about the demand of its callers. In
+    /// a small fleet the actual time may be longer, but the reports of several boxes then
+    /// arrive within it.
     pub fn traffic_interval(&self) -> Duration {
         match self {
             Role::Peer => report_intervals(0, 0).0,
--- a/crates/ashgauge/src/load_report.rs
+++ b/crates/ashgauge/src/load_report.rs
@@ -1,13 +1,12 @@
-//! What boxes tell each other of the load that they put on upstreams.
+//! Load reports: what boxes tell each other about the load that they put on upstreams.
 //!
-//! A box knows its own requests; what an upstream has to bear is the sum over
-//! all boxes. Each box tells its part every fraction of a second, so the sum is
-//! known but for what changed since. A word that was lost is made good by the
-//! next one, and of a box that falls silent the last word counts for some
-//! seconds.
+//! A box knows its own requests, but an upstream carries those of all boxes. Each box
+//! reports its part several times a second, so the total is known except for recent
+//! changes. The next report makes up for a lost one. The last report of a box that has
+//! fallen silent counts for some seconds.
 //!
-//! In a large fleet boxes tell a hub, and hubs tell each other and their boxes sums
-//! ([`crate::hub`]).
+//! In a large fleet boxes report to a hub, and hubs report sums to each other and to their
+//! boxes ([`crate::hub`]).
 
 use std::cmp::Reverse;
 use std::collections::{BTreeMap, BTreeSet, HashMap};
@@ -20,120 +19,122 @@
 pub use crate::ident::{UpstreamKey, upstream_key};
 use crate::permit::LimitReport;
 
-/// Least time that a box's last word counts. Its streams end with it if it
-/// died, and go on if it is only cut off from this one; words may be lost.
+/// Minimum time for which the last report of a box counts. The box may have died, and its
+/// streams with it; or it is only partitioned from this one, and its streams go on. Reports
+/// may also be lost.
 const MIN_REPORT_TTL: Duration = Duration::from_secs(2);
 
-/// Upstreams in one word at most, those with most on them: what a datagram holds.
+/// Maximum number of upstreams in one report, which are those with the highest usage: what
+/// fits into a datagram.
 const MAX_USAGES: usize = 4000;
 
-/// Words of a box that may be lost before it counts as silent.
+/// Number of lost reports after which a box counts as silent.
 const MAX_LOST_REPORTS: u32 = 3;
 
-/// Time for which boxes that fell silent are taken to go on as the others: with what was
-/// heard of them, as long as a cut mostly lasts.
+/// How long boxes that fell silent are assumed to go on like the others, with the average
+/// of what those report: as long as most network partitions last.
 const SILENT_BOX_TTL: Duration = Duration::from_secs(3);
 
-/// Least time between two words: a small part of a request's time.
+/// Minimum time between two reports: a small part of the duration of a request.
 const MIN_REPORT_INTERVAL: Duration = Duration::from_millis(100);
 
-/// Time between two words for each box of the own data centre: bounds what a
-/// box sends there to 250 datagrams a second in a fleet of any size.
+/// Time between two reports, for each box in the same data centre. It bounds what a box
+/// sends there to 250 datagrams a second in a fleet of any size.
 const LOCAL_PEER_INTERVAL: Duration = Duration::from_millis(4);
 
-/// The same for the fleet, as which boxes elsewhere are told: bytes between data
-/// centres are dear, and boxes there use these engines less.
+/// Time between two reports to boxes in other data centres, for each box of the fleet.
+/// Traffic between data centres is expensive, and boxes there use the local engines less.
 const REMOTE_PEER_INTERVAL: Duration = Duration::from_millis(15);
 
-/// Longest time between two words that tell suspects: boxes find them out by
-/// their own requests in a second or two.
+/// Longest time between reports that still include suspects. With longer intervals they are
+/// left out, as boxes find suspects by their own requests within a second or two.
 const MAX_SUSPECTS_INTERVAL: Duration = Duration::from_millis(350);
 
-/// What one box, or all of them, have on an upstream.
+/// How much of an upstream one box, or all of them, use.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Serialize, Deserialize)]
 pub struct Usage {
-    /// Requests that it works on.
+    /// Requests running on it.
     pub requests: u32,
-    /// Those of them that were sent to it by a box.
+    /// Requests among them that a box sent to it directly.
     #[serde(rename = "leads")]
     pub head_requests: u32,
     /// Memory that they hold there, in tokens times layers.
     #[serde(rename = "tokens")]
     pub token_layers: u32,
-    /// Milliseconds for which it has prompts to read.
+    /// Milliseconds that it still needs to read prompts.
     #[serde(rename = "reading")]
     pub prefill_ms: u32,
 }
 
-/// Whose use of which upstreams a word tells.
+/// Whose usage a report contains, and of which upstreams.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, Hash, Serialize, Deserialize)]
 pub enum Scope {
-    /// That of its box, and of those that tell this box alone.
+    /// Usage of the sender, and of the boxes that report only to it.
     #[default]
     Own,
-    /// That of all boxes but the one that is told, of upstreams in its data centre.
+    /// Usage of all boxes except the receiver, of upstreams in the receiver's data centre.
     #[serde(rename = "Near")]
     Local,
-    /// The same of a part of the other upstreams, as one datagram may not hold all.
+    /// The same for one part of the other upstreams, as one datagram may not hold them all.
     #[serde(rename = "Far")]
     Remote(u8),
 }
 
-/// What a box tells: its part of every upstream's load, or a sum of several parts.
+/// A load report: a box's part of the load of every upstream, or a sum of several parts.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub struct LoadReport {
-    /// The box that tells.
+    /// Box that sends it.
     pub from: BoxId,
-    /// Start of its process, so that numbers may begin anew.
+    /// Random id of the sender's process; after a restart `sequence` begins again.
     pub boot: u64,
-    /// Counts its words.
+    /// Sequence number of the report.
     #[serde(rename = "number")]
     pub sequence: u64,
-    /// Whose use of what it tells.
+    /// Whose usage it contains, and of which upstreams.
     pub scope: Scope,
-    /// Boxes for which it tells.
+    /// Number of boxes whose usage it contains.
     pub boxes: u32,
-    /// Upstreams that it uses.
+    /// Usage of upstreams.
     #[serde(rename = "uses")]
     pub usage: UsageList,
-    /// Upstreams that it found to be lost; only in words that are told often.
+    /// Upstreams that the sender found to be lost; only in reports that are sent often.
     pub suspects: Vec<UpstreamKey>,
-    /// Limits that upstreams named.
+    /// Rate limits that upstreams set.
     pub limits: Vec<LimitReport>,
-    /// What callers ask for, and what ends.
+    /// Demand of the callers, and completed requests.
     pub flows: Traffic,
-    /// Engines that told it that they are slow; only in words that are told often.
+    /// Engines that reported to the sender that they are slow; only in reports that are
+    /// sent often.
     pub slow: SlowUpstreams,
 }
 
-/// Engines that say that they are slow, with the factor on their time in tenths, ordered
-/// by their keys.
+/// Engines that report to be slow, with their slowness factor in tenths, ordered by key.
 pub type SlowUpstreams = Vec<(UpstreamKey, u16)>;
 
-/// Uses of upstreams, ordered by their keys.
+/// Usage of upstreams, ordered by key.
 pub type UsageList = Vec<(UpstreamKey, Usage)>;
 
-/// What some boxes have together.
+/// Sum of the load reports of several boxes.
 #[derive(Clone, Debug, Default, PartialEq)]
 pub struct LoadSum {
-    /// How many boxes.
+    /// Number of boxes.
     pub boxes: u32,
-    /// What they have on each upstream that they use.
+    /// Usage of each upstream that they use.
     pub usage: UsageList,
     /// Upstreams that they found to be lost.
     pub suspects: Vec<UpstreamKey>,
-    /// What their callers ask for, and what ends.
+    /// Demand of their callers, and completed requests.
     pub flows: Traffic,
-    /// Engines that told them that they are slow.
+    /// Engines that reported to them that they are slow.
     pub slow: SlowUpstreams,
 }
 
-/// What was heard from the other boxes.
+/// Load that the other boxes of the fleet report.
 #[derive(Debug, Default)]
 pub struct FleetLoad {
     received: HashMap<(BoxId, Scope), ReceivedReport>,
     sums: HashMap<UpstreamKey, UsageTotal>,
-    /// Most boxes that were heard lately, and when so many were heard last.
+    /// Highest recent number of reporting boxes, and when it was last seen.
     peak: (usize, Duration),
 }
 
@@ -149,13 +150,13 @@
     slow: SlowUpstreams,
 }
 
-/// Whether words that are told after this time tell suspects.
+/// Returns whether reports that are sent at this interval include suspects.
 pub fn includes_suspects(time: Duration) -> bool {
     time <= MAX_SUSPECTS_INTERVAL
 }
 
-/// Times between two words to the own data centre, with so many `near` boxes,
-/// and to those elsewhere, in a fleet with so many `others`.
+/// Returns the intervals of the reports to boxes in the same data centre, of which there
+/// are `local`, and to those elsewhere, in a fleet with `others` other boxes.
 ///
 /// # Example
 ///
@@ -178,7 +179,8 @@
 }
 
 impl FleetLoad {
-    /// Takes a word in; returns false if a later one was heard before.
+    /// Applies a report; returns false if it is older than the last one from the same
+    /// source.
     pub fn apply(&mut self, now: Duration, word: LoadReport) -> bool {
         let source = (word.from, word.scope);
         let known = self.received.get(&source);
@@ -204,8 +206,8 @@
         true
     }
 
-    /// Forgets what the next word from this source counts as well: its last one, and
-    /// sums that hold each other.
+    /// Removes the reports whose content the next one from this source replaces: its
+    /// previous one, and sums that overlap with it.
     fn remove_overlapping(&mut self, source: &(BoxId, Scope)) {
         let (from, scope) = source;
         let counts = |(other, theirs): &(BoxId, Scope)| match (scope, theirs) {
@@ -216,7 +218,8 @@
         self.remove_where(|source, _| counts(source));
     }
 
-    /// Forgets boxes that fell silent, where words come in each `lag`.
+    /// Removes the reports of boxes that fell silent, where reports arrive at this
+    /// `interval`.
     pub fn expire(&mut self, now: Duration, lag: Duration) {
         let kept = MIN_REPORT_TTL.max(lag * MAX_LOST_REPORTS);
         self.remove_where(|_, heard| now >= heard.received_at + kept);
@@ -226,7 +229,7 @@
         }
     }
 
-    /// What all other boxes have on an upstream.
+    /// Returns how much of an upstream all other boxes use.
     pub fn others(&self, id: &str) -> Usage {
         self.sums
             .get(&upstream_key(id))
@@ -234,16 +237,16 @@
             .unwrap_or_default()
     }
 
-    /// Boxes of which something was heard a short while ago.
+    /// Returns the number of boxes with a recent report, their own or as part of a sum.
     pub fn boxes(&self) -> usize {
         self.distinct_reports()
             .map(|heard| heard.boxes as usize)
             .sum()
     }
 
-    /// Boxes that are taken to be there, this one included, of so many that are listed:
-    /// of those that fell silent some may only be cut off, so they count for some seconds
-    /// more. Before any word all that are listed count.
+    /// Returns the number of boxes that are assumed to be running, this one included, of
+    /// those that are `listed`. Boxes that fell silent may only be partitioned, so they
+    /// count for some more seconds. Until the first report arrives all listed boxes count.
     pub fn present_boxes(&self, listed: f64) -> f64 {
         match self.peak {
             (0, _) => listed,
@@ -251,21 +254,21 @@
         }
     }
 
-    /// What the callers of this box, which are `own`, and of all others ask for, and what
-    /// ends.
+    /// Returns the demand and the completed requests of all boxes, where `own` are those of
+    /// this box.
     pub fn flows(&self, own: &Traffic) -> Traffic {
         let others = self.distinct_reports().map(|heard| &heard.flows);
         Traffic::sum(std::iter::once(own).chain(others))
     }
 
-    /// What counts each other box once.
+    /// Iterates over reports that together count each other box once.
     fn distinct_reports(&self) -> impl Iterator<Item = &ReceivedReport> {
         let counted = self.received.iter();
         let counted = counted.filter(|((_, scope), _)| !matches!(scope, Scope::Remote(_)));
         counted.map(|(_, heard)| heard)
     }
 
-    /// Boxes that tell this one what they have themselves.
+    /// Iterates over the boxes that report their own usage to this one.
     pub fn senders(&self) -> impl Iterator<Item = &BoxId> {
         let own = self
             .received
@@ -274,25 +277,26 @@
         own.map(|(from, _)| from)
     }
 
-    /// Whether a box told what it has a short while ago.
+    /// Returns whether a box has reported its own usage recently.
     pub fn hears_from(&self, id: &BoxId) -> bool {
         self.received.contains_key(&(id.clone(), Scope::Own))
     }
 
-    /// What this box, with `own`, and those that tell it have together, without the
-    /// boxes that are left out.
+    /// Returns the sum of this box, which is `own`, and of the boxes that report to it,
+    /// without those that `is_excluded` accepts.
     pub fn subtree_sum(&self, own: LoadSum, is_left_out: impl Fn(&str) -> bool) -> LoadSum {
         let counts = |(from, scope): &(BoxId, Scope)| *scope == Scope::Own && !is_left_out(from);
         let heard = self.received.iter().filter(|(source, _)| counts(source));
         merge_reports(own, heard.map(|(_, heard)| heard))
     }
 
-    /// What this box, with `own`, and all others have together, as far as it knows.
+    /// Returns the sum of this box, which is `own`, and of all others, as far as it is
+    /// known.
     pub fn fleet_sum(&self, own: LoadSum) -> LoadSum {
         merge_reports(own, self.received.values())
     }
 
-    /// A sum without what a box told last.
+    /// Returns a sum without the last report of one box.
     pub fn without(&self, sum: &LoadSum, from: &BoxId) -> LoadSum {
         let mut rest = sum.clone();
         let Some(told) = self.received.get(&(from.clone(), Scope::Own)) else {
@@ -328,7 +332,7 @@
     }
 }
 
-/// Adds what was heard to what a box has itself.
+/// Adds reports to the load of this box.
 fn merge_reports<'a>(own: LoadSum, heard: impl Iterator<Item = &'a ReceivedReport>) -> LoadSum {
     let mut boxes = own.boxes;
     let mut sums: BTreeMap<UpstreamKey, Usage> = own.usage.iter().copied().collect();
@@ -357,7 +361,7 @@
 }
 
 impl LoadSum {
-    /// The part of it on some of the upstreams.
+    /// Returns the part of the sum that concerns the upstreams that `is_included` accepts.
     pub fn filtered(&self, is_told: impl Fn(UpstreamKey) -> bool) -> Self {
         let uses = self.usage.iter().filter(|(key, _)| is_told(*key));
         LoadSum {
@@ -366,7 +370,7 @@
         }
     }
 
-    /// The part that a datagram holds: the upstreams with most on them.
+    /// Returns the part that fits into a datagram: the upstreams with the highest usage.
     pub fn truncated(mut self) -> Self {
         self.flows = self.flows.truncated();
         if self.usage.len() > MAX_USAGES {
@@ -379,8 +383,8 @@
     }
 }
 
-/// A sum of uses. It is wider than its parts: what one box tells is taken out again when
-/// its next word comes, and a sum that had overflowed would lack what the others told.
+/// Sum of usages. It is wider than [`Usage`]: the report of a box is subtracted again when
+/// its next one arrives, and a saturated sum would then lack what the others reported.
 #[derive(Clone, Copy, Debug, Default, PartialEq)]
 struct UsageTotal {
     requests: u64,
@@ -416,7 +420,7 @@
 }
 
 impl Usage {
-    /// Adds another part of the load.
+    /// Adds another usage.
     pub fn add(&mut self, more: &Usage) {
         self.requests = self.requests.saturating_add(more.requests);
         self.head_requests = self.head_requests.saturating_add(more.head_requests);
--- a/crates/ashgauge/src/registry.rs
+++ b/crates/ashgauge/src/registry.rs
@@ -1,4 +1,4 @@
-//! All upstreams that a box knows of: who is there, and who is gone.
+//! Registry of all upstreams that a box knows of: which are present, missing or removed.
 
 use std::cell::Cell;
 use std::collections::{HashMap, HashSet};
@@ -10,24 +10,25 @@
 use crate::upstream::Upstream;
 use crate::upstream_state::UpstreamState;
 
-/// Factors on an engine's time are told in this part of one.
+/// Slowness factors are sent to other boxes as multiples of 1 / `SLOW_FACTOR_SCALE`.
 const SLOW_FACTOR_SCALE: f64 = 10.0;
 
-/// All upstreams.
+/// All upstreams that this box knows of, with their state.
 #[derive(Clone, Debug, Default)]
 pub struct UpstreamRegistry {
     entries: HashMap<UpstreamId, UpstreamState>,
-    /// What upstreams said that have no entry.
+    /// Notices of upstreams that have no entry.
     absent: AbsentNotices,
-    /// Counts changes of what upstreams announce.
+    /// Counts changes of the entries.
     generation: u64,
-    /// Data centres with upstreams, and the edition at which they were counted.
+    /// Number of data centres with upstreams, and the generation for which it was counted.
     data_centres: Cell<(u64, usize)>,
 }
 
 impl UpstreamRegistry {
-    /// Takes a whole list. Upstreams that it lacks are gone, at once if `sure`, else
-    /// when they have not come back for some time; until then they get no new work.
+    /// Replaces the whole list. Upstreams that are not in it are removed: at once if
+    /// `removals_certain`, otherwise if they have not come back within a grace period.
+    /// Until then they get no new work.
     pub fn replace(&mut self, now: Duration, list: Vec<Upstream>, sure: bool) {
         let listed: HashSet<_> = list.iter().map(|u| u.id.clone()).collect();
         for (id, entry) in &mut self.entries {
@@ -44,7 +45,7 @@
         self.generation += 1;
     }
 
-    /// Takes a new or changed upstream.
+    /// Inserts or updates an upstream.
     pub fn put(&mut self, upstream: Upstream) {
         self.generation += 1;
         let entry = match self.entries.get_mut(&upstream.id) {
@@ -62,8 +63,8 @@
         self.entries.insert(entry.upstream.id.clone(), entry);
     }
 
-    /// Notes that other boxes found these upstreams to be lost. It is no verdict:
-    /// they are used where there is no other way.
+    /// Records that other boxes found these upstreams to be lost. This is only a hint: the
+    /// upstreams are still used if there is no alternative.
     pub fn note_peer_suspects(&mut self, now: Duration, keys: &[UpstreamKey]) {
         for (id, entry) in &mut self.entries {
             if keys.contains(&load_report::upstream_key(id)) {
@@ -72,7 +73,7 @@
         }
     }
 
-    /// Notes which engines told other boxes that they are slow.
+    /// Records which engines have reported to other boxes that they are slow.
     pub fn note_peer_slow(&mut self, now: Duration, slow: &SlowUpstreams) {
         if slow.is_empty() {
             return;
@@ -85,7 +86,8 @@
         }
     }
 
-    /// Engines of some services that told this box that they are slow.
+    /// Returns the engines, of the services that `is_included` accepts, that have reported
+    /// to this box that they are slow.
     pub fn slow_upstreams(&self, now: Duration, is_told: impl Fn(&str) -> bool) -> SlowUpstreams {
         let told = self.entries.values();
         let told = told.filter(|e| is_told(&e.upstream.service));
@@ -99,7 +101,7 @@
         slow
     }
 
-    /// Forgets an upstream that is gone, but for what it said.
+    /// Removes an upstream that is gone, but keeps the notices from its answers.
     pub fn remove(&mut self, now: Duration, id: &str) {
         if let Some(e) = self.entries.remove(id) {
             self.absent.insert(now, id, e.upstream.started_ms, e.notice);
@@ -107,15 +109,15 @@
         self.generation += 1;
     }
 
-    /// Notes that an upstream vanished from the list while the store was away;
-    /// it gets no new work and may still come back.
+    /// Records that an upstream disappeared from the list during an outage of the store. It
+    /// gets no new work and may still come back.
     pub fn mark_missing(&mut self, now: Duration, id: &str) {
         if let Some(entry) = self.entries.get_mut(id) {
             entry.mark_missing(now);
         }
     }
 
-    /// Forgets those that vanished and did not come back in time.
+    /// Removes missing upstreams that did not come back within the grace period.
     pub fn expire(&mut self, now: Duration) {
         let before = self.entries.len();
         self.remove_where(now, |e| e.is_expired(now));
@@ -124,7 +126,7 @@
         }
     }
 
-    /// Drops entries, and keeps what their upstreams said.
+    /// Removes entries, but keeps the notices of their upstreams.
     fn remove_where(&mut self, now: Duration, gone: impl Fn(&UpstreamState) -> bool) {
         for (id, e) in self.entries.extract_if(|_, e| gone(e)) {
             self.absent
@@ -132,12 +134,12 @@
         }
     }
 
-    /// Number that changes whenever an upstream comes, goes or changes.
+    /// Returns a number that changes whenever an upstream is added, removed or changed.
     pub fn generation(&self) -> u64 {
         self.generation
     }
 
-    /// Number of data centres that have upstreams.
+    /// Returns the number of data centres that have upstreams.
     pub fn data_centres(&self) -> usize {
         let (edition, known) = self.data_centres.get();
         if edition == self.generation {
@@ -148,101 +150,101 @@
         places.len()
     }
 
-    /// The upstream with this id.
+    /// Returns the upstream with this id.
     pub fn get(&self, id: &str) -> Option<&UpstreamState> {
         self.entries.get(id)
     }
 
-    /// The upstream at this address.
+    /// Returns the upstream at this address.
     pub fn by_addr(&self, addr: &str) -> Option<&UpstreamState> {
         self.entries.values().find(|e| e.upstream.addr == addr)
     }
 
-    /// All upstreams of a service.
+    /// Iterates over all upstreams of a service.
     pub fn of_service<'a>(&'a self, service: &'a str) -> impl Iterator<Item = &'a UpstreamState> {
         let all = self.entries.values();
         all.filter(move |e| &*e.upstream.service == service)
     }
 
-    /// All upstreams.
+    /// Iterates over all upstreams.
     pub fn iter(&self) -> impl Iterator<Item = &UpstreamState> {
         self.entries.values()
     }
 
-    /// Number of upstreams.
+    /// Returns the number of upstreams.
     pub fn len(&self) -> usize {
         self.entries.len()
     }
 
-    /// Whether none is known.
+    /// Returns whether no upstream is known.
     pub fn is_empty(&self) -> bool {
         self.entries.is_empty()
     }
 
-    /// Notes that a request of this box went to an upstream, where it holds
-    /// `tokens` tokens times layers.
+    /// Records that a request of this box was assigned to an upstream, where it holds
+    /// memory for `token_layers` tokens times layers.
     pub fn begin_request(&mut self, id: &str, tokens: u64) {
         self.update(id, |e| e.begin_request(tokens));
     }
 
-    /// Notes that such a request is no longer there.
+    /// Records that such a request has ended there.
     pub fn end_request(&mut self, id: &str, tokens: u64) {
         self.update(id, |e| e.end_request(tokens));
     }
 
-    /// Notes that a request of this box was sent to an upstream, not only led
-    /// through it.
+    /// Records that a request of this box was sent to an upstream directly, as the first of
+    /// its chain, and did not reach it through another engine.
     pub fn begin_head(&mut self, id: &str) {
         self.update(id, |e| e.head_requests += 1);
     }
 
-    /// Notes that such a request is no longer there.
+    /// Records that such a request has ended.
     pub fn end_head(&mut self, id: &str) {
         self.update(id, |e| e.head_requests = e.head_requests.saturating_sub(1));
     }
 
-    /// Notes that an upstream was given prompts that take it `seconds` to read.
+    /// Records that an upstream was given prompts that take it `seconds` to read.
     pub fn note_prefill(&mut self, now: Duration, id: &str, seconds: f64) {
         self.update(id, |e| e.note_prefill(now, seconds));
     }
 
-    /// Learns from an answer that took `took`.
+    /// Records the latency of a complete answer.
     pub fn record_latency(&mut self, now: Duration, id: &str, took: Duration) {
         self.update(id, |e| e.record_latency(now, took));
     }
 
-    /// Learns from a request that brought no answer or a faulty one.
+    /// Records a request that got no answer or an invalid one.
     pub fn record_failure(&mut self, now: Duration, id: &str) {
         self.update(id, |e| e.record_failure(now));
     }
 
-    /// Notes that an upstream had a part in something that came.
+    /// Records that an event arrived that this upstream took part in.
     pub fn note_activity(&mut self, now: Duration, id: &str) {
         self.update(id, |e| e.note_activity(now));
     }
 
-    /// Leaves an upstream out for some time; returns true if that is new.
+    /// Excludes an upstream for some time; returns true if it was not suspect before.
     pub fn mark_suspect(&mut self, now: Duration, id: &str) -> bool {
         self.update(id, |e| e.mark_suspect(now)).unwrap_or(false)
     }
 
-    /// Notes that an upstream took no connection right after one to it broke: it gets
-    /// no new requests for a moment, and keeps those that it has.
+    /// Records that an upstream refused a connection right after an existing one broke. It
+    /// gets no new requests for a moment, but keeps those that it has.
     pub fn note_unreachable(&mut self, now: Duration, id: &str) {
         self.update(id, |e| e.note_unreachable(now));
     }
 
-    /// Notes that an upstream had no room for a request.
+    /// Records that an upstream had no capacity for a request.
     pub fn note_full(&mut self, now: Duration, id: &str) {
         self.update(id, |e| e.note_full(now));
     }
 
-    /// Leaves an upstream that takes no more requests alone for so long.
+    /// Sends nothing to an upstream for `time`, as it accepts no more requests.
     pub fn block(&mut self, now: Duration, id: &str, time: Duration) {
         self.update(id, |e| e.block(now, time));
     }
 
-    /// Notes that an upstream names no limit any more.
+    /// Records that an upstream no longer sets a rate limit.
     pub fn unblock(&mut self, key: UpstreamKey) {
         for (id, entry) in &mut self.entries {
             if load_report::upstream_key(id) == key {
@@ -251,18 +253,19 @@
         }
     }
 
-    /// Notes that an upstream wants nothing from this box for so long.
+    /// Records that an upstream asked this box to send nothing for `backoff`.
     pub fn note_backoff(&mut self, now: Duration, id: &str, rest: Duration) {
         self.update_notice(now, id, |n| n.extend_backoff(now, rest));
     }
 
-    /// Notes that an upstream says that it leaves; returns true if that is news.
+    /// Records that an upstream announced in an answer that it is leaving; returns true if
+    /// that was not known.
     pub fn note_leaving(&mut self, now: Duration, id: &str) -> bool {
         let announced = self.get(id).is_some_and(UpstreamState::is_leaving);
         self.update_notice(now, id, UpstreamNotice::set_leaving) && !announced
     }
 
-    /// Changes what is known of an upstream; one that has no entry is none to know of.
+    /// Updates the state of an upstream; does nothing if it has no entry.
     fn update<T>(&mut self, id: &str, change: impl FnOnce(&mut UpstreamState) -> T) -> Option<T> {
         self.entries.get_mut(id).map(change)
     }
@@ -279,18 +282,19 @@
         }
     }
 
-    /// Notes an engine's word on how slow it is; returns true if that is news.
+    /// Records the slowness factor that an engine reported; returns true if it changed
+    /// notably.
     pub fn note_slow(&mut self, now: Duration, id: &str, factor: f64) -> bool {
         let news = self.update(id, |e| e.note_slow(now, factor));
         news.unwrap_or(false)
     }
 
-    /// Leaves an upstream out for a moment, as it is not what it announces.
+    /// Excludes an upstream for a moment, as it does not hold what its entry announces.
     pub fn note_stale(&mut self, now: Duration, id: &str) {
         self.update(id, |e| e.note_stale(now));
     }
 
-    /// Notes an upstream's own word on its load.
+    /// Records the load that an upstream reported about itself.
     pub fn note_load(&mut self, id: &str, running: u32, waiting: u32) {
         self.update(id, |e| e.reported_load = Some((running, waiting)));
     }
--- a/crates/ashgauge/src/routing.rs
+++ b/crates/ashgauge/src/routing.rs
@@ -1,5 +1,5 @@
-//! The operators' configuration as the boxes use it: routes by host and path,
-//! services, teams by key, bounds for clients.
+//! Routing configuration as the boxes apply it: routes by host and path, services, teams by
+//! key, and limits on clients.
 
 use std::collections::HashMap;
 use std::sync::Arc;
@@ -13,107 +13,107 @@
 /// Name of a service.
 pub type ServiceId = Arc<str>;
 
-/// Version of a configuration; versions only rise.
+/// Version of a configuration; it only increases.
 pub type ConfigVersion = u64;
 
-/// What a configuration allows, in one version.
+/// One version of the routing configuration.
 #[derive(Clone, Debug, Default)]
 pub struct RoutingConfig {
-    /// Its version.
+    /// Version.
     pub version: ConfigVersion,
-    /// Routes of each host, longest prefix first.
+    /// Routes by host, longest path prefix first.
     hosts: HashMap<String, Vec<Arc<Route>>>,
     /// Services by name.
     pub services: HashMap<ServiceId, Arc<Service>>,
-    /// Teams by key, if requests need one.
+    /// Teams by key; `None` if requests need no key.
     keys: Option<HashMap<String, Arc<Team>>>,
-    /// Ranks of the streams that compete for each service.
+    /// Priorities of the streams that compete for each service.
     priorities: HashMap<ServiceId, Ranks>,
-    /// Bounds for clients.
+    /// Limits on clients.
     pub client_limits: ClientLimits,
 }
 
-/// One route.
+/// A route: which requests it matches, where they go and under which terms.
 #[derive(Clone, Debug)]
 pub struct Route {
     /// Name.
     pub name: String,
-    /// Host that it belongs to.
+    /// Host that it matches.
     pub host: String,
-    /// Prefix of the path, beginning and ending with a slash.
+    /// Path prefix that it matches, with a leading and a trailing slash.
     pub prefix: String,
     /// Whether a request may run more than once.
     pub idempotent: bool,
-    /// Set if the answer is a stream of events.
+    /// Policy for event streams; `None` if the answers are not streams.
     pub stream: Option<StreamPolicy>,
-    /// Longest time that a request may be held.
+    /// Longest time that a request may take, from its arrival.
     pub timeout: Duration,
-    /// Time within which an answer is worth most; for a stream, its first
-    /// event.
+    /// Time within which an answer should arrive; for a stream, its first event.
     pub target_latency: Duration,
-    /// Rank, 0 goes first.
+    /// Priority; 0 is the highest.
     pub priority: u32,
     /// Services with their weights.
     pub traffic_split: Vec<(ServiceId, f64)>,
-    /// Upstreams that one request may be sent to.
+    /// Maximum number of upstreams that one request may be sent to.
     pub max_attempts: u32,
-    /// Whether no key is needed.
+    /// Whether requests without a key are accepted.
     pub allow_anonymous: bool,
 }
 
-/// What holds for the events of a route's answers.
+/// Policy for the event streams of a route.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct StreamPolicy {
-    /// Whether another upstream may go on after the last event.
+    /// Whether another upstream may continue the stream after the last event.
     pub resumable: bool,
-    /// Longest pause between events that still counts as in time.
+    /// Longest pause between two events that is still on time.
     pub max_pause: Duration,
 }
 
-/// A service, by what the configuration tells of it.
+/// A service, as the configuration describes it.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Service {
     /// Name.
     pub name: ServiceId,
-    /// Connections that one upstream accepts over all boxes.
+    /// Maximum number of connections to one upstream from all boxes together.
     pub max_connections: u32,
-    /// Set if the upstreams are model engines.
+    /// Model, if the upstreams are model engines.
     pub model: Option<Model>,
 }
 
-/// A model whose layers are spread over engines.
+/// A model whose layers are distributed over engines.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Model {
-    /// Layers; 0 if each engine holds the whole model.
+    /// Number of layers; 0 if each engine holds the whole model.
     pub layers: Layer,
     /// Memory of one layer's weights, in megabytes.
     pub layer_mb: f64,
-    /// Memory of one token's state over all layers, in megabytes.
+    /// Memory of one token's state (KV cache) over all layers, in megabytes.
     pub token_mb: f64,
-    /// Requests that one engine accepts as a chain's first.
+    /// Requests that one engine accepts as the first engine of their chains.
     pub slots: u32,
-    /// Time of a step through all layers at speed 1.
+    /// Time of a decode step through all layers on the reference accelerator, which has
+    /// factor 1.
     pub step_time: Duration,
-    /// More time of a step for each request in it, at speed 1.
+    /// Additional time of a step for each request in its batch, on the reference
+    /// accelerator.
     pub step_per_request: Duration,
-    /// Tokens that a request gets in one pass; an event of its answer holds as
-    /// many.
+    /// Tokens that a request gets in one pass, which are sent as one event.
     pub event_tokens: u32,
-    /// Prompt tokens read in a second through all layers at speed 1.
+    /// Prompt tokens read a second through all layers on the reference accelerator.
     pub prefill_rate: f64,
     /// Time to load all layers of the model.
     pub load_time: Duration,
-    /// Loads that run at a time without slowing each other.
+    /// Number of loads that can run in parallel without slowing each other down.
     pub parallel_loads: u32,
-    /// Tokens of a usual prompt.
+    /// Prompt tokens of a typical request.
     pub typical_prompt: u32,
-    /// Tokens of a usual answer.
+    /// Output tokens of a typical request.
     pub typical_output: u32,
-    /// Megabytes that one token's activation takes on a link.
+    /// Megabytes that the activations of one token take on a link.
     pub activation_mb: f64,
-    /// Megabytes a second between two data centres, over all requests.
+    /// Bandwidth between two data centres for all requests together, in megabytes a second.
     pub wan_mb_s: f64,
-    /// Kinds of accelerators.
+    /// Kinds of accelerators, by name.
     pub accelerators: HashMap<String, Accelerator>,
 }
 
@@ -122,38 +122,38 @@
 pub struct Accelerator {
     /// Memory for weights and requests, in megabytes.
     pub memory_mb: f64,
-    /// Factor on the time of a step.
+    /// Factor on the time of a decode step.
     pub step_factor: f64,
     /// Factor on the time to read a prompt.
     pub prefill_factor: f64,
 }
 
-/// A team, as a key leads to it.
+/// A team that sends requests.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Team {
     /// Name.
     pub name: String,
-    /// Rank that goes before the route's.
+    /// Priority, which comes before that of the route; `None` if only the route's counts.
     pub priority: Option<u32>,
-    /// Its keys.
+    /// Its API keys.
     pub keys: Vec<String>,
 }
 
-/// What clients may send, and for how long.
+/// Limits on what clients may send and how long they may take.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct ClientLimits {
-    /// Bytes of a request's head.
+    /// Maximum size of a request head, in bytes.
     pub header_bytes: usize,
-    /// Bytes of a request's body.
+    /// Maximum size of a request body, in bytes.
     pub body_bytes: usize,
-    /// Time for a request's head.
+    /// Time limit for receiving a request head.
     pub header_timeout: Duration,
-    /// Time that a connection may rest between requests.
+    /// Time that a connection may be idle between two requests.
     pub idle_timeout: Duration,
 }
 
 impl Default for ClientLimits {
-    /// Bounds until a configuration brings others.
+    /// Returns the limits that apply until a configuration is loaded.
     fn default() -> Self {
         ClientLimits {
             header_bytes: 16 << 10,
@@ -164,19 +164,19 @@
     }
 }
 
-/// What a request's key says.
+/// Result of checking a request's key.
 #[derive(Clone, Debug, PartialEq)]
 pub enum Access {
     /// The key belongs to this team.
     Team(Arc<Team>),
-    /// No key is needed.
+    /// The request may go on without a team.
     Anonymous,
-    /// The key is missing, or no team has it.
+    /// The key is missing or unknown.
     Denied,
 }
 
 impl RoutingConfig {
-    /// Puts a configuration together; `teams` is `None` if no key is needed.
+    /// Builds a configuration; `teams` is `None` if requests need no key.
     pub fn new(
         version: ConfigVersion,
         routes: Vec<Route>,
@@ -220,7 +220,7 @@
         routes.iter().find(|r| path.starts_with(&r.prefix))
     }
 
-    /// Checks a request's key on a route.
+    /// Checks a request's key against a route.
     pub fn authorize(&self, route: &Route, key: Option<&str>) -> Access {
         let Some(keys) = &self.keys else {
             return Access::Anonymous;
@@ -232,18 +232,18 @@
         }
     }
 
-    /// The ranks of the streams that compete for a service; `None` if no route brings it
-    /// streams.
+    /// Returns the priorities of the streams that compete for a service; `None` if no route
+    /// sends streams to it.
     pub fn priorities(&self, service: &str) -> Option<&Ranks> {
         self.priorities.get(service)
     }
 
-    /// Whether requests need keys at all.
+    /// Returns whether requests need keys.
     pub fn requires_keys(&self) -> bool {
         self.keys.is_some()
     }
 
-    /// Services that some route leads to.
+    /// Returns the services that at least one route leads to.
     pub fn routed_services(&self) -> impl Iterator<Item = &ServiceId> {
         let routes = self.hosts.values().flatten();
         routes.flat_map(|r| r.traffic_split.iter().map(|(s, _)| s))
@@ -251,8 +251,8 @@
 }
 
 impl Model {
-    /// Requests of usual size for which a card has memory beside `held`
-    /// layers; 0 for a kind that the configuration does not tell.
+    /// Returns how many typical requests fit into an accelerator's memory beside the
+    /// weights of `held` layers; 0 for a kind that is not configured.
     pub fn request_capacity(&self, card: &str, held: Layer) -> f64 {
         let memory = self.accelerators.get(card).map_or(0.0, |c| c.memory_mb);
         let free = (memory - f64::from(held) * self.layer_mb).max(0.0);
@@ -265,10 +265,11 @@
         }
     }
 
-    /// Seconds of a step with `load` requests in it, at speed 1.
+    /// Returns the seconds of a decode step with `load` requests in its batch, on the
+    /// reference accelerator.
     ///
-    /// Any times may stand in a configuration: what does not fit into a [`Duration`]
-    /// counts as the longest one, as the plain operators panic then.
+    /// A configuration may hold any times. A time that does not fit into a [`Duration`]
+    /// counts as the longest one, since the plain operators would panic.
     pub(crate) fn step_seconds(&self, load: f64) -> f64 {
         let requests = Duration::try_from_secs_f64(load * self.step_per_request.as_secs_f64());
         let requests = requests.unwrap_or(Duration::MAX);
@@ -277,7 +278,7 @@
 }
 
 impl Route {
-    /// Chooses a service by the route's weights.
+    /// Chooses a service at random by the route's weights.
     pub fn choose_service(&self, rng: &mut impl Rng) -> Option<&ServiceId> {
         let total: f64 = self.traffic_split.iter().map(|(_, w)| w).sum();
         let mut at = rng.random_range(0.0..1.0) * total;
@@ -290,13 +291,13 @@
         self.traffic_split.last().map(|(s, _)| s)
     }
 
-    /// Whether a request that may have run may be sent again.
+    /// Returns whether a request that may already have run may be sent again.
     pub fn is_retryable(&self) -> bool {
         self.stream.map_or(self.idempotent, |s| s.resumable)
     }
 }
 
-/// The ranks of the streams that compete for each service.
+/// Returns the priorities of the streams that compete for each service.
 fn priorities_by_service(routes: &[Route], teams: Option<&[Team]>) -> HashMap<ServiceId, Ranks> {
     let mut by_team: Vec<Option<u32>> = teams
         .unwrap_or_default()
--- a/crates/ashgauge/src/upstream.rs
+++ b/crates/ashgauge/src/upstream.rs
@@ -1,4 +1,4 @@
-//! Upstreams, as they announce themselves.
+//! Upstreams, as they announce themselves in the store.
 
 use std::sync::Arc;
 
@@ -11,8 +11,8 @@
 pub struct Upstream {
     /// Its id.
     pub id: UpstreamId,
-    /// When it started, in Unix milliseconds, if it says so; it may start again under
-    /// the id that it had.
+    /// Start time in Unix milliseconds, if it is announced. An upstream may restart under
+    /// the same id.
     #[serde(rename = "born")]
     pub started_ms: Option<u64>,
     /// Service that it belongs to.
@@ -22,9 +22,9 @@
     /// Data centre.
     #[serde(rename = "place")]
     pub data_centre: Arc<str>,
-    /// Requests that it works on at once.
+    /// Number of requests that it processes concurrently.
     pub slots: u32,
-    /// Whether it is leaving and takes nothing new.
+    /// Whether it is leaving and accepts no new requests.
     pub leaving: bool,
     /// Kind of accelerator, if it is a model engine.
     #[serde(rename = "card")]
@@ -45,8 +45,8 @@
 }
 
 impl Upstream {
-    /// What holds of an upstream that announced `before`, and now this by an entry that may
-    /// be older. Within one start none stops to leave, or gives up all of its layers.
+    /// Merges this entry, which may be older, with the one announced `before`. An instance
+    /// that is leaving never stops leaving, and never gives up all of its layers.
     pub fn merge_previous(self, before: &Upstream) -> Self {
         if self.started_ms != before.started_ms {
             return self;
@@ -60,22 +60,22 @@
 }
 
 impl LayerRange {
-    /// Number of layers.
+    /// Returns the number of layers.
     pub fn len(&self) -> Layer {
         self.end.saturating_sub(self.first)
     }
 
-    /// Whether it holds no layer.
+    /// Returns whether the range is empty.
     pub fn is_empty(&self) -> bool {
         self.len() == 0
     }
 
-    /// Whether it holds a layer.
+    /// Returns whether the range contains a layer.
     pub fn contains(&self, layer: Layer) -> bool {
         (self.first..self.end).contains(&layer)
     }
 
-    /// Whether the ranges share a layer.
+    /// Returns whether the two ranges have a layer in common.
     pub fn overlaps(&self, other: &LayerRange) -> bool {
         self.first < other.end && other.first < self.end
     }
--- a/crates/ashgauge/src/upstream_state.rs
+++ b/crates/ashgauge/src/upstream_state.rs
@@ -1,4 +1,4 @@
-//! What a box has learned of one upstream by using it.
+//! What a box has learned about one upstream by using it.
 
 use std::time::Duration;
 
@@ -6,145 +6,148 @@
 use crate::notice::UpstreamNotice;
 use crate::upstream::Upstream;
 
-/// How long an upstream that failed is left out before it is tried again.
+/// How long an upstream that failed is excluded before it is tried again.
 ///
-/// Longer than the platform takes to drop the entry of one that is gone
-/// (three heartbeats of a second or so), so that a dead one is tried once at
-/// most.
+/// This is longer than the platform takes to drop the entry of an upstream that is gone
+/// (three heartbeats of about a second), so a dead one is tried at most once.
 const SUSPECT_DURATION: Duration = Duration::from_secs(4);
 
-/// How long a box goes by another one's word that an upstream is lost; it is told
-/// again with each word as long as that box thinks so.
+/// How long another box's report that an upstream is lost counts. That box repeats it in
+/// each of its load reports for as long as it considers the upstream lost.
 const PEER_SUSPECT_TTL: Duration = Duration::from_millis(1000);
 
-/// How long an engine that does not hold what it announces is left out; its
-/// entry is renewed within about a second.
+/// How long an engine that does not hold what it announces is excluded; its entry is
+/// renewed within about a second.
 const STALE_DURATION: Duration = Duration::from_millis(1000);
 
-/// How long an upstream that took no connection gets no new requests. It may only take
-/// none for the moment, and those that it works on go on.
+/// How long an upstream that refused a connection gets no new requests. The refusal may be
+/// temporary, and the requests that the upstream works on continue.
 const UNREACHABLE_DURATION: Duration = Duration::from_millis(1000);
 
-/// How long an upstream that had no room, and did not say for how long, is avoided.
+/// How long an upstream is avoided that had no capacity and named no time.
 const FULL_DURATION: Duration = Duration::from_millis(300);
 
-/// How long a box goes by another one's word that an engine is slow; it is told again with
-/// each word as long as that box knows it.
+/// How long another box's report that an engine is slow counts. That box repeats it in each
+/// of its load reports for as long as it holds.
 const PEER_SLOW_TTL: Duration = Duration::from_millis(1000);
 
-/// How long something that came proves that the upstream behind it is there: a
-/// part of the silence after which streams look for the cause (100 ms).
+/// How long an event proves that the upstreams behind it are alive: a part of the silence
+/// after which streams check their engines (100 ms).
 const ACTIVITY_WINDOW: Duration = Duration::from_millis(60);
 
-/// How long an engine's word that it is slow counts; it is asked again when
-/// its streams stay slow.
+/// How long an engine's own report that it is slow counts; it is queried again if its
+/// streams stay slow.
 const SLOW_TTL: Duration = Duration::from_secs(3);
 
-/// Weight of the newest answer in the learned time.
+/// Weight of the newest answer in the average latency.
 const LATENCY_ALPHA: f64 = 0.2;
 
-/// Weight of the newest outcome in the learned share of failures.
+/// Weight of the newest outcome in the average failure rate.
 const FAILURE_ALPHA: f64 = 0.25;
 
-/// Time over which a learned share of failures fades: an upstream that gets no
-/// requests for its failures must be tried again. The users' upstreams fail
-/// for some seconds at a time.
+/// Time constant with which the failure rate decays. Without the decay an upstream that
+/// gets no requests because of its failures would never be tried again. In the target
+/// deployments upstreams fail for some seconds at a time.
 const FAILURE_DECAY: Duration = Duration::from_secs(8);
 
-/// How long an upstream that vanished from the list while the store was away
-/// may take to come back before it counts as gone; the users' figure.
+/// How long an upstream that disappeared from the list during an outage of the store may
+/// take to come back before it is removed; users specified this value.
 const MISSING_GRACE: Duration = Duration::from_secs(2);
 
-/// An upstream with what this box has learned of it.
+/// An upstream with what this box has learned about it.
 #[derive(Clone, Debug)]
 pub struct UpstreamState {
-    /// What it announces.
+    /// What it announces in its entry.
     pub upstream: Upstream,
-    /// Requests of this box that it works on.
+    /// Requests of this box that are running on it.
     pub inflight: u32,
-    /// Those of them that were sent to it; the others it got from an engine
-    /// before it in their chain.
+    /// Requests among them that this box sent to it directly; the others came from the
+    /// preceding engine of their chain.
     pub head_requests: u32,
     /// Memory that the requests of this box hold there, in tokens times layers.
     pub token_layers: u64,
-    /// Learned time of an answer, in seconds; 0 if unknown.
+    /// Average latency of an answer, in seconds; 0 if unknown.
     pub latency_seconds: f64,
-    /// Load that it last told: requests running and waiting.
+    /// Load that it last reported: requests running and waiting.
     pub reported_load: Option<(u32, u32)>,
-    /// Learned share of requests that failed, at a time.
+    /// Average share of requests that failed, and when it was updated.
     failure_rate: (f64, Duration),
-    /// When it last had a part in something that came.
+    /// When the last event arrived that it took part in.
     last_activity: Option<Duration>,
     suspect_until: Option<Duration>,
-    /// Until when another box's word that it is lost counts.
+    /// Until when another box's report that it is lost counts.
     peer_suspect_until: Option<Duration>,
     full_until: Option<Duration>,
-    /// Until when it gets no new requests, as it took no connection.
+    /// Until when it gets no new requests, because it refused a connection.
     unreachable_until: Option<Duration>,
-    /// Until when it gets no request of this box, as it takes no more from all of them.
+    /// Until when it gets no requests of this box, because it accepts no more from all
+    /// boxes together.
     blocked_until: Option<Duration>,
-    /// What it said in its answers.
+    /// What it announced in its answers.
     pub(crate) notice: UpstreamNotice,
     slow: Option<(f64, Duration)>,
-    /// Other boxes' word on that, and until when it counts.
+    /// Slowness factor that it reported to other boxes, and until when that counts.
     peer_slow: Option<(f64, Duration)>,
     pub(crate) missing_since: Option<Duration>,
-    /// Seconds of reading that it was given and that were not over at a time.
+    /// Seconds of prompts left to read at a point in time, and that time.
     prefill_backlog: (f64, Duration),
 }
 
 impl UpstreamState {
-    /// Whether it may be used at `now`.
+    /// Returns whether it may be used at `now`.
     pub fn is_usable(&self, now: Duration) -> bool {
         !self.is_leaving() && !self.is_missing() && !self.is_suspect(now)
     }
 
-    /// Whether requests may go to it at `now`.
+    /// Returns whether it may get new requests at `now`.
     pub fn takes_requests(&self, now: Duration) -> bool {
         self.is_usable(now) && self.backoff(now).is_none() && !self.is_unreachable(now)
     }
 
-    /// Whether it is leaving, as its entry or its answers say.
+    /// Returns whether it is leaving, according to its entry or its answers.
     pub fn is_leaving(&self) -> bool {
         self.upstream.leaving || self.notice.is_leaving()
     }
 
-    /// Whether its entry vanished while the store was away, so that it may have left.
+    /// Returns whether its entry disappeared during an outage of the store, so that it may
+    /// have left.
     pub fn is_missing(&self) -> bool {
         self.missing_since.is_some()
     }
 
-    /// Whether it failed a short while ago.
+    /// Returns whether it failed a short while ago.
     pub fn is_suspect(&self, now: Duration) -> bool {
         self.suspect_until.is_some_and(|until| now < until)
     }
 
-    /// Whether it took no connection a moment ago; it may still work on what it has.
+    /// Returns whether it refused a connection a moment ago; it may still work on the
+    /// requests that it has.
     pub fn is_unreachable(&self, now: Duration) -> bool {
         self.unreachable_until.is_some_and(|until| now < until)
     }
 
-    /// Factor on the time of its work, as it told lately; 1 if it told nothing.
+    /// Returns the slowness factor that it reported lately to any box; 1 if it reported
+    /// none.
     pub fn slowness(&self, now: Duration) -> f64 {
         let told = [self.slow, self.peer_slow].into_iter().flatten();
         let counting = told.filter(|(_, until)| now < *until);
         counting.map(|(factor, _)| factor).fold(1.0, f64::max)
     }
 
-    /// Factor on the time of its work by its own word to this box, if it is slow.
+    /// Returns the slowness factor that it reported to this box, if it is slow.
     pub fn own_slowness(&self, now: Duration) -> Option<f64> {
         let told = self.slow.filter(|(_, until)| now < *until);
         told.map(|(factor, _)| factor).filter(|f| *f > 1.0)
     }
 
-    /// Learned share of requests that failed lately, 0 to 1.
+    /// Returns the recent share of requests that failed, from 0 to 1.
     pub fn failure_rate(&self, now: Duration) -> f64 {
         let (share, at) = self.failure_rate;
         let age = now.saturating_sub(at).as_secs_f64();
         share * (-age / FAILURE_DECAY.as_secs_f64()).exp()
     }
 
-    /// What this box has on it.
+    /// Returns how much of it the requests of this box use.
     pub fn usage(&self, now: Duration) -> Usage {
         Usage {
             requests: self.inflight,
@@ -154,46 +157,47 @@
         }
     }
 
-    /// Seconds for which it has prompts of this box to read.
+    /// Returns the seconds that it still needs to read the prompts of this box.
     pub fn prefill_backlog(&self, now: Duration) -> f64 {
         let (seconds, at) = self.prefill_backlog;
         (seconds - now.saturating_sub(at).as_secs_f64()).max(0.0)
     }
 
-    /// Whether it had a part in something that came less than `HEARD_TIME` ago.
+    /// Returns whether an event that it took part in arrived within the last
+    /// `ACTIVITY_WINDOW`.
     pub fn is_active(&self, now: Duration) -> bool {
         self.last_activity
             .is_some_and(|at| now < at + ACTIVITY_WINDOW)
     }
 
-    /// When it last had a part in something that came.
+    /// Returns when the last event arrived that it took part in.
     pub fn last_activity(&self) -> Option<Duration> {
         self.last_activity
     }
 
-    /// Whether another box has said lately that it is lost.
+    /// Returns whether another box recently reported it as lost.
     pub fn is_peer_suspect(&self, now: Duration) -> bool {
         self.peer_suspect_until.is_some_and(|until| now < until) && !self.is_active(now)
     }
 
-    /// How much longer it wants nothing from this box, by its own word.
+    /// Returns for how much longer it wants no requests from this box, as it asked.
     pub fn backoff(&self, now: Duration) -> Option<Duration> {
         self.notice.backoff(now)
     }
 
-    /// How much longer nothing is to be sent to it, as it takes no more requests from all
-    /// boxes together. It may still be led to by other engines.
+    /// Returns for how much longer nothing may be sent to it, because it accepts no more
+    /// requests from all boxes together. Other engines may still pass requests on to it.
     pub fn blocked_for(&self, now: Duration) -> Option<Duration> {
         let left = self.blocked_until?.saturating_sub(now);
         (!left.is_zero()).then_some(left)
     }
 
-    /// Whether it had no room a moment ago.
+    /// Returns whether it had no capacity a moment ago.
     pub fn is_full(&self, now: Duration) -> bool {
         self.full_until.is_some_and(|until| now < until)
     }
 
-    /// An upstream that nothing is known of but what it says.
+    /// Creates the state of an upstream that has not been used yet.
     pub(crate) fn new(upstream: Upstream, notice: UpstreamNotice) -> Self {
         UpstreamState {
             upstream,
@@ -217,8 +221,8 @@
         }
     }
 
-    /// What is known once the upstream has started anew: what runs there ends as it was
-    /// counted; what its start before did says nothing of it.
+    /// Returns the state after a restart of the upstream. The requests that are counted on
+    /// it are kept until they end; what was learned about the previous instance is dropped.
     pub(crate) fn after_restart(&self, upstream: Upstream) -> Self {
         UpstreamState {
             inflight: self.inflight,
@@ -228,12 +232,12 @@
         }
     }
 
-    /// Notes that its entry vanished while the store was away.
+    /// Records that its entry disappeared during an outage of the store.
     pub(crate) fn mark_missing(&mut self, now: Duration) {
         self.missing_since.get_or_insert(now);
     }
 
-    /// Whether it vanished and did not come back in time.
+    /// Returns whether it has been missing for longer than the grace period.
     pub(crate) fn is_expired(&self, now: Duration) -> bool {
         self.missing_since
             .is_some_and(|at| now >= at + MISSING_GRACE)
@@ -276,7 +280,7 @@
         self.peer_suspect_until = Some(now + PEER_SUSPECT_TTL);
     }
 
-    /// Returns true if that is new.
+    /// Excludes it for some time; returns true if it was not suspect before.
     pub(crate) fn mark_suspect(&mut self, now: Duration) -> bool {
         let new = !self.is_suspect(now);
         self.suspect_until = Some(now + SUSPECT_DURATION);
@@ -303,7 +307,7 @@
         self.peer_slow = Some((factor, now + PEER_SLOW_TTL));
     }
 
-    /// Returns true if that is news.
+    /// Records a slowness factor; returns true if it changed notably.
     pub(crate) fn note_slow(&mut self, now: Duration, factor: f64) -> bool {
         let before = self.slowness(now);
         self.slow = Some((factor, now + SLOW_TTL));
