--- a/crates/ashgauge/src/chain.rs
+++ b/crates/ashgauge/src/chain.rs
@@ -1,4 +1,4 @@
-//! Which upstreams serve which layers of one request.
+//! Chains of upstreams that serve the layers of a request.
 
 use serde::{Deserialize, Serialize};
 
@@ -16,7 +16,7 @@
     pub end: Layer,
 }
 
-/// A range that an upstream holds, and what using it costs.
+/// A layer range that an upstream holds, and the cost of using it.
 #[derive(Clone, Debug)]
 pub struct Edge {
     /// The engine.
@@ -25,20 +25,19 @@
     pub first: Layer,
     /// Layer after the last it holds.
     pub end: Layer,
-    /// Seconds that any use costs: the link and the work ahead.
+    /// Seconds that any use costs: network delay and queued work.
     pub fixed_cost: f64,
     /// Seconds that each layer costs.
     pub layer_cost: f64,
-    /// Number of the place where it stands, from 0, for [`cheapest_crossing_chain`].
+    /// Index of its data centre, from 0, for [`cheapest_crossing_chain`].
     pub data_centre: usize,
 }
 
 /// Finds the cheapest chain over `first..end`.
 ///
-/// A shortest path whose nodes are layer boundaries. An edge may be entered at
-/// any boundary within its range and left at any later one, so overlapping
-/// ranges are cut where it is cheapest. Returns `None` if some layer is held
-/// by no edge.
+/// This is a shortest path whose nodes are layer boundaries. An edge may be entered at any
+/// boundary within its range and left at any later one, so overlapping ranges are split
+/// where it is cheapest. Returns `None` if some layer is held by no edge.
 ///
 /// # Example
 ///
@@ -57,15 +56,14 @@
     cheapest_crossing_chain(first, end, edges, |_, _| 0.0)
 }
 
-/// As [`cheapest_chain`], with a cost in seconds for going on from one edge to
-/// another; `None` as the first stands for the start of the chain.
+/// Finds a cheap chain like [`cheapest_chain`], with a cost in seconds for each transition
+/// between two edges; `None` as the first argument stands for the start of the chain.
 ///
-/// An infinite cost forbids that way.
+/// An infinite cost forbids a transition.
 ///
-/// The cost may only depend on what places the edges stand in: edges of one
-/// place must be alike to it. `place` numbers are those of [`Edge::data_centre`].
-/// No upstream is in the chain twice, if each has one edge; the chain is then
-/// not always the cheapest.
+/// The cost may only depend on the data centres of the two edges, which are given as the
+/// indices in [`Edge::data_centre`]. No upstream is in the chain twice if each has one
+/// edge, but the chain is then not always the cheapest one.
 pub fn cheapest_crossing_chain(
     first: Layer,
     end: Layer,
@@ -77,8 +75,8 @@
     Some(stages)
 }
 
-/// Gives an upstream that is in the chain more than once all that lies
-/// between, which it holds as well.
+/// Merges the stages of an upstream that is in the chain more than once into one, together
+/// with the layers between them, which it also holds.
 fn merge_repeated(stages: &mut Vec<Stage>) {
     let mut at = 0;
     while at < stages.len() {
@@ -101,7 +99,7 @@
     let cuts = boundaries(first, end, edges);
     let places = edges.iter().map(|e| e.data_centre + 1).max().unwrap_or(0);
     let mut best: Vec<Vec<Option<Step>>> = vec![vec![None; places]; cuts.len()];
-    // All edges of a place are alike to what leads there.
+    // All edges of a data centre are reached at the same cost.
     let enter = |reached: &[Option<Step>], cut: usize| -> Vec<Arrival> {
         let entries = (0..places).map(|place| best_arrival(reached, cut, place, crossing));
         entries.collect()
@@ -136,18 +134,18 @@
     reconstruct_path(&cuts, &best, edges)
 }
 
-/// The cheapest known way to a boundary and place, by its last edge.
+/// The cheapest known path to a boundary and a data centre, by its last edge.
 #[derive(Clone, Copy)]
 struct Step {
     cost: f64,
     from_cut: usize,
-    /// Place at which the boundary `from` was reached; `None` at the start.
+    /// Data centre in which the boundary `from_cut` was reached; `None` at the start.
     from_data_centre: Option<usize>,
     edge: usize,
 }
 
-/// Cheapest cost of standing at a boundary and going on at a place, and the place
-/// from which; `None` if there is no way.
+/// Lowest cost of continuing from a boundary in a data centre, and the data centre of the
+/// previous edge; `None` if there is no path.
 type Arrival = Option<(f64, Option<usize>)>;
 
 fn best_arrival(
--- a/crates/ashgauge/src/cost.rs
+++ b/crates/ashgauge/src/cost.rs
@@ -1,4 +1,4 @@
-//! What a request costs on an engine, and between two.
+//! Cost of a request on an engine, and of transfers between engines.
 
 use std::sync::Arc;
 
@@ -11,65 +11,68 @@
 use crate::upstream::LayerRange;
 use crate::upstream_state::UpstreamState;
 
-/// Most of an engine's time that it is taken to read prompts: its cost is at most
-/// four times as high for it. What the others have there is known late in a large
-/// fleet, and chains must not cross data centres to get around an old figure.
+/// Maximum share of an engine's time that is assumed to be spent on reading prompts: it
+/// makes the engine at most four times as expensive. In a large fleet the load from other
+/// boxes is known late, and chains must not cross data centres because of an outdated
+/// value.
 const MAX_PREFILL_SHARE: f64 = 0.5;
 
-/// Passes of an engine that a token takes: it comes in the middle of one, and is
-/// worked on in the next.
+/// Passes of an engine that a token takes: it arrives in the middle of one on average, and
+/// is processed in the next.
 pub(crate) const PASSES_PER_TOKEN: f64 = 1.5;
 
-/// Seconds that a chain in another data centre counts for if a stream goes on
-/// there: its events come later by a few delays, and reading may be shared among
-/// all data centres.
+/// Seconds that a chain in another data centre counts for if a stream continues there. Its
+/// events are only later by a few network delays, and the prompts can be read on the
+/// engines of all data centres.
 const SIMULTANEOUS_ENTRY_SECONDS: f64 = 0.05;
 
-/// Share of an engine's memory past which requests do not go there if there is
-/// any other way; sizes vary, and a full engine throws requests out.
+/// Share of an engine's memory past which it gets no requests if there is any alternative:
+/// sizes vary, and an engine that runs out of memory evicts requests.
 const FULL_THRESHOLD: f64 = 0.95;
 
-/// How late the cost of an engine rises as it fills, where the data centre holds
-/// [`SPARE_COPIES`]: half full it is an eighth dearer, not twice as dear, which
-/// led requests to slow engines that they hold for longer.
+/// Exponent with which the cost of an engine rises as it fills, where the data centre holds
+/// [`SPARE_COPIES`]. An engine that is half full then costs an eighth more. With exponent 1
+/// it cost twice as much, which sent requests to slow engines, where they hold memory for
+/// longer.
 const SPARE_FILL_EXPONENT: i32 = 3;
 
-/// Copies of the model in a data centre from which on others can stand in for an
-/// engine that is full. With fewer, room is saved from the first request on.
+/// Copies of the model in a data centre from which on other engines can replace one that is
+/// full. With fewer, memory is saved from the first request on.
 const SPARE_COPIES: f64 = 2.0;
 
-/// Seconds that an engine past [`FULL_THRESHOLD`] counts for besides, more than two
+/// Additional seconds that an engine past [`FULL_THRESHOLD`] counts for: more than two
 /// changes of data centre.
 const FULL_PENALTY_SECONDS: f64 = 8.0;
 
-/// Seconds that a first engine counts for that failed all its requests lately;
-/// after one failure it is a change of data centre for the caller's request
-/// and a good deal more.
+/// Seconds that the first engine of a chain counts for if all its recent requests failed.
+/// After one failure the penalty amounts to a change of data centre for the caller's
+/// request and a good deal more.
 const FAILURE_PENALTY_SECONDS: f64 = 8.0;
 
-/// Seconds that an engine counts for besides which another box found to be lost:
-/// each box would find out by requests of its own otherwise, engine by engine, until
-/// the retries for that are used up.
+/// Additional seconds that an engine counts for that another box reported as lost. Without
+/// the penalty each box would find the loss by requests of its own, engine by engine, until
+/// the retry budget is used up.
 const SUSPECT_PENALTY_SECONDS: f64 = 8.0;
 
-/// Seconds that an engine in a chain counts for besides its work: each is one
-/// more that may be lost while the request runs.
+/// Additional seconds that each engine in a chain counts for: with each one more can be
+/// lost while the request runs.
 const STAGE_PENALTY_SECONDS: f64 = 0.25;
 
-/// Seconds that a change of data centre within a chain counts for besides its
-/// delays: all activations go over a pipe that is shared and soon full.
+/// Additional seconds that a change of data centre within a chain counts for: all
+/// activations go over a link that is shared and soon saturated.
 const CROSSING_PENALTY_SECONDS: f64 = 3.0;
 
-/// Least and most seconds that a chain in another data centre counts for. Only
-/// the request and its events cross; but boxes that know the load there late
-/// fill the same engines.
+/// Minimum and maximum seconds that a chain in another data centre counts for. Only the
+/// request and its events cross, but boxes that learn late of the load there would fill the
+/// same engines.
 const REMOTE_ENTRY_RANGE: (f64, f64) = (0.3, 3.0);
 
-/// Seconds that it counts for each second between words from there, as what is known
-/// of the load is so much older.
+/// Seconds that such a chain counts for, for each second between load reports from there:
+/// what is known of the load is as much older.
 const ENTRY_INTERVAL_FACTOR: f64 = 3.0;
 
-/// Share of a pipe that may be used; past it what crosses waits for seconds.
+/// Share of the bandwidth between two data centres that may be used; past it transfers wait
+/// for seconds.
 const MAX_WAN_SHARE: f64 = 0.75;
 
 /// Delay of one message between two data centres of a region, in seconds.
@@ -78,13 +81,13 @@
 /// Delay of one message within a data centre, in seconds.
 const HOP_DELAY_SECONDS: f64 = 0.0002;
 
-/// What engines are weighed by.
+/// Costs of engines and links for one selection.
 pub(crate) struct CostModel<'a> {
     context: &'a SelectionContext<'a>,
     model: &'a Model,
-    /// What the request has to read and to write.
+    /// Tokens that the request has to read and to write.
     size: RequestSize,
-    /// Whether the data centre has engines to spare.
+    /// Whether the data centre has spare engines.
     has_spare: bool,
 }
 
@@ -100,8 +103,9 @@
         }
     }
 
-    /// Seconds that any use of an engine costs, and each of its layers; `leads`
-    /// says that it may become the chain's first, which answers for all.
+    /// Returns the seconds that any use of an engine costs, and those that each of its
+    /// layers costs. `is_head` tells that it may become the first engine of the chain, on
+    /// which the whole request depends.
     pub(crate) fn stage_cost(
         &self,
         entry: &UpstreamState,
@@ -137,7 +141,8 @@
         (fixed + engine * filling, layer)
     }
 
-    /// Share of an engine's memory, or of its slots if it `leads`, that is used.
+    /// Returns the share of an engine's memory that is used, or of its slots if `is_head`
+    /// and that is higher.
     fn utilization(
         &self,
         entry: &UpstreamState,
@@ -148,7 +153,8 @@
         let now = self.context.now;
         let full = match entry.is_full(now) {
             true => 1.0,
-            // A slow engine gets through less; its room counts for as much less.
+            // A slow engine serves fewer requests, so its memory counts for less by the
+            // same factor.
             false => {
                 let memory = memory_capacity(self.model, entry, held).max(1.0);
                 total.token_layers * entry.slowness(now) / memory
@@ -160,7 +166,7 @@
         }
     }
 
-    /// Seconds that any use of an engine costs that is `full` to a share.
+    /// Returns the seconds that any use of an engine with this `utilization` costs.
     fn fixed_cost(
         &self,
         entry: &UpstreamState,
@@ -182,10 +188,10 @@
         fixed
     }
 
-    /// Factor on the cost of an engine that spends a part of its time on reading:
-    /// its steps take longer by that part, for the request and for all others
-    /// that are there. Without it a few engines lead most of the requests, and the loss
-    /// of one cuts as many.
+    /// Returns the factor on the cost of an engine that spends a part of its time on
+    /// reading prompts, which lengthens the decode steps of all requests there. Without the
+    /// factor a few engines are the first engines of most requests, and the loss of one
+    /// interrupts as many.
     fn prefill_factor(&self, entry: &UpstreamState, held: LayerRange, requests: f64) -> f64 {
         let (context, model) = (self.context, self.model);
         let each = prefill_seconds(context, model, entry, held.len(), model.typical_prompt);
@@ -198,15 +204,15 @@
         1.0 / (1.0 - part).powi(2)
     }
 
-    /// Seconds until a stream that goes on here brings its next event: what it
-    /// waits for at the engine, and what each layer takes.
+    /// Returns the cost of continuing a stream here: the seconds of waiting at the engine,
+    /// and those that each layer takes until the next event.
     ///
-    /// A pause within a stream makes it late, however quick the rest of it is: by the
-    /// time of their whole answers the streams of a lost engine would all go to the few
-    /// fastest, and wait for each other there.
+    /// A pause within a stream makes it late, however fast the rest is. If whole answers
+    /// were compared, the streams of a lost engine would all go to the few fastest engines
+    /// and wait for each other there.
     ///
-    /// What the other boxes lead here at the same moment is in no word of theirs:
-    /// as many streams as boxes stand near, at the most.
+    /// The load that other boxes put on this engine at the same moment is in no report yet.
+    /// It is assumed to be at most one stream for each box of a data centre.
     fn resume_cost(
         &self,
         entry: &UpstreamState,
@@ -225,9 +231,9 @@
         (others + HOP_DELAY_SECONDS, layer * slowness)
     }
 
-    /// Seconds that the request loses where its chain changes data centre: the
-    /// activations of what is read in the pipe, and the delay of each token. A pipe
-    /// that is used up may not be used.
+    /// Returns the seconds that the request loses where its chain changes data centre: the
+    /// transfer of the prompt's activations, and the network delay of each token. A link
+    /// whose bandwidth is used up has infinite cost.
     pub(crate) fn crossing_seconds(&self, from: &Arc<str>, to: &Arc<str>) -> f64 {
         let (context, model) = (self.context, self.model);
         let delays = f64::from(self.size.output) * CROSSING_DELAY_SECONDS;
@@ -243,34 +249,35 @@
     }
 }
 
-/// Memory of an engine for requests, in tokens times layers.
+/// Returns the memory of an engine for requests, in tokens times layers.
 pub fn memory_capacity(model: &Model, entry: &UpstreamState, held: LayerRange) -> f64 {
     let card = entry.upstream.accelerator.as_deref().unwrap_or_default();
     let usual = f64::from(model.typical_prompt + model.typical_output) * f64::from(held.len());
     model.request_capacity(card, held.len()) * usual
 }
 
-/// Copies of the model that the engines of the box's data centre hold.
+/// Returns how many copies of the model the engines of the box's data centre hold.
 fn local_copies(context: &SelectionContext, model: &Model) -> f64 {
     let held = context.local_upstreams().filter_map(|e| e.upstream.layers);
     let layers: Layer = held.map(|l| l.len()).sum();
     model_share(model, layers)
 }
 
-/// So many layers as a part of the model.
+/// Returns the share that so many layers have in the model.
 fn model_share(model: &Model, layers: Layer) -> f64 {
     f64::from(layers) / f64::from(model.layers.max(1))
 }
 
-/// Factors of an engine's card on the time of a step and of reading, 1 for one that the
-/// configuration does not tell.
+/// Returns the factors of an engine's accelerator on the time of a step and of reading a
+/// prompt; 1 if the configuration does not have it.
 fn accelerator_factors(model: &Model, entry: &UpstreamState) -> (f64, f64) {
     let card = entry.upstream.accelerator.as_ref();
     let card = card.and_then(|c| model.accelerators.get(c));
     card.map_or((1.0, 1.0), |c| (c.step_factor, c.prefill_factor))
 }
 
-/// Seconds that an engine needs to read `tokens` through some of its layers.
+/// Returns the seconds that an engine needs to read `tokens` tokens through some of its
+/// layers.
 pub fn prefill_seconds(
     context: &SelectionContext,
     model: &Model,
@@ -284,14 +291,15 @@
     whole * f64::from(layers) / f64::from(model.layers.max(1))
 }
 
-/// Seconds that one layer costs a request of this shape on an engine with this load.
+/// Returns the seconds that one layer costs a request of this size on an engine with this
+/// load.
 fn layer_seconds(model: &Model, shape: RequestSize, entry: &UpstreamState, load: f64) -> f64 {
     let (answer, prompt) = (f64::from(shape.output), f64::from(shape.prompt));
     work_seconds(model, entry, load, answer, prompt)
 }
 
-/// Seconds that an engine with this load needs for one layer of so many steps
-/// and of reading so many tokens.
+/// Returns the seconds that an engine with this load needs in one layer for so many decode
+/// steps and for reading so many tokens.
 pub(crate) fn work_seconds(
     model: &Model,
     entry: &UpstreamState,
@@ -305,7 +313,7 @@
     (writing + reading) / f64::from(model.layers.max(1))
 }
 
-/// Seconds that a chain in another data centre counts for.
+/// Returns the seconds that a chain in another data centre counts for.
 pub(crate) fn remote_entry_seconds(context: &SelectionContext) -> f64 {
     let (least, most) = REMOTE_ENTRY_RANGE;
     match context.simultaneous {
--- a/crates/ashgauge/src/pending.rs
+++ b/crates/ashgauge/src/pending.rs
@@ -1,4 +1,4 @@
-//! Ranges of layers that were ordered and do not show yet.
+//! Layer ranges that engines were ordered to hold and do not announce yet.
 
 use std::collections::HashMap;
 use std::time::Duration;
@@ -11,21 +11,21 @@
 use crate::routing::ServiceId;
 use crate::upstream::LayerRange;
 
-/// A range that does not show yet, as one box tells it to others.
+/// An assignment that its engine does not announce yet, as boxes tell each other.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub struct PendingAssignment {
-    /// The range and its engine.
+    /// The engine and its layers.
     #[serde(flatten)]
     pub assignment: Assignment,
-    /// How much longer it may take to show, in milliseconds, from the moment
-    /// of telling.
+    /// How much longer the announcement may take, in milliseconds, from the time of
+    /// sending.
     pub left_ms: u64,
 }
 
-/// What was ordered of engines, and until when it may take to show.
+/// Assignments that engines do not announce yet, and until when they may.
 ///
-/// Boxes tell each other what they wait for, with the time that is left. An
-/// order that was lost thus lapses everywhere, however often it is told on.
+/// Boxes tell each other their pending assignments with the time left. So a lost order
+/// expires everywhere, however often it is passed on.
 ///
 /// # Example
 ///
@@ -48,14 +48,15 @@
 pub struct PendingAssignments(HashMap<UpstreamId, (LayerRange, Duration)>);
 
 impl PendingAssignments {
-    /// Notes ranges that are ordered now and may take `time` to show.
+    /// Adds assignments that are ordered now and may take `time` until they are announced.
     pub fn add(&mut self, now: Duration, ranges: &[Assignment], time: Duration) {
         for range in ranges {
             self.0.insert(range.id.clone(), (range.layers, now + time));
         }
     }
 
-    /// Takes what another box told; what this box knows itself goes before it.
+    /// Adds the assignments that another box knows of; those that this box has for the same
+    /// engine take precedence.
     pub fn merge(&mut self, now: Duration, told: &[PendingAssignment]) {
         for unshown in told {
             let until = now + Duration::from_millis(unshown.left_ms);
@@ -65,7 +66,7 @@
         }
     }
 
-    /// What other boxes are to know.
+    /// Returns the pending assignments for other boxes.
     pub fn snapshot(&self, now: Duration) -> Vec<PendingAssignment> {
         let unshown = self.0.iter().map(|(id, (span, until))| PendingAssignment {
             assignment: Assignment {
@@ -77,27 +78,27 @@
         unshown.collect()
     }
 
-    /// Forgets what had its time.
+    /// Removes assignments whose time is over.
     pub fn expire(&mut self, now: Duration) {
         self.0.retain(|_, (_, until)| now < *until);
     }
 
-    /// Forgets ranges for which `is_open` says no: those that show, or whose
+    /// Removes the assignments that `is_open` rejects: those that are announced, or whose
     /// engine is gone.
     pub fn retain(&mut self, is_open: impl Fn(&str, LayerRange) -> bool) {
         self.0.retain(|id, (span, _)| is_open(id, *span));
     }
 
-    /// The range that an engine was ordered to hold and does not show yet.
+    /// Returns the layers that an engine was ordered to hold and does not announce yet.
     pub fn layers(&self, id: &str) -> Option<LayerRange> {
         self.0.get(id).map(|(span, _)| *span)
     }
 }
 
-/// Rounds of orders that a box has heard of, by service.
+/// The last round of orders that a box has heard of, by service.
 ///
-/// A store that came back from a copy gives numbers of rounds out again. Those that it
-/// holds then were ordered long before, and those that it lost are known to the engines.
+/// A store that was restored from a copy issues round numbers again. The rounds that the
+/// copy holds were ordered long before, and those that it lost are known to the engines.
 ///
 /// # Example
 ///
@@ -108,7 +109,7 @@
 /// assert!(rounds.is_newer(&"model".into(), 0, 5));
 /// rounds.record("model".into(), 0, 5);
 /// assert!(!rounds.is_newer(&"model".into(), 0, 5));
-/// // Round 3 of the next era is news, but no add that was not given.
+/// // Round 3 of the next era is newer, but its orders need not be sent again.
 /// assert!(rounds.is_newer(&"model".into(), 1, 3));
 /// assert!(!rounds.may_be_unsent(&"model".into(), 1, 3));
 /// ```
@@ -116,19 +117,19 @@
 pub struct OrderRounds(HashMap<ServiceId, (Era, u64)>);
 
 impl OrderRounds {
-    /// Whether a stored round is later than the last one heard of.
+    /// Returns whether a stored round is later than the last known one.
     pub fn is_newer(&self, service: &ServiceId, era: Era, round: u64) -> bool {
         self.last(service) < (era, round)
     }
 
-    /// Whether a box's own stored round may not have been ordered: its writing was not
-    /// answered, or the process ended before the orders.
+    /// Returns whether the orders of a box's own stored round may not have been sent: its
+    /// write was not answered, or the process ended before the orders.
     pub fn may_be_unsent(&self, service: &ServiceId, era: Era, round: u64) -> bool {
         let is_same = self.0.get(service).is_none_or(|(known, _)| *known == era);
         is_same && self.is_newer(service, era, round)
     }
 
-    /// Notes a round.
+    /// Records a round.
     pub fn record(&mut self, service: ServiceId, era: Era, round: u64) {
         self.0.insert(service, (era, round));
     }
--- a/crates/ashgauge/src/placement.rs
+++ b/crates/ashgauge/src/placement.rs
@@ -1,11 +1,11 @@
-//! Which engine holds which layers.
+//! Placement of model layers on engines.
 //!
-//! Engines begin empty and are given one range each, where one more holder is
-//! worth most: the first holder of a layer more than the second, the first in
-//! a data centre more than the second there. So each data centre gets a whole
-//! chain if its memory allows, so that activations need not cross, and what is
-//! left becomes second holders, so that the loss of an engine leaves a chain.
-//! Where losses have left some layers thin, engines are moved there.
+//! Engines start empty and are given one layer range each, where one more holder is worth
+//! the most. The first holder of a layer is worth more than the second, and the first in a
+//! data centre more than the second there. So each data centre gets a complete chain if its
+//! memory allows, and activations need not cross. The remaining engines become second
+//! holders, so that the loss of an engine leaves a chain. Where losses have left some
+//! layers with few holders, engines are moved to them.
 
 use std::collections::HashMap;
 use std::sync::Arc;
@@ -16,78 +16,77 @@
 use crate::throughput;
 use crate::upstream::LayerRange;
 
-/// Least and largest share of an engine's memory that weights may take.
+/// Minimum and maximum share of an engine's memory that weights may take.
 ///
-/// What is left holds requests: a larger share leaves room for too few of them, a
-/// smaller one for too few layers.
+/// The rest of the memory holds requests: a larger share leaves memory for too few of them,
+/// a smaller one for too few layers.
 const MIN_WEIGHT_SHARE: f64 = 0.5;
 const MAX_WEIGHT_SHARE: f64 = 0.78;
 
-/// Distance of the shares that are weighed: engines hold whole layers, so a
-/// hundredth of a small one's memory may be a layer more.
+/// Step between the shares that are compared. Engines hold whole layers, and a hundredth of
+/// a small engine's memory may make a layer more.
 const WEIGHT_SHARE_STEP: f64 = 0.01;
 
-/// Least share in a data centre with memory for a second copy of every layer,
-/// and that of its fast cards: chains prefer them.
+/// Minimum share in a data centre with memory for a second copy of every layer, and the
+/// share of its fast accelerators, which chains prefer.
 const MIN_SPARE_SHARE: f64 = 0.60;
 
-/// Copies of the model in a data centre at which no more memory is given to
-/// weights: one chain, and second holders for some of the layers.
+/// Copies of the model in a data centre at which no more memory is given to weights: one
+/// chain, and second holders for some of the layers.
 const TARGET_COPIES: f64 = 1.15;
 
-/// The same where the memory allows a second copy of every layer: the loss of
-/// any engine then leaves a chain in the data centre, and the loss of most
-/// pairs.
+/// The same where the memory allows a second copy of every layer. The loss of any engine,
+/// and of most pairs, then leaves a chain in the data centre.
 const TARGET_SPARE_COPIES: f64 = 2.4;
 
 /// Copies that the memory must allow for that.
 const MIN_SPARE_COPIES: f64 = 2.0;
 
-/// An accelerator counts as fast if the slowest kind takes this many times as
-/// long for a step.
+/// An accelerator counts as fast if the slowest kind takes this many times as long for a
+/// step.
 const FAST_RATIO: f64 = 4.0;
 
-/// Requests of usual size for which an engine's memory counts as one holder.
+/// Number of typical requests for which an engine must have memory to count as one holder.
 const REQUESTS_PER_HOLDER: f64 = 100.0;
 
-/// Holders for which one engine counts at most: its processor bounds it too.
+/// Maximum number of holders that one engine counts for: its compute limits it as well.
 const MAX_HOLDER_WEIGHT: f64 = 2.0;
 
-/// The same in a data centre with memory for a second copy of every layer:
-/// however much room an engine has, its loss leaves one holder less.
+/// The same in a data centre with memory for a second copy of every layer: however much
+/// memory an engine has, its loss removes one holder.
 const SPARE_HOLDER_WEIGHT: f64 = 1.0;
 
-/// Weight of a layer's holders within a data centre, against all holders.
+/// Weight of a layer's holders within the data centre, relative to all holders.
 const LOCAL_WEIGHT: f64 = 1.0;
 
-/// Smooths the worth of holders, so that a layer without any is not worth
-/// everything else together.
+/// Smooths the value of holders, so that a layer without any does not outweigh everything
+/// else.
 const SMOOTHING: f64 = 0.25;
 
-/// Least gain for which an engine that holds layers is given others: about
-/// what a second holder for one or two layers is worth. Loading is priced and
-/// takes the engine away for seconds.
+/// Minimum gain for which an engine that holds layers is given others: about the value of a
+/// second holder for one or two layers. Loading is expensive and makes the engine
+/// unavailable for seconds.
 const MIN_MOVE_GAIN: f64 = 0.6;
 
-/// More gain that a move must bring for each layer that it loads: loading
-/// takes the engine away for that much longer.
+/// Additional gain that a move must bring for each layer that it loads: each one makes the
+/// engine unavailable for longer.
 const MOVE_LAYER_COST: f64 = 0.06;
 
-/// Orders under way with which more engines may be moved; what moves take away
-/// meanwhile must not be missed.
+/// Number of pending orders up to which more engines may be moved; the layers that moves
+/// give up meanwhile must be dispensable.
 const MAX_MOVES: usize = 4;
 
-/// Other holders that a layer must have for one to give it up: as many in its data
-/// centre, or anywhere if there are fewer here. One is a chain for what comes
-/// meanwhile; elsewhere the next loss must leave one.
+/// Number of other holders that a layer must have for an engine to give it up: the first in
+/// its data centre, or else the second anywhere. One local holder keeps a chain for the
+/// requests that arrive meanwhile; elsewhere a holder must remain after the next loss.
 const MIN_LOCAL_HOLDERS: i32 = 1;
 const MIN_TOTAL_HOLDERS: i32 = 2;
 
-/// Share by which a range is worth more for each end that it has in common
-/// with another engine's: chains then have fewer stages.
+/// Share by which the value of a range rises for each boundary that it has in common with
+/// the range of another engine: chains then have fewer stages.
 const ALIGNMENT_BONUS: f64 = 0.04;
 
-/// An engine as placement sees it.
+/// An engine and its layers, as the placement sees it.
 #[derive(Clone, Debug)]
 pub struct PlacedEngine {
     /// Its id.
@@ -102,21 +101,21 @@
     pub movable: bool,
 }
 
-/// A range for an engine.
+/// Assignment of a layer range to an engine.
 #[derive(Clone, Debug, PartialEq, serde::Serialize, serde::Deserialize)]
 pub struct Assignment {
     /// The engine.
     pub id: UpstreamId,
-    /// What it is to hold.
+    /// Layers that it is to hold.
     #[serde(rename = "span")]
     pub layers: LayerRange,
 }
 
-/// Chooses ranges for all engines that hold nothing, and another range for
-/// the one engine, if any, that is much more useful elsewhere.
+/// Chooses layer ranges for all engines that hold nothing, and new ranges for engines that
+/// are much more useful elsewhere.
 ///
-/// The same seats bring the same ranges, in whatever order they are given.
-/// No engine gets more layers than [`layer_capacity`] allows.
+/// The result does not depend on the order of `engines`. No engine gets more layers than
+/// [`layer_capacity`] allows.
 pub fn plan(model: &Model, seats: &[PlacedEngine]) -> Vec<Assignment> {
     let mut board = PlacementState::new(model, seats);
     let mut out = Vec::new();
@@ -128,7 +127,7 @@
             out.push(board.assign(at, span));
         }
     }
-    // Moves are judged by what those before have brought.
+    // Each move takes the previous ones into account.
     let under_way = out.len() + board.engines.iter().filter(|s| !s.movable).count();
     for _ in under_way..MAX_MOVES {
         let Some((at, span)) = board.best_move() else {
@@ -139,7 +138,7 @@
     out
 }
 
-/// Whether each of a model's layers is held by some engine.
+/// Returns whether each layer of a model is in one of the ranges.
 ///
 /// # Example
 ///
@@ -163,16 +162,16 @@
     reach >= layers
 }
 
-/// Layers that a kind of accelerator may hold if weights take at most `fill`
-/// of its memory; 0 for a kind that the configuration does not tell.
+/// Returns how many layers fit on an accelerator if weights take at most `weight_share` of
+/// its memory; 0 for a kind that is not configured.
 pub fn layer_capacity(model: &Model, card: &str, fill: f64) -> Layer {
     let memory = model.accelerators.get(card).map_or(0.0, |c| c.memory_mb);
     let layers = (memory * fill / model.layer_mb.max(1e-9)).floor();
     (layers as Layer).min(model.layers)
 }
 
-/// Holders of each layer within `place`, or anywhere, counted by their memory
-/// for requests.
+/// Returns the holders of each layer within `data_centre`, or anywhere, weighted by their
+/// memory for requests.
 pub fn layer_coverage(model: &Model, seats: &[PlacedEngine], place: Option<&str>) -> Vec<f64> {
     let board = PlacementState::new(model, seats);
     match place {
@@ -184,33 +183,32 @@
     }
 }
 
-/// The engines with what has to be known of them together, kept up to date
-/// while ranges change: plans are made several times a second on a fraction of
-/// a core.
+/// Engines and the sums over them, which are updated as ranges change: plans are made
+/// several times a second with a fraction of a core.
 struct PlacementState<'a> {
     model: &'a Model,
-    /// Fastest first, then the largest memory, then by id: chains of fast engines
-    /// alone hold memory for less time than mixed ones.
+    /// Fastest first, then by the largest memory, then by id: chains of fast engines alone
+    /// hold memory for less time than mixed ones.
     engines: Vec<PlacedEngine>,
-    /// Holders of each layer.
+    /// Weight of the holders of each layer.
     coverage: Vec<f64>,
-    /// Engines that show each layer: were ordered nothing else meanwhile.
+    /// Number of engines that announce each layer and were not ordered to hold others.
     announced: Vec<i32>,
     /// Data centres by name.
     data_centres: HashMap<Arc<str>, DataCentre>,
 }
 
-/// A data centre.
+/// Sums over the engines of a data centre.
 struct DataCentre {
     /// Whether its memory allows a second copy of every layer.
     allows_second: bool,
     /// Share of an engine's memory that weights may take.
     weight_share: f64,
-    /// Holders of each layer.
+    /// Weight of the holders of each layer.
     coverage: Vec<f64>,
-    /// Engines that show each layer.
+    /// Number of engines that announce each layer.
     announced: Vec<i32>,
-    /// Ends of engines' ranges before each layer and behind the last one.
+    /// Number of range boundaries before each layer, and after the last one.
     range_ends: Vec<i32>,
 }
 
@@ -243,7 +241,7 @@
         board
     }
 
-    /// Adds an engine's range to the covers, or takes it away.
+    /// Adds an engine's range to the sums (`sign` 1), or subtracts it (`sign` -1).
     fn update_coverage(&mut self, at: usize, sign: f64) {
         let seat = &self.engines[at];
         let Some(span) = seat.layers else {
@@ -271,7 +269,7 @@
         self.update_coverage(at, 1.0);
     }
 
-    /// Orders an engine to hold a range, which it does not show yet.
+    /// Assigns a range to an engine, which does not announce it yet.
     fn assign(&mut self, at: usize, span: LayerRange) -> Assignment {
         self.set_layers(at, None);
         self.engines[at].movable = false;
@@ -280,8 +278,8 @@
         Assignment { id, layers: span }
     }
 
-    /// The move of one engine that gains most, if it gains enough: its index
-    /// and new range.
+    /// Returns the move of one engine with the highest gain, if it gains enough: the index
+    /// of the engine and its new range.
     fn best_move(&mut self) -> Option<(usize, LayerRange)> {
         let mut best: Option<(f64, usize, LayerRange)> = None;
         for at in 0..self.engines.len() {
@@ -305,13 +303,13 @@
         best.map(|(_, at, span)| (at, span))
     }
 
-    /// Whether the layers that an engine gives up for a new range are held by
-    /// others meanwhile, who show them now.
+    /// Returns whether other engines announce the layers that an engine gives up for a new
+    /// range.
     ///
-    /// What it gives up takes nothing new from the order on, and the new range
-    /// shows seconds later, when what passes has ended and the layers are loaded;
-    /// so does what others were ordered. Moves that count on such ranges leave a fleet
-    /// without a whole chain meanwhile.
+    /// The layers that it gives up accept no new requests from the order on. The new range
+    /// is announced seconds later, when the running requests have ended and the layers are
+    /// loaded. The same holds for ranges that other engines were ordered to hold. If moves
+    /// relied on such ranges, the fleet would be without a complete chain meanwhile.
     fn can_release(&self, at: usize, old: LayerRange, new: LayerRange) -> bool {
         let here = self
             .data_centres
@@ -326,8 +324,8 @@
         })
     }
 
-    /// The range for an engine that gains most, and the gain; the lowest of
-    /// those that gain the same.
+    /// Returns the range with the highest gain for an engine, and the gain; of equal ones
+    /// the range with the lowest layers.
     fn best_range(&self, at: usize) -> Option<(LayerRange, f64)> {
         let seat = &self.engines[at];
         let layers = self.model.layers;
@@ -354,14 +352,13 @@
         best.map(|(span, sum, _)| (span, sum))
     }
 
-    /// What an engine gains by holding a range, if it holds nothing else.
+    /// Returns what an engine gains by holding a range, if it holds nothing else.
     fn range_gain(&self, at: usize, span: LayerRange) -> f64 {
         let gains = self.layer_gains(at, span.len());
         gains[span.first as usize..span.end as usize].iter().sum()
     }
 
-    /// What each layer gains by one more holder, which holds `len` layers in
-    /// all.
+    /// Returns what each layer gains by one more holder, which holds `len` layers in total.
     fn layer_gains(&self, at: usize, len: Layer) -> Vec<f64> {
         let seat = &self.engines[at];
         let more = self.holder_weight(seat, len);
@@ -369,7 +366,7 @@
             .data_centres
             .get(&seat.data_centre)
             .map_or(&[][..], |s| &s.coverage);
-        // Holders are worth -1 / (holders + SMOOTHING).
+        // The value of holders is -1 / (holders + SMOOTHING).
         let gain = |holders: &f64| {
             let smooth = holders + SMOOTHING;
             more / (smooth * (smooth + more))
@@ -379,8 +376,8 @@
         layers.collect()
     }
 
-    /// For how many holders an engine counts that holds `len` layers: its
-    /// memory for requests bounds how much of the load it takes.
+    /// Returns how many holders an engine counts for that holds `len` layers: its memory
+    /// for requests limits its share of the load.
     fn holder_weight(&self, seat: &PlacedEngine, len: Layer) -> f64 {
         let is_rich = self
             .data_centres
@@ -422,14 +419,15 @@
         }
     }
 
-    /// Whether some engine here, or the model, begins with a layer or ends before it.
+    /// Returns whether a range of an engine here, or the model, begins or ends at this
+    /// layer boundary.
     fn is_range_end(&self, layer: Layer) -> bool {
         let ends = [0, self.range_ends.len() - 1].contains(&(layer as usize));
         ends || self.range_ends[layer as usize] > 0
     }
 }
 
-/// Sums of all values before each one, and of all.
+/// Returns the sum of the values before each one, and that of all.
 fn prefix_sums(values: &[f64]) -> Vec<f64> {
     let mut sum = 0.0;
     let sums = values.iter().map(|value| {
@@ -439,14 +437,15 @@
     std::iter::once(0.0).chain(sums).collect()
 }
 
-/// Shares of memory that weights may take, from `least` up.
+/// Iterates over shares of memory that weights may take, from `least` up.
 fn weight_shares(least: f64) -> impl Iterator<Item = f64> {
     let steps = ((MAX_WEIGHT_SHARE - least) / WEIGHT_SHARE_STEP).round() as u32;
     (0..=steps).map(move |n| least + WEIGHT_SHARE_STEP * f64::from(n))
 }
 
-/// The share of memory for weights at which a data centre carries most, if it
-/// holds [`TARGET_COPIES`] of the model; `copies` gives how many it holds.
+/// Returns the share of memory for weights with which a data centre has the highest
+/// throughput, if it holds [`TARGET_COPIES`] of the model; `copies` returns how many it
+/// holds at a share.
 fn best_weight_share(
     model: &Model,
     seats: &[PlacedEngine],
@@ -463,8 +462,8 @@
     best.1
 }
 
-/// Requests a second that a data centre carries in chains of its engines, the
-/// fastest together.
+/// Returns the requests a second that a data centre can serve with chains of its engines,
+/// built from the fastest on.
 fn data_centre_rate(model: &Model, seats: &[PlacedEngine], place: &str, fill: f64) -> f64 {
     let (mut rate, mut parts, mut missing) = (0.0, Vec::new(), model.layers);
     for seat in seats.iter().filter(|s| *s.data_centre == *place) {
@@ -482,8 +481,8 @@
     rate
 }
 
-/// Whether chains prefer an engine for its speed, so that it needs room for
-/// most of a data centre's requests.
+/// Returns whether chains prefer an accelerator for its speed, so that it needs memory for
+/// most of the requests of its data centre.
 fn is_fast(model: &Model, card: &str) -> bool {
     let slowest = model.accelerators.values().map(|c| c.step_factor);
     let slowest = slowest.fold(0.0, f64::max);
--- a/crates/ashgauge/src/request_duration.rs
+++ b/crates/ashgauge/src/request_duration.rs
@@ -1,15 +1,15 @@
-//! How long requests stay on a service's upstreams.
+//! Duration of requests on the upstreams of a service.
 
 use std::time::Duration;
 
-/// Weight of the newest request in the learned time.
+/// Weight of the newest request in the mean.
 const ALPHA: f64 = 0.05;
 
-/// Time that is assumed before the first request has ended: the users' answers
-/// take 1.7 to 2.9 s.
+/// Duration that is assumed until the first request has ended: answers in the target
+/// deployments take 1.7 to 2.9 s.
 const INITIAL_DURATION: Duration = Duration::from_secs(2);
 
-/// Learned time from a request's arrival to its end.
+/// Mean time from the arrival of a request to its end.
 ///
 /// # Example
 ///
@@ -32,12 +32,12 @@
 }
 
 impl RequestDuration {
-    /// Notes that a request ended well after this time.
+    /// Records the duration of a successful request.
     pub fn record(&mut self, took: Duration) {
         self.0 += ALPHA * (took.as_secs_f64() - self.0);
     }
 
-    /// The learned time.
+    /// Returns the mean duration.
     pub fn mean(&self) -> Duration {
         Duration::from_secs_f64(self.0)
     }
--- a/crates/ashgauge/src/request_size.rs
+++ b/crates/ashgauge/src/request_size.rs
@@ -1,30 +1,30 @@
-//! How much a request has to read and to write.
+//! Size of a request: the tokens that it has to read and to write.
 
 use crate::routing::Model;
 
-/// Factor by which a request is taken to differ from the usual one at the most: callers'
-/// figures are not checked, and an absurd one must not outweigh all else.
+/// Maximum factor by which a request is assumed to differ from the typical one. The numbers
+/// that callers give are not checked, and an absurd one must not outweigh everything else.
 const MAX_SIZE_RATIO: u32 = 8;
 
 /// Tokens that a request has to read and to write.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct RequestSize {
-    /// Tokens that are read before the next event.
+    /// Tokens to read before the next event.
     pub prompt: u32,
-    /// Tokens that are still to be written.
+    /// Tokens left to generate.
     pub output: u32,
-    /// Tokens that are read if the request goes on as a stream.
+    /// Tokens to read if the request is continued as a stream on other engines.
     pub(crate) resume_prompt: u32,
 }
 
 impl RequestSize {
-    /// The shape of a usual request.
+    /// Returns the size of a typical request.
     pub fn typical(model: &Model) -> Self {
         RequestSize::new(model.typical_prompt, model.typical_output)
     }
 
-    /// The shape of a request by its caller's figures, of which 0 stands for an unknown
-    /// one; they are bounded to 1/8 to 8 times the usual ones.
+    /// Returns the size of a request by the numbers of its caller, where 0 means unknown.
+    /// They are limited to 1/8 to 8 times the typical ones.
     pub fn clamped(prompt: u32, answer: u32, model: &Model) -> Self {
         RequestSize::new(
             clamp_tokens(prompt, model.typical_prompt),
@@ -32,10 +32,10 @@
         )
     }
 
-    /// The shape of the rest of a request of which so many tokens are written, which are
-    /// read together with its prompt.
+    /// Returns the size of the rest of a request of which `generated` tokens exist, which
+    /// are read together with its prompt.
     ///
-    /// An answer that is longer than expected has at least an eighth of a usual one left.
+    /// An answer that is longer than expected has at least an eighth of a typical one left.
     pub fn after_tokens(self, written: u32, model: &Model) -> Self {
         let (least, most) = token_range(model.typical_output);
         let written = written.min(most);
@@ -47,13 +47,14 @@
         }
     }
 
-    /// The shape of the rest of a request after so many events of its answer.
+    /// Returns the size of the rest of a request after so many events of its answer.
     pub fn after_events(self, events: u64, model: &Model) -> Self {
         let tokens = events.saturating_mul(u64::from(model.event_tokens));
         self.after_tokens(tokens.try_into().unwrap_or(u32::MAX), model)
     }
 
-    /// A stream that goes on is in the middle of its answer, if nothing else is known.
+    /// Without other knowledge a stream that is continued is assumed to be in the middle of
+    /// its answer.
     fn new(prompt: u32, answer: u32) -> Self {
         RequestSize {
             prompt,
--- a/crates/ashgauge/src/selection.rs
+++ b/crates/ashgauge/src/selection.rs
@@ -1,4 +1,4 @@
-//! Which upstream, or which chain of engines, a request goes to.
+//! Selection of the upstream, or the chain of engines, that a request goes to.
 
 use std::sync::Arc;
 use std::time::Duration;
@@ -13,21 +13,21 @@
 use crate::upstream::LayerRange;
 use crate::upstream_state::UpstreamState;
 
-/// Time assumed for an upstream that has not answered yet, in seconds.
+/// Latency assumed for an upstream that has not answered yet, in seconds.
 const DEFAULT_LATENCY_SECONDS: f64 = 0.02;
 
 /// Factor on the cost of an upstream in another data centre.
 const REMOTE_COST_FACTOR: f64 = 1.15;
 
-/// Requests that an upstream without room counts as having ahead of a new one.
+/// Number of queued requests that an upstream without capacity is assumed to have.
 const FULL_QUEUE_PENALTY: f64 = 20.0;
 
-/// Share of the limit up to which engines are filled that a data centre's engines keep for
-/// the callers of its own boxes, see [`Requirements::reserved_share`].
+/// Share of the fill limit that the engines of a data centre keep for the callers of its
+/// own boxes, see [`Requirements::reserved_share`].
 pub const RESERVED_SHARE: f64 = 0.125;
 
-/// Chooses an upstream of a plain service, and not one that was `tried` if
-/// there is another.
+/// Selects an upstream of a plain service, and one that was not `tried` before if there is
+/// any.
 pub fn select_upstream(
     context: &SelectionContext,
     tried: &[UpstreamId],
@@ -54,21 +54,22 @@
     cheapest(&mut entries().filter(usable).filter(new))
         .or_else(|| cheapest(&mut entries().filter(stays).filter(listed).filter(new)))
         .or_else(|| cheapest(&mut entries().filter(usable)))
-        // One whose entry is gone may have left; only an outage takes all at once.
+        // An upstream whose entry disappeared may have left. Only an outage of the store
+        // makes all entries disappear at once.
         .or_else(|| match all().any(|e| listed(&e)) {
             true => None,
             false => cheapest(&mut entries().filter(stays).filter(new)),
         })
 }
 
-/// Chooses a chain over `span` of the model's layers, without the engines in
-/// `avoid` and those that lack what the request may `need`.
+/// Selects a chain over `range` of the model's layers, without the engines in `avoid` and
+/// those that do not meet the request's `requirements`.
 ///
-/// The cost is the time of a request of the scene's shape: reading its prompt, writing
-/// its answer, handing activations on; engines that are filling up cost more.
+/// The cost is the time of a request of the context's size: reading its prompt, generating
+/// its output and passing on activations. It is higher for engines that are filling up.
 ///
-/// What engines in other data centres reserve for the callers there is used only if there
-/// is no chain without it: that is better for the request than a refusal.
+/// The share that engines in other data centres reserve for the callers there is only used
+/// if there is no chain without it: that is better for the request than a refusal.
 pub fn select_chain(
     context: &SelectionContext,
     model: &Model,
@@ -90,7 +91,7 @@
     }
 }
 
-/// Chooses a chain of engines on which `need` fits.
+/// Selects a chain of engines that meet `requirements`.
 fn select_fitting_chain(
     context: &SelectionContext,
     model: &Model,
@@ -131,7 +132,8 @@
     })
 }
 
-/// Engines that take requests and hold some of these layers, with what they hold.
+/// Iterates over the engines that accept requests and hold some of these layers, with the
+/// layers that they hold.
 fn holders<'a>(
     context: &'a SelectionContext,
     span: LayerRange,
@@ -142,7 +144,7 @@
     holders.filter(move |(_, held)| held.overlaps(&span))
 }
 
-/// Number of a data centre among those that were met, as which it is added if it is new.
+/// Returns the index of a data centre in the list, to which it is added if it is new.
 fn index_of<'a>(places: &mut Vec<&'a Arc<str>>, name: &'a Arc<str>) -> usize {
     let known = places.iter().position(|p| *p == name);
     known.unwrap_or_else(|| {
@@ -151,16 +153,16 @@
     })
 }
 
-/// How long until something may be sent to an upstream: one that wants rest turns away
-/// whatever comes meanwhile, one that takes no more is to get nothing.
+/// Returns how long nothing may be sent to an upstream: during a back-off it rejects all
+/// requests, and while it is blocked by its rate limit it must get none.
 fn available_in(context: &SelectionContext, entry: &UpstreamState) -> Option<Duration> {
     entry
         .backoff(context.now)
         .max(entry.blocked_for(context.now))
 }
 
-/// How long until there is an upstream, or a chain over the whole `model`, as those
-/// that it lacks want nothing until then; `None` if that is not what stands in the way.
+/// Returns the time until there is an upstream, or a chain over the whole `model`, if those
+/// that are missing are in a back-off or blocked; `None` if that is not the obstacle.
 pub fn backoff_left(
     context: &SelectionContext,
     model: Option<&Model>,
@@ -188,8 +190,8 @@
     waits.get(first).copied()
 }
 
-/// Share of an engine's memory for requests that all boxes' requests hold, as
-/// far as this box knows; `None` if it holds no layers.
+/// Returns the share of an engine's memory for requests that the requests of all boxes
+/// hold, as far as this box knows; `None` if it holds no layers.
 pub fn memory_utilization(
     context: &SelectionContext,
     model: &Model,
@@ -200,8 +202,8 @@
     Some(tokens / cost::memory_capacity(model, entry, held).max(1.0))
 }
 
-/// How many of the engines are filled up to `limit`, a share of their memory for
-/// requests, and how many hold layers.
+/// Returns how many engines are filled up to `limit`, a share of their memory for requests,
+/// and how many hold layers.
 pub fn count_full(context: &SelectionContext, model: &Model, limit: f64) -> (usize, usize) {
     let entries = context.registry.of_service(context.service);
     let filled = entries.filter_map(|e| memory_utilization(context, model, e));
@@ -210,8 +212,8 @@
     })
 }
 
-/// Share of their memory for requests that the engines of the box's data centre
-/// have given away, as far as this box knows; 1 if they have none.
+/// Returns the share of their memory for requests that is used on the engines of the box's
+/// data centre, as far as this box knows; 1 if it has no engines.
 pub fn local_utilization(context: &SelectionContext, model: &Model) -> f64 {
     let (mut used, mut room) = (0.0, 0.0);
     for entry in context.local_upstreams() {
@@ -227,23 +229,23 @@
     }
 }
 
-/// Room that a request needs on each engine of its chain.
+/// What a request requires of each engine of its chain.
 #[derive(Clone, Copy, Debug)]
 pub struct Requirements {
-    /// Tokens that it holds.
+    /// Tokens for which it needs memory.
     pub tokens: u32,
-    /// Share of their memory up to which engines are filled.
+    /// Share of their memory for requests up to which engines may be filled.
     pub fill_limit: f64,
     /// Share of the limit of engines in other data centres that is left to the callers
-    /// there; 0 if none is.
+    /// there; 0 for none.
     pub reserved_share: f64,
 }
 
 impl Requirements {
-    /// Whether an engine has the room, with all of its layers in the chain, and a
-    /// slot if it would be the chain's first.
+    /// Returns whether an engine has the memory, with all of its layers in the chain, and a
+    /// free slot if it would be the first of the chain.
     ///
-    /// Past its slots an engine turns requests away.
+    /// An engine refuses requests when its slots are used up.
     pub fn are_met_by(
         &self,
         context: &SelectionContext,
@@ -293,7 +295,7 @@
     seconds * (1.0 + ahead) * away * failing * failing
 }
 
-/// The whole model as a range.
+/// Returns the range of all layers of a model.
 pub fn all_layers(layers: Layer) -> LayerRange {
     LayerRange {
         first: 0,
--- a/crates/ashgauge/src/slack.rs
+++ b/crates/ashgauge/src/slack.rs
@@ -1,25 +1,26 @@
-//! How much time a request has until it is late, and what follows for its order
-//! at the engines.
+//! How much time a request has left until it is late, and the priority that it gets from
+//! this at the engines.
 
 use std::time::Duration;
 
-/// How a request stands against its aim.
+/// Time that a request has left until it is late.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Slack {
-    /// Its caller has a part of the answer and waits for the next event: late
-    /// after a pause that is nearly over.
+    /// The stream has begun and its caller waits for the next event: it is late after a
+    /// pause, which is nearly over.
     Streaming,
-    /// It may still be in time.
+    /// The answer may still arrive within its target latency.
     OnTime,
-    /// It is late whatever is done, but its answer is still wanted.
+    /// The answer will be late in any case, but is still wanted.
     Late,
 }
 
-/// Least part of a route's time that callers wait for a first attempt: their own limits
-/// differ by up to a seventh of it, and who was refused stays away for as long or longer.
+/// Minimum share of a route's timeout that callers wait for a first attempt. Their own
+/// timeouts differ from it by up to a seventh, and a caller that was refused stays away for
+/// at least as long.
 const MIN_FIRST_PATIENCE: f64 = 0.85;
 
-/// Whether a caller who waits so much longer has made the request before.
+/// Returns whether a caller that waits for `time_left` more has made the request before.
 ///
 /// # Example
 ///
@@ -36,8 +37,8 @@
 }
 
 impl Slack {
-    /// How a request stands whose caller waits for its first event, of `patience`
-    /// left of `timeout`: a caller who comes back has used up the rest.
+    /// Returns the slack of a request whose caller waits for the first event and has
+    /// `time_left` of `timeout`; a caller that retries has used up the rest.
     ///
     /// # Example
     ///
@@ -58,11 +59,12 @@
     }
 }
 
-/// The order of a request at the engines, 0 first, by its `rank` and its slack.
+/// Returns the priority of a request at the engines, 0 first, from its own `priority` and
+/// its slack.
 ///
-/// Who is late already waits behind those of its rank who are not, level with the
-/// next rank, and who goes on before them: what is late loses nothing more by
-/// waiting, and what waits for its next event is late after a short pause.
+/// A late request goes behind those of its priority that are not late, level with the next
+/// priority, as it loses nothing more by waiting. A stream that has begun goes before them,
+/// as it is late after a short pause.
 ///
 /// # Example
 ///
--- a/crates/ashgauge/src/throughput.rs
+++ b/crates/ashgauge/src/throughput.rs
@@ -1,24 +1,26 @@
-//! How many requests a second engines can carry within their memory.
+//! Throughput of chains of engines within their memory.
 //!
-//! A request holds memory in every engine of its chain for as long as it runs.
-//! So what a chain carries is what fits into its scarcest engine, divided by the
-//! time that requests take.
+//! A request holds memory in every engine of its chain for as long as it runs. So the
+//! throughput of a chain is the number of requests that fit into its smallest engine,
+//! divided by the duration of a request.
 
 use crate::chain::Layer;
 use crate::routing::Model;
 
-/// Passes that a token waits for at each engine, its own included: on average
-/// it comes in the middle of one.
+/// Passes that a token takes at each engine, its own included: on average it arrives in the
+/// middle of one.
 const PASSES_PER_TOKEN: f64 = 1.5;
 
-/// Requests that share an engine's passes while chains are compared. What is
-/// offered is the same whichever is built, so it is one figure for all.
+/// Number of requests that are assumed to share the passes of an engine when chains are
+/// compared. The offered load does not depend on which chains are built, so the same number
+/// is used for all.
 const ASSUMED_LOAD: f64 = 50.0;
 
-/// A part of a chain: a kind of accelerator with so many layers.
+/// A part of a chain: a kind of accelerator, and its number of layers.
 pub type ChainPart<'a> = (&'a str, Layer);
 
-/// Requests a second that a chain of these parts carries, if it has all layers.
+/// Returns the requests a second that a chain of these parts can serve, if they have all
+/// layers.
 pub fn chain_throughput(model: &Model, parts: &[ChainPart]) -> f64 {
     let rooms = parts
         .iter()
@@ -31,7 +33,7 @@
     }
 }
 
-/// Seconds that a usual request spends at a part.
+/// Returns the seconds that a typical request spends at a part.
 fn part_seconds(model: &Model, (card, layers): &ChainPart) -> f64 {
     let Some(card) = model.accelerators.get(*card) else {
         return f64::INFINITY;
--- a/crates/ashgauge/src/upstream_stats.rs
+++ b/crates/ashgauge/src/upstream_stats.rs
@@ -1,4 +1,4 @@
-//! What a box has learned of each upstream: speed, link, queue and window.
+//! What a box has learned about each upstream: speed, network delay, queueing and window.
 
 use std::collections::HashMap;
 use std::time::Duration;
@@ -6,21 +6,21 @@
 use crate::chain::{Edge, Layer};
 use crate::member::UpstreamId;
 
-/// Weight of the newest sample in the learned times.
+/// Weight of the newest sample in the averages.
 const ALPHA: f64 = 0.1;
 
-/// Step up of the link estimate when a sample lies above it; the step down is
-/// a ninth of it, which settles near the 90th of 100.
+/// Step with which the network delay rises if a sample is above it. It falls with a ninth
+/// of this step, so that it settles near the 90th percentile.
 const LINK_QUANTILE_STEP: f64 = 0.09;
 
-/// Time after which an unused link counts a third of its learned cost, so
-/// that one that was slow is tried again.
+/// Seconds after which the delay of an unused link counts only a third, so that a link that
+/// was slow is tried again.
 const LINK_DECAY_SECONDS: f64 = 20.0;
 
-/// Share of queueing in an order's engine time under which a window grows.
+/// Ratio of queueing time to run time of an order below which the window grows.
 const GROW_QUEUE_RATIO: f64 = 0.5;
 
-/// Share above which it shrinks.
+/// Ratio above which it shrinks.
 const SHRINK_QUEUE_RATIO: f64 = 1.5;
 
 const INITIAL_WINDOW: f64 = 4.0;
@@ -29,23 +29,22 @@
 const INITIAL_SUSPECT_DURATION: Duration = Duration::from_millis(250);
 const MAX_SUSPECT_DURATION: Duration = Duration::from_secs(2);
 
-/// Engine's own account of one order.
+/// Duration of an order, as the box and the engine measured it.
 #[derive(Clone, Copy, Debug, Default)]
 pub struct OrderTiming {
-    /// From sending to the answer, on the box's clock.
+    /// Time from sending to the answer, by the clock of the box.
     pub round_trip: Duration,
     /// Time that the order waited in the engine.
     pub queued: Duration,
-    /// Time that it ran.
+    /// Time that it ran in the engine.
     pub ran: Duration,
     /// Layers that it ran.
     pub layers: u32,
-    /// Positions that it ran through them.
+    /// Positions that it ran through these layers.
     pub positions: u32,
 }
 
-/// Mean of a time and its mean distance from it, as for retransmission timers
-/// (RFC 6298).
+/// Mean of a duration and its mean deviation, as for retransmission timers (RFC 6298).
 #[derive(Clone, Copy, Debug, Default)]
 pub(crate) struct DurationEstimate {
     mean: f64,
@@ -69,16 +68,16 @@
         self.mean
     }
 
-    /// A time that is seldom passed.
+    /// Returns a duration that is seldom exceeded.
     fn upper_bound(&self) -> f64 {
         self.mean + 4.0 * self.deviation
     }
 }
 
-/// One upstream as this box sees it.
+/// Statistics of one upstream, as this box sees it.
 #[derive(Clone, Debug)]
 pub struct UpstreamStats {
-    /// Requests of this box that hold a place on it.
+    /// Requests of this box that occupy a slot of its window.
     pub inflight: u32,
     window: f64,
     layer_seconds: f64,
@@ -90,11 +89,11 @@
     suspect_until: Duration,
     failures: u32,
     probing: bool,
-    /// Until when it wants no new work from this box.
+    /// Until when it wants no new requests from this box.
     backoff_until: Duration,
 }
 
-/// All upstreams as this box sees them.
+/// Statistics of all upstreams, as this box sees them.
 #[derive(Debug, Default)]
 pub struct UpstreamStatsMap {
     by_id: HashMap<UpstreamId, UpstreamStats>,
@@ -120,12 +119,13 @@
 }
 
 impl UpstreamStats {
-    /// Requests that this box may hold on it.
+    /// Returns how many requests this box may have on it.
     pub fn window(&self) -> u32 {
         self.window as u32
     }
 
-    /// Learned time of the link both ways, in seconds, faded by disuse.
+    /// Returns the learned round-trip delay of the network in seconds, which decays while
+    /// the link is unused.
     pub fn link_seconds(&self, now: Duration) -> f64 {
         let idle = now.saturating_sub(self.last_answer).as_secs_f64();
         self.link_seconds * (-idle / LINK_DECAY_SECONDS).exp()
@@ -153,8 +153,8 @@
         self.probing = false;
     }
 
-    /// Orders of one position and of many differ in time for one layer, as
-    /// engines run the positions of an order together.
+    /// Orders of one position and of several are measured separately, as engines run the
+    /// positions of an order together.
     fn record_speed(&mut self, t: &OrderTiming) {
         let per_layer = t.ran.as_secs_f64() / f64::from(t.layers.max(1));
         let total = t.round_trip.as_secs_f64();
@@ -191,54 +191,54 @@
 }
 
 impl UpstreamStatsMap {
-    /// Returns what is known of an upstream.
+    /// Returns the statistics of an upstream, which are created if there are none.
     pub fn get_mut(&mut self, id: &UpstreamId) -> &mut UpstreamStats {
         self.by_id.entry(id.clone()).or_default()
     }
 
-    /// Returns true if the upstream may be given one more request.
+    /// Returns whether the upstream may be given one more request.
     pub fn has_capacity(&self, now: Duration, id: &str) -> bool {
         self.by_id.get(id).is_none_or(|l| l.has_capacity(now))
     }
 
-    /// Returns true if the last call failed and its time out is not over.
+    /// Returns whether the last call failed and the pause that follows is not over.
     pub fn is_suspect(&self, now: Duration, id: &str) -> bool {
         self.by_id
             .get(id)
             .is_some_and(|l| l.failures > 0 && now < l.suspect_until)
     }
 
-    /// Returns true if the upstream wants no new work from this box.
+    /// Returns whether the upstream wants no new requests from this box.
     pub fn is_backing_off(&self, now: Duration, id: &str) -> bool {
         self.by_id.get(id).is_some_and(|l| now < l.backoff_until)
     }
 
-    /// Notes that the upstream wants no new work from this box for so long.
+    /// Records that the upstream wants no new requests from this box for `backoff`.
     pub fn note_backoff(&mut self, now: Duration, id: &UpstreamId, rest: Duration) {
         let l = self.get_mut(id);
         l.backoff_until = l.backoff_until.max(now.saturating_add(rest));
     }
 
-    /// Counts one more request on the upstream.
+    /// Counts a new request on the upstream.
     pub fn acquire(&mut self, id: &UpstreamId) {
         let l = self.get_mut(id);
         l.inflight += 1;
         l.probing = l.failures > 0;
     }
 
-    /// Counts one request less.
+    /// Counts a request that ended on the upstream.
     pub fn release(&mut self, id: &UpstreamId) {
         let l = self.get_mut(id);
         l.inflight = l.inflight.saturating_sub(1);
         l.probing = false;
     }
 
-    /// Learns from an order that was answered.
+    /// Records the timing of an order that was answered.
     pub fn record(&mut self, now: Duration, id: &UpstreamId, timing: &OrderTiming) {
         self.get_mut(id).record(now, timing);
     }
 
-    /// Notes that an order failed; the upstream gets nothing for a while.
+    /// Records an order that failed; the upstream gets no requests for a while.
     pub fn record_failure(&mut self, now: Duration, id: &UpstreamId) {
         let l = self.get_mut(id);
         let pause = INITIAL_SUSPECT_DURATION * 2u32.saturating_pow(l.failures.min(10));
@@ -248,7 +248,7 @@
         l.window = (l.window / 2.0).max(1.0);
     }
 
-    /// Cost of using the upstream for a range it holds.
+    /// Returns the cost of using the upstream for a range that it holds.
     pub fn edge(&self, now: Duration, id: &UpstreamId, first: Layer, end: Layer) -> Edge {
         let fresh = UpstreamStats::default();
         let l = self.by_id.get(id).unwrap_or(&fresh);
@@ -263,13 +263,13 @@
         }
     }
 
-    /// Seconds that an order of one position takes, as learned.
+    /// Returns the average seconds that an order of one position takes.
     pub fn order_seconds(&self, id: &str) -> f64 {
         self.by_id.get(id).map_or(0.0, |l| l.single_order.mean)
     }
 
-    /// Time that an order of so many positions seldom takes, as learned;
-    /// `None` if nothing was learned of such orders.
+    /// Returns the time that an order of so many positions seldom exceeds; `None` if there
+    /// was no such order yet.
     pub fn late_after(&self, id: &str, positions: u32) -> Option<Duration> {
         let l = self.by_id.get(id)?;
         let late = match positions {
@@ -279,12 +279,12 @@
         (late > 0.0).then(|| Duration::from_secs_f64(late))
     }
 
-    /// Forgets upstreams that are no longer listed and hold nothing.
+    /// Removes upstreams that are no longer listed and have no requests.
     pub fn retain(&mut self, mut listed: impl FnMut(&str) -> bool) {
         self.by_id.retain(|id, l| l.inflight > 0 || listed(id));
     }
 
-    /// Every upstream known, for status and metrics.
+    /// Iterates over all known upstreams, for status and metrics.
     pub fn iter(&self) -> impl Iterator<Item = (&UpstreamId, &UpstreamStats)> {
         self.by_id.iter()
     }
--- a/crates/ashgauge/src/wan.rs
+++ b/crates/ashgauge/src/wan.rs
@@ -1,27 +1,27 @@
-//! What a box sends over the pipes between data centres.
+//! Traffic of a box on the links between data centres.
 
 use std::collections::HashMap;
 use std::sync::Arc;
 use std::time::Duration;
 
-/// Time over which the use of pipes is averaged.
+/// Time constant of the average traffic.
 const AVERAGING_WINDOW: Duration = Duration::from_secs(1);
 
-/// How much this box has sent over the pipes between data centres lately.
+/// Recent traffic of this box between data centres.
 ///
-/// The boxes do alike, so each takes the fleet's use to be its own times their
-/// number.
+/// All boxes behave alike, so each estimates the traffic of the fleet as its own times
+/// their number.
 #[derive(Clone, Debug, Default)]
 pub struct WanUsage(HashMap<(Arc<str>, Arc<str>), (f64, Duration)>);
 
 impl WanUsage {
-    /// Notes that `mb` megabytes go from one data centre to another.
+    /// Records a transfer of `mb` megabytes from one data centre to another.
     pub fn note(&mut self, now: Duration, from: &Arc<str>, to: &Arc<str>, mb: f64) {
         let entry = self.0.entry(pair(from, to)).or_insert((0.0, now));
         *entry = (decayed(*entry, now) + mb, now);
     }
 
-    /// Megabytes a second that this box sends between two data centres.
+    /// Returns the megabytes a second that this box transfers between two data centres.
     pub fn rate(&self, now: Duration, a: &Arc<str>, b: &Arc<str>) -> f64 {
         let used = self.0.get(&pair(a, b));
         used.map_or(0.0, |used| {
@@ -30,7 +30,7 @@
     }
 }
 
-/// A pipe carries both directions.
+/// Returns the key of a link, which carries both directions.
 fn pair(a: &Arc<str>, b: &Arc<str>) -> (Arc<str>, Arc<str>) {
     match a < b {
         true => (a.clone(), b.clone()),
