--- a/crates/http/src/client.rs
+++ b/crates/http/src/client.rs
@@ -1,4 +1,4 @@
-//! A client with pooled connections that tells what got out.
+//! HTTP client with pooled connections that reports whether a failed request was sent.
 
 use std::collections::HashMap;
 use std::fmt;
@@ -15,33 +15,34 @@
 
 type Sender = SendRequest<Full<Bytes>>;
 
-/// Idle connections kept for one address.
+/// Maximum number of idle connections for one address.
 const MAX_IDLE_PER_ADDR: usize = 64;
 
-/// The same for all addresses together: each takes a descriptor, and whoever calls
-/// thousands of upstreams once must not keep one for each.
+/// Maximum number of idle connections for all addresses together: each takes a file
+/// descriptor, and a client that calls thousands of upstreams once must not keep one for
+/// each.
 const MAX_IDLE: usize = 256;
 
-/// Longest answer, in bytes; a stored object is at most 1 MB.
+/// Maximum size of a response; a stored object has at most 1 MB.
 const MAX_RESPONSE_BYTES: usize = 8 << 20;
 
-/// Why a request brought no answer.
+/// Reason why there is no response to a request.
 #[derive(Clone, Debug, PartialEq)]
 pub enum Failure {
     /// No byte of it left this process.
     NotSent(String),
-    /// It was sent, and no whole answer came.
+    /// It was sent, but no complete response arrived.
     Lost(String),
 }
 
-/// Sends requests over kept connections. Clones share the connections.
+/// Sends requests over pooled connections. Clones share the pool.
 #[derive(Clone, Debug)]
 pub struct Client {
     connect_timeout: Duration,
     idle: Arc<Mutex<IdlePool>>,
 }
 
-/// Connections that rest.
+/// Idle connections.
 #[derive(Debug, Default)]
 struct IdlePool {
     senders: HashMap<String, Vec<Sender>>,
@@ -49,7 +50,7 @@
 }
 
 impl Client {
-    /// Makes a client that gives up connecting after `connect`.
+    /// Creates a client with this timeout for connecting.
     pub fn new(connect: Duration) -> Self {
         Client {
             connect_timeout: connect,
@@ -57,17 +58,17 @@
         }
     }
 
-    /// Connections that rest.
+    /// Returns the number of idle connections.
     pub fn idle_count(&self) -> usize {
         self.idle.lock().map_or(0, |idle| idle.count)
     }
 
-    /// Sends a request to `addr` and reads the whole answer.
+    /// Sends a request to `addr` and reads the whole response.
     ///
     /// # Errors
     ///
-    /// Fails if the address cannot be reached, the connection breaks, or no
-    /// whole answer came within `limit`.
+    /// Fails if the address cannot be reached, the connection breaks, or no complete
+    /// response arrives within `limit`.
     pub async fn send(
         &self,
         addr: &str,
@@ -85,8 +86,8 @@
         addr: &str,
         mut request: Request<Full<Bytes>>,
     ) -> Result<Response<Bytes>, Failure> {
-        // An idle connection may have been closed by the other side; hyper
-        // gives the request back if it was not begun.
+        // The other side may have closed an idle connection; hyper returns the request if
+        // it was not begun.
         while let Some(sender) = self.take(addr) {
             match self.send_on(addr, sender, request).await {
                 Ok(answer) => return answer,
@@ -100,7 +101,7 @@
         }
     }
 
-    /// Sends on one connection; gives the request back if it did not go out.
+    /// Sends on one connection; returns the request if it was not sent.
     async fn send_on(
         &self,
         addr: &str,
@@ -175,7 +176,7 @@
         }
     }
 
-    /// Forgets connections that the other side has closed.
+    /// Removes connections that the other side has closed.
     fn drop_closed(&mut self) {
         for senders in self.senders.values_mut() {
             senders.retain(|sender| !sender.is_closed());
--- a/crates/http/src/headers.rs
+++ b/crates/http/src/headers.rs
@@ -1,11 +1,11 @@
-//! When to come back.
+//! Response headers that the client and its callers evaluate.
 
 use std::time::Duration;
 
 use hyper::HeaderMap;
 use hyper::header::RETRY_AFTER;
 
-/// Reads `retry-after` as a number of seconds, parts of them included.
+/// Parses `retry-after` as a number of seconds, which may have a fraction.
 ///
 /// # Example
 ///
@@ -21,7 +21,7 @@
 ///
 /// # Errors
 ///
-/// Fails with the header's text if that is no time.
+/// Returns the text of the header if it is not a valid time.
 pub fn retry_after(headers: &HeaderMap) -> Result<Option<Duration>, String> {
     let Some(value) = headers.get(RETRY_AFTER) else {
         return Ok(None);
--- a/crates/http/src/lib.rs
+++ b/crates/http/src/lib.rs
@@ -1,7 +1,7 @@
 //! HTTP client and server over `hyper`, shared by the packages that speak it.
 //!
-//! The client knows whether a request got out: [`Failure::NotSent`] means that
-//! no byte of it left this process, which is what "not run" rests on.
+//! The client knows whether a request was sent: [`Failure::NotSent`] means that no byte of
+//! it left this process, so that it cannot have run.
 
 #![warn(missing_docs)]
 #![forbid(unsafe_code)]
--- a/crates/http/src/server.rs
+++ b/crates/http/src/server.rs
@@ -1,4 +1,4 @@
-//! A server that bounds what each connection may cost.
+//! HTTP server that limits the resources of each connection.
 
 use std::convert::Infallible;
 use std::future::Future;
@@ -17,17 +17,17 @@
 use tokio::sync::{Semaphore, watch};
 use tokio::time::timeout;
 
-/// Body of an answer.
+/// Body of a response.
 pub type Body = BoxBody<Bytes, Infallible>;
 
-/// Bounds of a server.
+/// Limits of a server.
 #[derive(Clone, Copy, Debug)]
 pub struct Limits {
-    /// Open connections.
+    /// Maximum number of open connections.
     pub connections: usize,
-    /// Bytes of a request's head.
+    /// Maximum size of a request head, in bytes.
     pub header_bytes: usize,
-    /// Time for a request's head.
+    /// Time limit for receiving a request head.
     pub header_timeout: Duration,
 }
 
@@ -41,8 +41,8 @@
     }
 }
 
-/// Serves connections until `stop` turns true or is closed, then lets the
-/// requests in flight end.
+/// Serves connections until `stop` becomes true or is closed, then waits for the running
+/// requests.
 pub async fn serve<H, F>(
     listener: TcpListener,
     limits: Limits,
@@ -60,7 +60,7 @@
             _ = stop.wait_for(|s| *s) => break,
         };
         let Ok((stream, _)) = accepted else {
-            // Out of file descriptors, most likely; accepting again at once
+            // Most likely the process is out of file descriptors; accepting again at once
             // would spin.
             tokio::time::sleep(Duration::from_millis(10)).await;
             continue;
@@ -82,8 +82,8 @@
 ///
 /// # Errors
 ///
-/// Fails with the status to answer if the body is longer than `most` bytes,
-/// takes longer than `limit`, or breaks.
+/// Returns the status to answer with if the body is longer than `max_bytes`, takes longer
+/// than `limit`, or breaks.
 pub async fn read_body(body: Incoming, most: usize, limit: Duration) -> Result<Bytes, StatusCode> {
     match timeout(limit, Limited::new(body, most).collect()).await {
         Ok(Ok(body)) => Ok(body.to_bytes()),
@@ -95,17 +95,17 @@
     }
 }
 
-/// A body with all its bytes at hand.
+/// Creates a body from bytes.
 pub fn full(bytes: impl Into<Bytes>) -> Body {
     Full::new(bytes.into()).boxed()
 }
 
-/// A body without bytes.
+/// Creates an empty body.
 pub fn empty() -> Body {
     Empty::new().boxed()
 }
 
-/// A JSON answer.
+/// Creates a JSON response.
 pub fn json(status: StatusCode, value: &impl serde::Serialize) -> Response<Body> {
     let bytes = serde_json::to_vec(value).unwrap_or_default();
     let mut response = Response::new(full(bytes));
--- a/crates/peer/src/lib.rs
+++ b/crates/peer/src/lib.rs
@@ -1,8 +1,8 @@
 //! Messages between boxes over JSON-RPC.
 //!
-//! One method, `deliver`, takes an [`Envelope`] and answers at once; an answer
-//! to a message is a message of its own. The port takes nothing without the
-//! fleet's credential.
+//! The only method, `deliver`, takes an [`Envelope`] and returns at once; a reply to a
+//! message is a message of its own. The port rejects requests without the credential of the
+//! fleet.
 
 #![warn(missing_docs)]
 #![forbid(unsafe_code)]
@@ -22,10 +22,10 @@
 
 const METHOD: &str = "deliver";
 
-/// Time that a delivery may take.
+/// Timeout of a delivery.
 const CALL_TIMEOUT: Duration = Duration::from_millis(1000);
 
-/// Longest message, in bytes; a table is at most 1 MB.
+/// Maximum size of a message; a table has at most 1 MB.
 const MAX_MESSAGE_BYTES: u32 = 4 << 20;
 
 /// Sends messages to other boxes. Clones share the connections.
@@ -36,7 +36,7 @@
 }
 
 impl PeerClient {
-    /// Makes a sender that shows this credential.
+    /// Creates a client that authenticates with this credential.
     pub fn new(credential: &str) -> Self {
         PeerClient {
             credential: credential.into(),
@@ -48,7 +48,7 @@
     ///
     /// # Errors
     ///
-    /// Fails with the cause if the box did not take it in time.
+    /// Returns the cause if the box did not accept the message in time.
     pub async fn deliver(&self, addr: &str, envelope: &Envelope) -> Result<(), String> {
         let client = self.client(addr)?;
         let params = rpc_params![envelope];
@@ -75,13 +75,13 @@
     }
 }
 
-/// Serves the box-to-box port; `take` gets each message.
+/// Serves the box-to-box port; `handler` gets each message.
 ///
 /// Dropping the handle stops the server.
 ///
 /// # Errors
 ///
-/// Fails if the address cannot be bound.
+/// Returns the cause if the address cannot be bound.
 pub async fn serve(
     addr: &str,
     credential: &str,
--- a/crates/upstream/src/lib.rs
+++ b/crates/upstream/src/lib.rs
@@ -1,10 +1,10 @@
 //! Client of model engines and plain services.
 //!
-//! The engine protocol is JSON over HTTP, one call a stage order. An engine
-//! keeps a session a stage of a request. It runs each position of a session
-//! once: the same order sent again brings the kept outputs. A header
-//! `not-run: REASON` is the upstream's own word that it did nothing, and
-//! `retry-after` beside it how long it wants no new work from the box.
+//! The engine protocol is JSON over HTTP with one call for each stage order. An engine
+//! keeps one session for each stage of a request. It runs each position of a session once:
+//! if the same order is sent again, it returns the stored outputs. With the header
+//! `not-run: REASON` an upstream states that it has done nothing, and with `retry-after`
+//! beside it for how long it wants no new requests from the box.
 
 #![warn(missing_docs)]
 #![forbid(unsafe_code)]
@@ -25,7 +25,7 @@
     Cancel, NOT_RUN_HEADER, OrderBody, OrderReply, RunBody, RunReply, parse_reason, reason_name,
 };
 
-/// Name of a stage's session on its engine.
+/// Returns the name of a stage's session on its engine.
 pub fn session_name(owner: &str, id: u64, session: u32) -> String {
     format!("{owner}.{id}.{session}")
 }
@@ -34,7 +34,7 @@
 ///
 /// # Errors
 ///
-/// Fails with what is known of whether it ran.
+/// Returns what is known of whether the order ran.
 pub async fn run(
     client: &Client,
     owner: &str,
@@ -75,10 +75,10 @@
     })
 }
 
-/// Tells an engine that a session is over.
+/// Tells an engine that a session has ended.
 pub async fn cancel(client: &Client, addr: &str, session: String, limit: Duration) {
     let request = post("/v1/stages/cancel", &Cancel { session });
-    // The engine forgets idle sessions by itself, so a lost cancel is no harm.
+    // The engine drops idle sessions by itself, so a lost cancel does no harm.
     let _ = client.send(addr, request, limit).await;
 }
 
@@ -86,7 +86,7 @@
 ///
 /// # Errors
 ///
-/// Fails with what is known of whether it ran.
+/// Returns what is known of whether the call ran.
 pub async fn call(
     client: &Client,
     call: &ServiceCall,
@@ -163,7 +163,7 @@
     Err(UpstreamError::Lost(format!("status {}", answer.status())))
 }
 
-/// The upstream's own refusal, if the answer is one.
+/// Returns the upstream's refusal, if the answer is one.
 fn refusal(answer: &Response<Bytes>) -> Option<UpstreamError> {
     let word = answer.headers().get(NOT_RUN_HEADER)?;
     let reason = parse_reason(word.to_str().ok()?)?;
--- a/crates/upstream/src/wire.rs
+++ b/crates/upstream/src/wire.rs
@@ -1,21 +1,21 @@
-//! Bodies and words of the engine protocol, for client and stand-in alike.
+//! Messages of the engine protocol, for the client and the stand-in.
 
 use ashgauge::chain::Layer;
 use ashgauge::node::{RefusalReason, StageValue, Token};
 use ashgauge::order::DesiredState;
 use serde::{Deserialize, Serialize};
 
-/// Header by which an upstream says that it did nothing, and why.
+/// Header by which an upstream states that it has done nothing, and why.
 pub const NOT_RUN_HEADER: &str = "not-run";
 
 /// Body of `POST /v1/stages/run`.
 #[derive(Clone, Debug, Serialize, Deserialize)]
 pub struct RunBody {
-    /// Session, unique over all boxes and tries.
+    /// Session, unique over all boxes and attempts.
     pub session: String,
-    /// Request that it belongs to, for the engine's own records.
+    /// Request that it belongs to, for the logs of the engine.
     pub request: String,
-    /// Number of the try.
+    /// Number of the attempt.
     pub attempt: u32,
     /// Model.
     pub model: String,
@@ -25,9 +25,9 @@
     pub end: Layer,
     /// Position of the first input.
     pub start: u32,
-    /// Inputs, one a position.
+    /// Inputs, one for each position.
     pub inputs: Vec<StageValue>,
-    /// How many of them only rebuild a lost stage's state.
+    /// Number of inputs that only rebuild the state of a lost stage.
     #[serde(default)]
     pub rebuild: u32,
 }
@@ -35,13 +35,13 @@
 /// Answer to [`RunBody`].
 #[derive(Clone, Debug, Serialize, Deserialize)]
 pub struct RunReply {
-    /// Session, as it came.
+    /// Session of the request.
     pub session: String,
     /// Position of the first output.
     pub start: u32,
-    /// Outputs, one a position.
+    /// Outputs, one for each position.
     pub outputs: Vec<StageValue>,
-    /// Token sampled after the last position, if the last layer is here.
+    /// Token sampled after the last position, if the engine holds the last layer.
     #[serde(default)]
     pub token: Option<Token>,
     /// Microseconds that the order waited in the engine.
@@ -53,23 +53,23 @@
 /// Body of `POST /v1/stages/cancel`.
 #[derive(Clone, Debug, Serialize, Deserialize)]
 pub struct Cancel {
-    /// Session to forget.
+    /// Session to end.
     pub session: String,
 }
 
 /// Body of `POST /v1/orders`.
 #[derive(Clone, Debug, Serialize, Deserialize)]
 pub struct OrderBody {
-    /// The fence.
+    /// Term of the lease, which fences off orders of earlier holders.
     pub term: u64,
-    /// The wanted state.
+    /// The desired state.
     pub goal: DesiredState,
 }
 
 /// Answer to [`OrderBody`].
 #[derive(Clone, Debug, Serialize, Deserialize)]
 pub struct OrderReply {
-    /// Number of the goal that the upstream has reached.
+    /// Hash of the desired state that the upstream has reached.
     pub has: u64,
 }
 
@@ -80,12 +80,12 @@
     ("no-layers", RefusalReason::NoLayers),
 ];
 
-/// Reads a [`NOT_RUN_HEADER`] word.
+/// Parses a value of [`NOT_RUN_HEADER`].
 pub fn parse_reason(word: &str) -> Option<RefusalReason> {
     REASONS.iter().find(|(w, _)| *w == word).map(|(_, r)| *r)
 }
 
-/// The [`NOT_RUN_HEADER`] word of a reason.
+/// Returns the value of [`NOT_RUN_HEADER`] for a reason.
 pub fn reason_name(reason: RefusalReason) -> &'static str {
     let found = REASONS.iter().find(|(_, r)| *r == reason);
     found.map_or("busy", |(w, _)| w)
