--- a/crates/ashgauge/src/load_report.rs
+++ b/crates/ashgauge/src/load_report.rs
@@ -102,7 +102,8 @@
     /// Rate limits that upstreams set.
     pub limits: Vec<LimitReport>,
     /// Demand of the callers, and completed requests.
-    pub flows: Traffic,
+    #[serde(rename = "flows")]
+    pub traffic: Traffic,
     /// Engines that reported to the sender that they are slow; only in reports that are
     /// sent often.
     pub slow: SlowUpstreams,
@@ -124,7 +125,7 @@
     /// Upstreams that they found to be lost.
     pub suspects: Vec<UpstreamKey>,
     /// Demand of their callers, and completed requests.
-    pub flows: Traffic,
+    pub traffic: Traffic,
     /// Engines that reported to them that they are slow.
     pub slow: SlowUpstreams,
 }
@@ -146,7 +147,7 @@
     boxes: u32,
     usage: UsageList,
     suspects: Vec<UpstreamKey>,
-    flows: Traffic,
+    traffic: Traffic,
     slow: SlowUpstreams,
 }
 
@@ -199,7 +200,7 @@
             boxes: word.boxes,
             usage: word.usage,
             suspects: word.suspects,
-            flows: word.flows.clamped(word.boxes),
+            traffic: word.traffic.clamped(word.boxes),
             slow: word.slow,
         };
         self.received.insert(source, heard);
@@ -256,8 +257,8 @@
 
     /// Returns the demand and the completed requests of all boxes, where `own` are those of
     /// this box.
-    pub fn flows(&self, own: &Traffic) -> Traffic {
-        let others = self.distinct_reports().map(|heard| &heard.flows);
+    pub fn traffic(&self, own: &Traffic) -> Traffic {
+        let others = self.distinct_reports().map(|heard| &heard.traffic);
         Traffic::sum(std::iter::once(own).chain(others))
     }
 
@@ -303,7 +304,7 @@
             return rest;
         };
         rest.boxes = rest.boxes.saturating_sub(told.boxes);
-        rest.flows = rest.flows.minus(&told.flows);
+        rest.traffic = rest.traffic.minus(&told.traffic);
         for (key, less) in &told.usage {
             if let Ok(at) = rest.usage.binary_search_by_key(key, |(key, _)| *key) {
                 rest.usage[at].1.subtract(less);
@@ -337,10 +338,10 @@
     let mut boxes = own.boxes;
     let mut sums: BTreeMap<UpstreamKey, Usage> = own.usage.iter().copied().collect();
     let mut suspects: BTreeSet<UpstreamKey> = own.suspects.iter().copied().collect();
-    let mut flows = vec![&own.flows];
+    let mut flows = vec![&own.traffic];
     let mut slow: BTreeMap<UpstreamKey, u16> = own.slow.into_iter().collect();
     for heard in heard {
-        flows.push(&heard.flows);
+        flows.push(&heard.traffic);
         for (key, factor) in &heard.slow {
             let known = slow.entry(*key).or_default();
             *known = (*known).max(*factor);
@@ -355,7 +356,7 @@
         boxes,
         usage: sums.into_iter().collect(),
         suspects: suspects.into_iter().collect(),
-        flows: Traffic::sum(flows.into_iter()),
+        traffic: Traffic::sum(flows.into_iter()),
         slow: slow.into_iter().collect(),
     }
 }
@@ -372,7 +373,7 @@
 
     /// Returns the part that fits into a datagram: the upstreams with the highest usage.
     pub fn truncated(mut self) -> Self {
-        self.flows = self.flows.truncated();
+        self.traffic = self.traffic.truncated();
         if self.usage.len() > MAX_USAGES {
             self.usage
                 .select_nth_unstable_by_key(MAX_USAGES, |(_, used)| Reverse(used.token_layers));
--- a/crates/ashgauge/src/pressure.rs
+++ b/crates/ashgauge/src/pressure.rs
@@ -37,7 +37,7 @@
             };
             let total = EstimatedLoad::estimate(context, entry);
             requests += total.head_requests;
-            if !entry.takes_requests(context.now) {
+            if !entry.accepts_requests(context.now) {
                 continue;
             }
             if held.first == 0 {
--- a/crates/ashgauge/src/selection.rs
+++ b/crates/ashgauge/src/selection.rs
@@ -139,7 +139,7 @@
     span: LayerRange,
 ) -> impl Iterator<Item = (&'a UpstreamState, LayerRange)> {
     let entries = context.registry.of_service(context.service);
-    let open = entries.filter(|e| e.takes_requests(context.now));
+    let open = entries.filter(|e| e.accepts_requests(context.now));
     let holders = open.filter_map(|e| Some((e, e.upstream.layers?)));
     holders.filter(move |(_, held)| held.overlaps(&span))
 }
--- a/crates/ashgauge/src/slack.rs
+++ b/crates/ashgauge/src/slack.rs
@@ -18,7 +18,7 @@
 /// Minimum share of a route's timeout that callers wait for a first attempt. Their own
 /// timeouts differ from it by up to a seventh, and a caller that was refused stays away for
 /// at least as long.
-const MIN_FIRST_PATIENCE: f64 = 0.85;
+const MIN_WAIT_SHARE: f64 = 0.85;
 
 /// Returns whether a caller that waits for `time_left` more has made the request before.
 ///
@@ -33,7 +33,7 @@
 /// assert!(is_retry(second * 16, second * 20));
 /// ```
 pub fn is_retry(patience: Duration, timeout: Duration) -> bool {
-    patience < timeout.mul_f64(MIN_FIRST_PATIENCE)
+    patience < timeout.mul_f64(MIN_WAIT_SHARE)
 }
 
 impl Slack {
--- a/crates/ashgauge/src/upstream_state.rs
+++ b/crates/ashgauge/src/upstream_state.rs
@@ -85,7 +85,8 @@
     blocked_until: Option<Duration>,
     /// What it announced in its answers.
     pub(crate) notice: UpstreamNotice,
-    slow: Option<(f64, Duration)>,
+    /// Slowness factor that it reported to this box, and until when that counts.
+    own_slow: Option<(f64, Duration)>,
     /// Slowness factor that it reported to other boxes, and until when that counts.
     peer_slow: Option<(f64, Duration)>,
     pub(crate) missing_since: Option<Duration>,
@@ -100,7 +101,7 @@
     }
 
     /// Returns whether it may get new requests at `now`.
-    pub fn takes_requests(&self, now: Duration) -> bool {
+    pub fn accepts_requests(&self, now: Duration) -> bool {
         self.is_usable(now) && self.backoff(now).is_none() && !self.is_unreachable(now)
     }
 
@@ -129,14 +130,14 @@
     /// Returns the slowness factor that it reported lately to any box; 1 if it reported
     /// none.
     pub fn slowness(&self, now: Duration) -> f64 {
-        let told = [self.slow, self.peer_slow].into_iter().flatten();
+        let told = [self.own_slow, self.peer_slow].into_iter().flatten();
         let counting = told.filter(|(_, until)| now < *until);
         counting.map(|(factor, _)| factor).fold(1.0, f64::max)
     }
 
     /// Returns the slowness factor that it reported to this box, if it is slow.
     pub fn own_slowness(&self, now: Duration) -> Option<f64> {
-        let told = self.slow.filter(|(_, until)| now < *until);
+        let told = self.own_slow.filter(|(_, until)| now < *until);
         told.map(|(factor, _)| factor).filter(|f| *f > 1.0)
     }
 
@@ -214,7 +215,7 @@
             unreachable_until: None,
             blocked_until: None,
             notice,
-            slow: None,
+            own_slow: None,
             peer_slow: None,
             missing_since: None,
             prefill_backlog: (0.0, Duration::ZERO),
@@ -310,7 +311,7 @@
     /// Records a slowness factor; returns true if it changed notably.
     pub(crate) fn note_slow(&mut self, now: Duration, factor: f64) -> bool {
         let before = self.slowness(now);
-        self.slow = Some((factor, now + SLOW_TTL));
+        self.own_slow = Some((factor, now + SLOW_TTL));
         (factor - before).abs() > 0.5
     }
 
--- a/crates/ashgauge/tests/choice.rs
+++ b/crates/ashgauge/tests/choice.rs
@@ -141,7 +141,7 @@
         usage: vec![(load_report::upstream_key(id), used)],
         suspects: Vec::new(),
         limits: Vec::new(),
-        flows: Default::default(),
+        traffic: Default::default(),
         slow: Vec::new(),
     };
     assert!(shares.apply(Duration::from_secs(100), word));
@@ -205,7 +205,7 @@
         usage: vec![(load_report::upstream_key("b2"), full)],
         suspects: Vec::new(),
         limits: Vec::new(),
-        flows: Default::default(),
+        traffic: Default::default(),
         slow: Vec::new(),
     };
     shares.apply(Duration::from_secs(100), word);
@@ -289,7 +289,7 @@
     assert!(stages.is_some());
     for (n, from) in places.iter().enumerate() {
         for to in &places[n + 1..] {
-            pipes.note(Duration::from_secs(100), from, to, 1125.0 / BOXES);
+            pipes.record(Duration::from_secs(100), from, to, 1125.0 / BOXES);
         }
     }
     let used = context(&registry, &pipes, &shares, &place);
@@ -308,7 +308,7 @@
 fn pipes_fade_when_unused() {
     let (a, b): (Arc<str>, Arc<str>) = ("a".into(), "b".into());
     let mut pipes = WanUsage::default();
-    pipes.note(Duration::from_secs(1), &a, &b, 100.0);
+    pipes.record(Duration::from_secs(1), &a, &b, 100.0);
     let now = Duration::from_secs(1);
     assert!(pipes.rate(now, &b, &a) > 99.0);
     assert!(pipes.rate(now + Duration::from_secs(5), &a, &b) < 1.0);
--- a/crates/ashgauge/tests/common/mod.rs
+++ b/crates/ashgauge/tests/common/mod.rs
@@ -28,7 +28,7 @@
         usage: uses,
         suspects: Vec::new(),
         limits: Vec::new(),
-        flows: Default::default(),
+        traffic: Default::default(),
         slow: Vec::new(),
     }
 }
--- a/crates/ashgauge/tests/fleet/mod.rs
+++ b/crates/ashgauge/tests/fleet/mod.rs
@@ -380,7 +380,7 @@
             boxes: 1,
             usage: vec![(load_report::upstream_key(ENGINES), used)],
             suspects: Vec::new(),
-            flows: self.meter.traffic(now).truncated(),
+            traffic: self.meter.traffic(now).truncated(),
             slow: Vec::new(),
         };
         Some(self.lie.clone().unwrap_or(own))
@@ -391,7 +391,7 @@
         let heard = self.shares.boxes() as f64;
         let unheard = self.shares.present_boxes(boxes as f64) / (heard + 1.0);
         let own = self.meter.traffic(now);
-        let flows = self.shares.flows(&own);
+        let flows = self.shares.traffic(&own);
         let mut demands = flows.demands_of(demand::key(SERVICE));
         for (_, demand) in &mut demands {
             *demand = demand.scaled(unheard);
@@ -429,7 +429,7 @@
         usage: sum.usage,
         suspects: Vec::new(),
         limits: Vec::new(),
-        flows: sum.flows,
+        traffic: sum.traffic,
         slow: Vec::new(),
     }
 }
@@ -459,7 +459,7 @@
         boxes: parts.clone().map(|p| p.boxes).sum(),
         usage: vec![(load_report::upstream_key(ENGINES), used)],
         suspects: Vec::new(),
-        flows: Traffic::sum(parts.map(|p| &p.flows)),
+        traffic: Traffic::sum(parts.map(|p| &p.traffic)),
         slow: Vec::new(),
     }
 }
@@ -471,7 +471,7 @@
         return rest;
     };
     rest.boxes -= part.boxes;
-    rest.flows = rest.flows.minus(&part.flows);
+    rest.traffic = rest.traffic.minus(&part.traffic);
     for ((_, rest), (_, less)) in rest.usage.iter_mut().zip(&part.usage) {
         rest.head_requests = rest.head_requests.saturating_sub(less.head_requests);
         rest.token_layers = rest.token_layers.saturating_sub(less.token_layers);
--- a/crates/ashgauge/tests/hub.rs
+++ b/crates/ashgauge/tests/hub.rs
@@ -64,7 +64,7 @@
         boxes: 1,
         usage: uses.clone(),
         suspects: Vec::new(),
-        flows: Default::default(),
+        traffic: Default::default(),
         slow: Vec::new(),
     }
 }
@@ -245,7 +245,7 @@
         boxes,
         usage: used.clone(),
         suspects: Vec::new(),
-        flows: Default::default(),
+        traffic: Default::default(),
         slow: Vec::new(),
     };
     shares.apply(NOW, word(&"first".into(), Scope::Local, sum(90)));
--- a/crates/ashgauge/tests/knowledge.rs
+++ b/crates/ashgauge/tests/knowledge.rs
@@ -181,7 +181,11 @@
     registry.put(born("e1", 2));
     assert_eq!(rest(&registry, SECOND * 11), Some(SECOND * 20));
     assert_eq!(rest(&registry, SECOND * 31), None);
-    assert!(registry.get("e2").is_some_and(|e| e.takes_requests(SECOND)));
+    assert!(
+        registry
+            .get("e2")
+            .is_some_and(|e| e.accepts_requests(SECOND))
+    );
 }
 
 /// Its entry may lapse while a request is on its way, and come back.
@@ -192,7 +196,7 @@
     registry.put(born("e1", 1));
     let entry = registry.get("e1").expect("an entry");
     assert_eq!(entry.backoff(SECOND * 11), Some(SECOND * 20));
-    assert!(entry.is_usable(SECOND) && !entry.takes_requests(SECOND));
+    assert!(entry.is_usable(SECOND) && !entry.accepts_requests(SECOND));
 }
 
 /// An upstream says in its answers that it leaves before its entry does, or while the
@@ -243,7 +247,7 @@
     assert!(
         registry
             .get("e1")
-            .is_some_and(|e| !e.takes_requests(SECOND * 9))
+            .is_some_and(|e| !e.accepts_requests(SECOND * 9))
     );
 }
 
@@ -389,9 +393,9 @@
     registry.note_activity(SECOND, "e1");
     registry.note_unreachable(SECOND, "e1");
     let entry = registry.get("e1").expect("an entry");
-    assert!(!entry.takes_requests(SECOND));
+    assert!(!entry.accepts_requests(SECOND));
     assert!(entry.is_usable(SECOND) && !entry.is_suspect(SECOND));
-    assert!(entry.takes_requests(SECOND * 2));
+    assert!(entry.accepts_requests(SECOND * 2));
     // A new start is another engine.
     registry.note_unreachable(SECOND * 3, "e1");
     let mut born = upstream("e1", "a", "large", None, 1);
@@ -400,6 +404,6 @@
     assert!(
         registry
             .get("e1")
-            .is_some_and(|e| e.takes_requests(SECOND * 3))
+            .is_some_and(|e| e.accepts_requests(SECOND * 3))
     );
 }
--- a/crates/ashgauge/tests/overload_faults.rs
+++ b/crates/ashgauge/tests/overload_faults.rs
@@ -92,7 +92,7 @@
         boxes: 1,
         usage: vec![(fleet::engines_key(), uses)],
         suspects: Vec::new(),
-        flows: Traffic {
+        traffic: Traffic {
             demands: demands.collect(),
             completions: vec![(demand::key(SERVICE), ends)],
         },
--- a/crates/ashgauge/tests/shape.rs
+++ b/crates/ashgauge/tests/shape.rs
@@ -55,7 +55,7 @@
     let mut pipes = WanUsage::default();
     for (n, from) in places.iter().enumerate() {
         for to in &places[n + 1..] {
-            pipes.note(now, from, to, rng.random_range(0.0..150.0 / BOXES));
+            pipes.record(now, from, to, rng.random_range(0.0..150.0 / BOXES));
         }
     }
     pipes
--- a/crates/ashgauge/tests/shape_spread.rs
+++ b/crates/ashgauge/tests/shape_spread.rs
@@ -148,7 +148,7 @@
                 usage: registry.iter().map(used).collect(),
                 suspects: Vec::new(),
                 limits: Vec::new(),
-                flows: Default::default(),
+                traffic: Default::default(),
                 slow: Vec::new(),
             };
             self.words.push_back((self.now + AGE, (n, word)));
--- a/crates/ashgauged/src/relay/load_reporter.rs
+++ b/crates/ashgauged/src/relay/load_reporter.rs
@@ -158,9 +158,9 @@
             usage: sum.usage,
             suspects: sum.suspects,
             slow: sum.slow,
-            flows: match scope {
+            traffic: match scope {
                 Scope::Remote(_) => Traffic::default(),
-                Scope::Own | Scope::Local => sum.flows,
+                Scope::Own | Scope::Local => sum.traffic,
             },
             limits: match scope {
                 Scope::Remote(_) => Vec::new(),
@@ -263,7 +263,7 @@
         suspects: suspects
             .map(|e| load_report::upstream_key(&e.upstream.id))
             .collect(),
-        flows: shared.admissions.own_traffic(now),
+        traffic: shared.admissions.own_traffic(now),
         slow: registry.slow_upstreams(now, |service| {
             shedding::is_shedding_enabled(shared, service)
         }),
--- a/crates/ashgauged/src/relay/select.rs
+++ b/crates/ashgauged/src/relay/select.rs
@@ -129,7 +129,7 @@
     pub fn fleet_demand(&self, service: &str) -> (Demands, f64) {
         let own = self.admissions.own_traffic(self.now());
         let shares = self.fleet_load.borrow();
-        let flows = shares.flows(&own);
+        let flows = shares.traffic(&own);
         let heard = shares.boxes() as f64 + 1.0;
         // More are heard than there are where some are in a hub's sum as well.
         let factor = shares.present_boxes(f64::from(self.fleet_size())) / heard;
@@ -190,7 +190,7 @@
             if let (Some(from), Some(to)) = (place(&pair[0]), place(&pair[1]))
                 && from != to
             {
-                pipes.note(now, &from, &to, f64::from(tokens) * model.activation_mb);
+                pipes.record(now, &from, &to, f64::from(tokens) * model.activation_mb);
             }
         }
     }
--- a/crates/bench/src/decision.rs
+++ b/crates/bench/src/decision.rs
@@ -130,7 +130,7 @@
     let began = Instant::now();
     for _ in 0..CHOICES {
         let pressure = Pressure::from_context(&context, model);
-        let flows = shares.flows(&own);
+        let flows = shares.traffic(&own);
         let service = demand::key(MODEL);
         let known = Observation {
             demands: flows.demands_of(service),
@@ -172,7 +172,7 @@
         usage: uses,
         suspects: Vec::new(),
         limits: Vec::new(),
-        flows: flows(),
+        traffic: flows(),
         slow: Vec::new(),
     }
 }
--- a/crates/standin/src/engine.rs
+++ b/crates/standin/src/engine.rs
@@ -309,16 +309,16 @@
             append(records, &Record::Fenced { term: order.term });
             return status_only(StatusCode::CONFLICT);
         }
-        *fence = (fence.0.max(order.term), order.goal.hash);
+        *fence = (fence.0.max(order.term), order.desired.hash);
         append(
             records,
             &Record::Obeyed {
                 term: order.term,
-                goal: order.goal.hash,
-                adapter: order.goal.adapter.clone(),
+                goal: order.desired.hash,
+                adapter: order.desired.adapter.clone(),
             },
         );
-        json(StatusCode::OK, &OrderReply { has: fence.1 })
+        json(StatusCode::OK, &OrderReply { confirmed: fence.1 })
     }
 }
 
--- a/crates/upstream/src/lib.rs
+++ b/crates/upstream/src/lib.rs
@@ -56,7 +56,7 @@
     let answer = client
         .send(&order.addr, request, limit)
         .await
-        .map_err(to_fault)?;
+        .map_err(to_upstream_error)?;
     check_status(&answer)?;
     let reply: RunReply = decode(&answer)?;
     if reply.session != body.session {
@@ -104,7 +104,7 @@
     let answer = client
         .send(&call.addr, request, limit)
         .await
-        .map_err(to_fault)?;
+        .map_err(to_upstream_error)?;
     if let Some(fault) = refusal(&answer) {
         return Err(fault);
     }
@@ -123,14 +123,16 @@
 pub async fn send_order(client: &Client, order: &Command, limit: Duration) -> Reply {
     let body = OrderBody {
         term: order.term,
-        goal: order.desired.clone(),
+        desired: order.desired.clone(),
     };
     let request = post("/v1/orders", &body);
     let Ok(answer) = client.send(&order.addr, request, limit).await else {
         return Reply::Lost;
     };
     match answer.status() {
-        StatusCode::OK => decode::<OrderReply>(&answer).map_or(Reply::Lost, |r| Reply::Has(r.has)),
+        StatusCode::OK => {
+            decode::<OrderReply>(&answer).map_or(Reply::Lost, |r| Reply::Has(r.confirmed))
+        }
         StatusCode::CONFLICT => Reply::Fenced,
         _ => Reply::Lost,
     }
@@ -180,7 +182,7 @@
         .map_err(|e| UpstreamError::Lost(format!("bad answer: {e}")))
 }
 
-fn to_fault(failure: Failure) -> UpstreamError {
+fn to_upstream_error(failure: Failure) -> UpstreamError {
     match failure {
         Failure::NotSent(cause) => UpstreamError::NotSent(cause),
         Failure::Lost(cause) => UpstreamError::Lost(cause),
--- a/crates/upstream/src/wire.rs
+++ b/crates/upstream/src/wire.rs
@@ -63,14 +63,16 @@
     /// Term of the lease, which fences off orders of earlier holders.
     pub term: u64,
     /// The desired state.
-    pub goal: DesiredState,
+    #[serde(rename = "goal")]
+    pub desired: DesiredState,
 }
 
 /// Answer to [`OrderBody`].
 #[derive(Clone, Debug, Serialize, Deserialize)]
 pub struct OrderReply {
     /// Hash of the desired state that the upstream has reached.
-    pub has: u64,
+    #[serde(rename = "has")]
+    pub confirmed: u64,
 }
 
 const REASONS: &[(&str, RefusalReason)] = &[
