--- a/crates/ashgauge/src/cost.rs
+++ b/crates/ashgauge/src/cost.rs
@@ -21,9 +21,9 @@
 /// is processed in the next.
 pub(crate) const PASSES_PER_TOKEN: f64 = 1.5;
 
-/// Seconds that a chain in another data centre counts for if a stream continues there. Its
-/// events are only later by a few network delays, and the prompts can be read on the
-/// engines of all data centres.
+/// Cost in seconds of using a chain in another data centre to continue a stream. Its events
+/// are only later by a few network delays, and the prompts can be read on the engines of
+/// all data centres.
 const SIMULTANEOUS_ENTRY_SECONDS: f64 = 0.05;
 
 /// Share of an engine's memory past which it gets no requests if there is any alternative:
@@ -40,34 +40,33 @@
 /// full. With fewer, memory is saved from the first request on.
 const SPARE_COPIES: f64 = 2.0;
 
-/// Additional seconds that an engine past [`FULL_THRESHOLD`] counts for: more than two
-/// changes of data centre.
+/// Penalty in seconds for an engine past [`FULL_THRESHOLD`]: more than two changes of data
+/// centre.
 const FULL_PENALTY_SECONDS: f64 = 8.0;
 
-/// Seconds that the first engine of a chain counts for if all its recent requests failed.
-/// After one failure the penalty amounts to a change of data centre for the caller's
-/// request and a good deal more.
+/// Penalty in seconds for the first engine of a chain if all its recent requests failed.
+/// After one failure it outweighs a change of data centre for the caller's request by far.
 const FAILURE_PENALTY_SECONDS: f64 = 8.0;
 
-/// Additional seconds that an engine counts for that another box reported as lost. Without
-/// the penalty each box would find the loss by requests of its own, engine by engine, until
-/// the retry budget is used up.
+/// Penalty in seconds for an engine that another box reported as lost. Without it each box
+/// would find the loss by requests of its own, engine by engine, until the retry budget is
+/// used up.
 const SUSPECT_PENALTY_SECONDS: f64 = 8.0;
 
-/// Additional seconds that each engine in a chain counts for: with each one more can be
-/// lost while the request runs.
+/// Penalty in seconds for each engine in a chain: with each of them one more may be lost
+/// while the request runs.
 const STAGE_PENALTY_SECONDS: f64 = 0.25;
 
-/// Additional seconds that a change of data centre within a chain counts for: all
-/// activations go over a link that is shared and soon saturated.
+/// Penalty in seconds for a change of data centre within a chain: all activations go over a
+/// link that is shared and soon saturated.
 const CROSSING_PENALTY_SECONDS: f64 = 3.0;
 
-/// Minimum and maximum seconds that a chain in another data centre counts for. Only the
+/// Minimum and maximum cost in seconds of using a chain in another data centre. Only the
 /// request and its events cross, but boxes that learn late of the load there would fill the
 /// same engines.
 const REMOTE_ENTRY_RANGE: (f64, f64) = (0.3, 3.0);
 
-/// Seconds that such a chain counts for, for each second between load reports from there:
+/// Cost of using such a chain, in seconds for each second between load reports from there:
 /// what is known of the load is as much older.
 const ENTRY_INTERVAL_FACTOR: f64 = 3.0;
 
@@ -313,7 +312,7 @@
     (writing + reading) / f64::from(model.layers.max(1))
 }
 
-/// Returns the seconds that a chain in another data centre counts for.
+/// Returns the cost in seconds of using a chain in another data centre.
 pub(crate) fn remote_entry_seconds(context: &SelectionContext) -> f64 {
     let (least, most) = REMOTE_ENTRY_RANGE;
     match context.simultaneous {
