--- a/crates/ashgauge/src/admission.rs
+++ b/crates/ashgauge/src/admission.rs
@@ -69,16 +69,16 @@
 impl AdmissionQueue {
     /// Adds a request of a team; priority 0 goes first. A first attempt (`is_first`) goes
     /// behind retries.
-    pub fn enqueue(&mut self, rank: u32, first: bool, team: &Arc<str>) -> Ticket {
-        let group = (rank, first);
-        let same = self.waiting.keys().filter(|(g, ..)| *g == group);
-        let current = same.map(|(_, turn, _)| *turn).min().unwrap_or(0);
+    pub fn enqueue(&mut self, priority: u32, is_first: bool, team: &Arc<str>) -> Ticket {
+        let group = (priority, is_first);
+        let group_positions = self.waiting.keys().filter(|(g, ..)| *g == group);
+        let current = group_positions.map(|(_, turn, _)| *turn).min().unwrap_or(0);
         let turn = self.turns.entry((group, team.clone())).or_insert(current);
-        let place = (group, (*turn).max(current), self.next_number);
-        *turn = place.1 + 1;
+        let position = (group, (*turn).max(current), self.next_number);
+        *turn = position.1 + 1;
         self.next_number += 1;
-        self.waiting.insert(place, team.clone());
-        Ticket(place)
+        self.waiting.insert(position, team.clone());
+        Ticket(position)
     }
 
     /// Removes a request, whether it was admitted or not.
@@ -95,8 +95,8 @@
     }
 
     /// Returns the number of requests before a new first attempt of this priority.
-    pub fn ahead_of_new(&self, rank: u32) -> usize {
-        self.waiting.range(..((rank + 1, false), 0, 0)).count()
+    pub fn ahead_of_new(&self, priority: u32) -> usize {
+        self.waiting.range(..((priority + 1, false), 0, 0)).count()
     }
 
     /// Returns the number of waiting requests.
@@ -134,9 +134,9 @@
     }
 
     /// Learns from an engine that refused a request at this estimated share of its memory.
-    pub fn note_refused(&mut self, fullness: f64) {
-        let (least, most) = FILL_LIMIT_RANGE;
-        let seen = (fullness * FILL_LIMIT_MARGIN).clamp(least, most);
-        self.fill_limit += FILL_LIMIT_ALPHA * (seen - self.fill_limit);
+    pub fn note_refused(&mut self, utilization: f64) {
+        let (min, max) = FILL_LIMIT_RANGE;
+        let sample = (utilization * FILL_LIMIT_MARGIN).clamp(min, max);
+        self.fill_limit += FILL_LIMIT_ALPHA * (sample - self.fill_limit);
     }
 }
--- a/crates/ashgauge/src/chain.rs
+++ b/crates/ashgauge/src/chain.rs
@@ -97,16 +97,17 @@
     crossing: &impl Fn(Option<usize>, usize) -> f64,
 ) -> Option<Vec<Stage>> {
     let cuts = boundaries(first, end, edges);
-    let places = edges.iter().map(|e| e.data_centre + 1).max().unwrap_or(0);
-    let mut best: Vec<Vec<Option<Step>>> = vec![vec![None; places]; cuts.len()];
+    let data_centres = edges.iter().map(|e| e.data_centre + 1).max().unwrap_or(0);
+    let mut best: Vec<Vec<Option<Step>>> = vec![vec![None; data_centres]; cuts.len()];
     // All edges of a data centre are reached at the same cost.
-    let enter = |reached: &[Option<Step>], cut: usize| -> Vec<Arrival> {
-        let entries = (0..places).map(|place| best_arrival(reached, cut, place, crossing));
-        entries.collect()
+    let arrivals_at = |reached: &[Option<Step>], cut: usize| -> Vec<Arrival> {
+        let arrivals =
+            (0..data_centres).map(|data_centre| best_arrival(reached, cut, data_centre, crossing));
+        arrivals.collect()
     };
-    let mut entries = Vec::with_capacity(cuts.len());
+    let mut arrivals = Vec::with_capacity(cuts.len());
     for to in 1..cuts.len() {
-        entries.push(enter(&best[to - 1], to - 1));
+        arrivals.push(arrivals_at(&best[to - 1], to - 1));
         for (e, edge) in edges.iter().enumerate() {
             if edge.first >= cuts[to] || edge.end < cuts[to] {
                 continue;
@@ -114,17 +115,18 @@
             let from = cuts.partition_point(|c| *c < edge.first);
             for from in from..to {
                 let layers = f64::from(cuts[to] - cuts[from]);
-                let own = edge.fixed_cost + edge.layer_cost * layers;
-                let Some((base, via)) = entries[from][edge.data_centre] else {
+                let edge_cost = edge.fixed_cost + edge.layer_cost * layers;
+                let Some((arrival_cost, from_data_centre)) = arrivals[from][edge.data_centre]
+                else {
                     continue;
                 };
-                let cost = base + own;
+                let cost = arrival_cost + edge_cost;
                 let slot = &mut best[to][edge.data_centre];
                 if slot.is_none_or(|s| cost < s.cost) {
                     *slot = Some(Step {
                         cost,
                         from_cut: from,
-                        from_data_centre: via,
+                        from_data_centre,
                         edge: e,
                     });
                 }
@@ -151,16 +153,17 @@
 fn best_arrival(
     reached: &[Option<Step>],
     cut: usize,
-    place: usize,
+    data_centre: usize,
     crossing: &impl Fn(Option<usize>, usize) -> f64,
 ) -> Arrival {
     if cut == 0 {
-        return Some((crossing(None, place), None)).filter(|(cost, _)| cost.is_finite());
+        return Some((crossing(None, data_centre), None)).filter(|(cost, _)| cost.is_finite());
     }
-    let ways = reached.iter().enumerate();
-    let ways = ways.filter_map(|(p, s)| s.map(|s| (s.cost + crossing(Some(p), place), Some(p))));
-    let ways = ways.filter(|(cost, _)| cost.is_finite());
-    ways.min_by(|a, b| a.0.total_cmp(&b.0))
+    let paths = reached.iter().enumerate();
+    let paths =
+        paths.filter_map(|(p, s)| s.map(|s| (s.cost + crossing(Some(p), data_centre), Some(p))));
+    let paths = paths.filter(|(cost, _)| cost.is_finite());
+    paths.min_by(|a, b| a.0.total_cmp(&b.0))
 }
 
 /// Returns true if the stages cover `first..end` with no gap and no overlap.
@@ -193,16 +196,16 @@
     let mut to = cuts.len() - 1;
     let ends = best[to].iter().enumerate();
     let ends = ends.filter_map(|(p, s)| s.map(|s| (s.cost, p)));
-    let mut place = ends.min_by(|a, b| a.0.total_cmp(&b.0)).map(|(_, p)| p)?;
+    let mut data_centre = ends.min_by(|a, b| a.0.total_cmp(&b.0)).map(|(_, p)| p)?;
     while to > 0 {
-        let step = best[to][place]?;
+        let step = best[to][data_centre]?;
         stages.push(Stage {
             upstream: edges[step.edge].upstream.clone(),
             first: cuts[step.from_cut],
             end: cuts[to],
         });
         to = step.from_cut;
-        place = step.from_data_centre.unwrap_or(place);
+        data_centre = step.from_data_centre.unwrap_or(data_centre);
     }
     stages.reverse();
     Some(stages)
--- a/crates/ashgauge/src/context.rs
+++ b/crates/ashgauge/src/context.rs
@@ -53,19 +53,19 @@
 impl SelectionContext<'_> {
     /// Iterates over the service's usable upstreams in the data centre of the box.
     pub(crate) fn local_upstreams(&self) -> impl Iterator<Item = &UpstreamState> {
-        let all = self.registry.of_service(self.service);
-        all.filter(|e| e.upstream.data_centre == *self.data_centre && e.is_usable(self.now))
+        let states = self.registry.of_service(self.service);
+        states.filter(|e| e.upstream.data_centre == *self.data_centre && e.is_usable(self.now))
     }
 
     /// Returns a random factor for a cost, so that boxes do not all select the same
     /// upstream.
     pub(crate) fn jitter(&self, rng: &mut impl Rng) -> f64 {
-        let spread = if self.simultaneous {
+        let jitter = if self.simultaneous {
             SIMULTANEOUS_COST_JITTER
         } else {
             COST_JITTER
         };
-        1.0 + spread * rng.random_range(-1.0..1.0)
+        1.0 + jitter * rng.random_range(-1.0..1.0)
     }
 }
 
@@ -83,30 +83,30 @@
 }
 
 impl EstimatedLoad {
-    pub fn estimate(context: &SelectionContext, entry: &UpstreamState) -> Self {
-        let own = entry.usage(context.now);
-        let mut known = own;
-        known.add(&context.fleet_load.others(&entry.upstream.id));
-        let likes = similar_boxes(context, entry);
-        let heard = context.fleet_load.boxes() as f64 + 1.0;
-        let unheard = (likes / heard).max(1.0);
-        let told = f64::from(known.prefill_ms) * unheard;
-        let alike = match context.simultaneous {
-            true => f64::from(own.prefill_ms) * likes,
+    pub fn estimate(context: &SelectionContext, state: &UpstreamState) -> Self {
+        let own = state.usage(context.now);
+        let mut total = own;
+        total.add(&context.fleet_load.others(&state.upstream.id));
+        let similar = similar_boxes(context, state);
+        let reporting = context.fleet_load.boxes() as f64 + 1.0;
+        let factor = (similar / reporting).max(1.0);
+        let reported = f64::from(total.prefill_ms) * factor;
+        let simultaneous = match context.simultaneous {
+            true => f64::from(own.prefill_ms) * similar,
             false => 0.0,
         };
         EstimatedLoad {
-            requests: f64::from(known.requests) * unheard,
-            head_requests: f64::from(known.head_requests) * unheard,
-            token_layers: f64::from(known.token_layers) * unheard,
-            prefill_seconds: told.max(alike) / 1e3,
+            requests: f64::from(total.requests) * factor,
+            head_requests: f64::from(total.head_requests) * factor,
+            token_layers: f64::from(total.token_layers) * factor,
+            prefill_seconds: reported.max(simultaneous) / 1e3,
         }
     }
 }
 
 /// Returns the number of boxes that are assumed to use an engine as this one does.
-fn similar_boxes(context: &SelectionContext, entry: &UpstreamState) -> f64 {
-    match entry.upstream.data_centre == *context.data_centre {
+fn similar_boxes(context: &SelectionContext, state: &UpstreamState) -> f64 {
+    match state.upstream.data_centre == *context.data_centre {
         true => context.local_boxes,
         false => context.boxes,
     }
--- a/crates/ashgauge/src/cost.rs
+++ b/crates/ashgauge/src/cost.rs
@@ -92,13 +92,13 @@
 
 impl<'a> CostModel<'a> {
     pub(crate) fn new(context: &'a SelectionContext<'a>, model: &'a Model) -> Self {
-        let spare = local_copies(context, model) >= SPARE_COPIES;
-        let shape = context.size.unwrap_or_else(|| RequestSize::typical(model));
+        let has_spare = local_copies(context, model) >= SPARE_COPIES;
+        let size = context.size.unwrap_or_else(|| RequestSize::typical(model));
         CostModel {
             context,
             model,
-            size: shape,
-            has_spare: spare,
+            size,
+            has_spare,
         }
     }
 
@@ -107,100 +107,100 @@
     /// which the whole request depends.
     pub(crate) fn stage_cost(
         &self,
-        entry: &UpstreamState,
+        state: &UpstreamState,
         held: LayerRange,
-        leads: bool,
+        is_head: bool,
         rng: &mut impl Rng,
     ) -> (f64, f64) {
         let context = self.context;
         let jitter = context.jitter(rng);
-        let total = EstimatedLoad::estimate(context, entry);
-        let slowness = entry.slowness(context.now);
-        let full = self.utilization(entry, held, leads, &total);
-        let fixed = self.fixed_cost(entry, leads, full, &total);
-        let power = if self.has_spare {
+        let load = EstimatedLoad::estimate(context, state);
+        let slowness = state.slowness(context.now);
+        let utilization = self.utilization(state, held, is_head, &load);
+        let fixed_cost = self.fixed_cost(state, is_head, utilization, &load);
+        let exponent = if self.has_spare {
             SPARE_FILL_EXPONENT
         } else {
             1
         };
-        let filling = jitter / (1.0 - full.min(FULL_THRESHOLD).powi(power));
-        let filling = filling * self.prefill_factor(entry, held, total.requests);
+        let fill_factor = jitter / (1.0 - utilization.min(FULL_THRESHOLD).powi(exponent));
+        let fill_factor = fill_factor * self.prefill_factor(state, held, load.requests);
         // A request waits at one engine of its chain at a time.
-        let there = match self.has_spare {
+        let batch_share = match self.has_spare {
             true => model_share(self.model, held.len()),
             false => 1.0,
         };
-        let load = total.requests * there * slowness;
+        let batch = load.requests * batch_share * slowness;
         if context.simultaneous {
-            let (wait, layer) = self.resume_cost(entry, held, load, rng);
-            return (fixed + wait, layer * filling);
+            let (wait, layer) = self.resume_cost(state, held, batch, rng);
+            return (fixed_cost + wait, layer * fill_factor);
         }
         let engine = STAGE_PENALTY_SECONDS + f64::from(self.size.output) * HOP_DELAY_SECONDS;
-        let layer = layer_seconds(self.model, self.size, entry, load) * slowness * filling;
-        (fixed + engine * filling, layer)
+        let layer = layer_seconds(self.model, self.size, state, batch) * slowness * fill_factor;
+        (fixed_cost + engine * fill_factor, layer)
     }
 
     /// Returns the share of an engine's memory that is used, or of its slots if `is_head`
     /// and that is higher.
     fn utilization(
         &self,
-        entry: &UpstreamState,
+        state: &UpstreamState,
         held: LayerRange,
-        leads: bool,
-        total: &EstimatedLoad,
+        is_head: bool,
+        load: &EstimatedLoad,
     ) -> f64 {
         let now = self.context.now;
-        let full = match entry.is_full(now) {
+        let memory_share = match state.is_full(now) {
             true => 1.0,
             // A slow engine serves fewer requests, so its memory counts for less by the
             // same factor.
             false => {
-                let memory = memory_capacity(self.model, entry, held).max(1.0);
-                total.token_layers * entry.slowness(now) / memory
+                let capacity = memory_capacity(self.model, state, held).max(1.0);
+                load.token_layers * state.slowness(now) / capacity
             }
         };
-        match leads {
-            true => full.max(total.head_requests / f64::from(entry.upstream.slots.max(1))),
-            false => full,
+        match is_head {
+            true => memory_share.max(load.head_requests / f64::from(state.upstream.slots.max(1))),
+            false => memory_share,
         }
     }
 
     /// Returns the seconds that any use of an engine with this `utilization` costs.
     fn fixed_cost(
         &self,
-        entry: &UpstreamState,
-        leads: bool,
-        full: f64,
-        total: &EstimatedLoad,
+        state: &UpstreamState,
+        is_head: bool,
+        utilization: f64,
+        load: &EstimatedLoad,
     ) -> f64 {
         let now = self.context.now;
-        let mut fixed = total.prefill_seconds;
-        if leads {
-            fixed += FAILURE_PENALTY_SECONDS * entry.failure_rate(now);
+        let mut cost = load.prefill_seconds;
+        if is_head {
+            cost += FAILURE_PENALTY_SECONDS * state.failure_rate(now);
         }
-        if full >= FULL_THRESHOLD {
-            fixed += FULL_PENALTY_SECONDS * full;
+        if utilization >= FULL_THRESHOLD {
+            cost += FULL_PENALTY_SECONDS * utilization;
         }
-        if entry.is_peer_suspect(now) {
-            fixed += SUSPECT_PENALTY_SECONDS;
+        if state.is_peer_suspect(now) {
+            cost += SUSPECT_PENALTY_SECONDS;
         }
-        fixed
+        cost
     }
 
     /// Returns the factor on the cost of an engine that spends a part of its time on
     /// reading prompts, which lengthens the decode steps of all requests there. Without the
     /// factor a few engines are the first engines of most requests, and the loss of one
     /// interrupts as many.
-    fn prefill_factor(&self, entry: &UpstreamState, held: LayerRange, requests: f64) -> f64 {
+    fn prefill_factor(&self, state: &UpstreamState, held: LayerRange, requests: f64) -> f64 {
         let (context, model) = (self.context, self.model);
-        let each = prefill_seconds(context, model, entry, held.len(), model.typical_prompt);
+        let prefill = prefill_seconds(context, model, state, held.len(), model.typical_prompt);
         let rate = requests
             / context
                 .request_duration
                 .as_secs_f64()
                 .max(f64::MIN_POSITIVE);
-        let part = (rate * each).min(MAX_PREFILL_SHARE);
-        1.0 / (1.0 - part).powi(2)
+        let share = (rate * prefill).min(MAX_PREFILL_SHARE);
+        1.0 / (1.0 - share).powi(2)
     }
 
     /// Returns the cost of continuing a stream here: the seconds of waiting at the engine,
@@ -214,20 +214,20 @@
     /// It is assumed to be at most one stream for each box of a data centre.
     fn resume_cost(
         &self,
-        entry: &UpstreamState,
+        state: &UpstreamState,
         held: LayerRange,
         load: f64,
         rng: &mut impl Rng,
     ) -> (f64, f64) {
         let (context, model) = (self.context, self.model);
-        let usual = RequestSize::typical(model).resume_prompt;
-        let read = prefill_seconds(context, model, entry, held.len(), usual);
-        let others = context.local_boxes * rng.random_range(0.0..1.0) * read;
-        let slowness = entry.slowness(context.now);
-        let event = f64::from(model.event_tokens) * PASSES_PER_TOKEN;
-        let reread = f64::from(self.size.resume_prompt);
-        let layer = work_seconds(model, entry, load, event, reread);
-        (others + HOP_DELAY_SECONDS, layer * slowness)
+        let typical_tokens = RequestSize::typical(model).resume_prompt;
+        let prefill = prefill_seconds(context, model, state, held.len(), typical_tokens);
+        let wait = context.local_boxes * rng.random_range(0.0..1.0) * prefill;
+        let slowness = state.slowness(context.now);
+        let steps = f64::from(model.event_tokens) * PASSES_PER_TOKEN;
+        let tokens = f64::from(self.size.resume_prompt);
+        let layer = work_seconds(model, state, load, steps, tokens);
+        (wait + HOP_DELAY_SECONDS, layer * slowness)
     }
 
     /// Returns the seconds that the request loses where its chain changes data centre: the
@@ -239,20 +239,22 @@
         if model.wan_mb_s <= 0.0 {
             return CROSSING_PENALTY_SECONDS + delays;
         }
-        let used = context.wan_usage.rate(context.now, from, to) * context.boxes / model.wan_mb_s;
-        if used >= MAX_WAN_SHARE {
+        let used_share =
+            context.wan_usage.rate(context.now, from, to) * context.boxes / model.wan_mb_s;
+        if used_share >= MAX_WAN_SHARE {
             return f64::INFINITY;
         }
-        let prompt = f64::from(self.size.prompt) * model.activation_mb;
-        (CROSSING_PENALTY_SECONDS + prompt / model.wan_mb_s) / (1.0 - used) + delays
+        let prompt_mb = f64::from(self.size.prompt) * model.activation_mb;
+        (CROSSING_PENALTY_SECONDS + prompt_mb / model.wan_mb_s) / (1.0 - used_share) + delays
     }
 }
 
 /// Returns the memory of an engine for requests, in tokens times layers.
-pub fn memory_capacity(model: &Model, entry: &UpstreamState, held: LayerRange) -> f64 {
-    let card = entry.upstream.accelerator.as_deref().unwrap_or_default();
-    let usual = f64::from(model.typical_prompt + model.typical_output) * f64::from(held.len());
-    model.request_capacity(card, held.len()) * usual
+pub fn memory_capacity(model: &Model, state: &UpstreamState, held: LayerRange) -> f64 {
+    let accelerator = state.upstream.accelerator.as_deref().unwrap_or_default();
+    let typical_tokens =
+        f64::from(model.typical_prompt + model.typical_output) * f64::from(held.len());
+    model.request_capacity(accelerator, held.len()) * typical_tokens
 }
 
 /// Returns how many copies of the model the engines of the box's data centre hold.
@@ -269,10 +271,10 @@
 
 /// Returns the factors of an engine's accelerator on the time of a step and of reading a
 /// prompt; 1 if the configuration does not have it.
-fn accelerator_factors(model: &Model, entry: &UpstreamState) -> (f64, f64) {
-    let card = entry.upstream.accelerator.as_ref();
-    let card = card.and_then(|c| model.accelerators.get(c));
-    card.map_or((1.0, 1.0), |c| (c.step_factor, c.prefill_factor))
+fn accelerator_factors(model: &Model, state: &UpstreamState) -> (f64, f64) {
+    let accelerator = state.upstream.accelerator.as_ref();
+    let accelerator = accelerator.and_then(|name| model.accelerators.get(name));
+    accelerator.map_or((1.0, 1.0), |a| (a.step_factor, a.prefill_factor))
 }
 
 /// Returns the seconds that an engine needs to read `tokens` tokens through some of its
@@ -280,43 +282,43 @@
 pub fn prefill_seconds(
     context: &SelectionContext,
     model: &Model,
-    entry: &UpstreamState,
+    state: &UpstreamState,
     layers: Layer,
     tokens: u32,
 ) -> f64 {
-    let (_, read) = accelerator_factors(model, entry);
-    let factor = read * entry.slowness(context.now);
-    let whole = f64::from(tokens) / model.prefill_rate.max(1.0) * factor;
-    whole * f64::from(layers) / f64::from(model.layers.max(1))
+    let (_, prefill_factor) = accelerator_factors(model, state);
+    let factor = prefill_factor * state.slowness(context.now);
+    let model_seconds = f64::from(tokens) / model.prefill_rate.max(1.0) * factor;
+    model_seconds * f64::from(layers) / f64::from(model.layers.max(1))
 }
 
 /// Returns the seconds that one layer costs a request of this size on an engine with this
 /// load.
-fn layer_seconds(model: &Model, shape: RequestSize, entry: &UpstreamState, load: f64) -> f64 {
-    let (answer, prompt) = (f64::from(shape.output), f64::from(shape.prompt));
-    work_seconds(model, entry, load, answer, prompt)
+fn layer_seconds(model: &Model, size: RequestSize, state: &UpstreamState, load: f64) -> f64 {
+    let (output, prompt) = (f64::from(size.output), f64::from(size.prompt));
+    work_seconds(model, state, load, output, prompt)
 }
 
 /// Returns the seconds that an engine with this load needs in one layer for so many decode
 /// steps and for reading so many tokens.
 pub(crate) fn work_seconds(
     model: &Model,
-    entry: &UpstreamState,
+    state: &UpstreamState,
     load: f64,
     steps: f64,
     tokens: f64,
 ) -> f64 {
-    let (step, read) = accelerator_factors(model, entry);
-    let writing = steps * model.step_seconds(load) * step;
-    let reading = tokens / model.prefill_rate.max(1.0) * read;
-    (writing + reading) / f64::from(model.layers.max(1))
+    let (step_factor, prefill_factor) = accelerator_factors(model, state);
+    let decode = steps * model.step_seconds(load) * step_factor;
+    let prefill = tokens / model.prefill_rate.max(1.0) * prefill_factor;
+    (decode + prefill) / f64::from(model.layers.max(1))
 }
 
 /// Returns the cost in seconds of using a chain in another data centre.
 pub(crate) fn remote_entry_seconds(context: &SelectionContext) -> f64 {
-    let (least, most) = REMOTE_ENTRY_RANGE;
+    let (min, max) = REMOTE_ENTRY_RANGE;
     match context.simultaneous {
         true => SIMULTANEOUS_ENTRY_SECONDS,
-        false => (context.remote_interval.as_secs_f64() * ENTRY_INTERVAL_FACTOR).clamp(least, most),
+        false => (context.remote_interval.as_secs_f64() * ENTRY_INTERVAL_FACTOR).clamp(min, max),
     }
 }
--- a/crates/ashgauge/src/hub.rs
+++ b/crates/ashgauge/src/hub.rs
@@ -36,11 +36,11 @@
 
 /// Returns whether a report of this scope includes an upstream, which may be in the data
 /// centre of the receiver (`is_local`).
-pub fn is_in_scope(scope: Scope, key: UpstreamKey, is_near: bool) -> bool {
+pub fn is_in_scope(scope: Scope, key: UpstreamKey, is_local: bool) -> bool {
     match scope {
         Scope::Own => true,
-        Scope::Local => is_near,
-        Scope::Remote(part) => !is_near && key % u32::from(REMOTE_PARTS) == u32::from(part),
+        Scope::Local => is_local,
+        Scope::Remote(part) => !is_local && key % u32::from(REMOTE_PARTS) == u32::from(part),
     }
 }
 
@@ -95,20 +95,20 @@
 impl Role {
     /// Returns the time between two reports to boxes in the same data centre, of which
     /// there are `local`, and to those elsewhere, if this box reports to `others` in total.
-    pub fn intervals(&self, near: usize, others: usize) -> (Duration, Duration) {
+    pub fn intervals(&self, local: usize, others: usize) -> (Duration, Duration) {
         match self {
             Role::Leaf(_) => (UPLINK_INTERVAL, UPLINK_INTERVAL),
-            _ => report_intervals(near, others),
+            _ => report_intervals(local, others),
         }
     }
 
     /// Returns the time between two reports about the usage of boxes in other data centres,
     /// if this box reports to `others`.
     pub fn remote_interval(&self, others: usize) -> Duration {
-        let told = report_intervals(0, others).1;
+        let interval = report_intervals(0, others).1;
         match self {
-            Role::Peer => told,
-            Role::Hub => told + UPLINK_INTERVAL,
+            Role::Peer => interval,
+            Role::Hub => interval + UPLINK_INTERVAL,
             Role::Leaf(_) => REMOTE_INTERVAL,
         }
     }
--- a/crates/ashgauge/src/load_report.rs
+++ b/crates/ashgauge/src/load_report.rs
@@ -152,8 +152,8 @@
 }
 
 /// Returns whether reports that are sent at this interval include suspects.
-pub fn includes_suspects(time: Duration) -> bool {
-    time <= MAX_SUSPECTS_INTERVAL
+pub fn includes_suspects(interval: Duration) -> bool {
+    interval <= MAX_SUSPECTS_INTERVAL
 }
 
 /// Returns the intervals of the reports to boxes in the same data centre, of which there
@@ -165,16 +165,16 @@
 /// use ashgauge::load_report::report_intervals;
 /// use std::time::Duration;
 ///
-/// let (near, far) = report_intervals(1, 5);
-/// assert_eq!((near, far), (Duration::from_millis(100), Duration::from_millis(100)));
+/// let (local, remote) = report_intervals(1, 5);
+/// assert_eq!((local, remote), (Duration::from_millis(100), Duration::from_millis(100)));
 /// ```
-pub fn report_intervals(near: usize, others: usize) -> (Duration, Duration) {
-    let each = |time: Duration, boxes: usize| {
-        let time = time.saturating_mul(boxes.try_into().unwrap_or(u32::MAX));
-        time.max(MIN_REPORT_INTERVAL)
+pub fn report_intervals(local: usize, others: usize) -> (Duration, Duration) {
+    let each = |interval: Duration, boxes: usize| {
+        let interval = interval.saturating_mul(boxes.try_into().unwrap_or(u32::MAX));
+        interval.max(MIN_REPORT_INTERVAL)
     };
     (
-        each(LOCAL_PEER_INTERVAL, near),
+        each(LOCAL_PEER_INTERVAL, local),
         each(REMOTE_PEER_INTERVAL, others),
     )
 }
@@ -182,28 +182,29 @@
 impl FleetLoad {
     /// Applies a report; returns false if it is older than the last one from the same
     /// source.
-    pub fn apply(&mut self, now: Duration, word: LoadReport) -> bool {
-        let source = (word.from, word.scope);
+    pub fn apply(&mut self, now: Duration, report: LoadReport) -> bool {
+        let source = (report.from, report.scope);
         let known = self.received.get(&source);
-        let is_late = known.is_some_and(|k| k.boot == word.boot && k.sequence >= word.sequence);
-        if is_late {
+        let is_outdated =
+            known.is_some_and(|k| k.boot == report.boot && k.sequence >= report.sequence);
+        if is_outdated {
             return false;
         }
         self.remove_overlapping(&source);
-        for (key, more) in &word.usage {
-            self.sums.entry(*key).or_default().add(more);
+        for (key, usage) in &report.usage {
+            self.sums.entry(*key).or_default().add(usage);
         }
-        let heard = ReceivedReport {
-            boot: word.boot,
-            sequence: word.sequence,
+        let received = ReceivedReport {
+            boot: report.boot,
+            sequence: report.sequence,
             received_at: now,
-            boxes: word.boxes,
-            usage: word.usage,
-            suspects: word.suspects,
-            traffic: word.traffic.clamped(word.boxes),
-            slow: word.slow,
+            boxes: report.boxes,
+            usage: report.usage,
+            suspects: report.suspects,
+            traffic: report.traffic.clamped(report.boxes),
+            slow: report.slow,
         };
-        self.received.insert(source, heard);
+        self.received.insert(source, received);
         true
     }
 
@@ -211,22 +212,22 @@
     /// previous one, and sums that overlap with it.
     fn remove_overlapping(&mut self, source: &(BoxId, Scope)) {
         let (from, scope) = source;
-        let counts = |(other, theirs): &(BoxId, Scope)| match (scope, theirs) {
+        let overlaps = |(other, other_scope): &(BoxId, Scope)| match (scope, other_scope) {
             (Scope::Own, _) => other == from,
             (_, Scope::Own) => other == from,
-            (_, _) => theirs == scope,
+            (_, _) => other_scope == scope,
         };
-        self.remove_where(|source, _| counts(source));
+        self.remove_where(|source, _| overlaps(source));
     }
 
     /// Removes the reports of boxes that fell silent, where reports arrive at this
     /// `interval`.
-    pub fn expire(&mut self, now: Duration, lag: Duration) {
-        let kept = MIN_REPORT_TTL.max(lag * MAX_LOST_REPORTS);
-        self.remove_where(|_, heard| now >= heard.received_at + kept);
-        let heard = self.boxes();
-        if heard >= self.peak.0 || now >= self.peak.1 + SILENT_BOX_TTL {
-            self.peak = (heard, now);
+    pub fn expire(&mut self, now: Duration, interval: Duration) {
+        let ttl = MIN_REPORT_TTL.max(interval * MAX_LOST_REPORTS);
+        self.remove_where(|_, report| now >= report.received_at + ttl);
+        let boxes = self.boxes();
+        if boxes >= self.peak.0 || now >= self.peak.1 + SILENT_BOX_TTL {
+            self.peak = (boxes, now);
         }
     }
 
@@ -241,7 +242,7 @@
     /// Returns the number of boxes with a recent report, their own or as part of a sum.
     pub fn boxes(&self) -> usize {
         self.distinct_reports()
-            .map(|heard| heard.boxes as usize)
+            .map(|report| report.boxes as usize)
             .sum()
     }
 
@@ -251,22 +252,22 @@
     pub fn present_boxes(&self, listed: f64) -> f64 {
         match self.peak {
             (0, _) => listed,
-            (most, _) => listed.min(most as f64 + 1.0),
+            (peak, _) => listed.min(peak as f64 + 1.0),
         }
     }
 
     /// Returns the demand and the completed requests of all boxes, where `own` are those of
     /// this box.
     pub fn traffic(&self, own: &Traffic) -> Traffic {
-        let others = self.distinct_reports().map(|heard| &heard.traffic);
+        let others = self.distinct_reports().map(|report| &report.traffic);
         Traffic::sum(std::iter::once(own).chain(others))
     }
 
     /// Iterates over reports that together count each other box once.
     fn distinct_reports(&self) -> impl Iterator<Item = &ReceivedReport> {
-        let counted = self.received.iter();
-        let counted = counted.filter(|((_, scope), _)| !matches!(scope, Scope::Remote(_)));
-        counted.map(|(_, heard)| heard)
+        let reports = self.received.iter();
+        let reports = reports.filter(|((_, scope), _)| !matches!(scope, Scope::Remote(_)));
+        reports.map(|(_, report)| report)
     }
 
     /// Iterates over the boxes that report their own usage to this one.
@@ -285,10 +286,14 @@
 
     /// Returns the sum of this box, which is `own`, and of the boxes that report to it,
     /// without those that `is_excluded` accepts.
-    pub fn subtree_sum(&self, own: LoadSum, is_left_out: impl Fn(&str) -> bool) -> LoadSum {
-        let counts = |(from, scope): &(BoxId, Scope)| *scope == Scope::Own && !is_left_out(from);
-        let heard = self.received.iter().filter(|(source, _)| counts(source));
-        merge_reports(own, heard.map(|(_, heard)| heard))
+    pub fn subtree_sum(&self, own: LoadSum, is_excluded: impl Fn(&str) -> bool) -> LoadSum {
+        let is_included =
+            |(from, scope): &(BoxId, Scope)| *scope == Scope::Own && !is_excluded(from);
+        let reports = self
+            .received
+            .iter()
+            .filter(|(source, _)| is_included(source));
+        merge_reports(own, reports.map(|(_, report)| report))
     }
 
     /// Returns the sum of this box, which is `own`, and of all others, as far as it is
@@ -299,30 +304,32 @@
 
     /// Returns a sum without the last report of one box.
     pub fn without(&self, sum: &LoadSum, from: &BoxId) -> LoadSum {
-        let mut rest = sum.clone();
-        let Some(told) = self.received.get(&(from.clone(), Scope::Own)) else {
-            return rest;
+        let mut remaining = sum.clone();
+        let Some(report) = self.received.get(&(from.clone(), Scope::Own)) else {
+            return remaining;
         };
-        rest.boxes = rest.boxes.saturating_sub(told.boxes);
-        rest.traffic = rest.traffic.minus(&told.traffic);
-        for (key, less) in &told.usage {
-            if let Ok(at) = rest.usage.binary_search_by_key(key, |(key, _)| *key) {
-                rest.usage[at].1.subtract(less);
+        remaining.boxes = remaining.boxes.saturating_sub(report.boxes);
+        remaining.traffic = remaining.traffic.minus(&report.traffic);
+        for (key, usage) in &report.usage {
+            if let Ok(at) = remaining.usage.binary_search_by_key(key, |(key, _)| *key) {
+                remaining.usage[at].1.subtract(usage);
             }
         }
-        rest.usage.retain(|(_, used)| *used != Usage::default());
-        rest
+        remaining
+            .usage
+            .retain(|(_, usage)| *usage != Usage::default());
+        remaining
     }
 
-    fn remove_where(&mut self, is_old: impl Fn(&(BoxId, Scope), &ReceivedReport) -> bool) {
+    fn remove_where(&mut self, is_removed: impl Fn(&(BoxId, Scope), &ReceivedReport) -> bool) {
         let mut emptied = false;
         for (_, old) in self
             .received
-            .extract_if(|source, heard| is_old(source, heard))
+            .extract_if(|source, report| is_removed(source, report))
         {
-            for (key, less) in &old.usage {
+            for (key, usage) in &old.usage {
                 if let Some(sum) = self.sums.get_mut(key) {
-                    sum.subtract(less);
+                    sum.subtract(usage);
                     emptied |= *sum == UsageTotal::default();
                 }
             }
@@ -334,39 +341,39 @@
 }
 
 /// Adds reports to the load of this box.
-fn merge_reports<'a>(own: LoadSum, heard: impl Iterator<Item = &'a ReceivedReport>) -> LoadSum {
+fn merge_reports<'a>(own: LoadSum, reports: impl Iterator<Item = &'a ReceivedReport>) -> LoadSum {
     let mut boxes = own.boxes;
     let mut sums: BTreeMap<UpstreamKey, Usage> = own.usage.iter().copied().collect();
     let mut suspects: BTreeSet<UpstreamKey> = own.suspects.iter().copied().collect();
-    let mut flows = vec![&own.traffic];
+    let mut traffic = vec![&own.traffic];
     let mut slow: BTreeMap<UpstreamKey, u16> = own.slow.into_iter().collect();
-    for heard in heard {
-        flows.push(&heard.traffic);
-        for (key, factor) in &heard.slow {
-            let known = slow.entry(*key).or_default();
-            *known = (*known).max(*factor);
+    for report in reports {
+        traffic.push(&report.traffic);
+        for (key, factor) in &report.slow {
+            let max_factor = slow.entry(*key).or_default();
+            *max_factor = (*max_factor).max(*factor);
         }
-        boxes = boxes.saturating_add(heard.boxes);
-        suspects.extend(&heard.suspects);
-        for (key, more) in &heard.usage {
-            sums.entry(*key).or_default().add(more);
+        boxes = boxes.saturating_add(report.boxes);
+        suspects.extend(&report.suspects);
+        for (key, usage) in &report.usage {
+            sums.entry(*key).or_default().add(usage);
         }
     }
     LoadSum {
         boxes,
         usage: sums.into_iter().collect(),
         suspects: suspects.into_iter().collect(),
-        traffic: Traffic::sum(flows.into_iter()),
+        traffic: Traffic::sum(traffic.into_iter()),
         slow: slow.into_iter().collect(),
     }
 }
 
 impl LoadSum {
     /// Returns the part of the sum that concerns the upstreams that `is_included` accepts.
-    pub fn filtered(&self, is_told: impl Fn(UpstreamKey) -> bool) -> Self {
-        let uses = self.usage.iter().filter(|(key, _)| is_told(*key));
+    pub fn filtered(&self, is_included: impl Fn(UpstreamKey) -> bool) -> Self {
+        let usage = self.usage.iter().filter(|(key, _)| is_included(*key));
         LoadSum {
-            usage: uses.copied().collect(),
+            usage: usage.copied().collect(),
             ..self.clone()
         }
     }
@@ -376,7 +383,7 @@
         self.traffic = self.traffic.truncated();
         if self.usage.len() > MAX_USAGES {
             self.usage
-                .select_nth_unstable_by_key(MAX_USAGES, |(_, used)| Reverse(used.token_layers));
+                .select_nth_unstable_by_key(MAX_USAGES, |(_, usage)| Reverse(usage.token_layers));
             self.usage.truncate(MAX_USAGES);
             self.usage.sort_unstable_by_key(|(key, _)| *key);
         }
@@ -395,18 +402,20 @@
 }
 
 impl UsageTotal {
-    fn add(&mut self, more: &Usage) {
-        self.requests += u64::from(more.requests);
-        self.head_requests += u64::from(more.head_requests);
-        self.token_layers += u64::from(more.token_layers);
-        self.prefill_ms += u64::from(more.prefill_ms);
+    fn add(&mut self, other: &Usage) {
+        self.requests += u64::from(other.requests);
+        self.head_requests += u64::from(other.head_requests);
+        self.token_layers += u64::from(other.token_layers);
+        self.prefill_ms += u64::from(other.prefill_ms);
     }
 
-    fn subtract(&mut self, less: &Usage) {
-        self.requests = self.requests.saturating_sub(less.requests.into());
-        self.head_requests = self.head_requests.saturating_sub(less.head_requests.into());
-        self.token_layers = self.token_layers.saturating_sub(less.token_layers.into());
-        self.prefill_ms = self.prefill_ms.saturating_sub(less.prefill_ms.into());
+    fn subtract(&mut self, other: &Usage) {
+        self.requests = self.requests.saturating_sub(other.requests.into());
+        self.head_requests = self
+            .head_requests
+            .saturating_sub(other.head_requests.into());
+        self.token_layers = self.token_layers.saturating_sub(other.token_layers.into());
+        self.prefill_ms = self.prefill_ms.saturating_sub(other.prefill_ms.into());
     }
 
     fn usage(&self) -> Usage {
@@ -422,17 +431,17 @@
 
 impl Usage {
     /// Adds another usage.
-    pub fn add(&mut self, more: &Usage) {
-        self.requests = self.requests.saturating_add(more.requests);
-        self.head_requests = self.head_requests.saturating_add(more.head_requests);
-        self.token_layers = self.token_layers.saturating_add(more.token_layers);
-        self.prefill_ms = self.prefill_ms.saturating_add(more.prefill_ms);
+    pub fn add(&mut self, other: &Usage) {
+        self.requests = self.requests.saturating_add(other.requests);
+        self.head_requests = self.head_requests.saturating_add(other.head_requests);
+        self.token_layers = self.token_layers.saturating_add(other.token_layers);
+        self.prefill_ms = self.prefill_ms.saturating_add(other.prefill_ms);
     }
 
-    fn subtract(&mut self, less: &Usage) {
-        self.requests = self.requests.saturating_sub(less.requests);
-        self.head_requests = self.head_requests.saturating_sub(less.head_requests);
-        self.token_layers = self.token_layers.saturating_sub(less.token_layers);
-        self.prefill_ms = self.prefill_ms.saturating_sub(less.prefill_ms);
+    fn subtract(&mut self, other: &Usage) {
+        self.requests = self.requests.saturating_sub(other.requests);
+        self.head_requests = self.head_requests.saturating_sub(other.head_requests);
+        self.token_layers = self.token_layers.saturating_sub(other.token_layers);
+        self.prefill_ms = self.prefill_ms.saturating_sub(other.prefill_ms);
     }
 }
--- a/crates/ashgauge/src/pending.rs
+++ b/crates/ashgauge/src/pending.rs
@@ -49,33 +49,37 @@
 
 impl PendingAssignments {
     /// Adds assignments that are ordered now and may take `time` until they are announced.
-    pub fn add(&mut self, now: Duration, ranges: &[Assignment], time: Duration) {
-        for range in ranges {
-            self.0.insert(range.id.clone(), (range.layers, now + time));
+    pub fn add(&mut self, now: Duration, assignments: &[Assignment], time: Duration) {
+        for assignment in assignments {
+            self.0
+                .insert(assignment.id.clone(), (assignment.layers, now + time));
         }
     }
 
     /// Adds the assignments that another box knows of; those that this box has for the same
     /// engine take precedence.
-    pub fn merge(&mut self, now: Duration, told: &[PendingAssignment]) {
-        for unshown in told {
-            let until = now + Duration::from_millis(unshown.left_ms);
-            let range = &unshown.assignment;
-            let known = self.0.entry(range.id.clone());
-            known.or_insert((range.layers, until));
+    pub fn merge(&mut self, now: Duration, received: &[PendingAssignment]) {
+        for pending in received {
+            let until = now + Duration::from_millis(pending.left_ms);
+            let assignment = &pending.assignment;
+            let known = self.0.entry(assignment.id.clone());
+            known.or_insert((assignment.layers, until));
         }
     }
 
     /// Returns the pending assignments for other boxes.
     pub fn snapshot(&self, now: Duration) -> Vec<PendingAssignment> {
-        let unshown = self.0.iter().map(|(id, (span, until))| PendingAssignment {
-            assignment: Assignment {
-                id: id.clone(),
-                layers: *span,
-            },
-            left_ms: until.saturating_sub(now).as_millis() as u64,
-        });
-        unshown.collect()
+        let pending = self
+            .0
+            .iter()
+            .map(|(id, (layers, until))| PendingAssignment {
+                assignment: Assignment {
+                    id: id.clone(),
+                    layers: *layers,
+                },
+                left_ms: until.saturating_sub(now).as_millis() as u64,
+            });
+        pending.collect()
     }
 
     /// Removes assignments whose time is over.
@@ -86,12 +90,12 @@
     /// Removes the assignments that `is_open` rejects: those that are announced, or whose
     /// engine is gone.
     pub fn retain(&mut self, is_open: impl Fn(&str, LayerRange) -> bool) {
-        self.0.retain(|id, (span, _)| is_open(id, *span));
+        self.0.retain(|id, (layers, _)| is_open(id, *layers));
     }
 
     /// Returns the layers that an engine was ordered to hold and does not announce yet.
     pub fn layers(&self, id: &str) -> Option<LayerRange> {
-        self.0.get(id).map(|(span, _)| *span)
+        self.0.get(id).map(|(layers, _)| *layers)
     }
 }
 
--- a/crates/ashgauge/src/placement.rs
+++ b/crates/ashgauge/src/placement.rs
@@ -116,26 +116,26 @@
 ///
 /// The result does not depend on the order of `engines`. No engine gets more layers than
 /// [`layer_capacity`] allows.
-pub fn plan(model: &Model, seats: &[PlacedEngine]) -> Vec<Assignment> {
-    let mut board = PlacementState::new(model, seats);
-    let mut out = Vec::new();
-    for at in 0..board.engines.len() {
-        if board.engines[at].layers.is_some() {
+pub fn plan(model: &Model, engines: &[PlacedEngine]) -> Vec<Assignment> {
+    let mut state = PlacementState::new(model, engines);
+    let mut assignments = Vec::new();
+    for index in 0..state.engines.len() {
+        if state.engines[index].layers.is_some() {
             continue;
         }
-        if let Some((span, _)) = board.best_range(at) {
-            out.push(board.assign(at, span));
+        if let Some((range, _)) = state.best_range(index) {
+            assignments.push(state.assign(index, range));
         }
     }
     // Each move takes the previous ones into account.
-    let under_way = out.len() + board.engines.iter().filter(|s| !s.movable).count();
-    for _ in under_way..MAX_MOVES {
-        let Some((at, span)) = board.best_move() else {
+    let pending = assignments.len() + state.engines.iter().filter(|e| !e.movable).count();
+    for _ in pending..MAX_MOVES {
+        let Some((index, range)) = state.best_move() else {
             break;
         };
-        out.push(board.assign(at, span));
+        assignments.push(state.assign(index, range));
     }
-    out
+    assignments
 }
 
 /// Returns whether each layer of a model is in one of the ranges.
@@ -146,40 +146,47 @@
 /// use ashgauge::placement::covers_model;
 /// use ashgauge::upstream::LayerRange;
 ///
-/// let spans = [LayerRange { first: 0, end: 3 }, LayerRange { first: 2, end: 4 }];
-/// assert!(covers_model(4, spans.into_iter()));
-/// assert!(!covers_model(5, spans.into_iter()));
+/// let ranges = [LayerRange { first: 0, end: 3 }, LayerRange { first: 2, end: 4 }];
+/// assert!(covers_model(4, ranges.into_iter()));
+/// assert!(!covers_model(5, ranges.into_iter()));
 /// ```
-pub fn covers_model(layers: Layer, spans: impl Iterator<Item = LayerRange>) -> bool {
-    let mut spans: Vec<LayerRange> = spans.collect();
-    spans.sort_by_key(|s| s.first);
-    let reach = spans
+pub fn covers_model(layers: Layer, ranges: impl Iterator<Item = LayerRange>) -> bool {
+    let mut ranges: Vec<LayerRange> = ranges.collect();
+    ranges.sort_by_key(|r| r.first);
+    let covered_to = ranges
         .iter()
-        .fold(0, |reach, span| match span.first <= reach {
-            true => span.end.max(reach),
-            false => reach,
+        .fold(0, |covered_to, range| match range.first <= covered_to {
+            true => range.end.max(covered_to),
+            false => covered_to,
         });
-    reach >= layers
+    covered_to >= layers
 }
 
 /// Returns how many layers fit on an accelerator if weights take at most `weight_share` of
 /// its memory; 0 for a kind that is not configured.
-pub fn layer_capacity(model: &Model, card: &str, fill: f64) -> Layer {
-    let memory = model.accelerators.get(card).map_or(0.0, |c| c.memory_mb);
-    let layers = (memory * fill / model.layer_mb.max(1e-9)).floor();
+pub fn layer_capacity(model: &Model, accelerator: &str, weight_share: f64) -> Layer {
+    let memory_mb = model
+        .accelerators
+        .get(accelerator)
+        .map_or(0.0, |a| a.memory_mb);
+    let layers = (memory_mb * weight_share / model.layer_mb.max(1e-9)).floor();
     (layers as Layer).min(model.layers)
 }
 
 /// Returns the holders of each layer within `data_centre`, or anywhere, weighted by their
 /// memory for requests.
-pub fn layer_coverage(model: &Model, seats: &[PlacedEngine], place: Option<&str>) -> Vec<f64> {
-    let board = PlacementState::new(model, seats);
-    match place {
-        Some(place) => match board.data_centres.get(place) {
-            Some(site) => site.coverage.clone(),
+pub fn layer_coverage(
+    model: &Model,
+    engines: &[PlacedEngine],
+    data_centre: Option<&str>,
+) -> Vec<f64> {
+    let state = PlacementState::new(model, engines);
+    match data_centre {
+        Some(data_centre) => match state.data_centres.get(data_centre) {
+            Some(sums) => sums.coverage.clone(),
             None => vec![0.0; model.layers as usize],
         },
-        None => board.coverage,
+        None => state.coverage,
     }
 }
 
@@ -213,94 +220,100 @@
 }
 
 impl<'a> PlacementState<'a> {
-    fn new(model: &'a Model, seats: &[PlacedEngine]) -> Self {
-        let mut seats = seats.to_vec();
-        seats.sort_by(|a, b| {
-            let size = |s: &PlacedEngine| memory_mb(model, s);
+    fn new(model: &'a Model, engines: &[PlacedEngine]) -> Self {
+        let mut engines = engines.to_vec();
+        engines.sort_by(|a, b| {
+            let size = |e: &PlacedEngine| memory_mb(model, e);
             let faster = step_factor(model, a).total_cmp(&step_factor(model, b));
             let larger = size(b).total_cmp(&size(a));
             faster.then(larger).then_with(|| a.id.cmp(&b.id))
         });
-        let mut sites = HashMap::new();
-        for seat in &seats {
-            let place = &seat.data_centre;
-            if !sites.contains_key(place) {
-                sites.insert(place.clone(), DataCentre::new(model, &seats, place));
+        let mut data_centres = HashMap::new();
+        for engine in &engines {
+            let name = &engine.data_centre;
+            if !data_centres.contains_key(name) {
+                data_centres.insert(name.clone(), DataCentre::new(model, &engines, name));
             }
         }
-        let mut board = PlacementState {
+        let mut state = PlacementState {
             model,
-            engines: seats,
+            engines,
             coverage: vec![0.0; model.layers as usize],
             announced: vec![0; model.layers as usize],
-            data_centres: sites,
+            data_centres,
         };
-        for at in 0..board.engines.len() {
-            board.update_coverage(at, 1.0);
+        for index in 0..state.engines.len() {
+            state.update_coverage(index, 1.0);
         }
-        board
+        state
     }
 
     /// Adds an engine's range to the sums (`sign` 1), or subtracts it (`sign` -1).
-    fn update_coverage(&mut self, at: usize, sign: f64) {
-        let seat = &self.engines[at];
-        let Some(span) = seat.layers else {
+    fn update_coverage(&mut self, index: usize, sign: f64) {
+        let engine = &self.engines[index];
+        let Some(range) = engine.layers else {
             return;
         };
-        let more = sign * self.holder_weight(seat, span.len());
-        let shown = if seat.movable { sign as i32 } else { 0 };
-        let Some(site) = self.data_centres.get_mut(&seat.data_centre) else {
+        let weight = sign * self.holder_weight(engine, range.len());
+        let announced = if engine.movable { sign as i32 } else { 0 };
+        let Some(data_centre) = self.data_centres.get_mut(&engine.data_centre) else {
             return;
         };
-        for edge in [span.first, span.end] {
-            site.range_ends[edge.min(self.model.layers) as usize] += sign as i32;
+        for boundary in [range.first, range.end] {
+            data_centre.range_ends[boundary.min(self.model.layers) as usize] += sign as i32;
         }
-        for layer in span.first..span.end.min(self.model.layers) {
-            site.coverage[layer as usize] += more;
-            site.announced[layer as usize] += shown;
-            self.coverage[layer as usize] += more;
-            self.announced[layer as usize] += shown;
+        for layer in range.first..range.end.min(self.model.layers) {
+            data_centre.coverage[layer as usize] += weight;
+            data_centre.announced[layer as usize] += announced;
+            self.coverage[layer as usize] += weight;
+            self.announced[layer as usize] += announced;
         }
     }
 
-    fn set_layers(&mut self, at: usize, span: Option<LayerRange>) {
-        self.update_coverage(at, -1.0);
-        self.engines[at].layers = span;
-        self.update_coverage(at, 1.0);
+    fn set_layers(&mut self, index: usize, layers: Option<LayerRange>) {
+        self.update_coverage(index, -1.0);
+        self.engines[index].layers = layers;
+        self.update_coverage(index, 1.0);
     }
 
     /// Assigns a range to an engine, which does not announce it yet.
-    fn assign(&mut self, at: usize, span: LayerRange) -> Assignment {
-        self.set_layers(at, None);
-        self.engines[at].movable = false;
-        self.set_layers(at, Some(span));
-        let id = self.engines[at].id.clone();
-        Assignment { id, layers: span }
+    fn assign(&mut self, index: usize, range: LayerRange) -> Assignment {
+        self.set_layers(index, None);
+        self.engines[index].movable = false;
+        self.set_layers(index, Some(range));
+        let id = self.engines[index].id.clone();
+        Assignment { id, layers: range }
     }
 
     /// Returns the move of one engine with the highest gain, if it gains enough: the index
     /// of the engine and its new range.
     fn best_move(&mut self) -> Option<(usize, LayerRange)> {
         let mut best: Option<(f64, usize, LayerRange)> = None;
-        for at in 0..self.engines.len() {
-            let Some(old) = self.engines[at].layers.filter(|_| self.engines[at].movable) else {
+        for index in 0..self.engines.len() {
+            let Some(old) = self.engines[index]
+                .layers
+                .filter(|_| self.engines[index].movable)
+            else {
                 continue;
             };
-            self.set_layers(at, None);
-            let found = self.best_range(at);
-            let kept = self.range_gain(at, old);
-            self.set_layers(at, Some(old));
-            let Some((span, gained)) = found else {
+            self.set_layers(index, None);
+            let found = self.best_range(index);
+            let current_gain = self.range_gain(index, old);
+            self.set_layers(index, Some(old));
+            let Some((range, new_gain)) = found else {
                 continue;
             };
-            let loaded = (span.first..span.end).filter(|l| !old.contains(*l)).count();
-            let more = gained - kept - MOVE_LAYER_COST * loaded as f64;
-            let is_best = more >= MIN_MOVE_GAIN && best.is_none_or(|(most, ..)| more > most);
-            if is_best && self.can_release(at, old, span) {
-                best = Some((more, at, span));
+            let loaded = (range.first..range.end)
+                .filter(|l| !old.contains(*l))
+                .count();
+            let gain = new_gain - current_gain - MOVE_LAYER_COST * loaded as f64;
+            let is_best =
+                gain >= MIN_MOVE_GAIN && best.is_none_or(|(max_gain, ..)| gain > max_gain);
+            if is_best && self.can_release(index, old, range) {
+                best = Some((gain, index, range));
             }
         }
-        best.map(|(_, at, span)| (at, span))
+        best.map(|(_, index, range)| (index, range))
     }
 
     /// Returns whether other engines announce the layers that an engine gives up for a new
@@ -310,109 +323,116 @@
     /// is announced seconds later, when the running requests have ended and the layers are
     /// loaded. The same holds for ranges that other engines were ordered to hold. If moves
     /// relied on such ranges, the fleet would be without a complete chain meanwhile.
-    fn can_release(&self, at: usize, old: LayerRange, new: LayerRange) -> bool {
-        let here = self
+    fn can_release(&self, index: usize, old: LayerRange, new: LayerRange) -> bool {
+        let local = self
             .data_centres
-            .get(&self.engines[at].data_centre)
+            .get(&self.engines[index].data_centre)
             .map(|s| &s.announced[..]);
-        let others = |shown: &[i32], l: Layer| shown[l as usize] - 1;
+        let other_holders = |shown: &[i32], l: Layer| shown[l as usize] - 1;
         let end = old.end.min(self.model.layers);
         let mut given_up = (old.first..end).filter(|l| !new.contains(*l));
         given_up.all(|l| {
-            let near = here.map_or(0, |shown| others(shown, l));
-            near >= MIN_LOCAL_HOLDERS || others(&self.announced, l) >= MIN_TOTAL_HOLDERS
+            let local_holders = local.map_or(0, |shown| other_holders(shown, l));
+            local_holders >= MIN_LOCAL_HOLDERS
+                || other_holders(&self.announced, l) >= MIN_TOTAL_HOLDERS
         })
     }
 
     /// Returns the range with the highest gain for an engine, and the gain; of equal ones
     /// the range with the lowest layers.
-    fn best_range(&self, at: usize) -> Option<(LayerRange, f64)> {
-        let seat = &self.engines[at];
+    fn best_range(&self, index: usize) -> Option<(LayerRange, f64)> {
+        let engine = &self.engines[index];
         let layers = self.model.layers;
-        let site = self.data_centres.get(&seat.data_centre)?;
-        let fill = match site.allows_second && is_fast(self.model, &seat.accelerator) {
-            true => MIN_SPARE_SHARE,
-            false => site.weight_share,
-        };
-        let len = layer_capacity(self.model, &seat.accelerator, fill);
+        let data_centre = self.data_centres.get(&engine.data_centre)?;
+        let weight_share =
+            match data_centre.allows_second && is_fast(self.model, &engine.accelerator) {
+                true => MIN_SPARE_SHARE,
+                false => data_centre.weight_share,
+            };
+        let len = layer_capacity(self.model, &engine.accelerator, weight_share);
         if len == 0 {
             return None;
         }
-        let sums = prefix_sums(&self.layer_gains(at, len));
+        let sums = prefix_sums(&self.layer_gains(index, len));
         let mut best: Option<(LayerRange, f64, f64)> = None;
         for first in 0..=layers - len {
             let end = first + len;
             let sum = sums[end as usize] - sums[first as usize];
-            let aligned = u32::from(site.is_range_end(first)) + u32::from(site.is_range_end(end));
-            let worth = sum * (1.0 + ALIGNMENT_BONUS * f64::from(aligned));
-            if best.is_none_or(|(_, _, most)| worth > most + 1e-9) {
-                best = Some((LayerRange { first, end }, sum, worth));
+            let aligned_ends = u32::from(data_centre.is_range_end(first))
+                + u32::from(data_centre.is_range_end(end));
+            let value = sum * (1.0 + ALIGNMENT_BONUS * f64::from(aligned_ends));
+            if best.is_none_or(|(_, _, max_value)| value > max_value + 1e-9) {
+                best = Some((LayerRange { first, end }, sum, value));
             }
         }
-        best.map(|(span, sum, _)| (span, sum))
+        best.map(|(range, sum, _)| (range, sum))
     }
 
     /// Returns what an engine gains by holding a range, if it holds nothing else.
-    fn range_gain(&self, at: usize, span: LayerRange) -> f64 {
-        let gains = self.layer_gains(at, span.len());
-        gains[span.first as usize..span.end as usize].iter().sum()
+    fn range_gain(&self, index: usize, range: LayerRange) -> f64 {
+        let gains = self.layer_gains(index, range.len());
+        gains[range.first as usize..range.end as usize].iter().sum()
     }
 
     /// Returns what each layer gains by one more holder, which holds `len` layers in total.
-    fn layer_gains(&self, at: usize, len: Layer) -> Vec<f64> {
-        let seat = &self.engines[at];
-        let more = self.holder_weight(seat, len);
-        let here = self
+    fn layer_gains(&self, index: usize, len: Layer) -> Vec<f64> {
+        let engine = &self.engines[index];
+        let weight = self.holder_weight(engine, len);
+        let local = self
             .data_centres
-            .get(&seat.data_centre)
+            .get(&engine.data_centre)
             .map_or(&[][..], |s| &s.coverage);
         // The value of holders is -1 / (holders + SMOOTHING).
         let gain = |holders: &f64| {
             let smooth = holders + SMOOTHING;
-            more / (smooth * (smooth + more))
+            weight / (smooth * (smooth + weight))
         };
-        let layers = here.iter().zip(&self.coverage);
-        let layers = layers.map(|(here, all)| gain(all) + LOCAL_WEIGHT * gain(here));
+        let layers = local.iter().zip(&self.coverage);
+        let layers = layers.map(|(local, all)| gain(all) + LOCAL_WEIGHT * gain(local));
         layers.collect()
     }
 
     /// Returns how many holders an engine counts for that holds `len` layers: its memory
     /// for requests limits its share of the load.
-    fn holder_weight(&self, seat: &PlacedEngine, len: Layer) -> f64 {
-        let is_rich = self
+    fn holder_weight(&self, engine: &PlacedEngine, len: Layer) -> f64 {
+        let allows_second = self
             .data_centres
-            .get(&seat.data_centre)
+            .get(&engine.data_centre)
             .is_some_and(|s| s.allows_second);
-        let most = if is_rich {
+        let max = if allows_second {
             SPARE_HOLDER_WEIGHT
         } else {
             MAX_HOLDER_WEIGHT
         };
-        (self.model.request_capacity(&seat.accelerator, len) / REQUESTS_PER_HOLDER).min(most)
+        (self.model.request_capacity(&engine.accelerator, len) / REQUESTS_PER_HOLDER).min(max)
     }
 }
 
 impl DataCentre {
-    fn new(model: &Model, seats: &[PlacedEngine], place: &str) -> Self {
-        let held = |fill: f64| -> f64 {
-            let here = seats.iter().filter(|s| *s.data_centre == *place);
-            here.map(|s| f64::from(layer_capacity(model, &s.accelerator, fill)))
+    fn new(model: &Model, engines: &[PlacedEngine], name: &str) -> Self {
+        let held = |weight_share: f64| -> f64 {
+            let local = engines.iter().filter(|e| *e.data_centre == *name);
+            local
+                .map(|e| f64::from(layer_capacity(model, &e.accelerator, weight_share)))
                 .sum()
         };
         let layers = f64::from(model.layers);
-        let is_rich = held(MAX_WEIGHT_SHARE) >= MIN_SPARE_COPIES * layers;
-        let fill = match is_rich {
+        let allows_second = held(MAX_WEIGHT_SHARE) >= MIN_SPARE_COPIES * layers;
+        let weight_share = match allows_second {
             true => {
-                let enough = |fill: &f64| held(*fill) >= TARGET_SPARE_COPIES * layers;
+                let enough =
+                    |weight_share: &f64| held(*weight_share) >= TARGET_SPARE_COPIES * layers;
                 weight_shares(MIN_SPARE_SHARE)
                     .find(enough)
                     .unwrap_or(MAX_WEIGHT_SHARE)
             }
-            false => best_weight_share(model, seats, place, |fill| held(fill) / layers),
+            false => best_weight_share(model, engines, name, |weight_share| {
+                held(weight_share) / layers
+            }),
         };
         DataCentre {
-            allows_second: is_rich,
-            weight_share: fill,
+            allows_second,
+            weight_share,
             coverage: vec![0.0; model.layers as usize],
             announced: vec![0; model.layers as usize],
             range_ends: vec![0; model.layers as usize + 1],
@@ -437,10 +457,10 @@
     std::iter::once(0.0).chain(sums).collect()
 }
 
-/// Iterates over shares of memory that weights may take, from `least` up.
-fn weight_shares(least: f64) -> impl Iterator<Item = f64> {
-    let steps = ((MAX_WEIGHT_SHARE - least) / WEIGHT_SHARE_STEP).round() as u32;
-    (0..=steps).map(move |n| least + WEIGHT_SHARE_STEP * f64::from(n))
+/// Iterates over shares of memory that weights may take, from `min` up.
+fn weight_shares(min: f64) -> impl Iterator<Item = f64> {
+    let steps = ((MAX_WEIGHT_SHARE - min) / WEIGHT_SHARE_STEP).round() as u32;
+    (0..=steps).map(move |n| min + WEIGHT_SHARE_STEP * f64::from(n))
 }
 
 /// Returns the share of memory for weights with which a data centre has the highest
@@ -448,15 +468,15 @@
 /// holds at a share.
 fn best_weight_share(
     model: &Model,
-    seats: &[PlacedEngine],
-    place: &str,
+    engines: &[PlacedEngine],
+    data_centre: &str,
     copies: impl Fn(f64) -> f64,
 ) -> f64 {
     let mut best = (0.0, MAX_WEIGHT_SHARE);
-    for fill in weight_shares(MIN_WEIGHT_SHARE).filter(|fill| copies(*fill) >= TARGET_COPIES) {
-        let rate = data_centre_rate(model, seats, place, fill);
+    for share in weight_shares(MIN_WEIGHT_SHARE).filter(|share| copies(*share) >= TARGET_COPIES) {
+        let rate = data_centre_rate(model, engines, data_centre, share);
         if rate > best.0 {
-            best = (rate, fill);
+            best = (rate, share);
         }
     }
     best.1
@@ -464,14 +484,19 @@
 
 /// Returns the requests a second that a data centre can serve with chains of its engines,
 /// built from the fastest on.
-fn data_centre_rate(model: &Model, seats: &[PlacedEngine], place: &str, fill: f64) -> f64 {
+fn data_centre_rate(
+    model: &Model,
+    engines: &[PlacedEngine],
+    data_centre: &str,
+    weight_share: f64,
+) -> f64 {
     let (mut rate, mut parts, mut missing) = (0.0, Vec::new(), model.layers);
-    for seat in seats.iter().filter(|s| *s.data_centre == *place) {
-        let layers = layer_capacity(model, &seat.accelerator, fill).min(missing);
+    for engine in engines.iter().filter(|e| *e.data_centre == *data_centre) {
+        let layers = layer_capacity(model, &engine.accelerator, weight_share).min(missing);
         if layers == 0 {
             continue;
         }
-        parts.push((seat.accelerator.as_str(), layers));
+        parts.push((engine.accelerator.as_str(), layers));
         missing -= layers;
         if missing == 0 {
             rate += throughput::chain_throughput(model, &parts);
@@ -483,21 +508,21 @@
 
 /// Returns whether chains prefer an accelerator for its speed, so that it needs memory for
 /// most of the requests of its data centre.
-fn is_fast(model: &Model, card: &str) -> bool {
-    let slowest = model.accelerators.values().map(|c| c.step_factor);
+fn is_fast(model: &Model, accelerator: &str) -> bool {
+    let slowest = model.accelerators.values().map(|a| a.step_factor);
     let slowest = slowest.fold(0.0, f64::max);
-    let card = model.accelerators.get(card);
-    card.is_some_and(|c| c.step_factor * FAST_RATIO <= slowest)
+    let accelerator = model.accelerators.get(accelerator);
+    accelerator.is_some_and(|a| a.step_factor * FAST_RATIO <= slowest)
 }
 
-fn step_factor(model: &Model, seat: &PlacedEngine) -> f64 {
-    let card = model.accelerators.get(&seat.accelerator);
-    card.map_or(f64::INFINITY, |c| c.step_factor)
+fn step_factor(model: &Model, engine: &PlacedEngine) -> f64 {
+    let accelerator = model.accelerators.get(&engine.accelerator);
+    accelerator.map_or(f64::INFINITY, |a| a.step_factor)
 }
 
-fn memory_mb(model: &Model, seat: &PlacedEngine) -> f64 {
+fn memory_mb(model: &Model, engine: &PlacedEngine) -> f64 {
     model
         .accelerators
-        .get(&seat.accelerator)
-        .map_or(0.0, |c| c.memory_mb)
+        .get(&engine.accelerator)
+        .map_or(0.0, |a| a.memory_mb)
 }
--- a/crates/ashgauge/src/registry.rs
+++ b/crates/ashgauge/src/registry.rs
@@ -29,14 +29,14 @@
     /// Replaces the whole list. Upstreams that are not in it are removed: at once if
     /// `removals_certain`, otherwise if they have not come back within a grace period.
     /// Until then they get no new work.
-    pub fn replace(&mut self, now: Duration, list: Vec<Upstream>, sure: bool) {
+    pub fn replace(&mut self, now: Duration, list: Vec<Upstream>, removals_certain: bool) {
         let listed: HashSet<_> = list.iter().map(|u| u.id.clone()).collect();
         for (id, entry) in &mut self.entries {
             if !listed.contains(id) {
                 entry.mark_missing(now);
             }
         }
-        if sure {
+        if removals_certain {
             self.remove_where(now, UpstreamState::is_missing);
         }
         for upstream in list {
@@ -88,11 +88,15 @@
 
     /// Returns the engines, of the services that `is_included` accepts, that have reported
     /// to this box that they are slow.
-    pub fn slow_upstreams(&self, now: Duration, is_told: impl Fn(&str) -> bool) -> SlowUpstreams {
-        let told = self.entries.values();
-        let told = told.filter(|e| is_told(&e.upstream.service));
+    pub fn slow_upstreams(
+        &self,
+        now: Duration,
+        is_included: impl Fn(&str) -> bool,
+    ) -> SlowUpstreams {
+        let states = self.entries.values();
+        let states = states.filter(|e| is_included(&e.upstream.service));
         let tenths = |factor: f64| (factor * SLOW_FACTOR_SCALE).min(f64::from(u16::MAX)) as u16;
-        let slow = told.filter_map(|e| {
+        let slow = states.filter_map(|e| {
             let factor = e.own_slowness(now)?;
             Some((load_report::upstream_key(&e.upstream.id), tenths(factor)))
         });
@@ -127,8 +131,8 @@
     }
 
     /// Removes entries, but keeps the notices of their upstreams.
-    fn remove_where(&mut self, now: Duration, gone: impl Fn(&UpstreamState) -> bool) {
-        for (id, e) in self.entries.extract_if(|_, e| gone(e)) {
+    fn remove_where(&mut self, now: Duration, is_removed: impl Fn(&UpstreamState) -> bool) {
+        for (id, e) in self.entries.extract_if(|_, e| is_removed(e)) {
             self.absent
                 .insert(now, &id, e.upstream.started_ms, e.notice);
         }
@@ -141,13 +145,13 @@
 
     /// Returns the number of data centres that have upstreams.
     pub fn data_centres(&self) -> usize {
-        let (edition, known) = self.data_centres.get();
-        if edition == self.generation {
-            return known;
+        let (generation, count) = self.data_centres.get();
+        if generation == self.generation {
+            return count;
         }
-        let places: HashSet<_> = self.iter().map(|e| &e.upstream.data_centre).collect();
-        self.data_centres.set((self.generation, places.len()));
-        places.len()
+        let names: HashSet<_> = self.iter().map(|e| &e.upstream.data_centre).collect();
+        self.data_centres.set((self.generation, names.len()));
+        names.len()
     }
 
     /// Returns the upstream with this id.
@@ -183,13 +187,13 @@
 
     /// Records that a request of this box was assigned to an upstream, where it holds
     /// memory for `token_layers` tokens times layers.
-    pub fn begin_request(&mut self, id: &str, tokens: u64) {
-        self.update(id, |e| e.begin_request(tokens));
+    pub fn begin_request(&mut self, id: &str, token_layers: u64) {
+        self.update(id, |e| e.begin_request(token_layers));
     }
 
     /// Records that such a request has ended there.
-    pub fn end_request(&mut self, id: &str, tokens: u64) {
-        self.update(id, |e| e.end_request(tokens));
+    pub fn end_request(&mut self, id: &str, token_layers: u64) {
+        self.update(id, |e| e.end_request(token_layers));
     }
 
     /// Records that a request of this box was sent to an upstream directly, as the first of
@@ -239,9 +243,9 @@
         self.update(id, |e| e.note_full(now));
     }
 
-    /// Sends nothing to an upstream for `time`, as it accepts no more requests.
-    pub fn block(&mut self, now: Duration, id: &str, time: Duration) {
-        self.update(id, |e| e.block(now, time));
+    /// Sends nothing to an upstream for `duration`, as it accepts no more requests.
+    pub fn block(&mut self, now: Duration, id: &str, duration: Duration) {
+        self.update(id, |e| e.block(now, duration));
     }
 
     /// Records that an upstream no longer sets a rate limit.
@@ -254,8 +258,8 @@
     }
 
     /// Records that an upstream asked this box to send nothing for `backoff`.
-    pub fn note_backoff(&mut self, now: Duration, id: &str, rest: Duration) {
-        self.update_notice(now, id, |n| n.extend_backoff(now, rest));
+    pub fn note_backoff(&mut self, now: Duration, id: &str, backoff: Duration) {
+        self.update_notice(now, id, |n| n.extend_backoff(now, backoff));
     }
 
     /// Records that an upstream announced in an answer that it is leaving; returns true if
@@ -285,8 +289,8 @@
     /// Records the slowness factor that an engine reported; returns true if it changed
     /// notably.
     pub fn note_slow(&mut self, now: Duration, id: &str, factor: f64) -> bool {
-        let news = self.update(id, |e| e.note_slow(now, factor));
-        news.unwrap_or(false)
+        let changed = self.update(id, |e| e.note_slow(now, factor));
+        changed.unwrap_or(false)
     }
 
     /// Excludes an upstream for a moment, as it does not hold what its entry announces.
--- a/crates/ashgauge/src/request_duration.rs
+++ b/crates/ashgauge/src/request_duration.rs
@@ -17,10 +17,10 @@
 /// use std::time::Duration;
 /// use ashgauge::request_duration::RequestDuration;
 ///
-/// let mut stay = RequestDuration::default();
-/// assert_eq!(stay.mean(), Duration::from_secs(2));
-/// (0..200).for_each(|_| stay.record(Duration::from_secs(1)));
-/// assert!(stay.mean() < Duration::from_millis(1010));
+/// let mut duration = RequestDuration::default();
+/// assert_eq!(duration.mean(), Duration::from_secs(2));
+/// (0..200).for_each(|_| duration.record(Duration::from_secs(1)));
+/// assert!(duration.mean() < Duration::from_millis(1010));
 /// ```
 #[derive(Clone, Copy, Debug)]
 pub struct RequestDuration(f64);
--- a/crates/ashgauge/src/request_size.rs
+++ b/crates/ashgauge/src/request_size.rs
@@ -25,10 +25,10 @@
 
     /// Returns the size of a request by the numbers of its caller, where 0 means unknown.
     /// They are limited to 1/8 to 8 times the typical ones.
-    pub fn clamped(prompt: u32, answer: u32, model: &Model) -> Self {
+    pub fn clamped(prompt: u32, output: u32, model: &Model) -> Self {
         RequestSize::new(
             clamp_tokens(prompt, model.typical_prompt),
-            clamp_tokens(answer, model.typical_output),
+            clamp_tokens(output, model.typical_output),
         )
     }
 
@@ -36,13 +36,13 @@
     /// are read together with its prompt.
     ///
     /// An answer that is longer than expected has at least an eighth of a typical one left.
-    pub fn after_tokens(self, written: u32, model: &Model) -> Self {
-        let (least, most) = token_range(model.typical_output);
-        let written = written.min(most);
-        let prompt = self.prompt.saturating_add(written);
+    pub fn after_tokens(self, generated: u32, model: &Model) -> Self {
+        let (min, max) = token_range(model.typical_output);
+        let generated = generated.min(max);
+        let prompt = self.prompt.saturating_add(generated);
         RequestSize {
             prompt,
-            output: self.output.saturating_sub(written).max(least),
+            output: self.output.saturating_sub(generated).max(min),
             resume_prompt: prompt,
         }
     }
@@ -53,25 +53,28 @@
         self.after_tokens(tokens.try_into().unwrap_or(u32::MAX), model)
     }
 
-    /// Without other knowledge a stream that is continued is assumed to be in the middle of
-    /// its answer.
-    fn new(prompt: u32, answer: u32) -> Self {
+    /// Creates the size of a request. A stream that is continued is assumed to be in the
+    /// middle of its answer, as long as nothing else is known.
+    fn new(prompt: u32, output: u32) -> Self {
         RequestSize {
             prompt,
-            output: answer,
-            resume_prompt: prompt.saturating_add(answer / 2),
+            output,
+            resume_prompt: prompt.saturating_add(output / 2),
         }
     }
 }
 
-fn clamp_tokens(tokens: u32, usual: u32) -> u32 {
-    let (least, most) = token_range(usual);
+fn clamp_tokens(tokens: u32, typical: u32) -> u32 {
+    let (min, max) = token_range(typical);
     match tokens {
-        0 => usual,
-        known => known.clamp(least, most),
+        0 => typical,
+        known => known.clamp(min, max),
     }
 }
 
-fn token_range(usual: u32) -> (u32, u32) {
-    (usual / MAX_SIZE_RATIO, usual.saturating_mul(MAX_SIZE_RATIO))
+fn token_range(typical: u32) -> (u32, u32) {
+    (
+        typical / MAX_SIZE_RATIO,
+        typical.saturating_mul(MAX_SIZE_RATIO),
+    )
 }
--- a/crates/ashgauge/src/routing.rs
+++ b/crates/ashgauge/src/routing.rs
@@ -182,9 +182,9 @@
         routes: Vec<Route>,
         services: Vec<Service>,
         teams: Option<Vec<Team>>,
-        bounds: ClientLimits,
+        client_limits: ClientLimits,
     ) -> Self {
-        let ranks = priorities_by_service(&routes, teams.as_deref());
+        let priorities = priorities_by_service(&routes, teams.as_deref());
         let mut hosts: HashMap<String, Vec<Arc<Route>>> = HashMap::new();
         for route in routes {
             hosts
@@ -201,8 +201,8 @@
             hosts,
             services: services.collect(),
             keys: teams.map(teams_by_key),
-            priorities: ranks,
-            client_limits: bounds,
+            priorities,
+            client_limits,
         }
     }
 
@@ -253,13 +253,17 @@
 impl Model {
     /// Returns how many typical requests fit into an accelerator's memory beside the
     /// weights of `held` layers; 0 for a kind that is not configured.
-    pub fn request_capacity(&self, card: &str, held: Layer) -> f64 {
-        let memory = self.accelerators.get(card).map_or(0.0, |c| c.memory_mb);
-        let free = (memory - f64::from(held) * self.layer_mb).max(0.0);
+    pub fn request_capacity(&self, accelerator: &str, held: Layer) -> f64 {
+        let memory_mb = self
+            .accelerators
+            .get(accelerator)
+            .map_or(0.0, |a| a.memory_mb);
+        let free_mb = (memory_mb - f64::from(held) * self.layer_mb).max(0.0);
         let share = f64::from(held) / f64::from(self.layers.max(1));
-        let usual = f64::from(self.typical_prompt + self.typical_output) * self.token_mb * share;
-        if usual > 0.0 {
-            free / usual
+        let typical_mb =
+            f64::from(self.typical_prompt + self.typical_output) * self.token_mb * share;
+        if typical_mb > 0.0 {
+            free_mb / typical_mb
         } else {
             f64::INFINITY
         }
@@ -271,9 +275,9 @@
     /// A configuration may hold any times. A time that does not fit into a [`Duration`]
     /// counts as the longest one, since the plain operators would panic.
     pub(crate) fn step_seconds(&self, load: f64) -> f64 {
-        let requests = Duration::try_from_secs_f64(load * self.step_per_request.as_secs_f64());
-        let requests = requests.unwrap_or(Duration::MAX);
-        self.step_time.saturating_add(requests).as_secs_f64()
+        let batch_time = Duration::try_from_secs_f64(load * self.step_per_request.as_secs_f64());
+        let batch_time = batch_time.unwrap_or(Duration::MAX);
+        self.step_time.saturating_add(batch_time).as_secs_f64()
     }
 }
 
@@ -281,12 +285,12 @@
     /// Chooses a service at random by the route's weights.
     pub fn choose_service(&self, rng: &mut impl Rng) -> Option<&ServiceId> {
         let total: f64 = self.traffic_split.iter().map(|(_, w)| w).sum();
-        let mut at = rng.random_range(0.0..1.0) * total;
+        let mut point = rng.random_range(0.0..1.0) * total;
         for (service, weight) in &self.traffic_split {
-            if at < *weight {
+            if point < *weight {
                 return Some(service);
             }
-            at -= weight;
+            point -= weight;
         }
         self.traffic_split.last().map(|(s, _)| s)
     }
@@ -299,38 +303,38 @@
 
 /// Returns the priorities of the streams that compete for each service.
 fn priorities_by_service(routes: &[Route], teams: Option<&[Team]>) -> HashMap<ServiceId, Ranks> {
-    let mut by_team: Vec<Option<u32>> = teams
+    let mut team_priorities: Vec<Option<u32>> = teams
         .unwrap_or_default()
         .iter()
         .map(|t| t.priority)
         .collect();
     if teams.is_none() || routes.iter().any(|r| r.allow_anonymous) {
-        by_team.push(None);
+        team_priorities.push(None);
     }
-    by_team.sort_unstable();
-    by_team.dedup();
-    let mut by_route: HashMap<ServiceId, Vec<u32>> = HashMap::new();
+    team_priorities.sort_unstable();
+    team_priorities.dedup();
+    let mut route_priorities: HashMap<ServiceId, Vec<u32>> = HashMap::new();
     for route in routes.iter().filter(|r| r.stream.is_some()) {
         for (service, _) in &route.traffic_split {
-            by_route
+            route_priorities
                 .entry(service.clone())
                 .or_default()
                 .push(route.priority);
         }
     }
-    let ranks = by_route.into_iter();
-    ranks
-        .map(|(service, routes)| (service, Ranks::new(&by_team, &routes)))
+    let by_service = route_priorities.into_iter();
+    by_service
+        .map(|(service, routes)| (service, Ranks::new(&team_priorities, &routes)))
         .collect()
 }
 
 fn teams_by_key(teams: Vec<Team>) -> HashMap<String, Arc<Team>> {
-    let mut keys = HashMap::new();
+    let mut by_key = HashMap::new();
     for team in teams {
         let team = Arc::new(team);
         for key in &team.keys {
-            keys.insert(key.clone(), team.clone());
+            by_key.insert(key.clone(), team.clone());
         }
     }
-    keys
+    by_key
 }
--- a/crates/ashgauge/src/selection.rs
+++ b/crates/ashgauge/src/selection.rs
@@ -33,15 +33,15 @@
     tried: &[UpstreamId],
     rng: &mut impl Rng,
 ) -> Option<UpstreamId> {
-    let open = |e: &&UpstreamState| available_in(context, e).is_none();
+    let is_available = |e: &&UpstreamState| available_in(context, e).is_none();
     let all = || context.registry.of_service(context.service);
-    let entries = || all().filter(open);
-    let usable = |e: &&UpstreamState| e.is_usable(context.now);
-    let new = |e: &&UpstreamState| !tried.contains(&e.upstream.id);
-    let stays = |e: &&UpstreamState| !e.is_leaving();
-    let listed = |e: &&UpstreamState| !e.is_missing();
-    let mut cheapest = |entries: &mut dyn Iterator<Item = &UpstreamState>| {
-        let costs = entries.map(|e| {
+    let states = || all().filter(is_available);
+    let is_usable = |e: &&UpstreamState| e.is_usable(context.now);
+    let is_untried = |e: &&UpstreamState| !tried.contains(&e.upstream.id);
+    let is_staying = |e: &&UpstreamState| !e.is_leaving();
+    let is_listed = |e: &&UpstreamState| !e.is_missing();
+    let mut cheapest = |states: &mut dyn Iterator<Item = &UpstreamState>| {
+        let costs = states.map(|e| {
             (
                 upstream_cost(context, e) * context.jitter(rng),
                 &e.upstream.id,
@@ -51,14 +51,21 @@
             .min_by(|a, b| a.0.total_cmp(&b.0))
             .map(|(_, id)| id.clone())
     };
-    cheapest(&mut entries().filter(usable).filter(new))
-        .or_else(|| cheapest(&mut entries().filter(stays).filter(listed).filter(new)))
-        .or_else(|| cheapest(&mut entries().filter(usable)))
+    cheapest(&mut states().filter(is_usable).filter(is_untried))
+        .or_else(|| {
+            cheapest(
+                &mut states()
+                    .filter(is_staying)
+                    .filter(is_listed)
+                    .filter(is_untried),
+            )
+        })
+        .or_else(|| cheapest(&mut states().filter(is_usable)))
         // An upstream whose entry disappeared may have left. Only an outage of the store
         // makes all entries disappear at once.
-        .or_else(|| match all().any(|e| listed(&e)) {
+        .or_else(|| match all().any(|e| is_listed(&e)) {
             true => None,
-            false => cheapest(&mut entries().filter(stays).filter(new)),
+            false => cheapest(&mut states().filter(is_staying).filter(is_untried)),
         })
 }
 
@@ -73,19 +80,19 @@
 pub fn select_chain(
     context: &SelectionContext,
     model: &Model,
-    span: LayerRange,
+    range: LayerRange,
     avoid: &[UpstreamId],
-    need: Option<Requirements>,
+    requirements: Option<Requirements>,
     rng: &mut impl Rng,
 ) -> Option<Vec<Stage>> {
-    let found = select_fitting_chain(context, model, span, avoid, need, rng);
-    match need.filter(|n| found.is_none() && n.reserved_share > 0.0) {
-        Some(need) => {
-            let need = Requirements {
+    let found = select_fitting_chain(context, model, range, avoid, requirements, rng);
+    match requirements.filter(|n| found.is_none() && n.reserved_share > 0.0) {
+        Some(requirements) => {
+            let requirements = Requirements {
                 reserved_share: 0.0,
-                ..need
+                ..requirements
             };
-            select_fitting_chain(context, model, span, avoid, Some(need), rng)
+            select_fitting_chain(context, model, range, avoid, Some(requirements), rng)
         }
         None => found,
     }
@@ -95,38 +102,38 @@
 fn select_fitting_chain(
     context: &SelectionContext,
     model: &Model,
-    span: LayerRange,
+    range: LayerRange,
     avoid: &[UpstreamId],
-    need: Option<Requirements>,
+    requirements: Option<Requirements>,
     rng: &mut impl Rng,
 ) -> Option<Vec<Stage>> {
-    let mut places: Vec<&Arc<str>> = vec![context.data_centre];
+    let mut data_centres: Vec<&Arc<str>> = vec![context.data_centre];
     let mut edges = Vec::new();
-    let scale = CostModel::new(context, model);
-    for (entry, held) in holders(context, span) {
-        if avoid.contains(&entry.upstream.id) {
+    let cost_model = CostModel::new(context, model);
+    for (state, held) in holders(context, range) {
+        if avoid.contains(&state.upstream.id) {
             continue;
         }
-        if need.is_some_and(|n| !n.are_met_by(context, model, entry)) {
+        if requirements.is_some_and(|n| !n.are_met_by(context, model, state)) {
             continue;
         }
-        let leads = span.first == 0 && held.first == 0;
-        if leads && entry.blocked_for(context.now).is_some() {
+        let is_head = range.first == 0 && held.first == 0;
+        if is_head && state.blocked_for(context.now).is_some() {
             continue;
         }
-        let (fixed, layer) = scale.stage_cost(entry, held, leads, rng);
+        let (fixed_cost, layer_cost) = cost_model.stage_cost(state, held, is_head, rng);
         edges.push(Edge {
-            upstream: entry.upstream.id.clone(),
+            upstream: state.upstream.id.clone(),
             first: held.first,
             end: held.end,
-            fixed_cost: fixed,
-            layer_cost: layer,
-            data_centre: index_of(&mut places, &entry.upstream.data_centre),
+            fixed_cost,
+            layer_cost,
+            data_centre: index_of(&mut data_centres, &state.upstream.data_centre),
         });
     }
-    chain::cheapest_crossing_chain(span.first, span.end, &edges, |from, to| match from {
+    chain::cheapest_crossing_chain(range.first, range.end, &edges, |from, to| match from {
         _ if from == Some(to) => 0.0,
-        Some(from) => scale.crossing_seconds(places[from], places[to]),
+        Some(from) => cost_model.crossing_seconds(data_centres[from], data_centres[to]),
         None if to == 0 => 0.0,
         None => cost::remote_entry_seconds(context),
     })
@@ -136,29 +143,29 @@
 /// layers that they hold.
 fn holders<'a>(
     context: &'a SelectionContext,
-    span: LayerRange,
+    range: LayerRange,
 ) -> impl Iterator<Item = (&'a UpstreamState, LayerRange)> {
-    let entries = context.registry.of_service(context.service);
-    let open = entries.filter(|e| e.accepts_requests(context.now));
-    let holders = open.filter_map(|e| Some((e, e.upstream.layers?)));
-    holders.filter(move |(_, held)| held.overlaps(&span))
+    let states = context.registry.of_service(context.service);
+    let accepting = states.filter(|e| e.accepts_requests(context.now));
+    let holders = accepting.filter_map(|e| Some((e, e.upstream.layers?)));
+    holders.filter(move |(_, held)| held.overlaps(&range))
 }
 
 /// Returns the index of a data centre in the list, to which it is added if it is new.
-fn index_of<'a>(places: &mut Vec<&'a Arc<str>>, name: &'a Arc<str>) -> usize {
-    let known = places.iter().position(|p| *p == name);
+fn index_of<'a>(data_centres: &mut Vec<&'a Arc<str>>, name: &'a Arc<str>) -> usize {
+    let known = data_centres.iter().position(|p| *p == name);
     known.unwrap_or_else(|| {
-        places.push(name);
-        places.len() - 1
+        data_centres.push(name);
+        data_centres.len() - 1
     })
 }
 
 /// Returns how long nothing may be sent to an upstream: during a back-off it rejects all
 /// requests, and while it is blocked by its rate limit it must get none.
-fn available_in(context: &SelectionContext, entry: &UpstreamState) -> Option<Duration> {
-    entry
+fn available_in(context: &SelectionContext, state: &UpstreamState) -> Option<Duration> {
+    state
         .backoff(context.now)
-        .max(entry.blocked_for(context.now))
+        .max(state.blocked_for(context.now))
 }
 
 /// Returns the time until there is an upstream, or a chain over the whole `model`, if those
@@ -174,7 +181,7 @@
         return None;
     }
     waits.sort_unstable();
-    let mut is_early = |left: &Duration| {
+    let mut is_too_early = |left: &Duration| {
         let now = context.now + *left;
         let context = SelectionContext { now, ..*context };
         let found = match model {
@@ -183,10 +190,10 @@
         };
         !found
     };
-    if !is_early(&Duration::ZERO) {
+    if !is_too_early(&Duration::ZERO) {
         return None;
     }
-    let first = waits.partition_point(is_early);
+    let first = waits.partition_point(is_too_early);
     waits.get(first).copied()
 }
 
@@ -195,36 +202,36 @@
 pub fn memory_utilization(
     context: &SelectionContext,
     model: &Model,
-    entry: &UpstreamState,
+    state: &UpstreamState,
 ) -> Option<f64> {
-    let held = entry.upstream.layers?;
-    let tokens = EstimatedLoad::estimate(context, entry).token_layers;
-    Some(tokens / cost::memory_capacity(model, entry, held).max(1.0))
+    let held = state.upstream.layers?;
+    let tokens = EstimatedLoad::estimate(context, state).token_layers;
+    Some(tokens / cost::memory_capacity(model, state, held).max(1.0))
 }
 
 /// Returns how many engines are filled up to `limit`, a share of their memory for requests,
 /// and how many hold layers.
 pub fn count_full(context: &SelectionContext, model: &Model, limit: f64) -> (usize, usize) {
-    let entries = context.registry.of_service(context.service);
-    let filled = entries.filter_map(|e| memory_utilization(context, model, e));
-    filled.fold((0, 0), |(full, all), filled| {
-        (full + usize::from(filled >= limit), all + 1)
+    let states = context.registry.of_service(context.service);
+    let utilizations = states.filter_map(|e| memory_utilization(context, model, e));
+    utilizations.fold((0, 0), |(full, all), utilization| {
+        (full + usize::from(utilization >= limit), all + 1)
     })
 }
 
 /// Returns the share of their memory for requests that is used on the engines of the box's
 /// data centre, as far as this box knows; 1 if it has no engines.
 pub fn local_utilization(context: &SelectionContext, model: &Model) -> f64 {
-    let (mut used, mut room) = (0.0, 0.0);
-    for entry in context.local_upstreams() {
-        let Some(held) = entry.upstream.layers else {
+    let (mut used, mut capacity) = (0.0, 0.0);
+    for state in context.local_upstreams() {
+        let Some(held) = state.upstream.layers else {
             continue;
         };
-        used += EstimatedLoad::estimate(context, entry).token_layers;
-        room += cost::memory_capacity(model, entry, held);
+        used += EstimatedLoad::estimate(context, state).token_layers;
+        capacity += cost::memory_capacity(model, state, held);
     }
-    match room > 0.0 {
-        true => used / room,
+    match capacity > 0.0 {
+        true => used / capacity,
         false => 1.0,
     }
 }
@@ -250,49 +257,50 @@
         &self,
         context: &SelectionContext,
         model: &Model,
-        entry: &UpstreamState,
+        state: &UpstreamState,
     ) -> bool {
-        let Some(held) = entry.upstream.layers else {
+        let Some(held) = state.upstream.layers else {
             return false;
         };
-        let more = f64::from(self.tokens) * f64::from(held.len());
-        let total = EstimatedLoad::estimate(context, entry);
-        let usable = match entry.upstream.data_centre == *context.data_centre {
+        let required = f64::from(self.tokens) * f64::from(held.len());
+        let load = EstimatedLoad::estimate(context, state);
+        let usable_share = match state.upstream.data_centre == *context.data_centre {
             true => 1.0,
             false => 1.0 - self.reserved_share,
         };
-        let limit = self.fill_limit * usable;
-        let slots = f64::from(entry.upstream.slots.max(1)) * self.fill_limit.min(1.0) * usable;
-        let has_slot = held.first > 0 || total.head_requests + 1.0 <= slots;
+        let limit = self.fill_limit * usable_share;
+        let slots =
+            f64::from(state.upstream.slots.max(1)) * self.fill_limit.min(1.0) * usable_share;
+        let has_slot = held.first > 0 || load.head_requests + 1.0 <= slots;
         let has_memory =
-            total.token_layers + more <= limit * cost::memory_capacity(model, entry, held);
-        has_slot && has_memory && !entry.is_full(context.now)
+            load.token_layers + required <= limit * cost::memory_capacity(model, state, held);
+        has_slot && has_memory && !state.is_full(context.now)
     }
 }
 
-fn upstream_cost(context: &SelectionContext, entry: &UpstreamState) -> f64 {
-    let seconds = match entry.latency_seconds {
+fn upstream_cost(context: &SelectionContext, state: &UpstreamState) -> f64 {
+    let seconds = match state.latency_seconds {
         0.0 => DEFAULT_LATENCY_SECONDS,
         known => known,
     };
-    let slots = f64::from(entry.upstream.slots.max(1));
-    let told = entry.reported_load.map_or(0.0, |(running, waiting)| {
+    let slots = f64::from(state.upstream.slots.max(1));
+    let reported = state.reported_load.map_or(0.0, |(running, waiting)| {
         f64::from(running) + 2.0 * f64::from(waiting)
     });
-    let ahead = told.max(EstimatedLoad::estimate(context, entry).requests) / slots;
-    let away = match entry.upstream.data_centre == *context.data_centre {
+    let queued = reported.max(EstimatedLoad::estimate(context, state).requests) / slots;
+    let distance_factor = match state.upstream.data_centre == *context.data_centre {
         true => 1.0,
         false => REMOTE_COST_FACTOR,
     };
-    let failing = 1.0 / (1.0 - entry.failure_rate(context.now).min(0.95));
+    let failure_factor = 1.0 / (1.0 - state.failure_rate(context.now).min(0.95));
     let now = context.now;
-    let avoided = entry.is_full(now) || entry.is_peer_suspect(now) || entry.is_unreachable(now);
-    let ahead = if avoided {
-        ahead + FULL_QUEUE_PENALTY
+    let is_avoided = state.is_full(now) || state.is_peer_suspect(now) || state.is_unreachable(now);
+    let queued = if is_avoided {
+        queued + FULL_QUEUE_PENALTY
     } else {
-        ahead
+        queued
     };
-    seconds * (1.0 + ahead) * away * failing * failing
+    seconds * (1.0 + queued) * distance_factor * failure_factor * failure_factor
 }
 
 /// Returns the range of all layers of a model.
--- a/crates/ashgauge/src/slack.rs
+++ b/crates/ashgauge/src/slack.rs
@@ -32,8 +32,8 @@
 /// assert!(!is_retry(second * 18, second * 20));
 /// assert!(is_retry(second * 16, second * 20));
 /// ```
-pub fn is_retry(patience: Duration, timeout: Duration) -> bool {
-    patience < timeout.mul_f64(MIN_WAIT_SHARE)
+pub fn is_retry(time_left: Duration, timeout: Duration) -> bool {
+    time_left < timeout.mul_f64(MIN_WAIT_SHARE)
 }
 
 impl Slack {
@@ -47,12 +47,16 @@
     /// use std::time::Duration;
     ///
     /// let second = Duration::from_secs(1);
-    /// let (timeout, aim) = (second * 20, second / 2);
-    /// assert_eq!(Slack::before_first_event(timeout, timeout, aim), Slack::OnTime);
-    /// assert_eq!(Slack::before_first_event(second * 18, timeout, aim), Slack::Late);
+    /// let (timeout, target) = (second * 20, second / 2);
+    /// assert_eq!(Slack::before_first_event(timeout, timeout, target), Slack::OnTime);
+    /// assert_eq!(Slack::before_first_event(second * 18, timeout, target), Slack::Late);
     /// ```
-    pub fn before_first_event(patience: Duration, timeout: Duration, aim: Duration) -> Self {
-        match timeout.saturating_sub(patience) >= aim {
+    pub fn before_first_event(
+        time_left: Duration,
+        timeout: Duration,
+        target_latency: Duration,
+    ) -> Self {
+        match timeout.saturating_sub(time_left) >= target_latency {
             true => Slack::Late,
             false => Slack::OnTime,
         }
@@ -75,10 +79,10 @@
 /// assert!(engine_priority(1, Slack::OnTime) < engine_priority(1, Slack::Late));
 /// assert!(engine_priority(1, Slack::Late) < engine_priority(3, Slack::OnTime));
 /// ```
-pub fn engine_priority(rank: u32, slack: Slack) -> u32 {
+pub fn engine_priority(priority: u32, slack: Slack) -> u32 {
     match slack {
-        Slack::Streaming => rank.saturating_sub(1),
-        Slack::OnTime => rank,
-        Slack::Late => rank.saturating_add(1),
+        Slack::Streaming => priority.saturating_sub(1),
+        Slack::OnTime => priority,
+        Slack::Late => priority.saturating_add(1),
     }
 }
--- a/crates/ashgauge/src/throughput.rs
+++ b/crates/ashgauge/src/throughput.rs
@@ -22,26 +22,27 @@
 /// Returns the requests a second that a chain of these parts can serve, if they have all
 /// layers.
 pub fn chain_throughput(model: &Model, parts: &[ChainPart]) -> f64 {
-    let rooms = parts
+    let capacities = parts
         .iter()
-        .map(|(card, layers)| model.request_capacity(card, *layers));
-    let room = rooms.fold(f64::INFINITY, f64::min);
+        .map(|(accelerator, layers)| model.request_capacity(accelerator, *layers));
+    let min_capacity = capacities.fold(f64::INFINITY, f64::min);
     let seconds: f64 = parts.iter().map(|p| part_seconds(model, p)).sum();
     match seconds > 0.0 {
-        true => room / seconds,
+        true => min_capacity / seconds,
         false => 0.0,
     }
 }
 
 /// Returns the seconds that a typical request spends at a part.
-fn part_seconds(model: &Model, (card, layers): &ChainPart) -> f64 {
-    let Some(card) = model.accelerators.get(*card) else {
+fn part_seconds(model: &Model, (accelerator, layers): &ChainPart) -> f64 {
+    let Some(accelerator) = model.accelerators.get(*accelerator) else {
         return f64::INFINITY;
     };
     let share = f64::from(*layers) / f64::from(model.layers.max(1));
-    let writing =
-        f64::from(model.typical_output) * model.step_seconds(ASSUMED_LOAD) * card.step_factor;
-    let reading =
-        f64::from(model.typical_prompt) / model.prefill_rate.max(1.0) * card.prefill_factor;
-    PASSES_PER_TOKEN * share * (writing + reading)
+    let decode = f64::from(model.typical_output)
+        * model.step_seconds(ASSUMED_LOAD)
+        * accelerator.step_factor;
+    let prefill =
+        f64::from(model.typical_prompt) / model.prefill_rate.max(1.0) * accelerator.prefill_factor;
+    PASSES_PER_TOKEN * share * (decode + prefill)
 }
--- a/crates/ashgauge/src/upstream_state.rs
+++ b/crates/ashgauge/src/upstream_state.rs
@@ -130,15 +130,15 @@
     /// Returns the slowness factor that it reported lately to any box; 1 if it reported
     /// none.
     pub fn slowness(&self, now: Duration) -> f64 {
-        let told = [self.own_slow, self.peer_slow].into_iter().flatten();
-        let counting = told.filter(|(_, until)| now < *until);
-        counting.map(|(factor, _)| factor).fold(1.0, f64::max)
+        let reported = [self.own_slow, self.peer_slow].into_iter().flatten();
+        let valid = reported.filter(|(_, until)| now < *until);
+        valid.map(|(factor, _)| factor).fold(1.0, f64::max)
     }
 
     /// Returns the slowness factor that it reported to this box, if it is slow.
     pub fn own_slowness(&self, now: Duration) -> Option<f64> {
-        let told = self.own_slow.filter(|(_, until)| now < *until);
-        told.map(|(factor, _)| factor).filter(|f| *f > 1.0)
+        let reported = self.own_slow.filter(|(_, until)| now < *until);
+        reported.map(|(factor, _)| factor).filter(|f| *f > 1.0)
     }
 
     /// Returns the recent share of requests that failed, from 0 to 1.
@@ -244,14 +244,14 @@
             .is_some_and(|at| now >= at + MISSING_GRACE)
     }
 
-    pub(crate) fn begin_request(&mut self, tokens: u64) {
+    pub(crate) fn begin_request(&mut self, token_layers: u64) {
         self.inflight += 1;
-        self.token_layers += tokens;
+        self.token_layers += token_layers;
     }
 
-    pub(crate) fn end_request(&mut self, tokens: u64) {
+    pub(crate) fn end_request(&mut self, token_layers: u64) {
         self.inflight = self.inflight.saturating_sub(1);
-        self.token_layers = self.token_layers.saturating_sub(tokens);
+        self.token_layers = self.token_layers.saturating_sub(token_layers);
     }
 
     pub(crate) fn note_prefill(&mut self, now: Duration, seconds: f64) {
@@ -259,10 +259,10 @@
     }
 
     pub(crate) fn record_latency(&mut self, now: Duration, took: Duration) {
-        let seconds = took.as_secs_f64();
+        let sample = took.as_secs_f64();
         self.latency_seconds = match self.latency_seconds {
-            0.0 => seconds,
-            old => old + LATENCY_ALPHA * (seconds - old),
+            0.0 => sample,
+            old => old + LATENCY_ALPHA * (sample - old),
         };
         self.failure_rate = (self.failure_rate(now) * (1.0 - FAILURE_ALPHA), now);
         self.suspect_until = None;
@@ -292,8 +292,8 @@
         self.unreachable_until = Some(now + UNREACHABLE_DURATION);
     }
 
-    pub(crate) fn block(&mut self, now: Duration, time: Duration) {
-        self.blocked_until = Some(now.saturating_add(time));
+    pub(crate) fn block(&mut self, now: Duration, duration: Duration) {
+        self.blocked_until = Some(now.saturating_add(duration));
     }
 
     pub(crate) fn unblock(&mut self) {
--- a/crates/ashgauge/src/upstream_stats.rs
+++ b/crates/ashgauge/src/upstream_stats.rs
@@ -52,16 +52,16 @@
 }
 
 impl DurationEstimate {
-    pub(crate) fn record(&mut self, x: f64) {
+    pub(crate) fn record(&mut self, sample: f64) {
         if self.mean == 0.0 {
             *self = DurationEstimate {
-                mean: x,
-                deviation: x / 2.0,
+                mean: sample,
+                deviation: sample / 2.0,
             };
             return;
         }
-        self.deviation += 0.25 * ((x - self.mean).abs() - self.deviation);
-        self.mean += 0.125 * (x - self.mean);
+        self.deviation += 0.25 * ((sample - self.mean).abs() - self.deviation);
+        self.mean += 0.125 * (sample - self.mean);
     }
 
     pub(crate) fn mean(&self) -> f64 {
@@ -141,11 +141,14 @@
         self.inflight < self.window()
     }
 
-    fn record(&mut self, now: Duration, t: &OrderTiming) {
-        self.record_speed(t);
-        let link = t.round_trip.saturating_sub(t.queued + t.ran).as_secs_f64();
+    fn record(&mut self, now: Duration, timing: &OrderTiming) {
+        self.record_speed(timing);
+        let link = timing
+            .round_trip
+            .saturating_sub(timing.queued + timing.ran)
+            .as_secs_f64();
         self.record_link(link);
-        let ratio = t.queued.as_secs_f64() / t.ran.as_secs_f64().max(1e-6);
+        let ratio = timing.queued.as_secs_f64() / timing.ran.as_secs_f64().max(1e-6);
         self.queue_ratio += ALPHA * (ratio.min(10.0) - self.queue_ratio);
         self.resize_window();
         self.last_answer = now;
@@ -153,20 +156,21 @@
         self.probing = false;
     }
 
-    /// Orders of one position and of several are measured separately, as engines run the
-    /// positions of an order together.
-    fn record_speed(&mut self, t: &OrderTiming) {
-        let per_layer = t.ran.as_secs_f64() / f64::from(t.layers.max(1));
-        let total = t.round_trip.as_secs_f64();
-        if t.positions > 1 {
-            self.per_position.record(total / f64::from(t.positions));
+    /// Records the speed of an order. Orders of one position and of several are measured
+    /// separately, as engines run the positions of an order together.
+    fn record_speed(&mut self, timing: &OrderTiming) {
+        let per_layer = timing.ran.as_secs_f64() / f64::from(timing.layers.max(1));
+        let round_trip = timing.round_trip.as_secs_f64();
+        if timing.positions > 1 {
+            self.per_position
+                .record(round_trip / f64::from(timing.positions));
         } else if self.single_order.mean == 0.0 {
             self.layer_seconds = per_layer;
         } else {
             self.layer_seconds += ALPHA * (per_layer - self.layer_seconds);
         }
-        if t.positions <= 1 {
-            self.single_order.record(total);
+        if timing.positions <= 1 {
+            self.single_order.record(round_trip);
         }
     }
 
@@ -198,39 +202,43 @@
 
     /// Returns whether the upstream may be given one more request.
     pub fn has_capacity(&self, now: Duration, id: &str) -> bool {
-        self.by_id.get(id).is_none_or(|l| l.has_capacity(now))
+        self.by_id
+            .get(id)
+            .is_none_or(|stats| stats.has_capacity(now))
     }
 
     /// Returns whether the last call failed and the pause that follows is not over.
     pub fn is_suspect(&self, now: Duration, id: &str) -> bool {
         self.by_id
             .get(id)
-            .is_some_and(|l| l.failures > 0 && now < l.suspect_until)
+            .is_some_and(|stats| stats.failures > 0 && now < stats.suspect_until)
     }
 
     /// Returns whether the upstream wants no new requests from this box.
     pub fn is_backing_off(&self, now: Duration, id: &str) -> bool {
-        self.by_id.get(id).is_some_and(|l| now < l.backoff_until)
+        self.by_id
+            .get(id)
+            .is_some_and(|stats| now < stats.backoff_until)
     }
 
     /// Records that the upstream wants no new requests from this box for `backoff`.
-    pub fn note_backoff(&mut self, now: Duration, id: &UpstreamId, rest: Duration) {
-        let l = self.get_mut(id);
-        l.backoff_until = l.backoff_until.max(now.saturating_add(rest));
+    pub fn note_backoff(&mut self, now: Duration, id: &UpstreamId, backoff: Duration) {
+        let stats = self.get_mut(id);
+        stats.backoff_until = stats.backoff_until.max(now.saturating_add(backoff));
     }
 
     /// Counts a new request on the upstream.
     pub fn acquire(&mut self, id: &UpstreamId) {
-        let l = self.get_mut(id);
-        l.inflight += 1;
-        l.probing = l.failures > 0;
+        let stats = self.get_mut(id);
+        stats.inflight += 1;
+        stats.probing = stats.failures > 0;
     }
 
     /// Counts a request that ended on the upstream.
     pub fn release(&mut self, id: &UpstreamId) {
-        let l = self.get_mut(id);
-        l.inflight = l.inflight.saturating_sub(1);
-        l.probing = false;
+        let stats = self.get_mut(id);
+        stats.inflight = stats.inflight.saturating_sub(1);
+        stats.probing = false;
     }
 
     /// Records the timing of an order that was answered.
@@ -240,48 +248,52 @@
 
     /// Records an order that failed; the upstream gets no requests for a while.
     pub fn record_failure(&mut self, now: Duration, id: &UpstreamId) {
-        let l = self.get_mut(id);
-        let pause = INITIAL_SUSPECT_DURATION * 2u32.saturating_pow(l.failures.min(10));
-        l.suspect_until = now + pause.min(MAX_SUSPECT_DURATION);
-        l.failures += 1;
-        l.probing = false;
-        l.window = (l.window / 2.0).max(1.0);
+        let stats = self.get_mut(id);
+        let pause = INITIAL_SUSPECT_DURATION * 2u32.saturating_pow(stats.failures.min(10));
+        stats.suspect_until = now + pause.min(MAX_SUSPECT_DURATION);
+        stats.failures += 1;
+        stats.probing = false;
+        stats.window = (stats.window / 2.0).max(1.0);
     }
 
     /// Returns the cost of using the upstream for a range that it holds.
     pub fn edge(&self, now: Duration, id: &UpstreamId, first: Layer, end: Layer) -> Edge {
-        let fresh = UpstreamStats::default();
-        let l = self.by_id.get(id).unwrap_or(&fresh);
-        let busy = f64::from(l.inflight) / l.window.max(1.0);
+        let unused = UpstreamStats::default();
+        let stats = self.by_id.get(id).unwrap_or(&unused);
+        let busy = f64::from(stats.inflight) / stats.window.max(1.0);
         Edge {
             data_centre: 0,
             upstream: id.clone(),
             first,
             end,
-            fixed_cost: l.link_seconds(now),
-            layer_cost: l.layer_seconds * (1.0 + l.queue_ratio + busy),
+            fixed_cost: stats.link_seconds(now),
+            layer_cost: stats.layer_seconds * (1.0 + stats.queue_ratio + busy),
         }
     }
 
     /// Returns the average seconds that an order of one position takes.
     pub fn order_seconds(&self, id: &str) -> f64 {
-        self.by_id.get(id).map_or(0.0, |l| l.single_order.mean)
+        self.by_id
+            .get(id)
+            .map_or(0.0, |stats| stats.single_order.mean)
     }
 
     /// Returns the time that an order of so many positions seldom exceeds; `None` if there
     /// was no such order yet.
     pub fn late_after(&self, id: &str, positions: u32) -> Option<Duration> {
-        let l = self.by_id.get(id)?;
+        let stats = self.by_id.get(id)?;
         let late = match positions {
-            0 | 1 => l.single_order.upper_bound(),
-            n => (l.per_position.upper_bound() * f64::from(n)).max(l.single_order.upper_bound()),
+            0 | 1 => stats.single_order.upper_bound(),
+            n => (stats.per_position.upper_bound() * f64::from(n))
+                .max(stats.single_order.upper_bound()),
         };
         (late > 0.0).then(|| Duration::from_secs_f64(late))
     }
 
     /// Removes upstreams that are no longer listed and have no requests.
     pub fn retain(&mut self, mut listed: impl FnMut(&str) -> bool) {
-        self.by_id.retain(|id, l| l.inflight > 0 || listed(id));
+        self.by_id
+            .retain(|id, stats| stats.inflight > 0 || listed(id));
     }
 
     /// Iterates over all known upstreams, for status and metrics.
--- a/crates/ashgauge/src/wan.rs
+++ b/crates/ashgauge/src/wan.rs
@@ -17,15 +17,15 @@
 impl WanUsage {
     /// Records a transfer of `mb` megabytes from one data centre to another.
     pub fn record(&mut self, now: Duration, from: &Arc<str>, to: &Arc<str>, mb: f64) {
-        let entry = self.0.entry(link_key(from, to)).or_insert((0.0, now));
-        *entry = (decayed(*entry, now) + mb, now);
+        let traffic = self.0.entry(link_key(from, to)).or_insert((0.0, now));
+        *traffic = (decayed(*traffic, now) + mb, now);
     }
 
     /// Returns the megabytes a second that this box transfers between two data centres.
     pub fn rate(&self, now: Duration, a: &Arc<str>, b: &Arc<str>) -> f64 {
-        let used = self.0.get(&link_key(a, b));
-        used.map_or(0.0, |used| {
-            decayed(*used, now) / AVERAGING_WINDOW.as_secs_f64()
+        let traffic = self.0.get(&link_key(a, b));
+        traffic.map_or(0.0, |traffic| {
+            decayed(*traffic, now) / AVERAGING_WINDOW.as_secs_f64()
         })
     }
 }
--- a/crates/http/src/client.rs
+++ b/crates/http/src/client.rs
@@ -51,9 +51,9 @@
 
 impl Client {
     /// Creates a client with this timeout for connecting.
-    pub fn new(connect: Duration) -> Self {
+    pub fn new(connect_timeout: Duration) -> Self {
         Client {
-            connect_timeout: connect,
+            connect_timeout,
             idle: Arc::default(),
         }
     }
--- a/crates/http/src/server.rs
+++ b/crates/http/src/server.rs
@@ -52,7 +52,7 @@
     H: Fn(Request<Incoming>) -> F + Send + Sync + 'static,
     F: Future<Output = Response<Body>> + Send + 'static,
 {
-    let places = Arc::new(Semaphore::new(limits.connections));
+    let permits = Arc::new(Semaphore::new(limits.connections));
     let handler = Arc::new(handler);
     loop {
         let accepted = tokio::select! {
@@ -65,17 +65,17 @@
             tokio::time::sleep(Duration::from_millis(10)).await;
             continue;
         };
-        let Ok(place) = places.clone().try_acquire_owned() else {
+        let Ok(permit) = permits.clone().try_acquire_owned() else {
             continue;
         };
         let (handler, stop) = (handler.clone(), stop.clone());
         tokio::spawn(async move {
             serve_connection(stream, limits, stop, handler).await;
-            drop(place);
+            drop(permit);
         });
     }
     drop(listener);
-    let _ = places.acquire_many(limits.connections as u32).await;
+    let _ = permits.acquire_many(limits.connections as u32).await;
 }
 
 /// Reads a request's whole body.
@@ -84,8 +84,12 @@
 ///
 /// Returns the status to answer with if the body is longer than `max_bytes`, takes longer
 /// than `limit`, or breaks.
-pub async fn read_body(body: Incoming, most: usize, limit: Duration) -> Result<Bytes, StatusCode> {
-    match timeout(limit, Limited::new(body, most).collect()).await {
+pub async fn read_body(
+    body: Incoming,
+    max_bytes: usize,
+    limit: Duration,
+) -> Result<Bytes, StatusCode> {
+    match timeout(limit, Limited::new(body, max_bytes).collect()).await {
         Ok(Ok(body)) => Ok(body.to_bytes()),
         Ok(Err(e)) if e.is::<http_body_util::LengthLimitError>() => {
             Err(StatusCode::PAYLOAD_TOO_LARGE)
@@ -110,10 +114,10 @@
     let bytes = serde_json::to_vec(value).unwrap_or_default();
     let mut response = Response::new(full(bytes));
     *response.status_mut() = status;
-    let kind = hyper::header::HeaderValue::from_static("application/json");
+    let content_type = hyper::header::HeaderValue::from_static("application/json");
     response
         .headers_mut()
-        .insert(hyper::header::CONTENT_TYPE, kind);
+        .insert(hyper::header::CONTENT_TYPE, content_type);
     response
 }
 
--- a/crates/peer/src/lib.rs
+++ b/crates/peer/src/lib.rs
@@ -85,11 +85,11 @@
 pub async fn serve(
     addr: &str,
     credential: &str,
-    take: impl Fn(Envelope) + Send + Sync + 'static,
+    handler: impl Fn(Envelope) + Send + Sync + 'static,
 ) -> Result<(SocketAddr, ServerHandle), String> {
-    let wanted = format!("Bearer {credential}");
+    let expected = format!("Bearer {credential}");
     #[allow(clippy::result_large_err)]
-    let check = move |request: &mut HttpRequest<_>| authorize(request, &wanted);
+    let check = move |request: &mut HttpRequest<_>| authorize(request, &expected);
     let middleware = tower::ServiceBuilder::new().layer(ValidateRequestHeaderLayer::custom(check));
     let config = jsonrpsee::server::ServerConfig::builder()
         .max_request_body_size(MAX_MESSAGE_BYTES)
@@ -102,11 +102,11 @@
         .await
         .map_err(|e| e.to_string())?;
     let bound = server.local_addr().map_err(|e| e.to_string())?;
-    let mut module = RpcModule::new(take);
+    let mut module = RpcModule::new(handler);
     module
-        .register_method(METHOD, |params, take, _| {
+        .register_method(METHOD, |params, handler, _| {
             let envelope: Envelope = params.one()?;
-            take(envelope);
+            handler(envelope);
             Ok::<bool, jsonrpsee::types::ErrorObjectOwned>(true)
         })
         .map_err(|e| e.to_string())?;
@@ -116,11 +116,11 @@
 #[allow(clippy::result_large_err)]
 fn authorize(
     request: &mut HttpRequest<HttpBody>,
-    wanted: &str,
+    expected: &str,
 ) -> Result<(), HttpResponse<HttpBody>> {
-    let shown = request.headers().get("authorization");
-    let shown = shown.map_or(&b""[..], |v| v.as_bytes());
-    if bool::from(shown.ct_eq(wanted.as_bytes())) {
+    let credential = request.headers().get("authorization");
+    let credential = credential.map_or(&b""[..], |v| v.as_bytes());
+    if bool::from(credential.ct_eq(expected.as_bytes())) {
         return Ok(());
     }
     let refused = HttpResponse::builder().status(401);
--- a/crates/upstream/src/lib.rs
+++ b/crates/upstream/src/lib.rs
@@ -105,8 +105,8 @@
         .send(&call.addr, request, limit)
         .await
         .map_err(to_upstream_error)?;
-    if let Some(fault) = refusal(&answer) {
-        return Err(fault);
+    if let Some(error) = refusal(&answer) {
+        return Err(error);
     }
     let content = answer.headers().get(CONTENT_TYPE);
     Ok(ServiceResponse {
@@ -156,8 +156,8 @@
 }
 
 fn check_status(answer: &Response<Bytes>) -> Result<(), UpstreamError> {
-    if let Some(fault) = refusal(answer) {
-        return Err(fault);
+    if let Some(error) = refusal(answer) {
+        return Err(error);
     }
     if answer.status() == StatusCode::OK {
         return Ok(());
@@ -167,14 +167,17 @@
 
 /// Returns the upstream's refusal, if the answer is one.
 fn refusal(answer: &Response<Bytes>) -> Option<UpstreamError> {
-    let word = answer.headers().get(NOT_RUN_HEADER)?;
-    let reason = parse_reason(word.to_str().ok()?)?;
-    let rest = http::retry_after(answer.headers());
-    let rest = rest.unwrap_or_else(|text| {
+    let value = answer.headers().get(NOT_RUN_HEADER)?;
+    let reason = parse_reason(value.to_str().ok()?)?;
+    let backoff = http::retry_after(answer.headers());
+    let backoff = backoff.unwrap_or_else(|text| {
         warn!("an upstream asks for a rest that is no time: `{text}`");
         None
     });
-    Some(UpstreamError::Refused { reason, rest })
+    Some(UpstreamError::Refused {
+        reason,
+        rest: backoff,
+    })
 }
 
 fn decode<T: serde::de::DeserializeOwned>(answer: &Response<Bytes>) -> Result<T, UpstreamError> {
--- a/crates/upstream/src/wire.rs
+++ b/crates/upstream/src/wire.rs
@@ -83,12 +83,15 @@
 ];
 
 /// Parses a value of [`NOT_RUN_HEADER`].
-pub fn parse_reason(word: &str) -> Option<RefusalReason> {
-    REASONS.iter().find(|(w, _)| *w == word).map(|(_, r)| *r)
+pub fn parse_reason(value: &str) -> Option<RefusalReason> {
+    REASONS
+        .iter()
+        .find(|(name, _)| *name == value)
+        .map(|(_, r)| *r)
 }
 
 /// Returns the value of [`NOT_RUN_HEADER`] for a reason.
 pub fn reason_name(reason: RefusalReason) -> &'static str {
     let found = REASONS.iter().find(|(_, r)| *r == reason);
-    found.map_or("busy", |(w, _)| w)
+    found.map_or("busy", |(name, _)| name)
 }
