--- a/crates/upstream/src/lib.rs
+++ b/crates/upstream/src/lib.rs
@@ -171,7 +171,7 @@
     let reason = parse_reason(value.to_str().ok()?)?;
     let backoff = http::retry_after(answer.headers());
     let backoff = backoff.unwrap_or_else(|text| {
-        warn!("an upstream asks for a rest that is no time: `{text}`");
+        warn!("an upstream sent an invalid retry-after header: `{text}`");
         None
     });
     Some(UpstreamError::Refused {
