--- a/crates/ashgauge/src/chain.rs
+++ b/crates/ashgauge/src/chain.rs
@@ -1,4 +1,4 @@
-//! Which upstreams serve which layers of one request.
+//! Chains of upstreams that serve the layers of a request.
 
 use serde::{Deserialize, Serialize};
 
@@ -16,7 +16,7 @@
     pub end: Layer,
 }
 
-/// A range that an upstream holds, and what using it costs.
+/// A layer range that an upstream holds, and the cost of using it.
 #[derive(Clone, Debug)]
 pub struct Edge {
     /// The engine.
@@ -25,20 +25,19 @@
     pub first: Layer,
     /// Layer after the last it holds.
     pub end: Layer,
-    /// Seconds that any use costs: the link and the work ahead.
+    /// Seconds that any use costs: network delay and queued work.
     pub fixed_cost: f64,
     /// Seconds that each layer costs.
     pub layer_cost: f64,
-    /// Number of the place where it stands, from 0, for [`cheapest_crossing_chain`].
+    /// Index of its data centre, from 0, for [`cheapest_crossing_chain`].
     pub data_centre: usize,
 }
 
 /// Finds the cheapest chain over `first..end`.
 ///
-/// A shortest path whose nodes are layer boundaries. An edge may be entered at
-/// any boundary within its range and left at any later one, so overlapping
-/// ranges are cut where it is cheapest. Returns `None` if some layer is held
-/// by no edge.
+/// This is a shortest path whose nodes are layer boundaries. An edge may be entered at any
+/// boundary within its range and left at any later one, so overlapping ranges are split
+/// where it is cheapest. Returns `None` if some layer is held by no edge.
 ///
 /// # Example
 ///
@@ -57,15 +56,14 @@
     cheapest_crossing_chain(first, end, edges, |_, _| 0.0)
 }
 
-/// As [`cheapest_chain`], with a cost in seconds for going on from one edge to
-/// another; `None` as the first stands for the start of the chain.
+/// Finds a cheap chain like [`cheapest_chain`], with a cost in seconds for each transition
+/// between two edges; `None` as the first argument stands for the start of the chain.
 ///
-/// An infinite cost forbids that way.
+/// An infinite cost forbids a transition.
 ///
-/// The cost may only depend on what places the edges stand in: edges of one
-/// place must be alike to it. `place` numbers are those of [`Edge::data_centre`].
-/// No upstream is in the chain twice, if each has one edge; the chain is then
-/// not always the cheapest.
+/// The cost may only depend on the data centres of the two edges, which are given as the
+/// indices in [`Edge::data_centre`]. No upstream is in the chain twice if each has one
+/// edge, but the chain is then not always the cheapest one.
 pub fn cheapest_crossing_chain(
     first: Layer,
     end: Layer,
@@ -77,8 +75,8 @@
     Some(stages)
 }
 
-/// Gives an upstream that is in the chain more than once all that lies
-/// between, which it holds as well.
+/// Merges the stages of an upstream that is in the chain more than once into one, together
+/// with the layers between them, which it also holds.
 fn merge_repeated(stages: &mut Vec<Stage>) {
     let mut at = 0;
     while at < stages.len() {
@@ -99,16 +97,17 @@
     crossing: &impl Fn(Option<usize>, usize) -> f64,
 ) -> Option<Vec<Stage>> {
     let cuts = boundaries(first, end, edges);
-    let places = edges.iter().map(|e| e.data_centre + 1).max().unwrap_or(0);
-    let mut best: Vec<Vec<Option<Step>>> = vec![vec![None; places]; cuts.len()];
-    // All edges of a place are alike to what leads there.
-    let enter = |reached: &[Option<Step>], cut: usize| -> Vec<Arrival> {
-        let entries = (0..places).map(|place| best_arrival(reached, cut, place, crossing));
-        entries.collect()
+    let data_centres = edges.iter().map(|e| e.data_centre + 1).max().unwrap_or(0);
+    let mut best: Vec<Vec<Option<Step>>> = vec![vec![None; data_centres]; cuts.len()];
+    // All edges of a data centre are reached at the same cost.
+    let arrivals_at = |reached: &[Option<Step>], cut: usize| -> Vec<Arrival> {
+        let arrivals =
+            (0..data_centres).map(|data_centre| best_arrival(reached, cut, data_centre, crossing));
+        arrivals.collect()
     };
-    let mut entries = Vec::with_capacity(cuts.len());
+    let mut arrivals = Vec::with_capacity(cuts.len());
     for to in 1..cuts.len() {
-        entries.push(enter(&best[to - 1], to - 1));
+        arrivals.push(arrivals_at(&best[to - 1], to - 1));
         for (e, edge) in edges.iter().enumerate() {
             if edge.first >= cuts[to] || edge.end < cuts[to] {
                 continue;
@@ -116,17 +115,18 @@
             let from = cuts.partition_point(|c| *c < edge.first);
             for from in from..to {
                 let layers = f64::from(cuts[to] - cuts[from]);
-                let own = edge.fixed_cost + edge.layer_cost * layers;
-                let Some((base, via)) = entries[from][edge.data_centre] else {
+                let edge_cost = edge.fixed_cost + edge.layer_cost * layers;
+                let Some((arrival_cost, from_data_centre)) = arrivals[from][edge.data_centre]
+                else {
                     continue;
                 };
-                let cost = base + own;
+                let cost = arrival_cost + edge_cost;
                 let slot = &mut best[to][edge.data_centre];
                 if slot.is_none_or(|s| cost < s.cost) {
                     *slot = Some(Step {
                         cost,
                         from_cut: from,
-                        from_data_centre: via,
+                        from_data_centre,
                         edge: e,
                     });
                 }
@@ -136,33 +136,34 @@
     reconstruct_path(&cuts, &best, edges)
 }
 
-/// The cheapest known way to a boundary and place, by its last edge.
+/// The cheapest known path to a boundary and a data centre, by its last edge.
 #[derive(Clone, Copy)]
 struct Step {
     cost: f64,
     from_cut: usize,
-    /// Place at which the boundary `from` was reached; `None` at the start.
+    /// Data centre in which the boundary `from_cut` was reached; `None` at the start.
     from_data_centre: Option<usize>,
     edge: usize,
 }
 
-/// Cheapest cost of standing at a boundary and going on at a place, and the place
-/// from which; `None` if there is no way.
+/// Lowest cost of continuing from a boundary in a data centre, and the data centre of the
+/// previous edge; `None` if there is no path.
 type Arrival = Option<(f64, Option<usize>)>;
 
 fn best_arrival(
     reached: &[Option<Step>],
     cut: usize,
-    place: usize,
+    data_centre: usize,
     crossing: &impl Fn(Option<usize>, usize) -> f64,
 ) -> Arrival {
     if cut == 0 {
-        return Some((crossing(None, place), None)).filter(|(cost, _)| cost.is_finite());
+        return Some((crossing(None, data_centre), None)).filter(|(cost, _)| cost.is_finite());
     }
-    let ways = reached.iter().enumerate();
-    let ways = ways.filter_map(|(p, s)| s.map(|s| (s.cost + crossing(Some(p), place), Some(p))));
-    let ways = ways.filter(|(cost, _)| cost.is_finite());
-    ways.min_by(|a, b| a.0.total_cmp(&b.0))
+    let paths = reached.iter().enumerate();
+    let paths =
+        paths.filter_map(|(p, s)| s.map(|s| (s.cost + crossing(Some(p), data_centre), Some(p))));
+    let paths = paths.filter(|(cost, _)| cost.is_finite());
+    paths.min_by(|a, b| a.0.total_cmp(&b.0))
 }
 
 /// Returns true if the stages cover `first..end` with no gap and no overlap.
@@ -195,16 +196,16 @@
     let mut to = cuts.len() - 1;
     let ends = best[to].iter().enumerate();
     let ends = ends.filter_map(|(p, s)| s.map(|s| (s.cost, p)));
-    let mut place = ends.min_by(|a, b| a.0.total_cmp(&b.0)).map(|(_, p)| p)?;
+    let mut data_centre = ends.min_by(|a, b| a.0.total_cmp(&b.0)).map(|(_, p)| p)?;
     while to > 0 {
-        let step = best[to][place]?;
+        let step = best[to][data_centre]?;
         stages.push(Stage {
             upstream: edges[step.edge].upstream.clone(),
             first: cuts[step.from_cut],
             end: cuts[to],
         });
         to = step.from_cut;
-        place = step.from_data_centre.unwrap_or(place);
+        data_centre = step.from_data_centre.unwrap_or(data_centre);
     }
     stages.reverse();
     Some(stages)
--- a/crates/ashgauge/src/load_report.rs
+++ b/crates/ashgauge/src/load_report.rs
@@ -1,13 +1,12 @@
-//! What boxes tell each other of the load that they put on upstreams.
+//! Load reports: what boxes tell each other about the load that they put on upstreams.
 //!
-//! A box knows its own requests; what an upstream has to bear is the sum over
-//! all boxes. Each box tells its part every fraction of a second, so the sum is
-//! known but for what changed since. A word that was lost is made good by the
-//! next one, and of a box that falls silent the last word counts for some
-//! seconds.
+//! A box knows its own requests, but an upstream carries those of all boxes. Each box
+//! reports its part several times a second, so the total is known except for recent
+//! changes. The next report makes up for a lost one. The last report of a box that has
+//! fallen silent counts for some seconds.
 //!
-//! In a large fleet boxes tell a hub, and hubs tell each other and their boxes sums
-//! ([`crate::hub`]).
+//! In a large fleet boxes report to a hub, and hubs report sums to each other and to their
+//! boxes ([`crate::hub`]).
 
 use std::cmp::Reverse;
 use std::collections::{BTreeMap, BTreeSet, HashMap};
@@ -20,120 +19,123 @@
 pub use crate::ident::{UpstreamKey, upstream_key};
 use crate::permit::LimitReport;
 
-/// Least time that a box's last word counts. Its streams end with it if it
-/// died, and go on if it is only cut off from this one; words may be lost.
+/// Minimum time for which the last report of a box counts. The box may have died, and its
+/// streams with it; or it is only partitioned from this one, and its streams go on. Reports
+/// may also be lost.
 const MIN_REPORT_TTL: Duration = Duration::from_secs(2);
 
-/// Upstreams in one word at most, those with most on them: what a datagram holds.
+/// Maximum number of upstreams in one report, which are those with the highest usage: what
+/// fits into a datagram.
 const MAX_USAGES: usize = 4000;
 
-/// Words of a box that may be lost before it counts as silent.
+/// Number of lost reports after which a box counts as silent.
 const MAX_LOST_REPORTS: u32 = 3;
 
-/// Time for which boxes that fell silent are taken to go on as the others: with what was
-/// heard of them, as long as a cut mostly lasts.
+/// How long boxes that fell silent are assumed to go on like the others, with the average
+/// of what those report: as long as most network partitions last.
 const SILENT_BOX_TTL: Duration = Duration::from_secs(3);
 
-/// Least time between two words: a small part of a request's time.
+/// Minimum time between two reports: a small part of the duration of a request.
 const MIN_REPORT_INTERVAL: Duration = Duration::from_millis(100);
 
-/// Time between two words for each box of the own data centre: bounds what a
-/// box sends there to 250 datagrams a second in a fleet of any size.
+/// Time between two reports, for each box in the same data centre. It bounds what a box
+/// sends there to 250 datagrams a second in a fleet of any size.
 const LOCAL_PEER_INTERVAL: Duration = Duration::from_millis(4);
 
-/// The same for the fleet, as which boxes elsewhere are told: bytes between data
-/// centres are dear, and boxes there use these engines less.
+/// Time between two reports to boxes in other data centres, for each box of the fleet.
+/// Traffic between data centres is expensive, and boxes there use the local engines less.
 const REMOTE_PEER_INTERVAL: Duration = Duration::from_millis(15);
 
-/// Longest time between two words that tell suspects: boxes find them out by
-/// their own requests in a second or two.
+/// Longest time between reports that still include suspects. With longer intervals they are
+/// left out, as boxes find suspects by their own requests within a second or two.
 const MAX_SUSPECTS_INTERVAL: Duration = Duration::from_millis(350);
 
-/// What one box, or all of them, have on an upstream.
+/// How much of an upstream one box, or all of them, use.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Serialize, Deserialize)]
 pub struct Usage {
-    /// Requests that it works on.
+    /// Requests running on it.
     pub requests: u32,
-    /// Those of them that were sent to it by a box.
+    /// Requests among them that a box sent to it directly.
     #[serde(rename = "leads")]
     pub head_requests: u32,
     /// Memory that they hold there, in tokens times layers.
     #[serde(rename = "tokens")]
     pub token_layers: u32,
-    /// Milliseconds for which it has prompts to read.
+    /// Milliseconds that it still needs to read prompts.
     #[serde(rename = "reading")]
     pub prefill_ms: u32,
 }
 
-/// Whose use of which upstreams a word tells.
+/// Whose usage a report contains, and of which upstreams.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, Hash, Serialize, Deserialize)]
 pub enum Scope {
-    /// That of its box, and of those that tell this box alone.
+    /// Usage of the sender, and of the boxes that report only to it.
     #[default]
     Own,
-    /// That of all boxes but the one that is told, of upstreams in its data centre.
+    /// Usage of all boxes except the receiver, of upstreams in the receiver's data centre.
     #[serde(rename = "Near")]
     Local,
-    /// The same of a part of the other upstreams, as one datagram may not hold all.
+    /// The same for one part of the other upstreams, as one datagram may not hold them all.
     #[serde(rename = "Far")]
     Remote(u8),
 }
 
-/// What a box tells: its part of every upstream's load, or a sum of several parts.
+/// A load report: a box's part of the load of every upstream, or a sum of several parts.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub struct LoadReport {
-    /// The box that tells.
+    /// Box that sends it.
     pub from: BoxId,
-    /// Start of its process, so that numbers may begin anew.
+    /// Random id of the sender's process; after a restart `sequence` begins again.
     pub boot: u64,
-    /// Counts its words.
+    /// Sequence number of the report.
     #[serde(rename = "number")]
     pub sequence: u64,
-    /// Whose use of what it tells.
+    /// Whose usage it contains, and of which upstreams.
     pub scope: Scope,
-    /// Boxes for which it tells.
+    /// Number of boxes whose usage it contains.
     pub boxes: u32,
-    /// Upstreams that it uses.
+    /// Usage of upstreams.
     #[serde(rename = "uses")]
     pub usage: UsageList,
-    /// Upstreams that it found to be lost; only in words that are told often.
+    /// Upstreams that the sender found to be lost; only in reports that are sent often.
     pub suspects: Vec<UpstreamKey>,
-    /// Limits that upstreams named.
+    /// Rate limits that upstreams set.
     pub limits: Vec<LimitReport>,
-    /// What callers ask for, and what ends.
-    pub flows: Traffic,
-    /// Engines that told it that they are slow; only in words that are told often.
+    /// Demand of the callers, and completed requests.
+    #[serde(rename = "flows")]
+    pub traffic: Traffic,
+    /// Engines that reported to the sender that they are slow; only in reports that are
+    /// sent often.
     pub slow: SlowUpstreams,
 }
 
-/// Engines that say that they are slow, with the factor on their time in tenths, ordered
-/// by their keys.
+/// Engines that report to be slow, with their slowness factor in tenths, ordered by key.
 pub type SlowUpstreams = Vec<(UpstreamKey, u16)>;
 
-/// Uses of upstreams, ordered by their keys.
+/// Usage of upstreams, ordered by key.
 pub type UsageList = Vec<(UpstreamKey, Usage)>;
 
-/// What some boxes have together.
+/// Sum of the load reports of several boxes.
 #[derive(Clone, Debug, Default, PartialEq)]
 pub struct LoadSum {
-    /// How many boxes.
+    /// Number of boxes.
     pub boxes: u32,
-    /// What they have on each upstream that they use.
+    /// Usage of each upstream that they use.
     pub usage: UsageList,
     /// Upstreams that they found to be lost.
     pub suspects: Vec<UpstreamKey>,
-    /// What their callers ask for, and what ends.
-    pub flows: Traffic,
-    /// Engines that told them that they are slow.
+    /// Demand of their callers, and completed requests.
+    pub traffic: Traffic,
+    /// Engines that reported to them that they are slow.
     pub slow: SlowUpstreams,
 }
 
-/// What was heard from the other boxes.
+/// Load that the other boxes of the fleet report.
 #[derive(Debug, Default)]
 pub struct FleetLoad {
     received: HashMap<(BoxId, Scope), ReceivedReport>,
     sums: HashMap<UpstreamKey, UsageTotal>,
-    /// Most boxes that were heard lately, and when so many were heard last.
+    /// Highest recent number of reporting boxes, and when it was last seen.
     peak: (usize, Duration),
 }
 
@@ -145,17 +147,17 @@
     boxes: u32,
     usage: UsageList,
     suspects: Vec<UpstreamKey>,
-    flows: Traffic,
+    traffic: Traffic,
     slow: SlowUpstreams,
 }
 
-/// Whether words that are told after this time tell suspects.
-pub fn includes_suspects(time: Duration) -> bool {
-    time <= MAX_SUSPECTS_INTERVAL
+/// Returns whether reports that are sent at this interval include suspects.
+pub fn includes_suspects(interval: Duration) -> bool {
+    interval <= MAX_SUSPECTS_INTERVAL
 }
 
-/// Times between two words to the own data centre, with so many `near` boxes,
-/// and to those elsewhere, in a fleet with so many `others`.
+/// Returns the intervals of the reports to boxes in the same data centre, of which there
+/// are `local`, and to those elsewhere, in a fleet with `others` other boxes.
 ///
 /// # Example
 ///
@@ -163,70 +165,73 @@
 /// use ashgauge::load_report::report_intervals;
 /// use std::time::Duration;
 ///
-/// let (near, far) = report_intervals(1, 5);
-/// assert_eq!((near, far), (Duration::from_millis(100), Duration::from_millis(100)));
+/// let (local, remote) = report_intervals(1, 5);
+/// assert_eq!((local, remote), (Duration::from_millis(100), Duration::from_millis(100)));
 /// ```
-pub fn report_intervals(near: usize, others: usize) -> (Duration, Duration) {
-    let each = |time: Duration, boxes: usize| {
-        let time = time.saturating_mul(boxes.try_into().unwrap_or(u32::MAX));
-        time.max(MIN_REPORT_INTERVAL)
+pub fn report_intervals(local: usize, others: usize) -> (Duration, Duration) {
+    let each = |interval: Duration, boxes: usize| {
+        let interval = interval.saturating_mul(boxes.try_into().unwrap_or(u32::MAX));
+        interval.max(MIN_REPORT_INTERVAL)
     };
     (
-        each(LOCAL_PEER_INTERVAL, near),
+        each(LOCAL_PEER_INTERVAL, local),
         each(REMOTE_PEER_INTERVAL, others),
     )
 }
 
 impl FleetLoad {
-    /// Takes a word in; returns false if a later one was heard before.
-    pub fn apply(&mut self, now: Duration, word: LoadReport) -> bool {
-        let source = (word.from, word.scope);
+    /// Applies a report; returns false if it is older than the last one from the same
+    /// source.
+    pub fn apply(&mut self, now: Duration, report: LoadReport) -> bool {
+        let source = (report.from, report.scope);
         let known = self.received.get(&source);
-        let is_late = known.is_some_and(|k| k.boot == word.boot && k.sequence >= word.sequence);
-        if is_late {
+        let is_outdated =
+            known.is_some_and(|k| k.boot == report.boot && k.sequence >= report.sequence);
+        if is_outdated {
             return false;
         }
         self.remove_overlapping(&source);
-        for (key, more) in &word.usage {
-            self.sums.entry(*key).or_default().add(more);
+        for (key, usage) in &report.usage {
+            self.sums.entry(*key).or_default().add(usage);
         }
-        let heard = ReceivedReport {
-            boot: word.boot,
-            sequence: word.sequence,
+        let received = ReceivedReport {
+            boot: report.boot,
+            sequence: report.sequence,
             received_at: now,
-            boxes: word.boxes,
-            usage: word.usage,
-            suspects: word.suspects,
-            flows: word.flows.clamped(word.boxes),
-            slow: word.slow,
+            boxes: report.boxes,
+            usage: report.usage,
+            suspects: report.suspects,
+            traffic: report.traffic.clamped(report.boxes),
+            slow: report.slow,
         };
-        self.received.insert(source, heard);
+        self.received.insert(source, received);
         true
     }
 
-    /// Forgets what the next word from this source counts as well: its last one, and
-    /// sums that hold each other.
+    /// Removes the reports whose content the next one from this source replaces: its
+    /// previous one, and sums that overlap with it.
     fn remove_overlapping(&mut self, source: &(BoxId, Scope)) {
         let (from, scope) = source;
-        let counts = |(other, theirs): &(BoxId, Scope)| match (scope, theirs) {
+        let overlaps = |(other, other_scope): &(BoxId, Scope)| match (scope, other_scope) {
             (Scope::Own, _) => other == from,
             (_, Scope::Own) => other == from,
-            (_, _) => theirs == scope,
+            (_, _) => other_scope == scope,
         };
-        self.remove_where(|source, _| counts(source));
+        self.remove_where(|source, _| overlaps(source));
     }
 
-    /// Forgets boxes that fell silent, where words come in each `lag`.
-    pub fn expire(&mut self, now: Duration, lag: Duration) {
-        let kept = MIN_REPORT_TTL.max(lag * MAX_LOST_REPORTS);
-        self.remove_where(|_, heard| now >= heard.received_at + kept);
-        let heard = self.boxes();
-        if heard >= self.peak.0 || now >= self.peak.1 + SILENT_BOX_TTL {
-            self.peak = (heard, now);
+    /// Removes the reports of boxes that fell silent, where reports arrive at this
+    /// `interval`.
+    pub fn expire(&mut self, now: Duration, interval: Duration) {
+        let ttl = MIN_REPORT_TTL.max(interval * MAX_LOST_REPORTS);
+        self.remove_where(|_, report| now >= report.received_at + ttl);
+        let boxes = self.boxes();
+        if boxes >= self.peak.0 || now >= self.peak.1 + SILENT_BOX_TTL {
+            self.peak = (boxes, now);
         }
     }
 
-    /// What all other boxes have on an upstream.
+    /// Returns how much of an upstream all other boxes use.
     pub fn others(&self, id: &str) -> Usage {
         self.sums
             .get(&upstream_key(id))
@@ -234,38 +239,38 @@
             .unwrap_or_default()
     }
 
-    /// Boxes of which something was heard a short while ago.
+    /// Returns the number of boxes with a recent report, their own or as part of a sum.
     pub fn boxes(&self) -> usize {
         self.distinct_reports()
-            .map(|heard| heard.boxes as usize)
+            .map(|report| report.boxes as usize)
             .sum()
     }
 
-    /// Boxes that are taken to be there, this one included, of so many that are listed:
-    /// of those that fell silent some may only be cut off, so they count for some seconds
-    /// more. Before any word all that are listed count.
+    /// Returns the number of boxes that are assumed to be running, this one included, of
+    /// those that are `listed`. Boxes that fell silent may only be partitioned, so they
+    /// count for some more seconds. Until the first report arrives all listed boxes count.
     pub fn present_boxes(&self, listed: f64) -> f64 {
         match self.peak {
             (0, _) => listed,
-            (most, _) => listed.min(most as f64 + 1.0),
+            (peak, _) => listed.min(peak as f64 + 1.0),
         }
     }
 
-    /// What the callers of this box, which are `own`, and of all others ask for, and what
-    /// ends.
-    pub fn flows(&self, own: &Traffic) -> Traffic {
-        let others = self.distinct_reports().map(|heard| &heard.flows);
+    /// Returns the demand and the completed requests of all boxes, where `own` are those of
+    /// this box.
+    pub fn traffic(&self, own: &Traffic) -> Traffic {
+        let others = self.distinct_reports().map(|report| &report.traffic);
         Traffic::sum(std::iter::once(own).chain(others))
     }
 
-    /// What counts each other box once.
+    /// Iterates over reports that together count each other box once.
     fn distinct_reports(&self) -> impl Iterator<Item = &ReceivedReport> {
-        let counted = self.received.iter();
-        let counted = counted.filter(|((_, scope), _)| !matches!(scope, Scope::Remote(_)));
-        counted.map(|(_, heard)| heard)
+        let reports = self.received.iter();
+        let reports = reports.filter(|((_, scope), _)| !matches!(scope, Scope::Remote(_)));
+        reports.map(|(_, report)| report)
     }
 
-    /// Boxes that tell this one what they have themselves.
+    /// Iterates over the boxes that report their own usage to this one.
     pub fn senders(&self) -> impl Iterator<Item = &BoxId> {
         let own = self
             .received
@@ -274,50 +279,57 @@
         own.map(|(from, _)| from)
     }
 
-    /// Whether a box told what it has a short while ago.
+    /// Returns whether a box has reported its own usage recently.
     pub fn hears_from(&self, id: &BoxId) -> bool {
         self.received.contains_key(&(id.clone(), Scope::Own))
     }
 
-    /// What this box, with `own`, and those that tell it have together, without the
-    /// boxes that are left out.
-    pub fn subtree_sum(&self, own: LoadSum, is_left_out: impl Fn(&str) -> bool) -> LoadSum {
-        let counts = |(from, scope): &(BoxId, Scope)| *scope == Scope::Own && !is_left_out(from);
-        let heard = self.received.iter().filter(|(source, _)| counts(source));
-        merge_reports(own, heard.map(|(_, heard)| heard))
+    /// Returns the sum of this box, which is `own`, and of the boxes that report to it,
+    /// without those that `is_excluded` accepts.
+    pub fn subtree_sum(&self, own: LoadSum, is_excluded: impl Fn(&str) -> bool) -> LoadSum {
+        let is_included =
+            |(from, scope): &(BoxId, Scope)| *scope == Scope::Own && !is_excluded(from);
+        let reports = self
+            .received
+            .iter()
+            .filter(|(source, _)| is_included(source));
+        merge_reports(own, reports.map(|(_, report)| report))
     }
 
-    /// What this box, with `own`, and all others have together, as far as it knows.
+    /// Returns the sum of this box, which is `own`, and of all others, as far as it is
+    /// known.
     pub fn fleet_sum(&self, own: LoadSum) -> LoadSum {
         merge_reports(own, self.received.values())
     }
 
-    /// A sum without what a box told last.
+    /// Returns a sum without the last report of one box.
     pub fn without(&self, sum: &LoadSum, from: &BoxId) -> LoadSum {
-        let mut rest = sum.clone();
-        let Some(told) = self.received.get(&(from.clone(), Scope::Own)) else {
-            return rest;
+        let mut remaining = sum.clone();
+        let Some(report) = self.received.get(&(from.clone(), Scope::Own)) else {
+            return remaining;
         };
-        rest.boxes = rest.boxes.saturating_sub(told.boxes);
-        rest.flows = rest.flows.minus(&told.flows);
-        for (key, less) in &told.usage {
-            if let Ok(at) = rest.usage.binary_search_by_key(key, |(key, _)| *key) {
-                rest.usage[at].1.subtract(less);
+        remaining.boxes = remaining.boxes.saturating_sub(report.boxes);
+        remaining.traffic = remaining.traffic.minus(&report.traffic);
+        for (key, usage) in &report.usage {
+            if let Ok(at) = remaining.usage.binary_search_by_key(key, |(key, _)| *key) {
+                remaining.usage[at].1.subtract(usage);
             }
         }
-        rest.usage.retain(|(_, used)| *used != Usage::default());
-        rest
+        remaining
+            .usage
+            .retain(|(_, usage)| *usage != Usage::default());
+        remaining
     }
 
-    fn remove_where(&mut self, is_old: impl Fn(&(BoxId, Scope), &ReceivedReport) -> bool) {
+    fn remove_where(&mut self, is_removed: impl Fn(&(BoxId, Scope), &ReceivedReport) -> bool) {
         let mut emptied = false;
         for (_, old) in self
             .received
-            .extract_if(|source, heard| is_old(source, heard))
+            .extract_if(|source, report| is_removed(source, report))
         {
-            for (key, less) in &old.usage {
+            for (key, usage) in &old.usage {
                 if let Some(sum) = self.sums.get_mut(key) {
-                    sum.subtract(less);
+                    sum.subtract(usage);
                     emptied |= *sum == UsageTotal::default();
                 }
             }
@@ -328,50 +340,50 @@
     }
 }
 
-/// Adds what was heard to what a box has itself.
-fn merge_reports<'a>(own: LoadSum, heard: impl Iterator<Item = &'a ReceivedReport>) -> LoadSum {
+/// Adds reports to the load of this box.
+fn merge_reports<'a>(own: LoadSum, reports: impl Iterator<Item = &'a ReceivedReport>) -> LoadSum {
     let mut boxes = own.boxes;
     let mut sums: BTreeMap<UpstreamKey, Usage> = own.usage.iter().copied().collect();
     let mut suspects: BTreeSet<UpstreamKey> = own.suspects.iter().copied().collect();
-    let mut flows = vec![&own.flows];
+    let mut traffic = vec![&own.traffic];
     let mut slow: BTreeMap<UpstreamKey, u16> = own.slow.into_iter().collect();
-    for heard in heard {
-        flows.push(&heard.flows);
-        for (key, factor) in &heard.slow {
-            let known = slow.entry(*key).or_default();
-            *known = (*known).max(*factor);
+    for report in reports {
+        traffic.push(&report.traffic);
+        for (key, factor) in &report.slow {
+            let max_factor = slow.entry(*key).or_default();
+            *max_factor = (*max_factor).max(*factor);
         }
-        boxes = boxes.saturating_add(heard.boxes);
-        suspects.extend(&heard.suspects);
-        for (key, more) in &heard.usage {
-            sums.entry(*key).or_default().add(more);
+        boxes = boxes.saturating_add(report.boxes);
+        suspects.extend(&report.suspects);
+        for (key, usage) in &report.usage {
+            sums.entry(*key).or_default().add(usage);
         }
     }
     LoadSum {
         boxes,
         usage: sums.into_iter().collect(),
         suspects: suspects.into_iter().collect(),
-        flows: Traffic::sum(flows.into_iter()),
+        traffic: Traffic::sum(traffic.into_iter()),
         slow: slow.into_iter().collect(),
     }
 }
 
 impl LoadSum {
-    /// The part of it on some of the upstreams.
-    pub fn filtered(&self, is_told: impl Fn(UpstreamKey) -> bool) -> Self {
-        let uses = self.usage.iter().filter(|(key, _)| is_told(*key));
+    /// Returns the part of the sum that concerns the upstreams that `is_included` accepts.
+    pub fn filtered(&self, is_included: impl Fn(UpstreamKey) -> bool) -> Self {
+        let usage = self.usage.iter().filter(|(key, _)| is_included(*key));
         LoadSum {
-            usage: uses.copied().collect(),
+            usage: usage.copied().collect(),
             ..self.clone()
         }
     }
 
-    /// The part that a datagram holds: the upstreams with most on them.
+    /// Returns the part that fits into a datagram: the upstreams with the highest usage.
     pub fn truncated(mut self) -> Self {
-        self.flows = self.flows.truncated();
+        self.traffic = self.traffic.truncated();
         if self.usage.len() > MAX_USAGES {
             self.usage
-                .select_nth_unstable_by_key(MAX_USAGES, |(_, used)| Reverse(used.token_layers));
+                .select_nth_unstable_by_key(MAX_USAGES, |(_, usage)| Reverse(usage.token_layers));
             self.usage.truncate(MAX_USAGES);
             self.usage.sort_unstable_by_key(|(key, _)| *key);
         }
@@ -379,8 +391,8 @@
     }
 }
 
-/// A sum of uses. It is wider than its parts: what one box tells is taken out again when
-/// its next word comes, and a sum that had overflowed would lack what the others told.
+/// Sum of usages. It is wider than [`Usage`]: the report of a box is subtracted again when
+/// its next one arrives, and a saturated sum would then lack what the others reported.
 #[derive(Clone, Copy, Debug, Default, PartialEq)]
 struct UsageTotal {
     requests: u64,
@@ -390,18 +402,20 @@
 }
 
 impl UsageTotal {
-    fn add(&mut self, more: &Usage) {
-        self.requests += u64::from(more.requests);
-        self.head_requests += u64::from(more.head_requests);
-        self.token_layers += u64::from(more.token_layers);
-        self.prefill_ms += u64::from(more.prefill_ms);
+    fn add(&mut self, other: &Usage) {
+        self.requests += u64::from(other.requests);
+        self.head_requests += u64::from(other.head_requests);
+        self.token_layers += u64::from(other.token_layers);
+        self.prefill_ms += u64::from(other.prefill_ms);
     }
 
-    fn subtract(&mut self, less: &Usage) {
-        self.requests = self.requests.saturating_sub(less.requests.into());
-        self.head_requests = self.head_requests.saturating_sub(less.head_requests.into());
-        self.token_layers = self.token_layers.saturating_sub(less.token_layers.into());
-        self.prefill_ms = self.prefill_ms.saturating_sub(less.prefill_ms.into());
+    fn subtract(&mut self, other: &Usage) {
+        self.requests = self.requests.saturating_sub(other.requests.into());
+        self.head_requests = self
+            .head_requests
+            .saturating_sub(other.head_requests.into());
+        self.token_layers = self.token_layers.saturating_sub(other.token_layers.into());
+        self.prefill_ms = self.prefill_ms.saturating_sub(other.prefill_ms.into());
     }
 
     fn usage(&self) -> Usage {
@@ -416,18 +430,18 @@
 }
 
 impl Usage {
-    /// Adds another part of the load.
-    pub fn add(&mut self, more: &Usage) {
-        self.requests = self.requests.saturating_add(more.requests);
-        self.head_requests = self.head_requests.saturating_add(more.head_requests);
-        self.token_layers = self.token_layers.saturating_add(more.token_layers);
-        self.prefill_ms = self.prefill_ms.saturating_add(more.prefill_ms);
+    /// Adds another usage.
+    pub fn add(&mut self, other: &Usage) {
+        self.requests = self.requests.saturating_add(other.requests);
+        self.head_requests = self.head_requests.saturating_add(other.head_requests);
+        self.token_layers = self.token_layers.saturating_add(other.token_layers);
+        self.prefill_ms = self.prefill_ms.saturating_add(other.prefill_ms);
     }
 
-    fn subtract(&mut self, less: &Usage) {
-        self.requests = self.requests.saturating_sub(less.requests);
-        self.head_requests = self.head_requests.saturating_sub(less.head_requests);
-        self.token_layers = self.token_layers.saturating_sub(less.token_layers);
-        self.prefill_ms = self.prefill_ms.saturating_sub(less.prefill_ms);
+    fn subtract(&mut self, other: &Usage) {
+        self.requests = self.requests.saturating_sub(other.requests);
+        self.head_requests = self.head_requests.saturating_sub(other.head_requests);
+        self.token_layers = self.token_layers.saturating_sub(other.token_layers);
+        self.prefill_ms = self.prefill_ms.saturating_sub(other.prefill_ms);
     }
 }
--- a/crates/ashgauge/src/pressure.rs
+++ b/crates/ashgauge/src/pressure.rs
@@ -37,7 +37,7 @@
             };
             let load = EstimatedLoad::estimate(context, entry);
             requests += load.head_requests;
-            if !entry.takes_requests(context.now) {
+            if !entry.accepts_requests(context.now) {
                 continue;
             }
             if held_layers.first == 0 {
--- a/crates/ashgauge/src/request_duration.rs
+++ b/crates/ashgauge/src/request_duration.rs
@@ -1,15 +1,15 @@
-//! How long requests stay on a service's upstreams.
+//! Duration of requests on the upstreams of a service.
 
 use std::time::Duration;
 
-/// Weight of the newest request in the learned time.
+/// Weight of the newest request in the mean.
 const ALPHA: f64 = 0.05;
 
-/// Time that is assumed before the first request has ended: the users' answers
-/// take 1.7 to 2.9 s.
+/// Duration that is assumed until the first request has ended: answers in the target
+/// deployments take 1.7 to 2.9 s.
 const INITIAL_DURATION: Duration = Duration::from_secs(2);
 
-/// Learned time from a request's arrival to its end.
+/// Mean time from the arrival of a request to its end.
 ///
 /// # Example
 ///
@@ -17,10 +17,10 @@
 /// use std::time::Duration;
 /// use ashgauge::request_duration::RequestDuration;
 ///
-/// let mut stay = RequestDuration::default();
-/// assert_eq!(stay.mean(), Duration::from_secs(2));
-/// (0..200).for_each(|_| stay.record(Duration::from_secs(1)));
-/// assert!(stay.mean() < Duration::from_millis(1010));
+/// let mut duration = RequestDuration::default();
+/// assert_eq!(duration.mean(), Duration::from_secs(2));
+/// (0..200).for_each(|_| duration.record(Duration::from_secs(1)));
+/// assert!(duration.mean() < Duration::from_millis(1010));
 /// ```
 #[derive(Clone, Copy, Debug)]
 pub struct RequestDuration(f64);
@@ -32,12 +32,12 @@
 }
 
 impl RequestDuration {
-    /// Notes that a request ended well after this time.
+    /// Records the duration of a successful request.
     pub fn record(&mut self, took: Duration) {
         self.0 += ALPHA * (took.as_secs_f64() - self.0);
     }
 
-    /// The learned time.
+    /// Returns the mean duration.
     pub fn mean(&self) -> Duration {
         Duration::from_secs_f64(self.0)
     }
--- a/crates/ashgauge/src/selection.rs
+++ b/crates/ashgauge/src/selection.rs
@@ -1,4 +1,4 @@
-//! Which upstream, or which chain of engines, a request goes to.
+//! Selection of the upstream, or the chain of engines, that a request goes to.
 
 use std::sync::Arc;
 use std::time::Duration;
@@ -13,35 +13,35 @@
 use crate::upstream::LayerRange;
 use crate::upstream_state::UpstreamState;
 
-/// Time assumed for an upstream that has not answered yet, in seconds.
+/// Latency assumed for an upstream that has not answered yet, in seconds.
 const DEFAULT_LATENCY_SECONDS: f64 = 0.02;
 
 /// Factor on the cost of an upstream in another data centre.
 const REMOTE_COST_FACTOR: f64 = 1.15;
 
-/// Requests that an upstream without room counts as having ahead of a new one.
+/// Number of queued requests that an upstream without capacity is assumed to have.
 const FULL_QUEUE_PENALTY: f64 = 20.0;
 
-/// Share of the limit up to which engines are filled that a data centre's engines keep for
-/// the callers of its own boxes, see [`Requirements::reserved_share`].
+/// Share of the fill limit that the engines of a data centre keep for the callers of its
+/// own boxes, see [`Requirements::reserved_share`].
 pub const RESERVED_SHARE: f64 = 0.125;
 
-/// Chooses an upstream of a plain service, and not one that was `tried` if
-/// there is another.
+/// Selects an upstream of a plain service, and one that was not `tried` before if there is
+/// any.
 pub fn select_upstream(
     context: &SelectionContext,
     tried: &[UpstreamId],
     rng: &mut impl Rng,
 ) -> Option<UpstreamId> {
-    let open = |e: &&UpstreamState| available_in(context, e).is_none();
+    let is_available = |e: &&UpstreamState| available_in(context, e).is_none();
     let all = || context.registry.of_service(context.service);
-    let entries = || all().filter(open);
-    let usable = |e: &&UpstreamState| e.is_usable(context.now);
-    let new = |e: &&UpstreamState| !tried.contains(&e.upstream.id);
-    let stays = |e: &&UpstreamState| !e.is_leaving();
-    let listed = |e: &&UpstreamState| !e.is_missing();
-    let mut cheapest = |entries: &mut dyn Iterator<Item = &UpstreamState>| {
-        let costs = entries.map(|e| {
+    let states = || all().filter(is_available);
+    let is_usable = |e: &&UpstreamState| e.is_usable(context.now);
+    let is_untried = |e: &&UpstreamState| !tried.contains(&e.upstream.id);
+    let is_staying = |e: &&UpstreamState| !e.is_leaving();
+    let is_listed = |e: &&UpstreamState| !e.is_missing();
+    let mut cheapest = |states: &mut dyn Iterator<Item = &UpstreamState>| {
+        let costs = states.map(|e| {
             (
                 upstream_cost(context, e) * context.jitter(rng),
                 &e.upstream.id,
@@ -51,116 +51,125 @@
             .min_by(|a, b| a.0.total_cmp(&b.0))
             .map(|(_, id)| id.clone())
     };
-    cheapest(&mut entries().filter(usable).filter(new))
-        .or_else(|| cheapest(&mut entries().filter(stays).filter(listed).filter(new)))
-        .or_else(|| cheapest(&mut entries().filter(usable)))
-        // One whose entry is gone may have left; only an outage takes all at once.
-        .or_else(|| match all().any(|e| listed(&e)) {
+    cheapest(&mut states().filter(is_usable).filter(is_untried))
+        .or_else(|| {
+            cheapest(
+                &mut states()
+                    .filter(is_staying)
+                    .filter(is_listed)
+                    .filter(is_untried),
+            )
+        })
+        .or_else(|| cheapest(&mut states().filter(is_usable)))
+        // An upstream whose entry disappeared may have left. Only an outage of the store
+        // makes all entries disappear at once.
+        .or_else(|| match all().any(|e| is_listed(&e)) {
             true => None,
-            false => cheapest(&mut entries().filter(stays).filter(new)),
+            false => cheapest(&mut states().filter(is_staying).filter(is_untried)),
         })
 }
 
-/// Chooses a chain over `span` of the model's layers, without the engines in
-/// `avoid` and those that lack what the request may `need`.
+/// Selects a chain over `range` of the model's layers, without the engines in `avoid` and
+/// those that do not meet the request's `requirements`.
 ///
-/// The cost is the time of a request of the scene's shape: reading its prompt, writing
-/// its answer, handing activations on; engines that are filling up cost more.
+/// The cost is the time of a request of the context's size: reading its prompt, generating
+/// its output and passing on activations. It is higher for engines that are filling up.
 ///
-/// What engines in other data centres reserve for the callers there is used only if there
-/// is no chain without it: that is better for the request than a refusal.
+/// The share that engines in other data centres reserve for the callers there is only used
+/// if there is no chain without it: that is better for the request than a refusal.
 pub fn select_chain(
     context: &SelectionContext,
     model: &Model,
-    span: LayerRange,
+    range: LayerRange,
     avoid: &[UpstreamId],
-    need: Option<Requirements>,
+    requirements: Option<Requirements>,
     rng: &mut impl Rng,
 ) -> Option<Vec<Stage>> {
-    let found = select_fitting_chain(context, model, span, avoid, need, rng);
-    match need.filter(|n| found.is_none() && n.reserved_share > 0.0) {
-        Some(need) => {
-            let need = Requirements {
+    let found = select_fitting_chain(context, model, range, avoid, requirements, rng);
+    match requirements.filter(|n| found.is_none() && n.reserved_share > 0.0) {
+        Some(requirements) => {
+            let requirements = Requirements {
                 reserved_share: 0.0,
-                ..need
+                ..requirements
             };
-            select_fitting_chain(context, model, span, avoid, Some(need), rng)
+            select_fitting_chain(context, model, range, avoid, Some(requirements), rng)
         }
         None => found,
     }
 }
 
-/// Chooses a chain of engines on which `need` fits.
+/// Selects a chain of engines that meet `requirements`.
 fn select_fitting_chain(
     context: &SelectionContext,
     model: &Model,
-    span: LayerRange,
+    range: LayerRange,
     avoid: &[UpstreamId],
-    need: Option<Requirements>,
+    requirements: Option<Requirements>,
     rng: &mut impl Rng,
 ) -> Option<Vec<Stage>> {
-    let mut places: Vec<&Arc<str>> = vec![context.data_centre];
+    let mut data_centres: Vec<&Arc<str>> = vec![context.data_centre];
     let mut edges = Vec::new();
-    let scale = CostModel::new(context, model);
-    for (entry, held) in holders(context, span) {
-        if avoid.contains(&entry.upstream.id) {
+    let cost_model = CostModel::new(context, model);
+    for (state, held) in holders(context, range) {
+        if avoid.contains(&state.upstream.id) {
             continue;
         }
-        if need.is_some_and(|n| !n.are_met_by(context, model, entry)) {
+        if requirements.is_some_and(|n| !n.are_met_by(context, model, state)) {
             continue;
         }
-        let leads = span.first == 0 && held.first == 0;
-        if leads && entry.blocked_for(context.now).is_some() {
+        let is_head = range.first == 0 && held.first == 0;
+        if is_head && state.blocked_for(context.now).is_some() {
             continue;
         }
-        let (fixed, layer) = scale.stage_cost(entry, held, leads, rng);
+        let (fixed_cost, layer_cost) = cost_model.stage_cost(state, held, is_head, rng);
         edges.push(Edge {
-            upstream: entry.upstream.id.clone(),
+            upstream: state.upstream.id.clone(),
             first: held.first,
             end: held.end,
-            fixed_cost: fixed,
-            layer_cost: layer,
-            data_centre: index_of(&mut places, &entry.upstream.data_centre),
+            fixed_cost,
+            layer_cost,
+            data_centre: index_of(&mut data_centres, &state.upstream.data_centre),
         });
     }
-    chain::cheapest_crossing_chain(span.first, span.end, &edges, |from, to| match from {
+    chain::cheapest_crossing_chain(range.first, range.end, &edges, |from, to| match from {
         _ if from == Some(to) => 0.0,
-        Some(from) => scale.crossing_seconds(places[from], places[to]),
+        Some(from) => cost_model.crossing_seconds(data_centres[from], data_centres[to]),
         None if to == 0 => 0.0,
         None => cost::remote_entry_seconds(context),
     })
 }
 
-/// Engines that take requests and hold some of these layers, with what they hold.
+/// Iterates over the engines that accept requests and hold some of these layers, with the
+/// layers that they hold.
 fn holders<'a>(
     context: &'a SelectionContext,
-    span: LayerRange,
+    range: LayerRange,
 ) -> impl Iterator<Item = (&'a UpstreamState, LayerRange)> {
-    let entries = context.registry.of_service(context.service);
-    let open = entries.filter(|e| e.takes_requests(context.now));
-    let holders = open.filter_map(|e| Some((e, e.upstream.layers?)));
-    holders.filter(move |(_, held)| held.overlaps(&span))
+    let states = context.registry.of_service(context.service);
+    let accepting = states.filter(|e| e.accepts_requests(context.now));
+    let holders = accepting.filter_map(|e| Some((e, e.upstream.layers?)));
+    holders.filter(move |(_, held)| held.overlaps(&range))
 }
 
-/// Number of a data centre among those that were met, as which it is added if it is new.
-fn index_of<'a>(places: &mut Vec<&'a Arc<str>>, name: &'a Arc<str>) -> usize {
-    let known = places.iter().position(|p| *p == name);
+/// Returns the index of a data centre in the list, to which it is added if it is new.
+fn index_of<'a>(data_centres: &mut Vec<&'a Arc<str>>, name: &'a Arc<str>) -> usize {
+    let known = data_centres.iter().position(|p| *p == name);
     known.unwrap_or_else(|| {
-        places.push(name);
-        places.len() - 1
+        data_centres.push(name);
+        data_centres.len() - 1
     })
 }
 
-/// How long until something may be sent to an upstream: one that wants rest turns away
-/// whatever comes meanwhile, one that takes no more is to get nothing.
-fn available_in(context: &SelectionContext, entry: &UpstreamState) -> Option<Duration> {
-    entry
+/// Returns how long nothing may be sent to an upstream: during a back-off it rejects all
+/// requests, and while it is blocked by its rate limit it must get none.
+fn available_in(context: &SelectionContext, state: &UpstreamState) -> Option<Duration> {
+    state
         .backoff(context.now)
-        .max(entry.blocked_for(context.now))
+        .max(state.blocked_for(context.now))
 }
 
-/// How long until there is an upstream, or a chain over the whole `model`, as those
-/// that it lacks want nothing until then; `None` if that is not what stands in the way.
+/// Returns the time until there is an upstream, or a chain over the whole `model`, if those
+/// that are missing are in a back-off or blocked; `None` if that is not the obstacle.
 pub fn backoff_left(
     context: &SelectionContext,
     model: Option<&Model>,
@@ -172,7 +181,7 @@
         return None;
     }
     waits.sort_unstable();
-    let mut is_early = |left: &Duration| {
+    let mut is_too_early = |left: &Duration| {
         let now = context.now + *left;
         let context = SelectionContext { now, ..*context };
         let found = match model {
@@ -181,119 +190,120 @@
         };
         !found
     };
-    if !is_early(&Duration::ZERO) {
+    if !is_too_early(&Duration::ZERO) {
         return None;
     }
-    let first = waits.partition_point(is_early);
+    let first = waits.partition_point(is_too_early);
     waits.get(first).copied()
 }
 
-/// Share of an engine's memory for requests that all boxes' requests hold, as
-/// far as this box knows; `None` if it holds no layers.
+/// Returns the share of an engine's memory for requests that the requests of all boxes
+/// hold, as far as this box knows; `None` if it holds no layers.
 pub fn memory_utilization(
     context: &SelectionContext,
     model: &Model,
-    entry: &UpstreamState,
+    state: &UpstreamState,
 ) -> Option<f64> {
-    let held = entry.upstream.layers?;
-    let tokens = EstimatedLoad::estimate(context, entry).token_layers;
-    Some(tokens / cost::memory_capacity(model, entry, held).max(1.0))
+    let held = state.upstream.layers?;
+    let tokens = EstimatedLoad::estimate(context, state).token_layers;
+    Some(tokens / cost::memory_capacity(model, state, held).max(1.0))
 }
 
-/// How many of the engines are filled up to `limit`, a share of their memory for
-/// requests, and how many hold layers.
+/// Returns how many engines are filled up to `limit`, a share of their memory for requests,
+/// and how many hold layers.
 pub fn count_full(context: &SelectionContext, model: &Model, limit: f64) -> (usize, usize) {
-    let entries = context.registry.of_service(context.service);
-    let filled = entries.filter_map(|e| memory_utilization(context, model, e));
-    filled.fold((0, 0), |(full, all), filled| {
-        (full + usize::from(filled >= limit), all + 1)
+    let states = context.registry.of_service(context.service);
+    let utilizations = states.filter_map(|e| memory_utilization(context, model, e));
+    utilizations.fold((0, 0), |(full, all), utilization| {
+        (full + usize::from(utilization >= limit), all + 1)
     })
 }
 
-/// Share of their memory for requests that the engines of the box's data centre
-/// have given away, as far as this box knows; 1 if they have none.
+/// Returns the share of their memory for requests that is used on the engines of the box's
+/// data centre, as far as this box knows; 1 if it has no engines.
 pub fn local_utilization(context: &SelectionContext, model: &Model) -> f64 {
-    let (mut used, mut room) = (0.0, 0.0);
-    for entry in context.local_upstreams() {
-        let Some(held) = entry.upstream.layers else {
+    let (mut used, mut capacity) = (0.0, 0.0);
+    for state in context.local_upstreams() {
+        let Some(held) = state.upstream.layers else {
             continue;
         };
-        used += EstimatedLoad::estimate(context, entry).token_layers;
-        room += cost::memory_capacity(model, entry, held);
+        used += EstimatedLoad::estimate(context, state).token_layers;
+        capacity += cost::memory_capacity(model, state, held);
     }
-    match room > 0.0 {
-        true => used / room,
+    match capacity > 0.0 {
+        true => used / capacity,
         false => 1.0,
     }
 }
 
-/// Room that a request needs on each engine of its chain.
+/// What a request requires of each engine of its chain.
 #[derive(Clone, Copy, Debug)]
 pub struct Requirements {
-    /// Tokens that it holds.
+    /// Tokens for which it needs memory.
     pub tokens: u32,
-    /// Share of their memory up to which engines are filled.
+    /// Share of their memory for requests up to which engines may be filled.
     pub fill_limit: f64,
     /// Share of the limit of engines in other data centres that is left to the callers
-    /// there; 0 if none is.
+    /// there; 0 for none.
     pub reserved_share: f64,
 }
 
 impl Requirements {
-    /// Whether an engine has the room, with all of its layers in the chain, and a
-    /// slot if it would be the chain's first.
+    /// Returns whether an engine has the memory, with all of its layers in the chain, and a
+    /// free slot if it would be the first of the chain.
     ///
-    /// Past its slots an engine turns requests away.
+    /// An engine refuses requests when its slots are used up.
     pub fn are_met_by(
         &self,
         context: &SelectionContext,
         model: &Model,
-        entry: &UpstreamState,
+        state: &UpstreamState,
     ) -> bool {
-        let Some(held) = entry.upstream.layers else {
+        let Some(held) = state.upstream.layers else {
             return false;
         };
-        let more = f64::from(self.tokens) * f64::from(held.len());
-        let total = EstimatedLoad::estimate(context, entry);
-        let usable = match entry.upstream.data_centre == *context.data_centre {
+        let required = f64::from(self.tokens) * f64::from(held.len());
+        let load = EstimatedLoad::estimate(context, state);
+        let usable_share = match state.upstream.data_centre == *context.data_centre {
             true => 1.0,
             false => 1.0 - self.reserved_share,
         };
-        let limit = self.fill_limit * usable;
-        let slots = f64::from(entry.upstream.slots.max(1)) * self.fill_limit.min(1.0) * usable;
-        let has_slot = held.first > 0 || total.head_requests + 1.0 <= slots;
+        let limit = self.fill_limit * usable_share;
+        let slots =
+            f64::from(state.upstream.slots.max(1)) * self.fill_limit.min(1.0) * usable_share;
+        let has_slot = held.first > 0 || load.head_requests + 1.0 <= slots;
         let has_memory =
-            total.token_layers + more <= limit * cost::memory_capacity(model, entry, held);
-        has_slot && has_memory && !entry.is_full(context.now)
+            load.token_layers + required <= limit * cost::memory_capacity(model, state, held);
+        has_slot && has_memory && !state.is_full(context.now)
     }
 }
 
-fn upstream_cost(context: &SelectionContext, entry: &UpstreamState) -> f64 {
-    let seconds = match entry.latency_seconds {
+fn upstream_cost(context: &SelectionContext, state: &UpstreamState) -> f64 {
+    let seconds = match state.latency_seconds {
         0.0 => DEFAULT_LATENCY_SECONDS,
         known => known,
     };
-    let slots = f64::from(entry.upstream.slots.max(1));
-    let told = entry.reported_load.map_or(0.0, |(running, waiting)| {
+    let slots = f64::from(state.upstream.slots.max(1));
+    let reported = state.reported_load.map_or(0.0, |(running, waiting)| {
         f64::from(running) + 2.0 * f64::from(waiting)
     });
-    let ahead = told.max(EstimatedLoad::estimate(context, entry).requests) / slots;
-    let away = match entry.upstream.data_centre == *context.data_centre {
+    let queued = reported.max(EstimatedLoad::estimate(context, state).requests) / slots;
+    let distance_factor = match state.upstream.data_centre == *context.data_centre {
         true => 1.0,
         false => REMOTE_COST_FACTOR,
     };
-    let failing = 1.0 / (1.0 - entry.failure_rate(context.now).min(0.95));
+    let failure_factor = 1.0 / (1.0 - state.failure_rate(context.now).min(0.95));
     let now = context.now;
-    let avoided = entry.is_full(now) || entry.is_peer_suspect(now) || entry.is_unreachable(now);
-    let ahead = if avoided {
-        ahead + FULL_QUEUE_PENALTY
+    let is_avoided = state.is_full(now) || state.is_peer_suspect(now) || state.is_unreachable(now);
+    let queued = if is_avoided {
+        queued + FULL_QUEUE_PENALTY
     } else {
-        ahead
+        queued
     };
-    seconds * (1.0 + ahead) * away * failing * failing
+    seconds * (1.0 + queued) * distance_factor * failure_factor * failure_factor
 }
 
-/// The whole model as a range.
+/// Returns the range of all layers of a model.
 pub fn all_layers(layers: Layer) -> LayerRange {
     LayerRange {
         first: 0,
--- a/crates/ashgauge/src/slack.rs
+++ b/crates/ashgauge/src/slack.rs
@@ -1,25 +1,26 @@
-//! How much time a request has until it is late, and what follows for its order
-//! at the engines.
+//! How much time a request has left until it is late, and the priority that it gets from
+//! this at the engines.
 
 use std::time::Duration;
 
-/// How a request stands against its aim.
+/// Time that a request has left until it is late.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Slack {
-    /// Its caller has a part of the answer and waits for the next event: late
-    /// after a pause that is nearly over.
+    /// The stream has begun and its caller waits for the next event: it is late after a
+    /// pause, which is nearly over.
     Streaming,
-    /// It may still be in time.
+    /// The answer may still arrive within its target latency.
     OnTime,
-    /// It is late whatever is done, but its answer is still wanted.
+    /// The answer will be late in any case, but is still wanted.
     Late,
 }
 
-/// Least part of a route's time that callers wait for a first attempt: their own limits
-/// differ by up to a seventh of it, and who was refused stays away for as long or longer.
-const MIN_FIRST_PATIENCE: f64 = 0.85;
+/// Minimum share of a route's timeout that callers wait for a first attempt. Their own
+/// timeouts differ from it by up to a seventh, and a caller that was refused stays away for
+/// at least as long.
+const MIN_WAIT_SHARE: f64 = 0.85;
 
-/// Whether a caller who waits so much longer has made the request before.
+/// Returns whether a caller that waits for `time_left` more has made the request before.
 ///
 /// # Example
 ///
@@ -31,13 +32,13 @@
 /// assert!(!is_retry(second * 18, second * 20));
 /// assert!(is_retry(second * 16, second * 20));
 /// ```
-pub fn is_retry(patience: Duration, timeout: Duration) -> bool {
-    patience < timeout.mul_f64(MIN_FIRST_PATIENCE)
+pub fn is_retry(time_left: Duration, timeout: Duration) -> bool {
+    time_left < timeout.mul_f64(MIN_WAIT_SHARE)
 }
 
 impl Slack {
-    /// How a request stands whose caller waits for its first event, of `patience`
-    /// left of `timeout`: a caller who comes back has used up the rest.
+    /// Returns the slack of a request whose caller waits for the first event and has
+    /// `time_left` of `timeout`; a caller that retries has used up the rest.
     ///
     /// # Example
     ///
@@ -46,23 +47,28 @@
     /// use std::time::Duration;
     ///
     /// let second = Duration::from_secs(1);
-    /// let (timeout, aim) = (second * 20, second / 2);
-    /// assert_eq!(Slack::before_first_event(timeout, timeout, aim), Slack::OnTime);
-    /// assert_eq!(Slack::before_first_event(second * 18, timeout, aim), Slack::Late);
+    /// let (timeout, target) = (second * 20, second / 2);
+    /// assert_eq!(Slack::before_first_event(timeout, timeout, target), Slack::OnTime);
+    /// assert_eq!(Slack::before_first_event(second * 18, timeout, target), Slack::Late);
     /// ```
-    pub fn before_first_event(patience: Duration, timeout: Duration, aim: Duration) -> Self {
-        match timeout.saturating_sub(patience) >= aim {
+    pub fn before_first_event(
+        time_left: Duration,
+        timeout: Duration,
+        target_latency: Duration,
+    ) -> Self {
+        match timeout.saturating_sub(time_left) >= target_latency {
             true => Slack::Late,
             false => Slack::OnTime,
         }
     }
 }
 
-/// The order of a request at the engines, 0 first, by its `rank` and its slack.
+/// Returns the priority of a request at the engines, 0 first, from its own `priority` and
+/// its slack.
 ///
-/// Who is late already waits behind those of its rank who are not, level with the
-/// next rank, and who goes on before them: what is late loses nothing more by
-/// waiting, and what waits for its next event is late after a short pause.
+/// A late request goes behind those of its priority that are not late, level with the next
+/// priority, as it loses nothing more by waiting. A stream that has begun goes before them,
+/// as it is late after a short pause.
 ///
 /// # Example
 ///
@@ -73,10 +79,10 @@
 /// assert!(engine_priority(1, Slack::OnTime) < engine_priority(1, Slack::Late));
 /// assert!(engine_priority(1, Slack::Late) < engine_priority(3, Slack::OnTime));
 /// ```
-pub fn engine_priority(rank: u32, slack: Slack) -> u32 {
+pub fn engine_priority(priority: u32, slack: Slack) -> u32 {
     match slack {
-        Slack::Streaming => rank.saturating_sub(1),
-        Slack::OnTime => rank,
-        Slack::Late => rank.saturating_add(1),
+        Slack::Streaming => priority.saturating_sub(1),
+        Slack::OnTime => priority,
+        Slack::Late => priority.saturating_add(1),
     }
 }
--- a/crates/ashgauged/src/relay/select.rs
+++ b/crates/ashgauged/src/relay/select.rs
@@ -138,7 +138,7 @@
     pub fn fleet_demand(&self, service: &str) -> (Demands, f64) {
         let own_traffic = self.admissions.own_traffic(self.now());
         let fleet_load = self.fleet_load.borrow();
-        let traffic = fleet_load.flows(&own_traffic);
+        let traffic = fleet_load.traffic(&own_traffic);
         let reporting = fleet_load.boxes() as f64 + 1.0;
         // More boxes are heard from than exist if some are also part of a hub's sum.
         let factor = fleet_load.present_boxes(f64::from(self.fleet_size())) / reporting;
@@ -200,7 +200,7 @@
             if let (Some(from), Some(to)) = (data_centre(&pair[0]), data_centre(&pair[1]))
                 && from != to
             {
-                wan_usage.note(now, &from, &to, f64::from(tokens) * model.activation_mb);
+                wan_usage.record(now, &from, &to, f64::from(tokens) * model.activation_mb);
             }
         }
     }
--- a/crates/peer/src/lib.rs
+++ b/crates/peer/src/lib.rs
@@ -1,8 +1,8 @@
 //! Messages between boxes over JSON-RPC.
 //!
-//! One method, `deliver`, takes an [`Envelope`] and answers at once; an answer
-//! to a message is a message of its own. The port takes nothing without the
-//! fleet's credential.
+//! The only method, `deliver`, takes an [`Envelope`] and returns at once; a reply to a
+//! message is a message of its own. The port rejects requests without the credential of the
+//! fleet.
 
 #![warn(missing_docs)]
 #![forbid(unsafe_code)]
@@ -22,10 +22,10 @@
 
 const METHOD: &str = "deliver";
 
-/// Time that a delivery may take.
+/// Timeout of a delivery.
 const CALL_TIMEOUT: Duration = Duration::from_millis(1000);
 
-/// Longest message, in bytes; a table is at most 1 MB.
+/// Maximum size of a message; a table has at most 1 MB.
 const MAX_MESSAGE_BYTES: u32 = 4 << 20;
 
 /// Sends messages to other boxes. Clones share the connections.
@@ -36,7 +36,7 @@
 }
 
 impl PeerClient {
-    /// Makes a sender that shows this credential.
+    /// Creates a client that authenticates with this credential.
     pub fn new(credential: &str) -> Self {
         PeerClient {
             credential: credential.into(),
@@ -48,7 +48,7 @@
     ///
     /// # Errors
     ///
-    /// Fails with the cause if the box did not take it in time.
+    /// Returns the cause if the box did not accept the message in time.
     pub async fn deliver(&self, addr: &str, envelope: &Envelope) -> Result<(), String> {
         let client = self.client(addr)?;
         let params = rpc_params![envelope];
@@ -75,21 +75,21 @@
     }
 }
 
-/// Serves the box-to-box port; `take` gets each message.
+/// Serves the box-to-box port; `handler` gets each message.
 ///
 /// Dropping the handle stops the server.
 ///
 /// # Errors
 ///
-/// Fails if the address cannot be bound.
+/// Returns the cause if the address cannot be bound.
 pub async fn serve(
     addr: &str,
     credential: &str,
-    take: impl Fn(Envelope) + Send + Sync + 'static,
+    handler: impl Fn(Envelope) + Send + Sync + 'static,
 ) -> Result<(SocketAddr, ServerHandle), String> {
-    let wanted = format!("Bearer {credential}");
+    let expected = format!("Bearer {credential}");
     #[allow(clippy::result_large_err)]
-    let check = move |request: &mut HttpRequest<_>| authorize(request, &wanted);
+    let check = move |request: &mut HttpRequest<_>| authorize(request, &expected);
     let middleware = tower::ServiceBuilder::new().layer(ValidateRequestHeaderLayer::custom(check));
     let config = jsonrpsee::server::ServerConfig::builder()
         .max_request_body_size(MAX_MESSAGE_BYTES)
@@ -102,11 +102,11 @@
         .await
         .map_err(|e| e.to_string())?;
     let bound = server.local_addr().map_err(|e| e.to_string())?;
-    let mut module = RpcModule::new(take);
+    let mut module = RpcModule::new(handler);
     module
-        .register_method(METHOD, |params, take, _| {
+        .register_method(METHOD, |params, handler, _| {
             let envelope: Envelope = params.one()?;
-            take(envelope);
+            handler(envelope);
             Ok::<bool, jsonrpsee::types::ErrorObjectOwned>(true)
         })
         .map_err(|e| e.to_string())?;
@@ -116,11 +116,11 @@
 #[allow(clippy::result_large_err)]
 fn authorize(
     request: &mut HttpRequest<HttpBody>,
-    wanted: &str,
+    expected: &str,
 ) -> Result<(), HttpResponse<HttpBody>> {
-    let shown = request.headers().get("authorization");
-    let shown = shown.map_or(&b""[..], |v| v.as_bytes());
-    if bool::from(shown.ct_eq(wanted.as_bytes())) {
+    let credential = request.headers().get("authorization");
+    let credential = credential.map_or(&b""[..], |v| v.as_bytes());
+    if bool::from(credential.ct_eq(expected.as_bytes())) {
         return Ok(());
     }
     let refused = HttpResponse::builder().status(401);
