--- a/crates/ashgauged/src/relay/follow/mod.rs
+++ b/crates/ashgauged/src/relay/follow/mod.rs
@@ -1,8 +1,10 @@
-//! Follows the store: what is in force, who is there, and how sure that is.
+//! Follows the platform's store: the configuration in force, the registered upstreams,
+//! and how certain both are.
 //!
-//! A few boxes read the store ([`watch`], [`prove`]); the others ask them
-//! ([`ask`]). Either way what is learned comes in here. The store may come back from a
-//! copy of an earlier state ([`returns`]).
+//! A few boxes read the store themselves (modules [`watch`] and [`revision_check`]); the
+//! others poll them (module [`poll`]). Both paths update the state through
+//! [`StoreFollower`]. The store may be restored from a copy of an earlier state (module
+//! [`store_restore`]).
 
 mod poll;
 mod revision_check;
@@ -28,52 +30,53 @@
 use super::shared_state::SharedState;
 use super::{log, membership, quarantine};
 
-/// How long after the store's return entries may be missing though their
-/// upstreams live; the users' figure.
+/// How long after the store has become reachable again an entry may be missing although
+/// its upstream is alive. The users gave this figure.
 const RESTORE_GRACE: Duration = Duration::from_secs(2);
 
-/// Upstreams that come together with a line each.
+/// Most upstreams announced at once that are logged individually.
 const MAX_LOGGED_UPSTREAMS: usize = 64;
 
-/// What the following tasks tell each other.
+/// State shared by the tasks that follow the store.
 pub struct StoreFollower {
     shared: Rc<SharedState>,
-    /// The way to the other boxes, if there is one.
+    /// Messaging with the other boxes, if it is configured.
     peers: Option<Rc<Peers>>,
-    /// Whom this box asks.
+    /// Decides which reader this box polls next.
     asker: RefCell<Poller>,
-    /// Revision up to which the configuration is known; nothing until it was
-    /// read, or once the history behind it is gone.
+    /// Revision up to which the configuration is known; `None` before the first read and
+    /// after the store has dropped the history since that revision.
     config_revision: Cell<Option<Revision>>,
-    /// The same for the list of upstreams.
+    /// Revision up to which the list of upstreams is known, in the same way.
     upstreams_revision: Cell<Option<Revision>>,
-    /// The configuration in force, as other boxes are handed it.
+    /// The encoded configuration in force, as it is passed to other boxes.
     active_config: RefCell<Option<Vec<u8>>>,
-    /// Whether the first proof was left to the watches' first reading.
+    /// Whether the first freshness check has been left to the initial reads of the
+    /// watches.
     first_read: Cell<bool>,
-    /// Whether other boxes learn from this one.
+    /// Whether other boxes poll this one.
     is_shared: Cell<bool>,
-    /// When the readers were chosen last.
+    /// When the readers were last selected.
     chosen_at: Cell<Duration>,
-    /// When boxes may be looked for again as those that were asked are silent.
+    /// Earliest time of the next refresh of the member list after polled boxes have not
+    /// answered.
     refresh_at: Cell<Duration>,
-    /// When a call to the store last failed, while it is away.
+    /// When a call to the store last failed; `None` while the store is reachable.
     failed_at: Cell<Option<Duration>>,
-    /// What is not sure since the store came back from a copy.
+    /// What is uncertain since the store was restored from a copy.
     restore: store_restore::RestoreState,
-    /// When the store last came back.
+    /// When the store last became reachable again or was restored.
     returned_at: Cell<Option<Duration>>,
-    /// Ends the watches, which may hang on dead connections, and begins them
-    /// anew.
+    /// Cancels the watches, which may hang on dead connections, and starts new ones.
     restart: Notify,
-    /// Asks for a proof at once.
+    /// Triggers a freshness check at once.
     check_now: Notify,
-    /// A watch has brought something.
+    /// Signals that a watch or an answer has brought changes.
     changed: Notify,
 }
 
 impl StoreFollower {
-    /// Starts following; the tasks run as long as the process.
+    /// Spawns the tasks that follow the store; they run as long as the process.
     pub fn start(shared: Rc<SharedState>, peers: Option<(Rc<Peers>, mpsc::Receiver<PeerMessage>)>) {
         let (peers, heard) = peers.unzip();
         let follower = Rc::new(StoreFollower {
@@ -111,11 +114,11 @@
         }
     }
 
-    /// Begins watches and proofs anew after the machine was suspended: what they wait
-    /// for may have died meanwhile.
+    /// Restarts the watches and checks freshness after the machine was suspended, as the
+    /// connections they wait on may have died meanwhile.
     async fn follow_suspensions(self: Rc<Self>) {
         let mut woken = self.shared.clock.resumptions();
-        // The clock lives as long as the desk.
+        // The clock lives as long as the shared state.
         while woken.changed().await.is_ok() {
             self.restart.notify_waiters();
             self.check_now.notify_one();
@@ -125,7 +128,7 @@
     /// Waits until this box reads the store itself.
     async fn wait_until_reader(&self) {
         let mut reads = self.shared.reads_store.subscribe();
-        // The sender lives as long as the desk.
+        // The sender lives as long as the shared state.
         let _ = reads.wait_for(|reads| *reads).await;
     }
 
@@ -146,15 +149,16 @@
         Ok(())
     }
 
-    /// Puts a configuration in force unless a newer one is.
+    /// Stores a configuration in the mirror and activates it unless a newer one is in
+    /// force.
     fn apply_config(&self, config: config::Config, revision: Revision) -> Result<(), StoreError> {
         let bytes = config.to_bytes()?;
         self.shared.mirror.borrow_mut().set_config(revision, bytes);
         self.activate_config(config)
     }
 
-    /// Puts a configuration in force; one that is older than that in force goes to no other
-    /// box either.
+    /// Activates a configuration if it is newer than the one in force. An older one is
+    /// not passed to other boxes either.
     fn activate_config(&self, config: config::Config) -> Result<(), StoreError> {
         let shared = &self.shared;
         let old = shared.routing.borrow().version;
@@ -177,14 +181,14 @@
         Ok(())
     }
 
-    /// Reads all entries; returns whether they held something that no watch had
-    /// brought.
+    /// Reads all upstream entries; returns whether they contained something that no watch
+    /// had delivered.
     async fn read_upstreams(&self) -> Result<bool, StoreError> {
         let read = servers::list(&self.shared.store, log_skipped).await;
         self.shared.count_store_call("list", &read);
         let (list, at) = read?;
         let count = list.len();
-        // A watch may have overtaken the list.
+        // A watch may have delivered changes newer than the list.
         let list: Vec<Upstream> = {
             let mut mirror = self.shared.mirror.borrow_mut();
             mirror.replace_all(at, list);
@@ -205,8 +209,8 @@
         Ok(missed)
     }
 
-    /// Writes a line for each upstream of a list that no watch had brought;
-    /// returns whether there was one.
+    /// Logs each upstream of a list that no watch had delivered; returns whether there
+    /// was one.
     fn log_changed(&self, list: &[Upstream], at: Revision) -> bool {
         let registry = self.shared.registry.borrow();
         let is_known = |u: &Upstream| registry.get(&u.id).is_some_and(|e| e.upstream == *u);
@@ -217,7 +221,7 @@
         !changed.is_empty()
     }
 
-    /// Notes that everything up to what was read of both kinds is known.
+    /// Marks everything up to the lower of both read revisions as known.
     fn update_covered(&self) {
         if let (Some(config), Some(servers)) =
             (self.config_revision.get(), self.upstreams_revision.get())
@@ -230,7 +234,7 @@
         self.shared.update_synced();
     }
 
-    /// Acts on changes that are news.
+    /// Applies changes that were not known before.
     fn apply_changes(&self, changes: Vec<Change>, sure: bool) {
         let has_lines = may_log_each(changes.len());
         for change in changes {
@@ -267,7 +271,7 @@
         }
     }
 
-    /// Whether an upstream begins to leave, or gives up layers that it held.
+    /// Returns whether an upstream starts to leave or releases layers that it held.
     fn reduces_layers(&self, upstream: &Upstream) -> bool {
         let registry = self.shared.registry.borrow();
         let before = registry.get(&upstream.id).map(|e| &e.upstream);
@@ -277,15 +281,15 @@
         })
     }
 
-    /// Tells the boxes that learn from this one that there is something new.
+    /// Notifies the boxes that poll this one of new data.
     async fn notify_pollers(&self) {
         if let Some(peers) = &self.peers {
             peers.notify_pollers().await;
         }
     }
 
-    /// Whether entries may be missing only because the store was away, or passed over as
-    /// they had been removed before it came back.
+    /// Returns whether entries may be missing only because the store was unreachable, or
+    /// are ignored because they had been removed before the store was restored.
     fn has_uncertain_removals(&self) -> bool {
         let now = self.shared.now();
         let is_away = self.failed_at.get().is_some();
@@ -296,14 +300,14 @@
         is_away || has_returned || self.restore.settling.get()
     }
 
-    /// Keeps what other boxes are told of it up to date.
+    /// Updates the certainty of removals that is reported to other boxes.
     fn update_certainty(&self) {
         self.shared
             .removals_certain
             .set(!self.has_uncertain_removals());
     }
 
-    /// Notes that a call failed, with one line for each time the store goes.
+    /// Records a failed call; logs only the first failure of each outage.
     fn note_store_failure(&self, what: &str, fault: &StoreError) {
         if matches!(fault, StoreError::HistoryGone) {
             log::event(Level::Info, "store", "history gone", json!({"watch": what}));
@@ -332,14 +336,13 @@
     }
 }
 
-/// Moves a known revision on; a reading that was overtaken does not move it
-/// back.
+/// Advances a known revision; a read that has been overtaken does not move it back.
 fn advance_revision(known: &Cell<Option<Revision>>, at: Revision) {
     known.set(known.get().max(Some(at)));
 }
 
-/// Whether so many upstreams that came together get a line each; else one line
-/// says how many there were. Where a fleet starts all of them come to each box.
+/// Returns whether this many upstreams announced at once are logged individually; if not,
+/// logs their number instead. When a fleet starts, each box receives all of them at once.
 fn may_log_each(count: usize) -> bool {
     if count > MAX_LOGGED_UPSTREAMS {
         log::event(
@@ -363,7 +366,7 @@
     log::event(Level::Info, "roster", "announced", fields);
 }
 
-/// Writes a line for an object of the store that cannot be read.
+/// Logs an object of the store that cannot be decoded.
 pub fn log_skipped(name: &str, fault: &StoreError) {
     let fields = json!({"object": name, "fault": fault.to_string()});
     log::event(Level::Warn, "store", "object cannot be read", fields);
--- a/crates/ashgauged/src/relay/follow/poll.rs
+++ b/crates/ashgauged/src/relay/follow/poll.rs
@@ -1,4 +1,4 @@
-//! Questions to the boxes that read the store for the others.
+//! Polls the boxes that read the store on behalf of the others.
 
 use std::rc::Rc;
 use std::time::Duration;
@@ -21,33 +21,35 @@
 use super::super::{log, membership, quarantine};
 use super::{StoreFollower, log_skipped};
 
-/// Time between two looks before the other boxes are known.
+/// Interval between checks until the other boxes have been discovered.
 const DISCOVERY_INTERVAL: Duration = Duration::from_millis(20);
 
-/// Time between two rounds while nothing is known: boxes that read have just
-/// started as well.
+/// Interval between polling rounds while nothing is known: the readers have just started
+/// as well.
 const UNSYNCED_INTERVAL: Duration = Duration::from_millis(300);
 
-/// Share of the operators' bounds on what a box knows, past which one that no other
-/// could inform asks the store itself. What is left is for the round of questions
-/// that shows it and for the reading.
+/// Share of the operators' bounds on the age of data after which a box that no other box
+/// could inform reads the store itself. The remainder is for the polling round that shows
+/// this and for the read.
 const DIRECT_READ_SHARE: f64 = 0.6;
 
-/// How long a box that knows nothing asks others only, and how long if some answer
-/// that know nothing either: they may be about to.
+/// How long a box without data only polls others before it reads the store: the first
+/// applies if no box answers, the second if some answer that have no data either, as they
+/// may be about to get it.
 const DIRECT_READ_DELAY: Duration = Duration::from_millis(1500);
 const ANSWERED_READ_DELAY: Duration = Duration::from_millis(6000);
 
-/// Time for which a choice of the readers holds: who is silent changes it.
+/// Time for which a selection of the readers is reused; boxes that stop answering change
+/// it.
 const READERS_TTL: Duration = Duration::from_millis(200);
 
-/// Times from such a reading that brought nothing to the next, at random in between, so
-/// that boxes that lost their readers do not call the store together.
+/// Range of the random delay between direct reads that brought nothing, so that boxes
+/// that have lost their readers do not call the store at the same time.
 const DIRECT_READ_INTERVAL: std::ops::Range<Duration> =
     Duration::from_millis(2000)..Duration::from_millis(8000);
 
 impl StoreFollower {
-    /// Learns from other boxes as long as the process runs.
+    /// Polls the readers as long as the process runs.
     pub(super) async fn poll_readers(self: Rc<Self>, mut heard: mpsc::Receiver<PeerMessage>) {
         let Some(peers) = self.peers.clone() else {
             return;
@@ -63,13 +65,14 @@
                     None => return,
                 },
                 () = sleep(rest) => {}
-                // What is known grew old meanwhile; the clock lives as long as the desk.
+                // The data has aged during the suspension; the clock lives as long as the
+                // shared state.
                 Ok(()) = woken.changed() => {}
             }
         }
     }
 
-    /// Asks whoever is to be asked now; returns when to look again.
+    /// Takes the next polling step; returns when to take the one after it.
     async fn poll_next(&self, peers: &Peers, alone_at: &mut Duration) -> Duration {
         let now = self.shared.now();
         if self.shared.discovered_at.get().is_none() {
@@ -108,7 +111,7 @@
         }
     }
 
-    /// Who reads for the others, as far as this box knows.
+    /// Returns the boxes that read the store, as far as this box knows.
     fn readers(&self, now: Duration) -> Rc<Readers> {
         let shared = &self.shared;
         if now < self.chosen_at.get() + READERS_TTL {
@@ -122,8 +125,8 @@
         shared.readers.borrow().clone()
     }
 
-    /// Looks for other boxes, as those that were asked are silent: others may read by
-    /// now.
+    /// Refreshes the member list, as the polled boxes do not answer: others may be
+    /// readers by now.
     fn refresh_members(&self, now: Duration) {
         if now >= self.refresh_at.get() {
             self.refresh_at
@@ -136,7 +139,7 @@
         *self.shared.reads_store.borrow()
     }
 
-    /// Begins or stops to read the store.
+    /// Starts or stops reading the store.
     fn set_role(&self, readers: &Readers) {
         let (shared, reads) = (&self.shared, readers.includes_self);
         self.is_shared.set(readers.has_followers);
@@ -147,14 +150,14 @@
         self.config_revision.set(known);
         self.upstreams_revision.set(known);
         if !reads {
-            // What calls failed says nothing about those of the next time.
+            // Past failures say nothing about the store when this box reads it again.
             self.failed_at.set(None);
             shared.store_down.set(false);
         }
         shared.reads_store.send_replace(reads);
         if reads {
             tokio::task::spawn_local(quarantine::load_held(shared.clone()));
-            // It answers only boxes that it knows.
+            // A reader answers only boxes that it knows.
             tokio::task::spawn_local(membership::refresh(shared.clone()));
         }
         log::event(
@@ -190,7 +193,8 @@
         }
     }
 
-    /// Whether this box, which no other one could inform, is to read the store.
+    /// Returns whether this box, which no other box could inform, is to read the store
+    /// itself.
     fn may_read_directly(&self, lack: PollFailure) -> bool {
         let shared = &self.shared;
         if let Some(age) = shared.freshness.borrow().age(shared.now()) {
@@ -210,8 +214,8 @@
         asking.is_some_and(|time| time >= self.random_delay(patience..patience * 2))
     }
 
-    /// Reads the store; returns when to do so again if no box can inform this
-    /// one until then.
+    /// Reads the store; returns when to do so again if no box can inform this one until
+    /// then.
     async fn read_directly(&self) -> Duration {
         let shared = &self.shared;
         let age = shared.freshness.borrow().age(shared.now());
@@ -222,7 +226,7 @@
             json!({"age_ms": age.map(|a| a.as_millis() as u64)}),
         );
         match self.read_all().await {
-            // What is known grows old as before, and is read again then.
+            // The data ages as before, and the age triggers the next read.
             Ok(()) if shared.is_synced() => return shared.now(),
             Ok(()) => {}
             Err(fault) => self.note_store_failure("read alone", &fault),
@@ -252,8 +256,8 @@
         }
     }
 
-    /// Asks a box that knows something new at once. In a large fleet each box goes by
-    /// its own hub, which soon knows the same: all together would ask the first.
+    /// Polls a box with new data at once. In a large fleet each box waits for its own
+    /// hub, which soon has the same data: otherwise all boxes would poll the first one.
     fn handle_news(&self, from: BoxId) {
         let is_own = match self.shared.role() {
             Role::Leaf(hub) => hub == from,
@@ -264,8 +268,8 @@
         }
     }
 
-    /// Takes an answer in. One to a question that this box did not ask, or that
-    /// was answered before, is dropped.
+    /// Handles an answer. An answer to a query that this box did not send, or that was
+    /// answered before, is dropped.
     async fn handle_answer(&self, peers: &Rc<Peers>, answer: Answer, fetched: Option<Duration>) {
         let closed = self.asker.borrow_mut().close_query(answer.id, &answer.from);
         let Some(asked) = fetched.or(closed) else {
@@ -290,7 +294,7 @@
             self.shared.set_fleet_size(answer.boxes);
         }
         match answer.body {
-            // A packed answer was unpacked when it was fetched.
+            // A compressed answer was decompressed when it was fetched.
             AnswerBody::Empty { .. } | AnswerBody::Compressed { .. } => {}
             AnswerBody::Update { age, update } => {
                 self.apply_update(&answer.from, asked, age, update).await
@@ -307,8 +311,8 @@
         }
     }
 
-    /// Takes over what another box knows, as of the moment that its answer
-    /// proves.
+    /// Applies an update of another box, as of the time for which its answer confirms the
+    /// data.
     async fn apply_update(
         &self,
         from: &BoxId,
@@ -331,10 +335,10 @@
         let (sure, whole) = (update.removals_certain, update.is_full);
         let era = revision::era(update.up_to);
         let covered = shared.mirror.borrow().covered();
-        // A whole copy that is older than what is known here is not taken.
+        // A full copy that is older than the data here is not applied.
         let replaced = whole && update.up_to >= covered;
         if era < revision::era(covered) {
-            // It knows the store as it was before it came back.
+            // The sender's data is from before the store was restored.
             return;
         }
         shared.store.raise_era(era);
@@ -351,7 +355,7 @@
             self.note_copy_certainty(replaced, sure);
         }
         self.apply_changes(news, sure);
-        // Its own copy may lack what the other box believes by now.
+        // This box's copy may lack entries that the sender already accepts again.
         shared
             .removals_certain
             .set(sure && !self.restore.settling.get());
@@ -375,8 +379,9 @@
     }
 }
 
-/// Boxes that may give permits: in a small fleet all, else those that read when all are
-/// there, as they know every box and every box knows them.
+/// Returns the boxes that may issue permits: all in a small fleet, otherwise the readers
+/// that are selected when every box answers, as they know all boxes and all boxes know
+/// them.
 fn givers(me: &Member, fleet: &Fleet, now: Duration) -> Vec<BoxId> {
     if hub::is_full_mesh(fleet.box_count) {
         return fleet.candidates.iter().map(|m| m.id.clone()).collect();
--- a/crates/ashgauged/src/relay/follow/revision_check.rs
+++ b/crates/ashgauged/src/relay/follow/revision_check.rs
@@ -1,5 +1,5 @@
-//! Proofs: plain reads of the store's revision, which show that all changes up
-//! to it are known.
+//! Freshness checks: plain reads of the store's revision, which confirm that all changes
+//! up to it are known.
 
 use std::rc::Rc;
 use std::time::Duration;
@@ -13,22 +13,22 @@
 use super::super::{log, membership, placer, quarantine};
 use super::StoreFollower;
 
-/// First pause after a call that failed; doubled up to [`MAX_RETRY_DELAY`].
+/// Initial delay after a failed call; it doubles up to [`MAX_RETRY_DELAY`].
 pub const MIN_RETRY_DELAY: Duration = Duration::from_millis(100);
 
-/// Longest pause after a call that failed: a store that is back is noticed
-/// within the users' bound on configurations (2 s) with time to spare.
+/// Longest delay after a failed call: a recovered store is noticed within the users'
+/// bound on configurations (2 s) with time to spare.
 const MAX_RETRY_DELAY: Duration = Duration::from_millis(500);
 
-/// The same while other boxes inform this one: refused calls are priced, too.
+/// Longest delay after a failed call while other boxes inform this one, as refused calls
+/// are billed too.
 const INFORMED_RETRY_DELAY: Duration = Duration::from_millis(2000);
 
-/// For the call of a watch that has gathered changes.
+/// Time allowed for the call of a watch whose batch delay has passed.
 const BATCH_MARGIN: Duration = Duration::from_millis(100);
 
 impl StoreFollower {
-    /// Proves again and again that what is known is still so, while this box
-    /// reads.
+    /// Checks freshness periodically while this box reads the store.
     pub(super) async fn confirm_loop(self: Rc<Self>) {
         let mut pause = MIN_RETRY_DELAY;
         loop {
@@ -44,7 +44,7 @@
             match confirmed {
                 Ok(()) => {
                     pause = MIN_RETRY_DELAY;
-                    // A watch that failed asks earlier.
+                    // A failed watch triggers the check earlier.
                     let rest = (began + self.proof_interval()).saturating_sub(self.shared.now());
                     let _ = timeout(rest, self.check_now.notified()).await;
                 }
@@ -74,14 +74,13 @@
         }
     }
 
-    /// Proves that all changes are known; if some are missing, reads everything
-    /// anew.
+    /// Confirms that all changes are known; if some are missing, reads everything again.
     pub(super) async fn confirm_once(&self) -> Result<(), StoreError> {
         let shared = &self.shared;
         let known = shared.is_synced();
         if self.failed_at.get().is_none() {
             if !known && !self.first_read.replace(true) {
-                // The watches' first reading is under way.
+                // The initial reads of the watches are in progress.
                 return Ok(());
             }
             if known && self.prove().await? {
@@ -90,12 +89,12 @@
         }
         self.read_config().await?;
         if shared.routing().version == 0 && self.failed_at.get().is_none() {
-            // Nothing can be served yet, and the watch brings the upstreams.
+            // Nothing can be served yet, and the watch delivers the upstreams.
             return Ok(());
         }
         let missed = self.read_upstreams().await?;
         if known && missed {
-            // A watch that did not bring this may hang on a silent connection.
+            // A watch that has not delivered this may hang on a dead connection.
             self.restart.notify_waiters();
             self.notify_pollers().await;
         }
@@ -103,8 +102,7 @@
         Ok(())
     }
 
-    /// Asks for the store's revision; returns whether all changes up to it are
-    /// known.
+    /// Reads the store's revision; returns whether all changes up to it are known.
     async fn prove(&self) -> Result<bool, StoreError> {
         let asked = self.shared.now();
         let at = config::revision(&self.shared.store).await;
@@ -116,12 +114,12 @@
         Ok(covered)
     }
 
-    /// Whether all changes up to a revision are known: those that watches
-    /// brought, and the boxes' own objects, which no watch brings and which are
-    /// read at a tenth.
+    /// Returns whether all changes up to a revision are known: those that watches
+    /// delivered, and the boxes' own objects. No watch covers the latter; they are read
+    /// by stale reads, which cost a tenth of a fresh one.
     async fn covers(&self, at: Revision) -> bool {
-        // The watch may be gathering what is missing. What was known before
-        // ages meanwhile, so there is time for one such wait.
+        // The watch may be delaying its call to batch the missing changes. The confirmed
+        // data ages meanwhile, so there is time for one such wait.
         let until = self.shared.now() + self.upstreams_batch_delay() + BATCH_MARGIN;
         loop {
             let changed = self.changed.notified();
@@ -157,7 +155,7 @@
                 let mut mirror = self.shared.mirror.borrow_mut();
                 revisions.into_iter().for_each(|r| mirror.mark_read(r));
             }
-            // Everything is read anew then.
+            // The caller then reads everything again.
             Err(fault) => {
                 let fields = json!({"fault": fault.to_string()});
                 log::event(Level::Debug, "store", "own objects not read", fields);
--- a/crates/ashgauged/src/relay/follow/store_restore.rs
+++ b/crates/ashgauged/src/relay/follow/store_restore.rs
@@ -1,4 +1,4 @@
-//! Returns of the store from a copy of an earlier state.
+//! Handles restores of the store from a copy of an earlier state.
 
 use std::cell::Cell;
 use std::rc::Rc;
@@ -12,40 +12,42 @@
 use super::super::log;
 use super::StoreFollower;
 
-/// How long after the store's return from a copy entries are not believed that had been
-/// removed before: what upstreams wrote is written again within [`RETURN_TIME`], and the
-/// platform drops those of silent ones after three heartbeats of some 1.2 s.
+/// How long after a restore entries are ignored that had been removed before it.
+/// Upstreams write their entries again within [`RESTORE_GRACE`](super::RESTORE_GRACE),
+/// and the platform removes those of silent upstreams after three heartbeats of about 1.2
+/// s.
 const SETTLE_TIME: Duration = Duration::from_secs(5);
 
-/// How old the store's cheap reads may be.
+/// Maximum age of the data that the store's stale reads return.
 const MAX_STALE_AGE: Duration = Duration::from_secs(15);
 
-/// Time since its start in which a box that reads the store asks the others as well, who
-/// answer once they have found it in the list.
+/// Time after its start in which a box that reads the store also polls the others, which
+/// answer once they have found it in the member list.
 const PEER_SYNC_TIME: Duration = Duration::from_secs(5);
 
-/// What is not sure since the store came back from a copy.
+/// What is uncertain since the store was restored from a copy.
 #[derive(Default)]
 pub struct RestoreState {
-    /// When a later era of the store was first heard of.
+    /// When a newer era of the store was first observed.
     era_at: Cell<Duration>,
-    /// Whether entries are passed over that had been removed before.
+    /// Whether entries that had been removed before the restore are ignored.
     pub settling: Cell<bool>,
-    /// Whether another box has informed this one; the store may hold less than others know.
+    /// Whether another box has sent its data to this one; the store may hold less than
+    /// other boxes know.
     pub peer_synced: Cell<bool>,
-    /// Whether the copy that this box was handed may lack entries.
+    /// Whether the full copy that this box received may lack entries.
     copy_uncertain: Cell<bool>,
-    /// Whether the whole copy is to be handed to it once more.
+    /// Whether this box must request the full copy again.
     pub needs_copy: Cell<bool>,
 }
 
 impl StoreFollower {
-    /// Acts on returns of the store from a copy: what it lost may be missing for a moment,
-    /// and its old watches bring nothing.
+    /// Reacts to restores of the store: entries that it lost may be missing for a moment,
+    /// and watches from before the restore deliver nothing.
     pub(super) async fn follow_restores(self: Rc<Self>) {
         let mut eras = self.shared.store.subscribe_era();
         let mut before = *eras.borrow_and_update();
-        // The store's client lives as long as the desk.
+        // The store client lives as long as the shared state.
         while eras.changed().await.is_ok() {
             let era = *eras.borrow_and_update();
             self.shared.metrics.store_era.set(era as i64);
@@ -65,7 +67,8 @@
         }
     }
 
-    /// Believes what the store holds once everybody has had the time to write again.
+    /// Accepts the store's content once every upstream has had the time to write its
+    /// entry again.
     async fn settle(self: Rc<Self>, era: Era) {
         sleep(SETTLE_TIME).await;
         if *self.shared.store.subscribe_era().borrow() != era {
@@ -75,13 +78,14 @@
         if passed_over {
             self.reread_entries().await;
         }
-        // Boxes that ask take a copy that is sure for the last one.
+        // A copy marked as certain is the last one that polling boxes request.
         self.restore.settling.set(false);
         self.update_certainty();
         self.notify_pollers().await;
     }
 
-    /// Reads the entries again, or has the whole copy handed on once more.
+    /// Reads the entries again, or requests the full copy if this box does not read the
+    /// store.
     async fn reread_entries(&self) {
         if !*self.shared.reads_store.borrow() {
             self.restore.needs_copy.set(true);
@@ -92,15 +96,15 @@
         }
     }
 
-    /// Whether the store came back so short a while ago that cheap reads may be of the
-    /// time before.
+    /// Returns whether the last restore is so recent that stale reads may return data
+    /// from before it.
     pub(super) fn is_recent(&self) -> bool {
         let at = self.restore.era_at.get();
         !at.is_zero() && self.shared.now() < at + MAX_STALE_AGE
     }
 
-    /// Has the whole copy handed on once more, as one that was handed on while the store's
-    /// word was in doubt may lack entries.
+    /// Requests the full copy again once the data is certain, as a copy sent while the
+    /// store's content was uncertain may lack entries.
     pub(super) fn note_copy_certainty(&self, replaced: bool, sure: bool) {
         if replaced {
             self.restore.needs_copy.set(false);
@@ -110,8 +114,8 @@
         }
     }
 
-    /// Whether the other boxes know nothing that the store has lost, as far as this one
-    /// could ask them.
+    /// Returns whether the other boxes have no data that the store has lost, as far as
+    /// this box could poll them.
     pub(super) fn has_synced(&self) -> bool {
         let has_returned = *self.shared.store.subscribe_era().borrow() > 0;
         self.restore.peer_synced.get() || !has_returned || self.shared.uptime() >= PEER_SYNC_TIME
--- a/crates/ashgauged/src/relay/follow/watch.rs
+++ b/crates/ashgauged/src/relay/follow/watch.rs
@@ -1,4 +1,4 @@
-//! Watches of the store: the configuration and the upstreams, as they change.
+//! Watches the configuration and the upstreams in the store.
 
 use std::rc::Rc;
 use std::time::Duration;
@@ -10,21 +10,20 @@
 use super::revision_check::MIN_RETRY_DELAY;
 use super::{StoreFollower, advance_revision, log_announced, log_skipped, may_log_each};
 
-/// How long watches wait for the store's return before they try by
-/// themselves.
+/// How long watches wait for the store to recover before they retry on their own.
 const MAX_AWAY_WAIT: Duration = Duration::from_secs(5);
 
-/// Share of the operators' bounds for which changes are gathered after a watch
-/// brought some, so that those which come together cost one call. What is left
-/// is for the call itself and for requests on their way.
+/// Share of the operators' bounds for which further changes are batched after a watch has
+/// delivered some, so that simultaneous changes cost one call. The remainder is for the
+/// call itself and for requests in flight.
 const BATCH_SHARE: f64 = 0.35;
 
-/// The same where few boxes read for all: each call serves thirty boxes, and
-/// what it brings has a further way to go.
+/// Batching share where a few boxes read for all: each call serves thirty boxes, and its
+/// data takes another hop to reach them.
 const READER_BATCH_SHARE: f64 = 0.1;
 
-/// How long they are gathered before any engine holds layers: all entries are
-/// new then, and nothing can be served yet.
+/// Batch delay before any engine holds layers: all entries are new then, and nothing can
+/// be served yet.
 const INITIAL_BATCH_DELAY: Duration = Duration::from_millis(1200);
 
 impl StoreFollower {
@@ -68,7 +67,7 @@
         }
         self.changed.notify_waiters();
         if changed && first {
-            // A watch proves nothing.
+            // A watch does not confirm freshness.
             self.shared.update_synced();
             self.check_now.notify_one();
         }
@@ -104,7 +103,7 @@
         }
     }
 
-    /// Takes what a watch brought; a list that was read meanwhile is newer.
+    /// Applies changes from a watch, except those older than a list read meanwhile.
     fn apply_updates(&self, updates: Vec<UpstreamChange>) {
         let sure = !self.has_uncertain_removals();
         let has_lines = may_log_each(updates.len());
@@ -133,7 +132,7 @@
         self.changed.notify_waiters();
     }
 
-    /// Waits if a first reading failed.
+    /// Waits if an initial read failed.
     async fn wait_if_failed(&self, what: &str, read: Result<(), StoreError>) {
         if let Err(fault) = read {
             self.wait_after_failure(what, &fault).await;
@@ -144,8 +143,8 @@
         Duration::from_millis(self.shared.settings().timing.watch_ms)
     }
 
-    /// Runs a watch; `None` if the store came back meanwhile, or this box does
-    /// not read any more.
+    /// Runs a watch; returns `None` if the watches were restarted meanwhile or this box
+    /// stopped reading the store.
     async fn unless_restarted<T>(
         &self,
         watch: impl Future<Output = Result<T, StoreError>>,
@@ -187,8 +186,8 @@
         }
     }
 
-    /// Waits after a watch that failed. While the store is away only the
-    /// proofs go on calling it, as each call is priced, refused ones too.
+    /// Waits after a failed watch. While the store is unreachable only the freshness
+    /// checks keep calling it, as each call is billed, refused ones too.
     async fn wait_after_failure(&self, what: &str, fault: &StoreError) {
         self.note_store_failure(what, fault);
         if self.failed_at.get().is_none() {
--- a/crates/ashgauged/src/relay/mod.rs
+++ b/crates/ashgauged/src/relay/mod.rs
@@ -1,9 +1,9 @@
-//! A box that hands requests on whole.
+//! The relay: a box that forwards each request whole to an engine or a chain of engines.
 //!
-//! Where engines pass activations on among themselves, the box chooses the
-//! chain, copies the answer and repairs the chain; it does not drive each
-//! stage. Everything runs on one thread: a box has a fraction of a core, and
-//! decisions need no locks.
+//! Where engines pass activations among themselves, the box selects the chain, copies the
+//! response stream to the client and repairs the chain. It does not drive the single
+//! stages. All tasks run on one thread: a box has a fraction of a core, and decisions
+//! need no locks.
 
 mod body;
 mod capacity_wait;
@@ -63,29 +63,29 @@
 pub use settings::Settings;
 use shared_state::SharedState;
 
-/// How long callers may still be sent here after the box said that it is not
-/// ready: the balancer asks every second and believes the second no. Requests
-/// that come later, on kept connections, are refused.
+/// How long the load balancer may still send callers here after the box has reported that
+/// it is not ready. The balancer asks every second and removes the box after the second
+/// negative answer. Later requests, on kept-alive connections, are refused.
 const BALANCER_GRACE: Duration = Duration::from_millis(2600);
 
-/// How long there must be no request before the process ends, so that the
-/// last answer is out.
+/// How long no request may be in flight before the process exits, so that the last
+/// response has been written out.
 const IDLE_GRACE: Duration = Duration::from_millis(150);
 
-/// Time kept between the last answer and the kill.
+/// Time reserved between the last response and the moment at which the process is killed.
 const KILL_MARGIN: Duration = Duration::from_millis(700);
 
-/// Time between two looks whether the settings file has changed.
+/// Interval between checks whether the settings file has changed.
 const SETTINGS_POLL_INTERVAL: Duration = Duration::from_secs(2);
 
-/// Time between two looks whether the last request has ended.
+/// Interval between checks whether the last request has ended.
 const STOP_POLL_INTERVAL: Duration = Duration::from_millis(50);
 
-/// Runs the box until it is told to stop.
+/// Runs the box until it receives a signal to stop.
 ///
 /// # Errors
 ///
-/// Fails if the settings are wrong or an address cannot be bound.
+/// Fails if the settings are invalid or an address cannot be bound.
 pub fn run(path: &Path) -> Result<()> {
     let settings = Settings::load(path)?;
     log::start(&settings.log, &settings.id)?;
@@ -132,7 +132,8 @@
     Ok(())
 }
 
-/// Waits for the signal to stop; a hang-up reads the settings again.
+/// Waits for SIGTERM or SIGINT. Reloads the settings on SIGHUP and when the file has
+/// changed.
 async fn wait_for_stop(shared: &SharedState, path: &Path) -> Result<()> {
     let mut term = signal(SignalKind::terminate())?;
     let mut int = signal(SignalKind::interrupt())?;
@@ -153,7 +154,7 @@
     }
 }
 
-/// Puts changed settings in force, as far as that goes without a new start.
+/// Applies changed settings, as far as that is possible without a restart.
 fn reload(shared: &SharedState, path: &Path) {
     match Settings::load(path) {
         Ok(new) => {
@@ -170,12 +171,12 @@
     }
 }
 
-/// When the settings file was last changed, if that can be told.
+/// Returns the modification time of the settings file, if it can be read.
 fn modified_at(path: &Path) -> Option<SystemTime> {
     std::fs::metadata(path).ok()?.modified().ok()
 }
 
-/// Ends the requests under way, within the time that is left.
+/// Shuts down: lets the requests in flight finish within the time that is left.
 async fn stop(shared: &SharedState) {
     let began = Instant::now();
     shared.is_stopping.set(true);
--- a/crates/ashgauged/src/relay/state/budgets.rs
+++ b/crates/ashgauged/src/relay/state/budgets.rs
@@ -1,4 +1,4 @@
-//! The retries that a box may take.
+//! Retry budgets of a box.
 
 use std::cell::{Cell, RefCell};
 use std::collections::HashMap;
@@ -7,17 +7,17 @@
 use ashgauge::retry::{Allowance, Balance, SlidingBudget};
 use ashgauge::routing::ServiceId;
 
-/// The box's part of the fleet's retries, by service.
+/// This box's share of the fleet's retry allowance, by service.
 pub struct RetryBudgets {
     allowance: Cell<Allowance>,
-    /// Boxes that share it, once they are counted.
+    /// Boxes that share the allowance; `None` until they are counted.
     boxes: Cell<Option<u32>>,
     started: Duration,
     windows: RefCell<HashMap<ServiceId, SlidingBudget>>,
 }
 
 impl RetryBudgets {
-    /// Makes the budgets of a process that started at `started`.
+    /// Creates the budgets of a process that started at `started`.
     pub fn new(allowance: Allowance, started: Duration) -> Self {
         RetryBudgets {
             allowance: Cell::new(allowance),
@@ -27,7 +27,7 @@
         }
     }
 
-    /// Changes what the fleet allows.
+    /// Sets the retry allowance of the fleet.
     pub fn set_allowance(&self, now: Duration, allowance: Allowance) {
         self.allowance.set(allowance);
         for window in self.windows.borrow_mut().values_mut() {
@@ -35,7 +35,7 @@
         }
     }
 
-    /// Sets the number of boxes that share it.
+    /// Sets the number of boxes that share the allowance.
     pub fn set_boxes(&self, boxes: u32) {
         self.boxes.set(Some(boxes));
         for window in self.windows.borrow_mut().values_mut() {
@@ -43,24 +43,24 @@
         }
     }
 
-    /// Notes the first try of a request.
+    /// Credits the budget of a service with the first attempt of a request.
     pub fn earn(&self, now: Duration, service: &ServiceId) {
         self.with(service, |window| window.deposit(now));
     }
 
-    /// What there is of each service's retries.
+    /// Returns the retry balance of each service.
     pub fn balances(&self, now: Duration) -> Vec<(ServiceId, Balance)> {
         let mut windows = self.windows.borrow_mut();
         let balances = windows.iter_mut().map(|(s, w)| (s.clone(), w.balance(now)));
         balances.collect()
     }
 
-    /// Boxes that share what is allowed besides, once they are counted.
+    /// Returns the number of boxes that share the extra retries, once they are counted.
     pub fn boxes(&self) -> Option<u32> {
         self.boxes.get()
     }
 
-    /// Uses the window of a service.
+    /// Calls `of` with the budget of a service, which is created if it is missing.
     pub fn with<T>(&self, service: &ServiceId, of: impl FnOnce(&mut SlidingBudget) -> T) -> T {
         let mut windows = self.windows.borrow_mut();
         let window = windows.entry(service.clone());
--- a/crates/ashgauged/src/relay/state/clock.rs
+++ b/crates/ashgauged/src/relay/state/clock.rs
@@ -1,4 +1,4 @@
-//! The box's clock, which counts the time for which the machine is suspended.
+//! The clock of the box, which includes the time for which the machine is suspended.
 
 use std::time::Duration;
 
@@ -6,16 +6,16 @@
 use tokio::sync::watch;
 use tokio::time::sleep;
 
-/// A clock that goes on while the machine is suspended.
+/// A clock that keeps running while the machine is suspended.
 pub struct Clock {
     read: fn() -> Duration,
     start: Duration,
-    /// Tells that the machine was suspended.
+    /// Notifies waiters that the machine was suspended.
     resumed: watch::Sender<u64>,
 }
 
 impl Clock {
-    /// Starts at zero, going by `read`.
+    /// Creates a clock that starts at zero and takes its time from `read`.
     pub fn new(read: fn() -> Duration) -> Self {
         Clock {
             read,
@@ -24,22 +24,23 @@
         }
     }
 
-    /// Time since the clock was made.
+    /// Returns the time since the clock was created.
     pub fn elapsed(&self) -> Duration {
         (self.read)().saturating_sub(self.start)
     }
 
-    /// Hears of each time after which the machine goes on.
+    /// Returns a receiver that changes each time the machine resumes from suspension.
     pub fn resumptions(&self) -> watch::Receiver<u64> {
         self.resumed.subscribe()
     }
 
-    /// Lets everything that waits look at its time anew.
+    /// Wakes all waiters, so that they check their deadlines again.
     pub fn notify_resumed(&self) {
         self.resumed.send_modify(|n| *n += 1);
     }
 
-    /// Waits for `work`, for `limit` by this clock at most; `None` if that is over.
+    /// Waits for `work`, for at most `limit` by this clock; returns `None` once the limit
+    /// has passed.
     pub async fn within<T>(&self, limit: Duration, work: impl Future<Output = T>) -> Option<T> {
         let until = self.elapsed().saturating_add(limit);
         let mut woken = self.resumptions();
@@ -60,11 +61,11 @@
     }
 }
 
-/// Time since the machine started, suspended or not.
+/// Returns the time since the machine booted, including suspensions.
 pub fn boot_time() -> Duration {
     match clock_gettime(ClockId::CLOCK_BOOTTIME) {
         Ok(time) => time.into(),
-        // A kernel without that clock suspends nothing that this process sees.
+        // On a kernel without that clock this process cannot observe a suspension.
         Err(_) => monotonic_time(),
     }
 }
--- a/crates/ashgauged/src/relay/state/gates.rs
+++ b/crates/ashgauged/src/relay/state/gates.rs
@@ -1,4 +1,4 @@
-//! What a box knows of how much is asked of its services, and who is let in.
+//! Demand and admission state of the services.
 
 use std::cell::{Cell, RefCell};
 use std::collections::{BTreeMap, HashMap};
@@ -12,41 +12,41 @@
 use ashgauge::report::{ChangeReporter, LevelInputs};
 use ashgauge::routing::ServiceId;
 
-/// Demand and admission, by service.
+/// Demand and admission state, by service.
 #[derive(Default)]
 pub struct AdmissionStates {
     services: RefCell<HashMap<ServiceId, ServiceAdmission>>,
-    /// When a line about a refused repair was last written.
+    /// When a refused repair was last logged.
     logged_at: Cell<Option<Duration>>,
 }
 
-/// Demand for one service, and who is let in.
+/// Demand and admission state of one service.
 #[derive(Default)]
 pub struct ServiceAdmission {
-    /// What this box's callers ask for.
+    /// Measures the demand of this box's callers.
     pub meter: DemandMeter,
-    /// Estimates demand and load now, from reports that are some time old.
+    /// Estimates the present demand and load from reports that are some time old.
     pub estimator: Estimator,
-    /// Who is let in.
+    /// Decides which requests are admitted.
     pub gate: AdmissionGate,
-    /// When the level was last reckoned.
+    /// When the admission level was last computed.
     pub level_at: Option<Duration>,
-    /// What the level was reckoned from; nothing while shedding is off.
+    /// Inputs from which the level was computed; `None` while shedding is off.
     pub basis: Option<LevelInputs>,
-    /// When changes of the level are logged.
+    /// Decides when changes of the level are logged.
     pub report: ChangeReporter,
     /// Requests of this box by class, since its start.
     pub counts: BTreeMap<Class, Counts>,
-    /// What is done for streams that are held up.
+    /// Budget for repairs, resends and checks of stalled streams.
     pub recovery_budget: RecoveryBudget,
 }
 
-/// Requests that were admitted or refused by the level.
+/// Number of requests that the level admitted and refused.
 #[derive(Clone, Copy, Debug, Default)]
 pub struct Counts {
-    /// Those that were let in.
+    /// Requests that were admitted.
     pub admitted: u64,
-    /// Those that were refused.
+    /// Requests that were refused.
     pub refused: u64,
 }
 
@@ -60,25 +60,26 @@
         }
     }
 
-    /// The class of the level in force.
+    /// Returns the class of the level in force.
     pub fn class(&self) -> Option<Class> {
         self.gate.level().map(|l| l.class)
     }
 }
 
 impl AdmissionStates {
-    /// Uses the state of a service.
+    /// Calls `of` with the state of a service, which is created if it is missing.
     pub fn with<T>(&self, service: &ServiceId, of: impl FnOnce(&mut ServiceAdmission) -> T) -> T {
         let mut services = self.services.borrow_mut();
         of(services.entry(service.clone()).or_default())
     }
 
-    /// Services that have a state.
+    /// Returns the services that have a state.
     pub fn names(&self) -> Vec<ServiceId> {
         self.services.borrow().keys().cloned().collect()
     }
 
-    /// Uses the states of the services whose level is reckoned, in the order of their names.
+    /// Calls `of` for each service whose level is computed, in the order of their names,
+    /// and returns the results.
     pub fn with_levels<T>(
         &self,
         of: impl Fn(&ServiceId, &ServiceAdmission, &LevelInputs) -> T,
@@ -91,7 +92,8 @@
         known.collect()
     }
 
-    /// Whether a line may be written, as none was within `every`.
+    /// Returns whether a refused repair may be logged, as none was within `every`; if so,
+    /// records `now`.
     pub fn may_log(&self, now: Duration, every: Duration) -> bool {
         let is_due = self.logged_at.get().is_none_or(|at| now >= at + every);
         if is_due {
@@ -100,7 +102,7 @@
         is_due
     }
 
-    /// What this box's callers ask of all services, and what ends.
+    /// Returns the demand of this box's callers on all services, and their completions.
     pub fn own_traffic(&self, now: Duration) -> Traffic {
         let mut services = self.services.borrow_mut();
         let own = services.values_mut().map(|s| s.meter.traffic(now));
--- a/crates/ashgauged/src/relay/state/mod.rs
+++ b/crates/ashgauged/src/relay/state/mod.rs
@@ -1,4 +1,5 @@
-//! What the desk holds and the tasks use. Nothing here knows the desk.
+//! Parts of the shared state of a box. Nothing here depends on
+//! [`SharedState`](super::shared_state::SharedState).
 
 mod budgets;
 mod clock;
--- a/crates/ashgauged/src/relay/state/permits.rs
+++ b/crates/ashgauged/src/relay/state/permits.rs
@@ -1,4 +1,4 @@
-//! What a box knows of limits that upstreams name, and of the permits for them.
+//! Rate limits that upstreams announce, and the permits to send to those upstreams.
 
 use std::cell::{OnceCell, RefCell};
 use std::collections::HashMap;
@@ -11,28 +11,29 @@
 use tokio::net::UdpSocket;
 use tokio::sync::oneshot;
 
-/// Limits and permits of one box.
+/// Rate limits and permits that one box knows.
 #[derive(Default)]
 pub struct Permits {
-    /// Limits that upstreams named.
+    /// Rate limits that upstreams announced.
     pub limits: RefCell<UpstreamLimits>,
-    /// What this box gave.
+    /// Permits that this box has issued.
     pub grants: RefCell<PermitBuckets>,
-    /// When refused callers come back.
+    /// When refused callers should retry.
     pub schedule: RefCell<RetrySchedule>,
-    /// Boxes that did not answer.
+    /// Boxes that did not answer permit requests.
     pub silent_boxes: RefCell<SkippedBoxes>,
-    /// Boxes that may give permits, as all boxes know them; none if this one hears no
-    /// others.
+    /// Boxes that may issue permits, as all boxes know them; empty if this box has no
+    /// messaging with others.
     pub givers: RefCell<Rc<Vec<BoxId>>>,
-    /// Asks that were not answered yet.
+    /// Permit requests that have not been answered yet.
     pub pending: RefCell<HashMap<PermitRequestId, oneshot::Sender<Verdict>>>,
-    /// The socket by which the boxes hear each other.
+    /// The socket for messages between boxes.
     pub socket: OnceCell<Rc<UdpSocket>>,
 }
 
 impl Permits {
-    /// Keeps who waits for the answer to an ask; those who have left wait no more.
+    /// Registers the sender for the answer to a permit request; drops senders whose
+    /// receivers are gone.
     pub fn await_answer(&self, id: PermitRequestId, answer: oneshot::Sender<Verdict>) {
         let mut open = self.pending.borrow_mut();
         open.retain(|_, waiting| !waiting.is_closed());
--- a/crates/ashgauged/src/relay/state/probes.rs
+++ b/crates/ashgauged/src/relay/state/probes.rs
@@ -1,4 +1,4 @@
-//! Probes of upstreams of the last moments, shared by all streams of the box.
+//! Recent probes of upstreams, shared by all streams of the box.
 
 use std::cell::RefCell;
 use std::collections::HashMap;
@@ -8,28 +8,28 @@
 use platform::engine::Report;
 use tokio::sync::OnceCell;
 
-/// Results kept before old ones are cleared.
+/// Number of results above which expired ones are removed.
 const MAX_KEPT: usize = 256;
 
-/// Results by address, each with when it was asked for.
+/// Results by address, each with the time at which the probe started.
 pub type ProbeCache<T> = RefCell<HashMap<String, (Duration, Rc<OnceCell<T>>)>>;
 
-/// Probes of the last moments, shared by all streams of the box.
+/// Recent probes of upstreams, shared by all streams of the box.
 #[derive(Default)]
 pub struct Probes {
-    /// Whether upstreams take connections.
+    /// Whether upstreams accept connections.
     pub reachable: ProbeCache<bool>,
-    /// What engines report of themselves.
+    /// Status reports of engines.
     pub reports: ProbeCache<Option<Rc<Report>>>,
 }
 
-/// Whether a question to an address is under way or was just answered.
+/// Returns whether a probe of an address is in progress or has just finished.
 pub fn is_cached<T>(cached: &ProbeCache<T>, now: Duration, addr: &str, shared: Duration) -> bool {
     let recent = cached.borrow();
     recent.get(addr).is_some_and(|(at, _)| now < *at + shared)
 }
 
-/// The question to an address that is under way or was just answered, else a
+/// Returns the probe of an address that is in progress or has just finished, or else a
 /// new one.
 pub fn cached_cell<T>(
     cached: &ProbeCache<T>,
