--- a/crates/ashgauged/src/relay/clock.rs
+++ b/crates/ashgauged/src/relay/clock.rs
@@ -1,8 +1,8 @@
-//! Looks for times in which the machine was suspended.
+//! Detects suspensions of the machine.
 //!
-//! What a box believes, and what it promised, grows old while its machine is suspended:
-//! withdrawn keys, proofs, deadlines, losses. The steady clock, by which timers go,
-//! stands still then, so timers are looked at anew after such a time.
+//! Data and promises age while the machine is suspended: revoked keys, freshness,
+//! deadlines, recorded losses. The monotonic clock, on which timers are based, stops
+//! during a suspension, so all waiters check their deadlines again afterwards.
 
 use std::rc::Rc;
 use std::time::{Duration, Instant};
@@ -15,12 +15,11 @@
 use super::log;
 use super::shared_state::SharedState;
 
-/// Time between two looks at the clocks: a request whose time was up meanwhile gets its
-/// last answer that much later, at four wake-ups a second.
+/// Interval between comparisons of the clocks. A request whose deadline passed during a
+/// suspension gets its final answer this much later; the cost is four wake-ups a second.
 const POLL_INTERVAL: Duration = Duration::from_millis(250);
 
-/// Looks for suspensions as long as the process runs, and lets everything that waits
-/// look at its time anew after one.
+/// Detects suspensions as long as the process runs, and wakes all waiters after each one.
 pub async fn watch_suspension(shared: Rc<SharedState>) {
     let began = Instant::now();
     let mut suspension = SuspensionDetector::new(began.elapsed(), shared.now());
--- a/crates/ashgauged/src/relay/dial.rs
+++ b/crates/ashgauged/src/relay/dial.rs
@@ -1,8 +1,8 @@
-//! One request over one new connection.
+//! Sends one request over one new connection.
 //!
-//! Connections to upstreams are not kept: an upstream may send more after its
-//! answer, and on a connection used again that would pass for the answer to
-//! the next request. A new connection costs a millisecond.
+//! Connections to upstreams are not reused: an upstream may send more data after its
+//! response, which on a reused connection would be taken for the response to the next
+//! request. A new connection costs a millisecond.
 
 use std::time::Duration;
 
@@ -16,16 +16,16 @@
 use tokio::task::JoinHandle;
 use tokio::time::timeout;
 
-/// An answer whose body is still on its way. Dropping it closes the
-/// connection, by which the upstream learns that nobody waits any more.
+/// A response whose body is still being received. Dropping it closes the connection, by
+/// which the upstream learns that nobody waits any more.
 pub struct OpenResponse {
-    /// Head and body of the answer.
+    /// Head and body of the response.
     pub response: Response<Incoming>,
-    /// Keeps the connection going.
+    /// Drives the connection.
     pub _connection: ConnectionTask,
 }
 
-/// The task of a connection; it ends when this is dropped.
+/// The task that drives a connection; it is aborted when this is dropped.
 pub struct ConnectionTask(JoinHandle<()>);
 
 impl Drop for ConnectionTask {
@@ -34,7 +34,7 @@
     }
 }
 
-/// A connection on which nothing was sent yet.
+/// A connection on which nothing has been sent yet.
 pub struct Connection {
     sender: http1::SendRequest<Full<Bytes>>,
     connection: ConnectionTask,
@@ -44,7 +44,7 @@
 ///
 /// # Errors
 ///
-/// Fails with [`Failure::NotSent`] if there is no connection after `limit`.
+/// Fails with [`Failure::NotSent`] if there is no connection within `limit`.
 pub async fn connect(addr: &str, limit: Duration) -> Result<Connection, Failure> {
     let not_sent = |cause: String| Failure::NotSent(cause);
     let stream = match timeout(limit, TcpStream::connect(addr)).await {
@@ -52,13 +52,13 @@
         Ok(Err(e)) => return Err(not_sent(e.to_string())),
         Err(_) => return Err(not_sent("no connection in time".into())),
     };
-    // Without it answers come later, and nothing else changes.
+    // Without it responses arrive later; nothing else changes.
     let _ = stream.set_nodelay(true);
     let (sender, connection) = http1::handshake(TokioIo::new(stream))
         .await
         .map_err(|e| not_sent(e.to_string()))?;
     let task = tokio::task::spawn_local(async move {
-        // The request's side sees the same error and tells it.
+        // The sender of the request gets the same error and reports it.
         let _ = connection.await;
     });
     Ok(Connection {
@@ -68,11 +68,12 @@
 }
 
 impl Connection {
-    /// Sends the request and waits for the head of its answer.
+    /// Sends the request and waits for the head of its response.
     ///
     /// # Errors
     ///
-    /// Fails with [`Failure::InstanceLoss`] if the request may have got out.
+    /// Fails with [`Failure::NotSent`] if no part of the request was sent, and with
+    /// [`Failure::Lost`] if it may have been.
     pub async fn send(mut self, request: Request<Full<Bytes>>) -> Result<OpenResponse, Failure> {
         match self.sender.try_send_request(request).await {
             Ok(response) => Ok(OpenResponse {
--- a/crates/ashgauged/src/relay/fetch.rs
+++ b/crates/ashgauged/src/relay/fetch.rs
@@ -1,4 +1,5 @@
-//! Connections over which other boxes fetch answers that are too large for a datagram.
+//! Server for connections over which other boxes fetch answers that are too large for a
+//! datagram.
 
 use ashgauge::query::{Answer, Query};
 use ashgauge::reader::MAX_READER_BOXES;
@@ -10,25 +11,25 @@
 use super::pack;
 use super::peers::FETCH_TOKEN_TTL;
 
-/// Longest question, in bytes.
+/// Maximum size of a query, in bytes.
 const MAX_QUERY_BYTES: usize = 1024;
 
-/// Connections that are open at once: of the boxes that a reader informs, and of
-/// those that turn to it as others have gone.
+/// Maximum number of open connections: from the boxes that a reader informs, and from
+/// those that switch to it when other readers fail.
 const MAX_CONNECTIONS: usize = 4 * MAX_READER_BOXES;
 
-/// Path at which answers are fetched.
+/// HTTP path at which answers are fetched.
 pub const ANSWER_PATH: &str = "/answer";
 
-/// A question that came over a connection.
+/// A query received over a connection.
 pub struct FetchRequest {
-    /// The question.
+    /// The query.
     pub question: Query,
-    /// Where its answer goes.
+    /// Channel for its answer.
     pub reply: oneshot::Sender<Option<Answer>>,
 }
 
-/// Serves connections of boxes that fetch answers.
+/// Serves the connections of boxes that fetch answers.
 pub async fn serve(listener: TcpListener, fetches: mpsc::Sender<FetchRequest>) {
     let (_keep, stop) = watch::channel(false);
     let limits = Limits {
--- a/crates/ashgauged/src/relay/load_reporter.rs
+++ b/crates/ashgauged/src/relay/load_reporter.rs
@@ -1,5 +1,5 @@
-//! Boxes tell each other their parts of the upstreams' loads, by datagrams. A
-//! word that is lost is made good by the next.
+//! Sends this box's share of the upstreams' loads to other boxes as datagrams. A lost
+//! load report is made up for by the next one.
 
 use std::collections::HashMap;
 use std::rc::Rc;
@@ -20,10 +20,10 @@
 use super::shared_state::{Peer, SharedState};
 use super::{permit, quarantine, shedding};
 
-/// Longest time without a word, so that the others know that this box is there.
+/// Longest time between load reports, so that the others know that this box is alive.
 const MAX_REPORT_INTERVAL: Duration = Duration::from_millis(500);
 
-/// Tells other boxes, as long as the process runs.
+/// Sends load reports to other boxes as long as the process runs.
 pub async fn broadcast(shared: Rc<SharedState>, peers: Rc<Peers>) {
     let boot = shared.rng().random();
     let mut teller = LoadReporter {
@@ -40,17 +40,17 @@
     }
 }
 
-/// What a box tells, and when it did last.
+/// Sends load reports, and keeps what was sent last and when.
 struct LoadReporter {
     shared: Rc<SharedState>,
     peers: Rc<Peers>,
     boot: u64,
     sequence: u64,
-    /// What boxes of the own data centre were told.
+    /// Last report to boxes in the same data centre.
     local: LastReport,
-    /// What boxes elsewhere were told.
+    /// Last report to boxes in other data centres.
     remote: LastReport,
-    /// When those below were told each of the words for them.
+    /// When a report of each scope was last sent to the leaves of this hub.
     leaf_times: HashMap<Scope, Duration>,
 }
 
@@ -86,7 +86,7 @@
         }
     }
 
-    /// Tells the boxes that are told the same, near ones more often.
+    /// Sends the same report to all peers, more often to those in the same data centre.
     async fn report_to_peers(
         &mut self,
         now: Duration,
@@ -119,7 +119,8 @@
         }
     }
 
-    /// Tells the boxes that hear of the others by this one what all have together.
+    /// Sends the load of all boxes to the leaves, which receive reports only from this
+    /// hub.
     async fn report_to_leaves(&mut self, now: Duration, own: LoadSum) {
         let told = |scope: &Scope| self.leaf_times.get(scope).copied().unwrap_or_default();
         let due =
@@ -175,7 +176,7 @@
         }
     }
 
-    /// Tells losses again, as a datagram may have been lost.
+    /// Sends the recorded losses again, as a datagram may have been lost.
     async fn send_losses(&self, audience: Audience, to: &[&Peer]) {
         let Some(report) = quarantine::encode_report(&self.shared, self.sequence, audience) else {
             return;
@@ -186,7 +187,7 @@
     }
 }
 
-/// What all boxes have together, by the data centre of the upstreams.
+/// Total load of all boxes, with the data centres of the upstreams.
 struct LoadTotals {
     total: LoadSum,
     data_centres: HashMap<UpstreamKey, Arc<str>>,
@@ -203,7 +204,7 @@
         }
     }
 
-    /// What is told to a box in a data centre.
+    /// Returns the part of the total that is reported to a box in a data centre.
     fn for_scope(&self, scope: Scope, place: &str) -> LoadSum {
         let is_told = |key| {
             let other = self.data_centres.get(&key);
@@ -218,7 +219,7 @@
     }
 }
 
-/// What some boxes were told last, and when.
+/// What was last reported to some boxes, and when.
 #[derive(Default)]
 struct LastReport {
     uses: UsageList,
@@ -227,7 +228,8 @@
 }
 
 impl LastReport {
-    /// Whether they are to be told again: after `time` if something changed.
+    /// Returns whether a new report is due: after `time` if something has changed,
+    /// otherwise after [`MAX_REPORT_INTERVAL`] if that is longer.
     fn is_due(
         &self,
         now: Duration,
@@ -247,7 +249,7 @@
     }
 }
 
-/// What this box has on the upstreams that it uses.
+/// Returns the load of this box on the upstreams that it uses.
 fn own_load(shared: &SharedState) -> LoadSum {
     let (registry, now) = (shared.registry.borrow(), shared.now());
     let uses = registry.iter().map(|e| (e, e.usage(now)));
--- a/crates/ashgauged/src/relay/membership.rs
+++ b/crates/ashgauged/src/relay/membership.rs
@@ -1,9 +1,9 @@
-//! Which boxes there are: whom this one may ask, and how many share the fleet's
+//! Fleet membership: which boxes this one may poll, and how many boxes share the fleet's
 //! budgets.
 //!
-//! The list of a large fleet has many pages. Its first one holds the boxes that read
-//! for the others, so that each box finds whom to ask by one call; those that read
-//! know all, as they answer only boxes that are listed.
+//! The member list of a large fleet has many pages. Its first page contains the boxes
+//! that read the store for the others, so that each box finds the boxes to poll with one
+//! call. Readers know all boxes, as they answer only listed ones.
 
 use std::net::SocketAddr;
 use std::rc::Rc;
@@ -21,63 +21,64 @@
 use super::log;
 use super::shared_state::{Peer, SharedState};
 
-/// Kind of the objects by which boxes count each other.
+/// Kind of the stored objects by which boxes register.
 const KIND: &str = "ashgauge-boxes";
 
-/// Longest pause after a call that failed, at random, so that boxes that start
-/// while the store is away do not call it together.
+/// Longest delay after a failed call; the delay is random, so that boxes that start while
+/// the store is unreachable do not call it at the same time.
 const MAX_RETRY_DELAY: Duration = Duration::from_millis(800);
 
-/// Time over which boxes announce themselves again, at random, so that those of a large
-/// fleet stay within the store's rate.
+/// Longest random delay before boxes register again, so that a large fleet stays within
+/// the store's rate limit.
 const MAX_RENEW_DELAY: Duration = Duration::from_millis(3000);
 
-/// Times from the first look to further ones, so that boxes that start together see
-/// each other; the cheap read is some seconds old. The first look, at once, serves
-/// a box that joins a fleet or was restarted.
+/// Delays from the first read of the list to further ones, so that boxes that start
+/// together find each other; the stale read returns data some seconds old. The first
+/// read, at once, serves a box that joins a fleet or was restarted.
 const DISCOVERY_TIMES: [Duration; 3] = [
     Duration::from_millis(1500),
     Duration::from_millis(3000),
     Duration::from_millis(5000),
 ];
 
-/// When most boxes of a fleet that starts for the first time are listed. Nobody is
-/// asked before, so looks before are in vain there.
+/// Delay after which most boxes of a fleet that starts for the first time are listed. No
+/// box is polled before, so earlier reads would be useless there.
 const FRESH_DISCOVERY_TIME: Duration = Duration::from_millis(3000);
 
-/// How much later boxes ask that are not readers. Readers answer only boxes that they
-/// know, and learn of most when they find that they are readers; those that started
-/// later find out later. A reader that was asked too early counts as silent, and the
-/// next box in rank reads the store in its place.
+/// Delay before boxes that are not readers start to poll. Readers answer only boxes that
+/// they know, and learn of most when they find that they are readers; those that started
+/// later find out later. A reader that is polled too early counts as silent, and the next
+/// box in rank reads the store in its place.
 const NON_READER_DELAY: Duration = Duration::from_millis(500);
 
-/// Time between two looks at the boxes.
+/// Interval between reads of the member list.
 const LIST_INTERVAL: Duration = Duration::from_secs(15);
 
-/// Looks for one of a box that knows only those that all know and asks some of them:
-/// when those fall silent it looks at once.
+/// A box that only knows the first page and polls some of those boxes reads the list in
+/// one of this many intervals; when they stop answering it reads the list at once.
 const LISTS_SKIPPED: u32 = 8;
 
-/// A box as it announces itself.
+/// A box as it registers in the store.
 #[derive(Debug, PartialEq, Serialize, Deserialize)]
 struct StoredBox {
-    /// Its name.
+    /// Name of the box.
     id: String,
-    /// Address on which it hears what others tell.
+    /// Address on which it receives messages of other boxes.
     #[serde(default)]
     peer: Option<SocketAddr>,
-    /// Its data centre.
+    /// Data centre of the box.
     #[serde(default)]
     data_centre: String,
-    /// What its link carries, in Mbit/s.
+    /// Bandwidth of its network link, in Mbit/s.
     #[serde(default)]
     link_mbps: u32,
 }
 
-/// Looks for the other boxes, announces this one to them and counts them as
-/// long as the process runs.
+/// Registers this box, discovers the other boxes and counts them as long as the process
+/// runs.
 ///
-/// Boxes that are gone for good stay counted, so the parts only shrink.
+/// Boxes that are gone for good remain counted, so the budget shares of the others only
+/// shrink.
 pub async fn follow_members(shared: Rc<SharedState>) {
     let own = StoredBox::of(&shared);
     let began = shared.now();
@@ -121,11 +122,11 @@
     }
 }
 
-/// Announces this box again each time the store came back from a copy, which may be from
-/// before it was announced.
+/// Registers this box again after each restore of the store, whose copy may be from
+/// before the registration.
 pub async fn reannounce(shared: Rc<SharedState>) {
     let mut eras = shared.store.subscribe_era();
-    // The store's client lives as long as the desk.
+    // The store client lives as long as the shared state.
     while eras.changed().await.is_ok() {
         let spread = shared.rng().random_range(Duration::ZERO..MAX_RENEW_DELAY);
         sleep(spread).await;
@@ -137,7 +138,7 @@
     }
 }
 
-/// This box, and what it knows of the fleet.
+/// Returns this box as a member, and the fleet as far as it is known.
 pub fn known_fleet(shared: &SharedState) -> (reader::Member, Fleet) {
     let settings = shared.settings();
     let own = reader::Member {
@@ -161,12 +162,13 @@
     (own, fleet)
 }
 
-/// Whether this box is to know all others: it reads for them, or they are few.
+/// Returns whether this box must know all others: it reads the store for them, or they
+/// are few.
 fn needs_all(shared: &SharedState) -> bool {
     *shared.reads_store.borrow() || !shared.peers_partial.get()
 }
 
-/// Lets this box ask others from now on, or read for them.
+/// Lets this box start to poll readers, or to read the store for the others.
 async fn finish_discovery(shared: &SharedState) {
     let (own, fleet) = known_fleet(shared);
     let readers = reader::choose(&own, &fleet, &Backoffs::default(), shared.now());
@@ -176,8 +178,8 @@
     shared.discovered_at.set(Some(shared.now()));
 }
 
-/// Looks for boxes until the store answers; returns how this box was last
-/// announced, if it was.
+/// Reads the member list until the store answers; returns this box's stored registration,
+/// if there is one.
 async fn first_list(shared: &SharedState) -> Option<StoredBox> {
     loop {
         match list_boxes(shared).await {
@@ -195,7 +197,7 @@
     sleep(time).await;
 }
 
-/// Writes this box's object, or corrects one that names another address.
+/// Creates this box's registration, or corrects one with another address.
 async fn announce(shared: &SharedState, member: &StoredBox) -> Result<(), StoreError> {
     let name = reader::listing_key(member.link_mbps, &member.id);
     let created = shared.store.create(KIND, &name, member).await;
@@ -216,33 +218,33 @@
     replaced
 }
 
-/// Revisions at which boxes announced themselves, as they were known some
-/// seconds ago; who is listed is taken in.
+/// Reads the member list, as it was some seconds ago, and adds its boxes; returns the
+/// revisions of the registrations.
 ///
 /// # Errors
 ///
-/// As every call of the store.
+/// Fails if the call to the store fails.
 pub async fn announce_revisions(shared: &SharedState) -> Result<Vec<Revision>, StoreError> {
     Ok(list_boxes(shared).await?.revisions)
 }
 
-/// Looks which boxes there are.
+/// Reads the member list and adds its boxes.
 pub async fn refresh(shared: Rc<SharedState>) {
     if let Err(fault) = list_boxes(&shared).await {
         log_fault("look", &fault);
     }
 }
 
-/// What a look at the boxes showed.
+/// Result of reading the member list.
 struct Listing {
-    /// How this box is announced, if it is.
+    /// The stored registration of this box, if there is one.
     own: Option<StoredBox>,
-    /// Revisions at which boxes announced themselves.
+    /// Revisions of the registrations.
     revisions: Vec<Revision>,
 }
 
-/// Reads which boxes there are: the first page of their list, and the rest of it if
-/// this box is to know all.
+/// Reads the member list: its first page, and the remaining ones if this box must know
+/// all boxes.
 async fn list_boxes(shared: &SharedState) -> Result<Listing, StoreError> {
     let head = shared.store.first_stale_page::<StoredBox>(KIND).await;
     shared.count_store_call("stale", &head);
@@ -268,8 +270,8 @@
         shared.count_store_call("stale", &rest);
         add_peers(shared, rest?, false, &mut seen);
     }
-    // An older state of the store may lack others as well if it lacks this box. The same
-    // count again is believed more than the first one at a start.
+    // If this box is missing from an older state of the store, others may be as well. An
+    // unchanged count is trusted more than the first one after a start.
     let count = seen.revisions.len() as u32;
     if reads_all && seen.own.is_some() && count >= shared.counted_boxes() {
         shared.set_fleet_size(count);
@@ -277,7 +279,7 @@
     Ok(seen)
 }
 
-/// Takes in boxes that are listed.
+/// Adds listed boxes to the peers.
 fn add_peers(
     shared: &SharedState,
     objects: Vec<Object<StoredBox>>,
@@ -308,14 +310,15 @@
     }
 }
 
-/// The proofs find out whether the store is away; here it only costs a count.
+/// The freshness checks detect an outage of the store; here a failure only leaves the
+/// count out of date.
 fn log_fault(call: &str, fault: &StoreError) {
     let fields = json!({"call": call, "fault": fault.to_string()});
     log::event(Level::Debug, "fleet", "not counted", fields);
 }
 
 impl StoredBox {
-    /// What this box announces.
+    /// Returns the registration of this box.
     fn of(shared: &SharedState) -> Self {
         StoredBox {
             id: shared.settings().id.clone(),
--- a/crates/ashgauged/src/relay/pack.rs
+++ b/crates/ashgauged/src/relay/pack.rs
@@ -1,4 +1,4 @@
-//! What boxes send each other, as bytes.
+//! Encodes the messages between boxes.
 
 use std::io::{Read, Write};
 
@@ -13,15 +13,17 @@
 
 use super::log;
 
-/// Most bytes that an update may take unpacked: many times what any fleet announces.
+/// Maximum size of a decompressed update, in bytes: many times the size of any fleet's
+/// data.
 const MAX_UNPACKED_BYTES: u64 = 32 << 20;
 
-/// Packs an update: what thousands of engines announce, as it is, is more than a box
-/// with a slow link can hand to thirty others within a second.
+/// Encodes and compresses an update. Without compression, the entries of thousands of
+/// engines are more than a box with a slow link can send to thirty others within a
+/// second.
 ///
 /// # Errors
 ///
-/// Fails if the update cannot be written; every update can.
+/// Fails if the update cannot be encoded, which does not happen in practice.
 pub fn pack(update: &Update) -> Result<Vec<u8>> {
     let plain = postcard::to_allocvec(update)?;
     let mut packer = DeflateEncoder::new(Vec::new(), Compression::fast());
@@ -29,11 +31,12 @@
     Ok(packer.finish()?)
 }
 
-/// Reads a packed update.
+/// Decodes a compressed update.
 ///
 /// # Errors
 ///
-/// Fails if it is none, or larger than any update can be.
+/// Fails if the bytes are not a valid update, or are larger than [`MAX_UNPACKED_BYTES`]
+/// when decompressed.
 pub fn unpack(bytes: &[u8]) -> Result<Update> {
     let mut plain = Vec::new();
     let unpacked = DeflateDecoder::new(bytes)
@@ -46,7 +49,7 @@
     Ok(postcard::from_bytes(&plain)?)
 }
 
-/// Writes a datagram; one that cannot be written is logged.
+/// Encodes a datagram; logs and returns `None` if that fails.
 pub fn encode(datagram: &impl Serialize) -> Option<Vec<u8>> {
     match postcard::to_allocvec(datagram) {
         Ok(bytes) => Some(bytes),
--- a/crates/ashgauged/src/relay/peers.rs
+++ b/crates/ashgauged/src/relay/peers.rs
@@ -1,9 +1,9 @@
-//! What boxes send each other: loads, questions and answers.
+//! Messaging between boxes: load reports, queries and answers.
 //!
-//! Datagrams carry what is small; an answer that is too large for one is
-//! fetched over a connection, with a ticket that only the asking box has. What
-//! cannot be read, or comes from an address that no box has announced, is
-//! dropped and counted.
+//! Small messages are datagrams. An answer that is too large for one is fetched over a
+//! connection, with a fetch token that only the querying box has. Datagrams that cannot
+//! be decoded, or come from an address that no box has registered, are dropped and
+//! counted.
 
 use std::cell::{Cell, RefCell};
 use std::collections::{HashMap, VecDeque};
@@ -33,81 +33,84 @@
 use super::shared_state::{LastQuery, SharedState};
 use super::{log, membership, pack, permit, quarantine, suspicion};
 
-/// Largest datagram that is read; a word on 860 engines takes 12 kB.
+/// Maximum size of a received datagram; a load report on 860 engines takes 12 kB.
 const MAX_DATAGRAM_BYTES: usize = 60_000;
 
-/// Largest answer that goes out as a datagram: what an Ethernet frame carries
-/// in one piece.
+/// Maximum size of an answer sent as a datagram: what an Ethernet frame carries without
+/// fragmentation.
 const MAX_ANSWER_BYTES: usize = 1400;
 
-/// Pause after the socket could not be read.
+/// Delay after a failed read from the socket.
 const READ_RETRY_DELAY: Duration = Duration::from_millis(500);
 
-/// Least time between two looks at the boxes because of a stranger's datagram.
+/// Minimum interval between reads of the member list that datagrams from unknown senders
+/// trigger.
 const MIN_REFRESH_INTERVAL: Duration = Duration::from_secs(1);
 
-/// Least time between two lines on boxes that ask by a later revision.
+/// Minimum interval between log entries on boxes that query with a later revision.
 const LATER_LOG_INTERVAL: Duration = Duration::from_secs(1);
 
-/// How long a box that asked is told of news: some rounds of questions.
+/// How long a box that sent a query is notified of changes: some polling rounds.
 const POLLER_TTL: Duration = Duration::from_secs(4);
 
-/// How long a ticket is good.
+/// How long a fetch token is valid.
 pub const FETCH_TOKEN_TTL: Duration = Duration::from_secs(3);
 
-/// Boxes that may fetch at one time: where a fleet starts, all turn to the first
-/// reader that knows something. The others ask the next one, or again.
+/// Maximum number of boxes that may fetch at the same time: when a fleet starts, all
+/// boxes turn to the first reader that has data. The rest poll the next reader, or the
+/// same one again.
 const MAX_FETCH_TOKENS: usize = MAX_READER_BOXES;
 
-/// Packed updates that are kept: boxes that start together lack the same, and those
-/// that go on lack what came with the last changes.
+/// Maximum number of cached compressed updates: boxes that start together need the same
+/// update, and running ones need the latest changes.
 const MAX_CACHED_UPDATES: usize = 4;
 
-/// Ports that are tried if the system chooses them.
+/// Number of ports that are tried if the system chooses the port.
 const MAX_BIND_TRIES: u32 = 32;
 
-/// Messages that may wait for the following task.
+/// Maximum number of messages queued for the polling task.
 const MAX_QUEUED_MESSAGES: usize = 256;
 
-/// What the other boxes said.
+/// A message from another box, for the polling task.
 #[derive(Debug)]
 pub enum PeerMessage {
-    /// An answer, and when its question went out if it was fetched.
+    /// An answer, and the time at which its query was sent if it was fetched.
     Answer(Answer, Option<Duration>),
     /// An answer could not be fetched from this box.
     FetchFailed(BoxId),
-    /// A box knows something new.
+    /// A box has new data.
     News(BoxId),
 }
 
-/// This box's way to the others.
+/// Messaging of this box with the others.
 pub struct Peers {
     shared: Rc<SharedState>,
     socket: Rc<UdpSocket>,
     messages: mpsc::Sender<PeerMessage>,
-    /// Until when each ticket is good.
+    /// Expiry time of each fetch token.
     tickets: RefCell<HashMap<FetchToken, Duration>>,
-    /// What was packed last, the latest last.
+    /// Cached compressed updates, the latest last.
     packed_updates: RefCell<VecDeque<PackedUpdate>>,
-    /// When it was last told that a box asks by a later revision.
+    /// When a query with a later revision was last logged.
     later_logged_at: Cell<Duration>,
 }
 
-/// A packed update, and what it was made for.
+/// A compressed update, and the state from which it was made.
 struct PackedUpdate {
-    /// Revision up to which its receivers know everything.
+    /// Revision up to which its receivers already know everything.
     after: Revision,
-    /// Revision up to which they do afterwards.
+    /// Revision up to which they know everything afterwards.
     until: Revision,
-    /// The mirror's edition that it holds.
+    /// Generation of the mirror from which it was made.
     edition: u64,
-    /// Whether entries that are gone are certainly gone.
+    /// Whether missing entries are certainly removed.
     sure: bool,
     bytes: Bytes,
 }
 
 impl Peers {
-    /// Starts to hear the other boxes, if the settings name an address for it.
+    /// Starts the messaging with the other boxes, if the settings contain an address for
+    /// it.
     ///
     /// # Errors
     ///
@@ -120,7 +123,7 @@
         };
         let (socket, listener) = bind(&addr).await?;
         let socket = Rc::new(socket);
-        // Boxes start to hear each other once.
+        // The messaging is started once.
         let _ = shared.permits.socket.set(socket.clone());
         shared.peer_addr.set(Some(socket.local_addr()?));
         let (heard, messages) = mpsc::channel(MAX_QUEUED_MESSAGES);
@@ -139,13 +142,13 @@
         Ok(Some((peers, messages)))
     }
 
-    /// Sends one datagram to a box. One that does not get out is made good by
-    /// the next.
+    /// Sends one datagram to a box. A failure is ignored; the next datagram makes up for
+    /// it.
     pub async fn send(&self, to: SocketAddr, bytes: &[u8]) {
         let _ = self.socket.send_to(bytes, to).await;
     }
 
-    /// Asks a box.
+    /// Sends a query to a box.
     pub async fn ask(&self, to: &BoxId, question: Query) {
         let addr = self.shared.peers.borrow().get(to).map(|p| p.addr);
         let bytes = pack::encode(&Datagram::Query(question));
@@ -165,7 +168,7 @@
                 PeerMessage::FetchFailed(to)
             }
         };
-        // The following task ends with the process only.
+        // The polling task runs until the process ends.
         let _ = self.messages.send(heard).await;
     }
 
@@ -193,7 +196,7 @@
         }
     }
 
-    /// Tells the boxes that asked lately that there is something new.
+    /// Notifies the boxes that recently sent queries that there is new data.
     pub async fn notify_pollers(&self) {
         let now = self.shared.now();
         let own: BoxId = self.shared.settings().id.as_str().into();
@@ -229,14 +232,14 @@
                 .inc();
             let now = self.shared.now();
             if result == DatagramResult::Stranger && now >= counted + MIN_REFRESH_INTERVAL {
-                // It may be a box that has just come.
+                // The sender may be a box that has just started.
                 counted = now;
                 tokio::task::spawn_local(membership::refresh(self.shared.clone()));
             }
         }
     }
 
-    /// Takes a datagram in; returns what became of it.
+    /// Handles a datagram; returns the result.
     async fn handle_datagram(&self, bytes: &[u8], addr: SocketAddr) -> DatagramResult {
         let Ok(datagram) = postcard::from_bytes::<Datagram>(bytes) else {
             return DatagramResult::Unreadable;
@@ -317,7 +320,7 @@
         }
     }
 
-    /// Writes a line if a box knows more than this one, once a second at most.
+    /// Logs that another box knows more than this one, at most once a second.
     fn log_later_revision(&self, question: &Query) {
         let (now, covered) = (self.shared.now(), self.shared.mirror.borrow().covered());
         if question.after <= covered || now < self.later_logged_at.get() + LATER_LOG_INTERVAL {
@@ -332,7 +335,7 @@
         log::event(Level::Info, "fleet", "asked by a later revision", fields);
     }
 
-    /// The datagram that answers a question: what this box knows, or how to fetch it.
+    /// Encodes the answer to a query: the data that this box has, or how to fetch it.
     fn encode_answer(&self, question: &Query) -> Option<Vec<u8>> {
         if self.cached_update(question.after).is_none() {
             let bytes = pack::encode(&Datagram::Answer(self.build_answer(question)))?;
@@ -345,8 +348,8 @@
         pack::encode(&Datagram::Answer(large))
     }
 
-    /// What a box that knows everything up to `after` lacks, if it was packed and
-    /// nothing has changed.
+    /// Returns the cached update for a box that knows everything up to `after`, if
+    /// nothing has changed since it was compressed.
     fn cached_update(&self, after: Revision) -> Option<Bytes> {
         let (mirror, sure) = (
             self.shared.mirror.borrow(),
@@ -359,7 +362,7 @@
         Some(known.bytes.clone())
     }
 
-    /// What a box that knows everything up to `after` lacks, packed.
+    /// Returns the compressed update for a box that knows everything up to `after`.
     fn pack_update(&self, after: Revision) -> Option<Bytes> {
         if let Some(bytes) = self.cached_update(after) {
             return Some(bytes);
@@ -390,7 +393,7 @@
         Some(bytes)
     }
 
-    /// What this box knows now, packed for a box that fetches it.
+    /// Builds the answer for a box that fetches it, with a compressed update.
     fn packed_answer(&self, question: &Query) -> Option<Answer> {
         let shared = &self.shared;
         let age = shared.freshness.borrow().age(shared.now());
@@ -404,8 +407,8 @@
         Some(self.answer_with(question, body))
     }
 
-    /// What this box knows now. The age counts to this moment, which is after
-    /// the question was asked.
+    /// Builds the answer with this box's present data. The age is as of now, which is
+    /// after the query was sent.
     fn build_answer(&self, question: &Query) -> Answer {
         let shared = &self.shared;
         let age = shared.freshness.borrow().age(shared.now());
@@ -457,31 +460,31 @@
         )
     }
 
-    /// Answers what comes over connections, to boxes that have a ticket.
+    /// Answers queries received over connections, from boxes with a valid fetch token.
     async fn serve_fetches(self: Rc<Self>, mut asked: mpsc::Receiver<FetchRequest>) {
         while let Some(FetchRequest { question, reply }) = asked.recv().await {
             let ticket = question.fetch_token;
             let until = ticket.and_then(|t| self.tickets.borrow_mut().remove(&t));
             let is_good = until.is_some_and(|until| self.shared.now() < until);
-            // Whoever asked may be gone.
+            // The requester may be gone.
             let answer = is_good.then(|| self.packed_answer(&question));
             let _ = reply.send(answer.flatten());
         }
     }
 }
 
-/// What became of a datagram.
+/// How a datagram was handled.
 #[derive(Clone, Copy, Debug, PartialEq)]
 enum DatagramResult {
-    /// It was taken in.
+    /// Its content was accepted.
     Accepted,
-    /// It was a question.
+    /// It was a query or a permit request.
     Question,
-    /// A later one was taken in before, or too many wait.
+    /// A later datagram was accepted before, or too many messages are queued.
     Late,
-    /// It is none of ours.
+    /// It could not be decoded.
     Unreadable,
-    /// It came from an address that its box has not announced.
+    /// It came from an address that its box has not registered.
     Stranger,
 }
 
@@ -497,8 +500,8 @@
     }
 }
 
-/// Binds the same port for datagrams and connections. If the system is to choose
-/// it, one that is free for datagrams may be taken for connections.
+/// Binds the same port for datagrams and connections. If the system chooses the port, one
+/// that is free for datagrams may be in use for connections, so other ports are tried.
 async fn bind(addr: &str) -> Result<(UdpSocket, TcpListener)> {
     let hint = || format!("cannot hear boxes on {addr}; free the port or set another");
     let mut tries = match addr.ends_with(":0") {
