--- a/crates/ashgauged/src/relay/levels.rs
+++ b/crates/ashgauged/src/relay/levels.rs
@@ -1,4 +1,4 @@
-//! What operators see of the levels by which streams are admitted: status, metrics, log.
+//! Reports the admission levels to operators: status, metrics and log.
 
 use std::collections::BTreeSet;
 use std::time::Duration;
@@ -15,50 +15,50 @@
 use super::shared_state::SharedState;
 use super::state::ServiceAdmission;
 
-/// Value of the level's gauge where all classes are admitted.
+/// Value of the level gauge when all classes are admitted.
 const ALL_ADMITTED: i64 = -1;
 
-/// The level of a service.
+/// Admission level of a service.
 #[derive(Serialize)]
 pub struct LevelStatus {
     service: String,
-    /// Class at which the allowance is used up; nothing if all are admitted.
+    /// Class at which the allowed rate is used up; `None` if all classes are admitted.
     class: Option<Class>,
-    /// Work a second that each team of this class may begin, in usual requests.
+    /// Work per second that each team of this class may start, in typical requests.
     team_rate: Option<f64>,
-    /// Time since that class last changed, in milliseconds.
+    /// Time since the class last changed, in milliseconds.
     since_ms: u64,
     #[serde(flatten)]
     cause: LevelCause,
-    /// Classes that are asked for, or were since the box started.
+    /// Classes with demand now or since the box started.
     classes: Vec<ClassStatus>,
 }
 
-/// What a level was computed from, in requests a second and shares.
+/// Inputs of a level, as requests per second and as shares.
 #[derive(Serialize)]
 struct LevelCause {
     asked: f64,
-    /// Nothing (`null`) if no bound is in use.
+    /// `null` if no bound is in use.
     allowed: f64,
     ends: f64,
-    /// Requests under way.
+    /// Requests in flight.
     requests: f64,
     memory: f64,
     slots: f64,
     boxes_heard: usize,
 }
 
-/// A priority class of a service.
+/// Demand and admission of one priority class of a service.
 #[derive(Serialize)]
 struct ClassStatus {
     class: Class,
-    /// Requests a second that all boxes are asked for.
+    /// Requests per second over all boxes.
     asked: f64,
     /// Which of them are admitted: `all`, `part` or `none`.
     admits: &'static str,
     /// Requests that this box admitted since its start.
     admitted: u64,
-    /// Requests that it refused.
+    /// Requests that this box refused since its start.
     refused: u64,
 }
 
@@ -76,7 +76,7 @@
     }
 }
 
-/// Levels of the services for which shedding is switched on.
+/// Returns the levels of the services for which shedding is enabled.
 pub fn status(shared: &SharedState) -> Vec<LevelStatus> {
     let (now, uptime) = (shared.now(), shared.uptime());
     shared.admissions.with_levels(|service, state, basis| {
@@ -117,7 +117,7 @@
     }
 }
 
-/// Sets the gauges to the service under the highest pressure.
+/// Sets the gauges to the values of the service under the highest pressure.
 pub fn set_gauges(shared: &SharedState) {
     let metrics = &shared.metrics;
     let levels = shared.admissions.with_levels(|_, state, basis| {
@@ -151,7 +151,7 @@
     };
     let mut fields = match &state.basis {
         Some(basis) => json!(LevelCause::new(basis)),
-        // Shedding was switched off.
+        // Shedding was disabled.
         None => json!({}),
     };
     fields["service"] = json!(&**service);
--- a/crates/ashgauged/src/relay/log.rs
+++ b/crates/ashgauged/src/relay/log.rs
@@ -1,7 +1,7 @@
-//! Logs: one line of JSON a decision on standard output.
+//! Logging: one JSON line per decision, on standard output.
 //!
-//! Lines go through a bounded queue to a thread of its own. When the queue is
-//! full, lines are dropped and counted; the box never waits for its log.
+//! A bounded queue passes the lines to a writer thread. When the queue is full, lines are
+//! dropped and counted; the box never waits for its log.
 
 use std::sync::atomic::{AtomicU64, Ordering};
 use std::sync::{Arc, OnceLock};
@@ -13,23 +13,23 @@
 use spdlog::sink::{AsyncPoolSink, OverflowPolicy, StdStream, StdStreamSink};
 use spdlog::{Level, LevelFilter, Logger, ThreadPool};
 
-/// Lines that may wait to be written.
+/// Number of lines that may wait to be written.
 const QUEUE_CAPACITY: usize = 1024;
 
-/// Time between two times that written lines are flushed.
+/// Interval between flushes of written lines.
 const FLUSH_INTERVAL: Duration = Duration::from_millis(500);
 
-/// Name of the box, which every line has.
+/// Name of the box, which is part of every line.
 static BOX_ID: OnceLock<String> = OnceLock::new();
 
-/// Lines that found the queue full.
+/// Number of lines dropped because the queue was full.
 static DROPPED: AtomicU64 = AtomicU64::new(0);
 
-/// Sets up the log of the whole process, which runs the box `id`.
+/// Sets up logging for the process, which runs the box `id`.
 ///
 /// # Errors
 ///
-/// Fails if the level is none, or the writing thread cannot be started.
+/// Fails if the level is unknown or the writer thread cannot be started.
 pub fn start(level: &str, id: &str) -> Result<()> {
     BOX_ID.get_or_init(|| id.into());
     let level = match level {
@@ -67,7 +67,7 @@
     Ok(())
 }
 
-/// Writes one line: what was decided, and from which inputs.
+/// Logs one decision and its inputs.
 pub fn event(level: Level, part: &str, what: &str, fields: Value) {
     let logger = spdlog::default_logger();
     if !logger.should_log(level) {
@@ -89,12 +89,12 @@
     spdlog::log!(level, "{}", Value::Object(line));
 }
 
-/// Lines that were dropped since the start.
+/// Returns the number of lines dropped since the start.
 pub fn dropped() -> u64 {
     DROPPED.load(Ordering::Relaxed)
 }
 
-/// Writes out what waits, before the process ends.
+/// Writes all queued lines; called before the process exits.
 pub fn flush() {
     spdlog::default_logger().flush();
 }
--- a/crates/ashgauged/src/relay/metrics.rs
+++ b/crates/ashgauged/src/relay/metrics.rs
@@ -1,86 +1,87 @@
-//! Figures for operators, in the text form of `prometheus`.
+//! Metrics for operators, in the Prometheus text format.
 
 use prometheus::{
     Encoder, GaugeVec, Histogram, HistogramOpts, IntCounter, IntCounterVec, IntGauge, Opts,
     Registry, TextEncoder,
 };
 
-/// Bounds of the latency histograms, in seconds: around the aims of routes.
+/// Bucket bounds of the latency histograms, in seconds, around the target latencies of
+/// routes.
 const LATENCY_BUCKETS: [f64; 12] = [
     0.01, 0.025, 0.05, 0.1, 0.2, 0.3, 0.5, 1.0, 2.0, 5.0, 10.0, 20.0,
 ];
 
-/// Bounds of the ratios of actual to forecast times: steps of the square root of 2 over
-/// the range that is learned.
+/// Bucket bounds of the ratios of actual to forecast times: steps of the square root of 2
+/// over the range of the calibration.
 const RATIO_BUCKETS: [f64; 9] = [0.25, 0.354, 0.5, 0.707, 1.0, 1.414, 2.0, 2.828, 4.0];
 
-/// Counters and histograms of one box.
+/// Counters, gauges and histograms of one box.
 pub struct Metrics {
     registry: Registry,
-    /// Requests by how they ended.
+    /// Requests, by how they ended.
     pub requests: IntCounterVec,
-    /// Sends to upstreams by outcome.
+    /// Sends to upstreams, by outcome.
     pub sends: IntCounterVec,
-    /// Retries that were asked for, by whether the budget had one left.
+    /// Retries requested from the budget, by whether it allowed them.
     pub retries: IntCounterVec,
-    /// Repairs, resends and checks under overload, by use and result.
+    /// Repairs, resends and checks under overload, by purpose and result.
     pub recovery: IntCounterVec,
-    /// Repairs of streams by kind.
+    /// Repairs of streams, by kind.
     pub repairs: IntCounterVec,
-    /// Calls to the store by kind and result.
+    /// Calls to the store, by kind and result.
     pub store_calls: IntCounterVec,
-    /// Orders to engines by reply.
+    /// Orders to engines, by reply.
     pub orders: IntCounterVec,
-    /// Datagrams of other boxes, by what became of them.
+    /// Datagrams received from other boxes, by how they were handled.
     pub datagrams: IntCounterVec,
-    /// Upstreams lost while they ran a request, by whether it had brought events.
+    /// Upstreams lost while they ran a request, by whether it had delivered events.
     pub lost_runs: IntCounterVec,
-    /// Answers by which upstreams wanted nothing from this box for some time.
+    /// Responses in which upstreams requested a backoff.
     pub backoffs: IntCounter,
-    /// Sends to upstreams within such times.
+    /// Sends to upstreams during a backoff that they requested.
     pub backoff_sends: IntCounter,
-    /// Permits that were asked for, by what came of it.
+    /// Permit requests, by result.
     pub permits: IntCounterVec,
-    /// Upstreams that name a limit.
+    /// Upstreams that announce a rate limit.
     pub limited_upstreams: IntGauge,
-    /// Sends to such upstreams.
+    /// Sends to upstreams that announce a rate limit.
     pub limited_sends: IntCounter,
-    /// Streams by whether the level admitted them.
+    /// Streams, by whether the level admitted them.
     pub admissions: IntCounterVec,
-    /// Classes that are admitted in full; -1 if all are.
+    /// Number of classes admitted in full; -1 if all are.
     pub level: IntGauge,
-    /// Use of the engines by bound, as shares.
+    /// Utilization of the engines by bound, as shares.
     pub pressure: GaugeVec,
     /// Upstreams that became suspect.
     pub suspects: IntCounter,
-    /// Engines that other boxes reported, by what came of it.
+    /// Engines that other boxes reported as suspect, by result.
     pub reported_suspects: IntCounterVec,
-    /// Time to the first byte of an answer.
+    /// Time to the first byte of a response.
     pub first_seconds: Histogram,
-    /// Time to the end of an answer.
+    /// Time to the end of a response.
     pub total_seconds: Histogram,
-    /// Time from a stream's last event before a repair to the next one.
+    /// Time from a stream's last event before a repair to its next event.
     pub repair_gap: Histogram,
     /// Actual times to first events, divided by their forecasts.
     pub forecast_ratio: Histogram,
     /// Version of the configuration in force.
     pub config_version: IntGauge,
-    /// How often the store has come back from a copy.
+    /// Number of restores of the store from a copy.
     pub store_era: IntGauge,
-    /// Requests that are held back, as they end upstreams.
+    /// Requests that are quarantined because upstreams fail while running them.
     pub held_requests: IntGauge,
-    /// Requests under way.
+    /// Requests in flight.
     pub inflight: IntGauge,
-    /// Lines of the log that were dropped.
+    /// Log lines that were dropped.
     pub dropped_lines: IntGauge,
 }
 
 impl Metrics {
-    /// Makes them, all zero.
+    /// Creates all metrics with the value zero.
     ///
     /// # Errors
     ///
-    /// Fails if two have one name.
+    /// Fails if two metrics have the same name.
     pub fn new() -> prometheus::Result<Self> {
         let registry = Registry::new();
         let labelled = |name: &str, help: &str, labels: &[&str]| {
@@ -175,7 +176,7 @@
         })
     }
 
-    /// Writes all of them as text.
+    /// Encodes all metrics in the text format.
     pub fn encode(&self) -> String {
         let mut out = Vec::new();
         let encoded = TextEncoder::new().encode(&self.registry.gather(), &mut out);
--- a/crates/ashgauged/src/relay/notice.rs
+++ b/crates/ashgauged/src/relay/notice.rs
@@ -1,4 +1,4 @@
-//! What upstreams say of themselves in their answers.
+//! Handles what upstreams announce about themselves in their responses.
 
 use std::time::Duration;
 
@@ -11,8 +11,8 @@
 use super::shared_state::SharedState;
 use super::{log, permit};
 
-/// Takes in what the head of an upstream's answer says of it, to a request that went out
-/// at `sent`.
+/// Applies what the response head of an upstream announces; the request was sent at
+/// `sent`.
 pub fn apply(shared: &SharedState, upstream: &str, sent: Duration, head: &response::Parts) {
     apply_limit(shared, upstream, sent, head);
     if engine::is_leaving(&head.headers) {
@@ -27,7 +27,7 @@
         }
     };
     let mut registry = shared.registry.borrow_mut();
-    // An engine behind the first one of a chain asks by way of that.
+    // A later engine of a chain sends its request for a backoff through the first one.
     let named = engine::engine_at_fault(&head.headers).and_then(|addr| registry.by_addr(addr));
     let named = named.map(|e| e.upstream.id.clone());
     let now = shared.now();
@@ -44,8 +44,8 @@
     log::event(Level::Info, "roster", "asks for rest", fields);
 }
 
-/// Notes what an upstream takes from all boxes together. A refusal or a failure that names
-/// nothing says nothing of that.
+/// Records the rate limit that an upstream announces for all boxes together. A refusal or
+/// failure without a limit says nothing about it.
 fn apply_limit(shared: &SharedState, upstream: &str, sent: Duration, head: &response::Parts) {
     let (now, mut limits) = (shared.now(), shared.permits.limits.borrow_mut());
     let rate = match engine::rate_limit(&head.headers) {
@@ -73,8 +73,9 @@
     }
 }
 
-/// Notes that an upstream's answer says that it leaves, so that nothing new goes there
-/// and streams are led away, also while the store is down or its entry comes late.
+/// Records that an upstream has announced in a response that it is leaving, so that no
+/// new requests go there and streams move away, even while the store is down or its entry
+/// is late.
 pub fn note_leaving(shared: &SharedState, upstream: &str) {
     if !shared
         .registry
@@ -92,8 +93,8 @@
     shared.notify_streams();
 }
 
-/// Counts a send to an upstream that names a limit, and notes one that wants nothing from
-/// this box, as when it asked for that while the connection came up.
+/// Counts a send to an upstream with a rate limit, and logs a send to an upstream in a
+/// backoff, which happens if the upstream requested it while the connection was set up.
 pub fn count_send(shared: &SharedState, upstream: &str, id: &str) {
     if shared.permits.limits.borrow().rate(upstream).is_some() {
         shared.metrics.limited_sends.inc();
--- a/crates/ashgauged/src/relay/permit.rs
+++ b/crates/ashgauged/src/relay/permit.rs
@@ -1,5 +1,5 @@
-//! Asks for permits to send to upstreams that name a limit, and gives them to other
-//! boxes.
+//! Requests permits to send to upstreams that announce a rate limit, and issues them to
+//! other boxes.
 
 use std::net::SocketAddr;
 use std::time::Duration;
@@ -20,14 +20,15 @@
 use super::shared_state::SharedState;
 use super::{log, pack};
 
-/// For a box's answer. It takes a millisecond or two, and longer on a box that has used up
-/// its share of a processor.
+/// Timeout for another box's answer. An answer takes a millisecond or two, and longer on
+/// a box that has used up its CPU quota.
 const REPLY_TIMEOUT: Duration = Duration::from_millis(40);
 
-/// Boxes that are asked for one permit.
+/// Maximum number of boxes that are asked for one permit.
 const MAX_ASKED_BOXES: u32 = 2;
 
-/// Takes a permit if the upstream needs one; without one it is left alone for a while.
+/// Acquires a permit if the upstream needs one; without a permit the upstream is blocked
+/// for a while and `false` is returned.
 pub async fn acquire(shared: &SharedState, id: &UpstreamId) -> bool {
     let key = load_report::upstream_key(id);
     let told = shared.permits.limits.borrow().report_of(shared.now(), key);
@@ -49,8 +50,9 @@
     false
 }
 
-/// Asks the box that gives permits for an upstream, which may be this one, and the next
-/// one if it does not answer; nothing if that doesn't either.
+/// Requests a permit from the box that issues them for an upstream, which may be this
+/// one, and from the next one if it does not answer; returns `None` if that one does not
+/// answer either.
 async fn request_permit(shared: &SharedState, told: LimitReport) -> Option<Verdict> {
     let mut silent = None;
     for _ in 0..MAX_ASKED_BOXES {
@@ -83,7 +85,7 @@
     )
 }
 
-/// Boxes that give permits for an upstream, the first first.
+/// Returns the boxes that issue permits for an upstream, in order of preference.
 fn issuers_of(shared: &SharedState, key: UpstreamKey) -> Vec<BoxId> {
     permit::issuer_order(key, &shared.permits.givers.borrow())
 }
@@ -107,7 +109,7 @@
             passed.clear(to);
             Some(verdict)
         }
-        // The sender is dropped by the answer only.
+        // The sender is only dropped once it has been used.
         Ok(Err(_)) | Err(_) => {
             passed.record_miss(shared.now(), to);
             None
@@ -115,7 +117,7 @@
     }
 }
 
-/// Answers another box that asks for a permit.
+/// Answers a permit request of another box.
 pub fn handle_ask(shared: &SharedState, ask: PermitRequest, addr: SocketAddr) {
     merge_limits(shared, &ask.from, &[ask.limit]);
     let key = ask.limit.key;
@@ -128,18 +130,18 @@
     send(shared, addr, &Datagram::Permit(reply));
 }
 
-/// Takes another box's answer.
+/// Handles another box's answer to a permit request.
 pub fn handle_reply(shared: &SharedState, reply: PermitReply) {
     if let Some(told) = reply.limit {
         merge_limits(shared, &reply.from, &[told]);
     }
     if let Some(waiting) = shared.permits.pending.borrow_mut().remove(&reply.id) {
-        // Whoever asked may have gone on without it.
+        // The requester may have timed out.
         let _ = waiting.send(reply.verdict);
     }
 }
 
-/// Takes what another box told of limits.
+/// Merges the rate limits that another box reported.
 pub fn merge_limits(shared: &SharedState, from: &BoxId, told: &[LimitReport]) {
     let news = shared.permits.limits.borrow_mut().merge(shared.now(), told);
     for key in &news {
@@ -156,21 +158,21 @@
     }
 }
 
-/// Keeps the figure of upstreams in need.
+/// Sets the gauge of upstreams with a rate limit.
 pub fn update_gauge(shared: &SharedState) {
     let count = shared.permits.limits.borrow().len();
     shared.metrics.limited_upstreams.set(count as i64);
 }
 
-/// Forgets what is too old to matter.
+/// Removes limits and grants that have expired.
 pub fn expire(shared: &SharedState) {
     let now = shared.now();
     shared.permits.limits.borrow_mut().expire(now);
     shared.permits.grants.borrow_mut().expire(now);
 }
 
-/// When a caller is to come back whom a service's upstreams in need cannot serve, if they
-/// are what stands in the way.
+/// Returns the time after which a caller should retry whom a service's rate-limited
+/// upstreams cannot serve, if the limits are the reason.
 pub fn retry_after(shared: &SharedState, service: &Service) -> Option<Duration> {
     let wait = limit_wait(shared, service)?;
     let rate = closed_rate(shared, &service.name)?;
@@ -180,14 +182,14 @@
     Some(schedule.retry_after(now, &service.name, wait, each))
 }
 
-/// How long until a service's upstreams take one more request, if that is what stands in
-/// the way.
+/// Returns the time until a service's upstreams accept one more request, if rate limits
+/// are the reason that they don't now.
 pub fn limit_wait(shared: &SharedState, service: &Service) -> Option<Duration> {
     closed_rate(shared, &service.name)?;
     shared.backoff_left(service)
 }
 
-/// Requests a second that the upstreams of a service take that are left alone for now.
+/// Returns the total rate limit of a service's blocked upstreams, in requests per second.
 fn closed_rate(shared: &SharedState, service: &ServiceId) -> Option<f64> {
     let (registry, limits) = (shared.registry.borrow(), shared.permits.limits.borrow());
     let closed = registry.of_service(service);
@@ -202,7 +204,7 @@
     grants.decide(shared.now(), &permits.limits.borrow(), key, place)
 }
 
-/// What this box is among those that may give permits for an upstream.
+/// Returns the rank of this box among those that may issue permits for an upstream.
 fn issuer_rank(shared: &SharedState, key: UpstreamKey) -> IssuerRank {
     let shares = shared.fleet_load.borrow();
     let hears = |id: &BoxId| shares.hears_from(id);
@@ -215,7 +217,7 @@
     all.find(|id| load_report::upstream_key(id) == key).cloned()
 }
 
-/// Sends one datagram; one that does not get out is taken for lost on its way.
+/// Sends one datagram; a failure is treated like a datagram lost on the network.
 fn send(shared: &SharedState, to: SocketAddr, datagram: &Datagram) {
     let Some(bytes) = pack::encode(datagram) else {
         return;
--- a/crates/ashgauged/src/relay/quarantine.rs
+++ b/crates/ashgauged/src/relay/quarantine.rs
@@ -1,5 +1,6 @@
-//! Holds requests back that end the upstreams that run them: tells the other boxes,
-//! and keeps the requests in the platform's store, as boxes keep nothing.
+//! Quarantines requests during which the upstreams that run them fail: reports them to
+//! the other boxes, and keeps their digests in the platform's store, as boxes have no
+//! storage.
 
 use std::rc::Rc;
 use std::time::{Duration, SystemTime, UNIX_EPOCH};
@@ -21,28 +22,27 @@
 use super::peers::Peers;
 use super::shared_state::SharedState;
 
-/// Kind of the objects that keep held requests, by digest.
+/// Kind of the stored objects for quarantined requests, which are named by digest.
 const KIND: &str = "ashgauge-quarantine";
 
-/// How long losses are gathered before they are told: those of one upstream are
+/// How long losses are collected before they are reported: those of one upstream are
 /// found within milliseconds of each other.
 const BATCH_DELAY: Duration = Duration::from_millis(10);
 
-/// First pause after a call to the store that failed; doubled up to
-/// [`MAX_RETRY_DELAY`].
+/// Initial delay after a failed call to the store; it doubles up to [`MAX_RETRY_DELAY`].
 const MIN_RETRY_DELAY: Duration = Duration::from_millis(500);
 
-/// Longest pause after a call that failed, as calls are priced.
+/// Longest delay after a failed call, as calls are billed.
 const MAX_RETRY_DELAY: Duration = Duration::from_secs(15);
 
-/// A held request as it is stored.
+/// A quarantined request as it is stored.
 #[derive(Debug, Serialize, Deserialize)]
 struct StoredHold {
-    /// Until when it is held back, in Unix seconds.
+    /// End of the quarantine, in Unix seconds.
     until_s: u64,
 }
 
-/// Notes that an upstream was lost under a request.
+/// Records that an upstream was lost while it ran a request.
 pub fn record_loss(shared: &Rc<SharedState>, lost: InstanceLoss) {
     let holds = shared
         .quarantine
@@ -55,7 +55,7 @@
     shared.loss_notify.notify_one();
 }
 
-/// Waits while a request may be held back by what is being looked into.
+/// Waits while checks in progress may lead to the quarantine of a request.
 pub async fn await_checks(shared: &SharedState, digest: Digest) {
     loop {
         let checked = shared.check_notify.notified();
@@ -66,7 +66,8 @@
     }
 }
 
-/// Takes what another box told; a hub hands it on to those that do not hear it.
+/// Merges a report of another box; a hub forwards it to the boxes that do not receive it
+/// from the sender.
 pub fn merge_report(shared: &SharedState, from: &str, report: &Report) {
     let now = shared.now();
     let news = shared.quarantine.borrow_mut().merge(now, report);
@@ -87,8 +88,8 @@
     }
 }
 
-/// Tells other boxes of losses as they are found, as long as the process runs;
-/// words that are told now and then make good what is lost of it.
+/// Reports losses to the other boxes as they are found, as long as the process runs. The
+/// load reporter repeats them periodically, which makes up for lost datagrams.
 pub async fn broadcast(shared: Rc<SharedState>, peers: Rc<Peers>) {
     loop {
         shared.loss_notify.notified().await;
@@ -108,7 +109,7 @@
     }
 }
 
-/// The datagram that tells an audience what this box knows, if it knows anything.
+/// Encodes the report for an audience; `None` if there is nothing to report.
 pub fn encode_report(shared: &SharedState, turn: u64, to: Audience) -> Option<Vec<u8>> {
     let report = shared.quarantine.borrow().report(shared.now(), turn, to);
     if report.is_empty() {
@@ -118,7 +119,7 @@
     pack::encode(&Datagram::Losses(from, report))
 }
 
-/// Reads the held requests from the store, until that succeeds.
+/// Reads the quarantined requests from the store, retrying until that succeeds.
 pub async fn load_held(shared: Rc<SharedState>) {
     let mut pause = MIN_RETRY_DELAY;
     loop {
@@ -133,12 +134,12 @@
     }
 }
 
-/// Revisions at which requests were put into the store, as they were known some
-/// seconds ago; what it holds is taken in.
+/// Reads the stored quarantined requests, as they were some seconds ago, and applies
+/// them; returns their revisions.
 ///
 /// # Errors
 ///
-/// As every call of the store.
+/// Fails if the call to the store fails.
 pub async fn hold_revisions(shared: &SharedState) -> Result<Vec<Revision>, StoreError> {
     let stored = shared.store.list_stale::<StoredHold>(KIND).await;
     shared.count_store_call("stale", &stored);
@@ -171,11 +172,11 @@
     }
 }
 
-/// Keeps what is held back again each time the store came back from a copy, which may not
-/// hold it. One of the boxes that read the store is enough; the others find it there.
+/// Stores the quarantined requests again after each restore of the store, whose copy may
+/// lack them. It is enough that one of the readers does so; the others find them there.
 pub async fn restore_held(shared: Rc<SharedState>) {
     let mut eras = shared.store.subscribe_era();
-    // The store's client lives as long as the desk.
+    // The store client lives as long as the shared state.
     while eras.changed().await.is_ok() {
         if !*shared.reads_store.borrow() {
             continue;
@@ -187,8 +188,8 @@
     }
 }
 
-/// Puts a held request into the store, for boxes that start later; tries until that
-/// is done or it is held back no longer.
+/// Stores a quarantined request for boxes that start later; retries until it is stored or
+/// the quarantine has ended.
 async fn persist(shared: Rc<SharedState>, digest: Digest) {
     let mut pause = MIN_RETRY_DELAY;
     loop {
@@ -219,7 +220,7 @@
         Err(StoreError::Conflict) => {}
         other => return other,
     }
-    // Another box kept it, or it was held back before.
+    // Another box has stored it, or it was quarantined before.
     let known = shared.store.get::<StoredHold>(KIND, &name).await;
     shared.count_store_call("get", &known);
     let known = known?;
@@ -232,8 +233,8 @@
     replaced
 }
 
-/// Time of day; holds last for an hour, so a clock that is off by seconds does not
-/// matter.
+/// Returns the Unix time. A quarantine lasts for an hour, so a clock that is off by
+/// seconds does not matter.
 fn unix_time() -> Duration {
     // A clock before 1970 is wrong in any case.
     let now = SystemTime::now().duration_since(UNIX_EPOCH);
--- a/crates/ashgauged/src/relay/retry.rs
+++ b/crates/ashgauged/src/relay/retry.rs
@@ -1,5 +1,4 @@
-//! Whether a request is sent again, and the lines that say why a retry was taken or
-//! refused.
+//! Decides whether a request is retried, and logs why a retry was allowed or refused.
 
 use ashgauge::attempts::{Attempts, Decision, SendOutcome};
 use serde_json::json;
@@ -7,7 +6,7 @@
 use super::request::AdmittedRequest;
 use super::shared_state::SharedState;
 
-/// Decides what follows after a send of a request that brought no good answer.
+/// Decides the next step after a send that brought no usable response.
 pub fn next_step(
     shared: &SharedState,
     a: &AdmittedRequest,
@@ -17,7 +16,7 @@
     handoff.decide(shared.now(), outcome, || take_retry(shared, a))
 }
 
-/// Takes one retry out of the service's budget; returns false if none is left.
+/// Withdraws one retry from the service's budget; returns false if none is left.
 fn take_retry(shared: &SharedState, a: &AdmittedRequest) -> bool {
     let (now, service) = (shared.now(), &a.service.name);
     let before = shared
--- a/crates/ashgauged/src/relay/settings.rs
+++ b/crates/ashgauged/src/relay/settings.rs
@@ -1,4 +1,4 @@
-//! Settings of a box that hands requests on whole.
+//! Settings of a relay box.
 
 use std::net::SocketAddr;
 use std::path::Path;
@@ -11,75 +11,76 @@
 use serde::Deserialize;
 use serde_json::Value;
 
-/// All settings. Times end in `_ms`. Unknown fields are errors, so that a
-/// misspelt one is not taken for its default.
+/// Settings of a box. Names of times end in their unit, `_ms` or `_s`. Unknown fields are
+/// errors, so that a misspelt field is not replaced by its default.
 #[derive(Clone, Debug, PartialEq, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct Settings {
     /// Name of the box, unique in the fleet.
     pub id: String,
-    /// Its data centre.
+    /// Data centre of the box.
     pub data_centre: String,
-    /// Address for callers.
+    /// Address on which callers are served.
     pub caller: String,
-    /// Address on which the balancer asks whether the box is ready.
+    /// Address for the readiness checks of the load balancer.
     pub ready: String,
-    /// Address for metrics, if they are wanted.
+    /// Address on which metrics are served, if they are wanted.
     #[serde(default)]
     pub metrics: Option<String>,
-    /// Address on which boxes tell each other their loads, by UDP; without it
-    /// each goes by its own.
+    /// Address for messages between boxes (UDP and TCP), such as load reports; without it
+    /// each box only knows its own load.
     #[serde(default)]
     pub peer: Option<String>,
     /// Address of the platform's store.
     pub store: String,
-    /// Whether the whole fleet starts for the first time, so that boxes find
-    /// each other before a few of them read the store for all.
+    /// Whether the whole fleet starts for the first time, so that boxes discover each
+    /// other before a few of them read the store for all.
     #[serde(default)]
     pub fresh_fleet: bool,
-    /// Boxes that read the store for the others; by the size of the fleet if it
-    /// is not given.
+    /// Number of boxes that read the store for the others; depends on the size of the
+    /// fleet if it is not set.
     #[serde(default)]
     pub readers: Option<usize>,
-    /// What the box's link carries, in Mbit/s: boxes with fast links read for the
-    /// others first.
+    /// Bandwidth of the box's network link, in Mbit/s: boxes with fast links are
+    /// preferred as readers.
     #[serde(default)]
     pub link_mbps: Option<f64>,
-    /// Whether every box reads the store for itself.
+    /// Whether every box reads the store itself.
     #[serde(default)]
     pub each_reads: bool,
-    /// Services whose streams are refused by their priority class under overload.
+    /// Services whose streams are refused by priority class under overload.
     #[serde(default)]
     pub shedding: Shedding,
-    /// Bounds that the operators set.
+    /// Bounds set by the operators.
     #[serde(default)]
     pub bounds: Bounds,
     /// Log level: error, warn, info or debug.
     #[serde(default = "default_log")]
     pub log: String,
-    /// Times that are the box's own choice.
+    /// Intervals and timeouts that are internal to the box.
     #[serde(default)]
     pub timing: Timing,
 }
 
-/// Services whose streams are refused by their priority class where callers ask for more
-/// than engines can do in time.
+/// Services whose streams are refused by priority class where callers ask for more than
+/// the engines can serve in time.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Deserialize)]
 #[serde(try_from = "Value")]
 pub enum Shedding {
-    /// Those to which routes of several ranks lead.
+    /// Services with routes of different priorities.
     #[default]
     Ranked,
-    /// All.
+    /// All services.
     All,
-    /// None.
+    /// No services.
     Off,
 }
 
 impl TryFrom<Value> for Shedding {
     type Error = String;
 
-    /// Reads the setting; an error names it, which that of a derived reader does not.
+    /// Parses the setting. The error names the setting, which that of a derived
+    /// implementation does not.
     fn try_from(value: Value) -> Result<Self, String> {
         match value.as_str() {
             Some("ranked") => Ok(Shedding::Ranked),
@@ -92,14 +93,14 @@
     }
 }
 
-/// Bounds that the operators set for the whole fleet. They may be fractions.
+/// Bounds that the operators set for the whole fleet. Fractions are allowed.
 #[derive(Clone, Debug, PartialEq, Deserialize)]
 #[serde(default, deny_unknown_fields)]
 pub struct Bounds {
-    /// Whether a withdrawn key may not be used past `revoke_ms` even by a box
-    /// that cannot know.
+    /// Whether a revoked key must not be used past `revoke_ms` even by a box that cannot
+    /// learn of the revocation.
     pub strict_keys: bool,
-    /// Longest use of a key after it was withdrawn.
+    /// Longest time for which a key may be used after it was revoked.
     pub revoke_ms: f64,
     /// Time within which boxes must know that an upstream is leaving.
     pub drain_ms: f64,
@@ -107,17 +108,17 @@
     pub apply_ms: f64,
     /// Time from the signal to stop until the process is killed.
     pub stop_s: f64,
-    /// Retries for each first try of a service, over the fleet.
+    /// Retries allowed per first attempt of a service, over the fleet.
     pub retry_share: f64,
-    /// Retries besides, over the fleet.
+    /// Retries allowed in addition, over the fleet.
     pub retry_extra: f64,
-    /// Window in which retries are counted.
+    /// Window over which retries are counted.
     pub retry_window_s: f64,
 }
 
 impl Default for Bounds {
-    /// What holds where the operators set nothing: the stricter of what today's
-    /// users set.
+    /// Returns the bounds that apply where the operators set nothing: the stricter ones
+    /// of what today's users set.
     fn default() -> Self {
         Bounds {
             strict_keys: true,
@@ -132,32 +133,33 @@
     }
 }
 
-/// Times that are the box's own choice.
+/// Intervals and timeouts that are internal to the box.
 #[derive(Clone, Debug, PartialEq, Deserialize)]
 #[serde(default, deny_unknown_fields)]
 pub struct Timing {
-    /// For an answer of the store; it takes 4 ms when it is well.
+    /// Timeout for a response of the store, which takes 4 ms when the store is healthy.
     pub store_ms: u64,
-    /// How long the store may hold a watch that has no news.
+    /// How long the store may keep a watch open that has no changes.
     pub watch_ms: u64,
-    /// Between two proofs that the configuration in force is known, where every
-    /// box asks the store for them.
+    /// Interval between freshness checks of the configuration where every box makes them
+    /// against the store.
     pub confirm_ms: u64,
-    /// The same where few ask for all: the others hear of it later.
+    /// Interval between freshness checks where a few boxes make them for all; the others
+    /// learn the result later.
     pub reader_ms: u64,
-    /// Between two questions of a box to one that reads.
+    /// Interval between the queries of a box to a reader.
     pub ask_ms: u64,
-    /// For another box's answer; it takes under 2 ms when both are well.
+    /// Timeout for another box's answer, which takes under 2 ms when both are healthy.
     pub answer_ms: u64,
-    /// For an answer that is fetched from a box over a connection.
+    /// Timeout for an answer that is fetched from a box over a connection.
     pub fetch_ms: u64,
-    /// For a new connection to an upstream, which takes under 2 ms when it is
-    /// well.
+    /// Timeout for a new connection to an upstream, which takes under 2 ms when the
+    /// upstream is healthy.
     pub connect_ms: u64,
-    /// Silence before a stream's first event after which its engines are
-    /// checked; half of the usual aim.
+    /// Silence before a stream's first event after which its engines are checked; half of
+    /// the usual target latency.
     pub first_ms: u64,
-    /// Least silence within a stream after which its engines are checked.
+    /// Minimum silence within a stream after which its engines are checked.
     pub silence_ms: u64,
 }
 
@@ -183,11 +185,12 @@
 }
 
 impl Settings {
-    /// Reads and checks a file.
+    /// Reads and validates a settings file.
     ///
     /// # Errors
     ///
-    /// Fails with the place of what is wrong and its remedy.
+    /// Fails if the file cannot be read or is invalid; the error names the faulty setting
+    /// and how to correct it.
     pub fn load(path: &Path) -> Result<Self> {
         let place = path.display();
         let text = std::fs::read_to_string(path)
@@ -199,7 +202,7 @@
         Ok(settings)
     }
 
-    /// One line for `--check`.
+    /// Returns a summary of the settings in one line, for `--check`.
     pub fn summary(&self) -> String {
         format!(
             "box {} in {}, callers {}, readiness {}, store {}",
@@ -207,9 +210,9 @@
         )
     }
 
-    /// Age of the configuration past which no key is believed any more.
+    /// Returns the age of the configuration above which no key is accepted any more.
     ///
-    /// A part of the bound is left for the way of the request to the upstream.
+    /// A part of the bound is reserved for the transfer of the request to the upstream.
     pub fn max_key_age(&self) -> Duration {
         match self.bounds.strict_keys {
             true => Duration::from_secs_f64(self.bounds.revoke_ms / 1e3 * KEY_SHARE),
@@ -217,8 +220,8 @@
         }
     }
 
-    /// Time between two proofs that the configuration in force is known; one
-    /// that gets no answer leaves time for another within the age of a key.
+    /// Returns the interval between freshness checks of the configuration. A check
+    /// without an answer leaves time for another one within the maximum key age.
     pub fn confirm_interval(&self) -> Duration {
         let spare = self.store_timeout() + CONFIRM_MARGIN;
         let most = self
@@ -228,9 +231,9 @@
         Duration::from_millis(self.timing.confirm_ms).min(most)
     }
 
-    /// The same where few boxes ask for all. What they know is heard a round of
-    /// questions later, so both times together stay below the bound on upstreams
-    /// that leave, also if the box that was asked has lost the store.
+    /// Returns the interval between freshness checks where a few boxes make them for all.
+    /// The others learn the result one polling round later, so both times together stay
+    /// below the bound on leaving upstreams, even if the polled box has lost the store.
     pub fn reader_interval(&self) -> Duration {
         let most = self.drain_bound().mul_f64(PROOF_SHARE);
         Duration::from_millis(self.timing.reader_ms)
@@ -238,7 +241,7 @@
             .min(self.confirm_interval())
     }
 
-    /// When a box asks those that read.
+    /// Returns the timing with which a box polls the readers.
     pub fn poll_pace(&self) -> PollTiming {
         let ms = Duration::from_millis;
         let every = self.drain_bound().mul_f64(ASK_SHARE);
@@ -250,7 +253,8 @@
         }
     }
 
-    /// Whether streams of a service for which these ranks compete are refused by class.
+    /// Returns whether streams of a service with routes of these priorities are refused
+    /// by class.
     pub fn sheds(&self, ranks: &Ranks) -> bool {
         match self.shedding {
             Shedding::Ranked => ranks.routes_differ(),
@@ -259,12 +263,12 @@
         }
     }
 
-    /// Whether boxes may learn from each other what a few of them read.
+    /// Returns whether boxes may get the store's data from a few readers.
     pub fn shares_reading(&self) -> bool {
         self.peer.is_some() && !self.each_reads
     }
 
-    /// What the box's link carries, in whole Mbit/s; 0 if it is not given.
+    /// Returns the bandwidth of the box's link, in whole Mbit/s; 0 if it is not set.
     pub fn link_mbps(&self) -> u32 {
         self.link_mbps.map_or(0, |mbps| mbps as u32)
     }
@@ -279,8 +283,8 @@
         Duration::from_secs_f64(self.bounds.apply_ms / 1e3)
     }
 
-    /// For an answer of the store; one that takes longer cannot prove anything
-    /// in time.
+    /// Returns the timeout for a response of the store; a later response cannot confirm
+    /// freshness in time.
     pub fn store_timeout(&self) -> Duration {
         Duration::from_millis(self.timing.store_ms).min(self.max_key_age() / 3)
     }
@@ -290,7 +294,7 @@
         Duration::from_secs_f64(self.bounds.stop_s)
     }
 
-    /// Retries that the fleet allows.
+    /// Returns the retry allowance of the fleet.
     pub fn retry_allowance(&self) -> Allowance {
         Allowance {
             window: Duration::from_secs_f64(self.bounds.retry_window_s),
@@ -360,28 +364,30 @@
     }
 }
 
-/// Share of the bound on upstreams that leave for one proof by a box that reads
-/// for others. With [`ASK_SHARE`] and [`STALE_SHARE`] 0.7 of the bound may pass
-/// until a box that asked one which has lost the store asks the next.
+/// Share of the bound on leaving upstreams that is allowed for one freshness check by a
+/// reader. With [`ASK_SHARE`] and [`STALE_SHARE`], 0.7 of the bound may pass until a box
+/// that polled a reader without access to the store polls the next one.
 const PROOF_SHARE: f64 = 0.3;
 
-/// The same for the pause between two questions.
+/// Share of the same bound for the interval between two queries.
 const ASK_SHARE: f64 = 0.25;
 
-/// The same for the wait of a proof until a watch brings what it lacks.
+/// Share of the same bound for the time that a freshness check waits until a watch
+/// delivers the missing changes.
 const STALE_SHARE: f64 = 0.15;
 
-/// Largest link that a setting may name, in Mbit/s.
+/// Maximum bandwidth that `link_mbps` may have, in Mbit/s.
 const MAX_LINK_MBPS: f64 = 1e6;
 
-/// Largest figure that a setting may have; a day in milliseconds.
+/// Maximum value of a numeric setting: a day in milliseconds.
 const MAX_TIME_MS: f64 = 86_400_000.0;
 
-/// Share of the bound on withdrawn keys that knowledge may age.
+/// Share of the bound on revoked keys that data may age.
 ///
-/// What is left covers the way from the check to the upstream: the bytes go out
-/// in the same turn of the loop, and a box that stood still checks again.
+/// The remainder covers the time from the check to the upstream: the bytes are sent in
+/// the same turn of the event loop, and a box that was suspended checks again.
 const KEY_SHARE: f64 = 0.9;
 
-/// For the pause after a proof without an answer, and for the next one.
+/// Time reserved for the delay after a freshness check without an answer, and for the
+/// next check.
 const CONFIRM_MARGIN: Duration = Duration::from_millis(300);
--- a/crates/ashgauged/src/relay/shedding.rs
+++ b/crates/ashgauged/src/relay/shedding.rs
@@ -1,4 +1,5 @@
-//! Who may begin where callers ask for more than the engines can do in time.
+//! Load shedding: decides which streams are admitted where callers ask for more than the
+//! engines can serve in time.
 
 use std::cell::Cell;
 use std::rc::Rc;
@@ -19,27 +20,30 @@
 use super::shared_state::SharedState;
 use super::state::ServiceAdmission;
 
-/// Time between two reckonings of a level: words of other boxes come no faster.
+/// Minimum interval between computations of a service's level: load reports of other
+/// boxes arrive no faster.
 const LEVEL_INTERVAL: Duration = Duration::from_millis(50);
 
-/// Time between two reckonings while no streams arrive: for operators, and for the
-/// account of streams that are held up, for which a pressure counts a little longer.
+/// Interval between computations while no streams arrive. They serve operators and the
+/// recovery budget for stalled streams, for which a pressure value stays valid only a
+/// little longer.
 const IDLE_LEVEL_INTERVAL: Duration = Duration::from_millis(300);
 
-/// Whether streams of a service are let in by the level.
+/// Returns whether the level decides on the admission of a service's streams.
 pub fn sheds_streams(shared: &SharedState, service: &Service) -> bool {
     let has_engines = service.model.as_ref().is_some_and(|m| m.layers > 0);
     has_engines && is_shedding_enabled(shared, &service.name)
 }
 
-/// Whether shedding is switched on for a service, by its routes' ranks and the setting.
+/// Returns whether shedding is enabled for a service, by the priorities of its routes and
+/// the setting.
 pub fn is_shedding_enabled(shared: &SharedState, service: &str) -> bool {
     let routing = shared.routing();
     let ranks = routing.priorities(service);
     ranks.is_some_and(|r| shared.settings().sheds(r))
 }
 
-/// The priority class of a request, if its service lets streams in by those.
+/// Returns the priority class of a request, if its service admits streams by class.
 pub fn class_of(shared: &SharedState, a: &AdmittedRequest) -> Option<Class> {
     if a.route.stream.is_none() || !sheds_streams(shared, &a.service) {
         return None;
@@ -48,8 +52,8 @@
     Some(Class::new(team, a.route.priority, a.is_retry()))
 }
 
-/// Notes a stream that wants to begin, and decides whether it may; if not, says when its
-/// caller is to come back.
+/// Records the demand of a new stream and decides whether it is admitted; if not, returns
+/// the time after which its caller should retry.
 pub fn admit(
     shared: &Rc<SharedState>,
     a: &mut AdmittedRequest,
@@ -83,7 +87,8 @@
     Err(retry_after(shared, a))
 }
 
-/// When the caller of a request that is refused for overload is to come back.
+/// Returns the time after which the caller of a request that is refused for overload
+/// should retry.
 pub fn retry_after(shared: &SharedState, a: &AdmittedRequest) -> Duration {
     let patience = a.client_request.timeout.unwrap_or(a.route.timeout);
     let draw = shared.rng().random_range(0.0..1.0);
@@ -115,7 +120,7 @@
         .with(&a.service.name, |s| s.meter.record(now, source, work));
 }
 
-/// Reckons the level anew, if it is old.
+/// Computes the level again if it is older than [`LEVEL_INTERVAL`].
 fn update_level(shared: &SharedState, service: &Service, model: &Model) {
     let now = shared.now();
     let is_due = shared.admissions.with(&service.name, |s| {
@@ -170,8 +175,9 @@
     )
 }
 
-/// Reckons levels also while no streams arrive, as long as the process runs, so that what
-/// operators see is not older than [`IDLE_LEVEL_INTERVAL`] and the end of a level is logged.
+/// Computes the levels also while no streams arrive, as long as the process runs, so that
+/// operators see data no older than [`IDLE_LEVEL_INTERVAL`] and the end of a level is
+/// logged.
 pub async fn update_levels(shared: Rc<SharedState>) {
     loop {
         sleep(IDLE_LEVEL_INTERVAL).await;
@@ -197,7 +203,7 @@
     }
 }
 
-/// Ends the level of a service for which shedding was switched off.
+/// Clears the level of a service for which shedding was disabled.
 fn clear_level(now: Duration, service: &ServiceId, state: &mut ServiceAdmission) {
     state.gate.set_level(now, None);
     state.estimator = Estimator::default();
@@ -205,7 +211,7 @@
     levels::log_change(now, service, state);
 }
 
-/// A stream that was let in; notes its end when it is dropped.
+/// An admitted stream; records its completion when it is dropped.
 pub struct Admission {
     shared: Rc<SharedState>,
     service: ServiceId,
@@ -213,7 +219,8 @@
 }
 
 impl Admission {
-    /// Notes that an engine runs the stream: one that none takes frees no room as it ends.
+    /// Records that an engine runs the stream. A stream that no engine accepted frees no
+    /// capacity when it ends.
     pub fn note_started(&self) {
         self.begun.set(true);
     }
--- a/crates/ashgauged/src/relay/status.rs
+++ b/crates/ashgauged/src/relay/status.rs
@@ -1,4 +1,4 @@
-//! A box's view of the fleet, for operators.
+//! Status of a box for operators: its view of the fleet.
 
 use std::collections::BTreeMap;
 use std::time::Duration;
@@ -14,76 +14,77 @@
 use super::levels::{self, LevelStatus};
 use super::shared_state::SharedState;
 
-/// What a box knows, and how old it is.
+/// Status document: the data that a box has, and how old it is.
 #[derive(Serialize)]
 struct Status {
     id: String,
     data_centre: String,
     ready: bool,
     config_version: u64,
-    /// Age of the last proof that this configuration is in force, in
-    /// milliseconds; nothing before the first.
+    /// Time since the configuration was last confirmed to be in force, in milliseconds;
+    /// `null` before the first confirmation.
     config_age_ms: Option<u64>,
     store_away: bool,
     /// Whether this box reads the store itself.
     reads: bool,
-    /// How often the store has come back from a copy.
+    /// Number of restores of the store from a copy.
     era: u64,
-    /// What it counts the last of the changes as up to which everything is known.
+    /// The store's revision, within the era, up to which all changes are known.
     revision: u64,
     boxes: u32,
-    /// Whom it tells its loads: every box, as a hub the other hubs and its boxes, or
-    /// this hub.
+    /// Recipients of its load reports: all boxes; for a hub, the other hubs and its
+    /// leaves; for a leaf, its hub.
     role: String,
     /// Boxes that read the store for the others.
     readers: Vec<String>,
-    /// Boxes that ask this one, by data centre.
+    /// Boxes that poll this one, by data centre.
     informs: Vec<Informed>,
-    /// Other boxes that told their loads a short while ago.
+    /// Number of other boxes whose load was reported recently.
     boxes_heard: usize,
     inflight: usize,
-    /// What the box has of the fleet's retries, by service.
+    /// This box's share of the fleet's retries, by service.
     retries: Vec<RetryStatus>,
-    /// Digests of requests that are held back, with the seconds that are left.
+    /// Digests of quarantined requests, each with the seconds that are left.
     held: Vec<(String, u64)>,
-    /// Requests under which upstreams were lost that are not held back.
+    /// Number of requests during which upstreams were lost and that are not quarantined.
     suspects: usize,
-    /// Upstreams that name a limit.
+    /// Upstreams that announce a rate limit.
     limits: Vec<LimitStatus>,
-    /// Levels of the services for which shedding is switched on.
+    /// Admission levels of the services for which shedding is enabled.
     levels: Vec<LevelStatus>,
     upstreams: Vec<UpstreamStatus>,
 }
 
-/// An upstream that names how many requests a second it takes from all boxes.
+/// An upstream that announces how many requests per second it accepts from all boxes.
 #[derive(Serialize)]
 struct LimitStatus {
     upstream: String,
     rate: f64,
-    /// Boxes that give permits for it, the first first.
+    /// Boxes that issue permits for it, in order of preference.
     givers: Vec<String>,
-    /// Permits that this box gave.
+    /// Number of permits that this box has issued.
     given: u64,
 }
 
-/// What the box has of the fleet's retries for one service in the present window.
+/// This box's share of the fleet's retries for one service in the present window.
 #[derive(Serialize)]
 struct RetryStatus {
     service: String,
     earned: f64,
     spent: f64,
-    /// Those that it may still take.
+    /// Retries that are left.
     left: f64,
 }
 
-/// Boxes of one data centre that ask this one.
+/// Boxes of one data centre that poll this one.
 #[derive(Default, Serialize)]
 struct Informed {
     data_centre: String,
     boxes: usize,
-    /// Those that knew everything when they asked last.
+    /// Boxes that knew everything when they last polled.
     current: usize,
-    /// Time since the one that has been silent longest asked, in milliseconds.
+    /// Time since the last query of the box that has been silent longest, in
+    /// milliseconds.
     oldest_ms: u64,
 }
 
@@ -94,23 +95,23 @@
     service: String,
     addr: String,
     data_centre: String,
-    /// First layer and layer after the last, if it holds any.
+    /// First layer and the layer after the last, if it holds any.
     layers: Option<(u32, u32)>,
     leaving: bool,
-    /// How much longer it wants nothing from this box, in milliseconds.
+    /// Time left of the backoff that it requested, in milliseconds.
     rest_ms: Option<u64>,
-    /// Requests a second that it takes from all boxes, if it names that.
+    /// Requests per second that it accepts from all boxes, if it announces a limit.
     limit: Option<f64>,
     suspect: bool,
-    /// Factor on the time of its work.
+    /// Factor by which it is slower than normal.
     slowness: f64,
-    /// Requests of this box on it.
+    /// Requests of this box in flight on it.
     inflight: u32,
-    /// Requests of the other boxes on it, as they told.
+    /// Requests of other boxes in flight on it, as they reported.
     others: u32,
-    /// Learned time of an answer, in milliseconds.
+    /// Estimated time to a response, in milliseconds.
     answer_ms: f64,
-    /// Learned share of requests that failed.
+    /// Estimated share of failed requests.
     failures: f64,
 }
 
@@ -176,7 +177,7 @@
     }
 }
 
-/// Writes the status as JSON.
+/// Encodes the status as JSON.
 pub fn encode(shared: &SharedState) -> String {
     let now = shared.now();
     let settings = shared.settings();
--- a/crates/ashgauged/src/relay/suspicion.rs
+++ b/crates/ashgauged/src/relay/suspicion.rs
@@ -1,4 +1,4 @@
-//! Notifies the other boxes of engines that accept no connections, and checks those that
+//! Reports engines that accept no connections to the other boxes, and checks those that
 //! they report.
 
 use std::collections::HashMap;
@@ -20,7 +20,7 @@
 use super::shared_state::{Peer, SharedState};
 use super::{log, pack, shedding};
 
-/// How long engines are gathered before the others are notified: those that are lost
+/// How long suspected engines are collected before they are reported: those that are lost
 /// together are found within milliseconds of each other.
 const BATCH_DELAY: Duration = Duration::from_millis(5);
 
@@ -29,11 +29,11 @@
     start: InstanceKey,
     id: UpstreamId,
     service: ServiceId,
-    /// Whether this box checks it: it has streams there and does not suspect it yet.
+    /// Whether this box checks it, as it has streams there and does not suspect it yet.
     is_used: bool,
 }
 
-/// Notes an engine that this box suspects, if its own connection failed a moment ago.
+/// Records an engine that this box suspects, if its own connection to it has just failed.
 pub fn note_suspect(shared: &SharedState, id: &str) {
     let registry = shared.registry.borrow();
     let Some(entry) = registry.get(id) else {
@@ -54,9 +54,10 @@
     }
 }
 
-/// Takes what another box reports: a hub forwards it to those that do not hear that box,
-/// and engines on which this one has streams are checked. The report itself makes none
-/// suspect, as its sender may be cut off from engines that others reach.
+/// Handles a report of another box: a hub forwards it to the boxes that do not receive it
+/// from the sender, and engines on which this box has streams are checked. The report
+/// alone makes no engine suspect, as its sender may be cut off from engines that others
+/// reach.
 pub fn handle_reports(shared: &Rc<SharedState>, from: &BoxId, starts: &[InstanceKey]) {
     let now = shared.now();
     let starts = &starts[..starts.len().min(MAX_SUSPECTS_SENT)];
@@ -80,7 +81,8 @@
     }
 }
 
-/// Checks an engine that another box reports, and suspects it if it accepts no connection.
+/// Checks an engine that another box reported, and marks it suspect if it accepts no
+/// connection.
 async fn check_reported(shared: Rc<SharedState>, from: BoxId, id: UpstreamId) {
     let found = probe::check_reported(&shared, &id).await;
     shared.suspicions.borrow_mut().end_check();
@@ -96,8 +98,8 @@
     }
 }
 
-/// Notifies the other boxes, as long as the process runs. What is lost of it is not sent
-/// again: boxes find lost engines by their own streams as well.
+/// Sends reports to the other boxes as long as the process runs. Lost datagrams are not
+/// sent again: boxes find lost engines through their own streams as well.
 pub async fn broadcast(shared: Rc<SharedState>, peers: Rc<Peers>) {
     loop {
         shared.suspect_notify.notified().await;
@@ -134,7 +136,8 @@
     }
 }
 
-/// Whom this box forwards a report to: a hub tells those that do not hear its sender.
+/// Returns the boxes to which this one forwards a report: a hub forwards to those that do
+/// not receive it from the sender.
 fn audience(shared: &SharedState, from: &BoxId) -> Option<Audience> {
     if shared.role() != Role::Hub {
         return None;
@@ -147,7 +150,7 @@
     })
 }
 
-/// The engines among some starts whose service lets streams in by their class.
+/// Returns the engines among the given instances whose service admits streams by class.
 fn find_reported(shared: &SharedState, starts: &[InstanceKey]) -> Vec<ReportedEngine> {
     let (now, registry) = (shared.now(), shared.registry.borrow());
     let mut services: HashMap<ServiceId, bool> = HashMap::new();
