--- a/crates/ashgauged/src/relay/clock.rs
+++ b/crates/ashgauged/src/relay/clock.rs
@@ -21,14 +21,14 @@
 
 /// Detects suspensions as long as the process runs, and wakes all waiters after each one.
 pub async fn watch_suspension(shared: Rc<SharedState>) {
-    let began = Instant::now();
-    let mut suspension = SuspensionDetector::new(began.elapsed(), shared.now());
+    let started = Instant::now();
+    let mut detector = SuspensionDetector::new(started.elapsed(), shared.now());
     loop {
         sleep(POLL_INTERVAL).await;
-        let Some(time) = suspension.check(began.elapsed(), shared.now()) else {
+        let Some(duration) = detector.check(started.elapsed(), shared.now()) else {
             continue;
         };
-        let fields = json!({"ms": time.as_millis() as u64});
+        let fields = json!({"ms": duration.as_millis() as u64});
         log::event(Level::Warn, "box", "was suspended", fields);
         shared.clock.notify_resumed();
         shared.notify_streams();
--- a/crates/ashgauged/src/relay/fetch.rs
+++ b/crates/ashgauged/src/relay/fetch.rs
@@ -24,14 +24,14 @@
 /// A query received over a connection.
 pub struct FetchRequest {
     /// The query.
-    pub question: Query,
+    pub query: Query,
     /// Channel for its answer.
     pub reply: oneshot::Sender<Option<Answer>>,
 }
 
 /// Serves the connections of boxes that fetch answers.
 pub async fn serve(listener: TcpListener, fetches: mpsc::Sender<FetchRequest>) {
-    let (_keep, stop) = watch::channel(false);
+    let (_stop_sender, stop) = watch::channel(false);
     let limits = Limits {
         connections: MAX_CONNECTIONS,
         ..Limits::default()
@@ -58,9 +58,9 @@
     body: &[u8],
     fetches: &mpsc::Sender<FetchRequest>,
 ) -> Result<Response<http::Body>, StatusCode> {
-    let question = postcard::from_bytes(body).map_err(|_| StatusCode::BAD_REQUEST)?;
+    let query = postcard::from_bytes(body).map_err(|_| StatusCode::BAD_REQUEST)?;
     let (reply, answer) = oneshot::channel();
-    let sent = fetches.send(FetchRequest { question, reply }).await;
+    let sent = fetches.send(FetchRequest { query, reply }).await;
     sent.map_err(|_| StatusCode::SERVICE_UNAVAILABLE)?;
     let answer = answer.await.ok().flatten().ok_or(StatusCode::FORBIDDEN)?;
     let bytes = pack::encode(&answer).ok_or(StatusCode::INTERNAL_SERVER_ERROR)?;
--- a/crates/ashgauged/src/relay/follow/mod.rs
+++ b/crates/ashgauged/src/relay/follow/mod.rs
@@ -43,7 +43,7 @@
     /// Messaging with the other boxes, if it is configured.
     peers: Option<Rc<Peers>>,
     /// Decides which reader this box polls next.
-    asker: RefCell<Poller>,
+    poller: RefCell<Poller>,
     /// Revision up to which the configuration is known; `None` before the first read and
     /// after the store has dropped the history since that revision.
     config_revision: Cell<Option<Revision>>,
@@ -55,7 +55,7 @@
     /// watches.
     first_read: Cell<bool>,
     /// Whether other boxes poll this one.
-    is_shared: Cell<bool>,
+    is_polled: Cell<bool>,
     /// When the readers were last selected.
     chosen_at: Cell<Duration>,
     /// Earliest time of the next refresh of the member list after polled boxes have not
@@ -78,16 +78,16 @@
 impl StoreFollower {
     /// Spawns the tasks that follow the store; they run as long as the process.
     pub fn start(shared: Rc<SharedState>, peers: Option<(Rc<Peers>, mpsc::Receiver<PeerMessage>)>) {
-        let (peers, heard) = peers.unzip();
+        let (peers, messages) = peers.unzip();
         let follower = Rc::new(StoreFollower {
             shared,
             peers,
-            asker: RefCell::default(),
+            poller: RefCell::default(),
             config_revision: Cell::new(None),
             upstreams_revision: Cell::new(None),
             active_config: RefCell::default(),
             first_read: Cell::new(false),
-            is_shared: Cell::new(false),
+            is_polled: Cell::new(false),
             chosen_at: Cell::new(Duration::ZERO),
             refresh_at: Cell::new(Duration::ZERO),
             failed_at: Cell::new(None),
@@ -105,8 +105,8 @@
         tokio::task::spawn_local(quarantine::restore_held(follower.shared.clone()));
         tokio::task::spawn_local(follower.clone().follow_suspensions());
         tokio::task::spawn_local(follower.clone().follow_restores());
-        match heard.filter(|_| follower.shared.settings().shares_reading()) {
-            Some(heard) => drop(tokio::task::spawn_local(follower.poll_readers(heard))),
+        match messages.filter(|_| follower.shared.settings().shares_reading()) {
+            Some(messages) => drop(tokio::task::spawn_local(follower.poll_readers(messages))),
             None => {
                 follower.shared.reads_store.send_replace(true);
                 tokio::task::spawn_local(quarantine::load_held(follower.shared.clone()));
@@ -117,9 +117,9 @@
     /// Restarts the watches and checks freshness after the machine was suspended, as the
     /// connections they wait on may have died meanwhile.
     async fn follow_suspensions(self: Rc<Self>) {
-        let mut woken = self.shared.clock.resumptions();
+        let mut resumptions = self.shared.clock.resumptions();
         // The clock lives as long as the shared state.
-        while woken.changed().await.is_ok() {
+        while resumptions.changed().await.is_ok() {
             self.restart.notify_waiters();
             self.check_now.notify_one();
         }
@@ -133,18 +133,18 @@
     }
 
     async fn read_config(&self) -> Result<(), StoreError> {
-        let asked = self.shared.now();
-        let read = config::read(&self.shared.store, log_skipped).await;
-        self.shared.count_store_call("list", &read);
-        let (config, at) = read?;
+        let asked_at = self.shared.now();
+        let result = config::read(&self.shared.store, log_skipped).await;
+        self.shared.count_store_call("list", &result);
+        let (config, list_revision) = result?;
         match config {
             Some((config, revision)) => {
                 self.apply_config(config, revision)?;
-                self.shared.freshness.borrow_mut().confirm(asked);
+                self.shared.freshness.borrow_mut().confirm(asked_at);
             }
-            None => self.shared.config_missing_at.set(Some(asked)),
+            None => self.shared.config_missing_at.set(Some(asked_at)),
         }
-        advance_revision(&self.config_revision, at);
+        advance_revision(&self.config_revision, list_revision);
         self.update_covered();
         Ok(())
     }
@@ -161,8 +161,8 @@
     /// not passed to other boxes either.
     fn activate_config(&self, config: config::Config) -> Result<(), StoreError> {
         let shared = &self.shared;
-        let old = shared.routing.borrow().version;
-        let is_newer = config.version() > old;
+        let old_version = shared.routing.borrow().version;
+        let is_newer = config.version() > old_version;
         if is_newer {
             *self.active_config.borrow_mut() = Some(config.to_bytes()?);
         }
@@ -176,7 +176,7 @@
         let version = routing.version;
         shared.metrics.config_version.set(version as i64);
         *shared.routing.borrow_mut() = Arc::new(routing);
-        let fields = json!({"version": version, "before": old});
+        let fields = json!({"version": version, "before": old_version});
         log::event(Level::Info, "config", "in force", fields);
         Ok(())
     }
@@ -184,88 +184,90 @@
     /// Reads all upstream entries; returns whether they contained something that no watch
     /// had delivered.
     async fn read_upstreams(&self) -> Result<bool, StoreError> {
-        let read = servers::list(&self.shared.store, log_skipped).await;
-        self.shared.count_store_call("list", &read);
-        let (list, at) = read?;
+        let result = servers::list(&self.shared.store, log_skipped).await;
+        self.shared.count_store_call("list", &result);
+        let (list, list_revision) = result?;
         let count = list.len();
         // A watch may have delivered changes newer than the list.
         let list: Vec<Upstream> = {
             let mut mirror = self.shared.mirror.borrow_mut();
-            mirror.replace_all(at, list);
+            mirror.replace_all(list_revision, list);
             mirror.upstreams().cloned().collect()
         };
-        let missed = self.log_changed(&list, at);
-        let gives_up = list.iter().any(|u| self.reduces_layers(u));
-        let (now, sure) = (self.shared.now(), !self.has_uncertain_removals());
-        self.shared.registry.borrow_mut().replace(now, list, sure);
-        let fields = json!({"upstreams": count, "at": revision::count(at), "sure": sure});
+        let missed = self.log_changed(&list, list_revision);
+        let releases_layers = list.iter().any(|u| self.reduces_layers(u));
+        let (now, removals_certain) = (self.shared.now(), !self.has_uncertain_removals());
+        self.shared
+            .registry
+            .borrow_mut()
+            .replace(now, list, removals_certain);
+        let fields = json!({"upstreams": count, "at": revision::count(list_revision), "sure": removals_certain});
         log::event(Level::Info, "roster", "listed", fields);
-        if gives_up {
+        if releases_layers {
             self.shared.notify_streams();
         }
         self.shared.upstreams_listed.set(true);
-        advance_revision(&self.upstreams_revision, at);
+        advance_revision(&self.upstreams_revision, list_revision);
         self.update_covered();
         Ok(missed)
     }
 
     /// Logs each upstream of a list that no watch had delivered; returns whether there
     /// was one.
-    fn log_changed(&self, list: &[Upstream], at: Revision) -> bool {
+    fn log_changed(&self, list: &[Upstream], revision: Revision) -> bool {
         let registry = self.shared.registry.borrow();
         let is_known = |u: &Upstream| registry.get(&u.id).is_some_and(|e| e.upstream == *u);
         let changed: Vec<_> = list.iter().filter(|u| !is_known(u)).collect();
         if may_log_each(changed.len()) {
-            changed.iter().for_each(|u| log_announced(u, at));
+            changed.iter().for_each(|u| log_announced(u, revision));
         }
         !changed.is_empty()
     }
 
     /// Marks everything up to the lower of both read revisions as known.
     fn update_covered(&self) {
-        if let (Some(config), Some(servers)) =
+        if let (Some(config), Some(upstreams)) =
             (self.config_revision.get(), self.upstreams_revision.get())
         {
             self.shared
                 .mirror
                 .borrow_mut()
-                .mark_read_to(config.min(servers));
+                .mark_read_to(config.min(upstreams));
         }
         self.shared.update_synced();
     }
 
     /// Applies changes that were not known before.
-    fn apply_changes(&self, changes: Vec<Change>, sure: bool) {
-        let has_lines = may_log_each(changes.len());
+    fn apply_changes(&self, changes: Vec<Change>, removals_certain: bool) {
+        let logs_each = may_log_each(changes.len());
         for change in changes {
             match change.kind {
                 ChangeKind::Config(_) => {}
                 ChangeKind::Put(upstream) => {
-                    if has_lines {
+                    if logs_each {
                         log_announced(&upstream, change.revision);
                     }
                     self.put(upstream);
                 }
-                ChangeKind::Removed(id) => self.remove(&id, change.revision, sure),
+                ChangeKind::Removed(id) => self.remove(&id, change.revision, removals_certain),
             }
         }
     }
 
     fn put(&self, upstream: Upstream) {
-        let gives_up = self.reduces_layers(&upstream);
+        let releases_layers = self.reduces_layers(&upstream);
         self.shared.registry.borrow_mut().put(upstream);
-        if gives_up {
+        if releases_layers {
             self.shared.notify_streams();
         }
     }
 
-    fn remove(&self, id: &UpstreamId, revision: Revision, sure: bool) {
-        let fields =
-            json!({"upstream": &**id, "revision": revision::count(revision), "sure": sure});
+    fn remove(&self, id: &UpstreamId, revision: Revision, removals_certain: bool) {
+        let fields = json!({"upstream": &**id, "revision": revision::count(revision), "sure": removals_certain});
         log::event(Level::Info, "roster", "gone", fields);
         let now = self.shared.now();
         let mut registry = self.shared.registry.borrow_mut();
-        match sure {
+        match removals_certain {
             true => registry.remove(now, id),
             false => registry.mark_missing(now, id),
         }
@@ -274,10 +276,10 @@
     /// Returns whether an upstream starts to leave or releases layers that it held.
     fn reduces_layers(&self, upstream: &Upstream) -> bool {
         let registry = self.shared.registry.borrow();
-        let before = registry.get(&upstream.id).map(|e| &e.upstream);
-        before.is_some_and(|b| {
-            let leaves = upstream.leaving && !b.leaving;
-            leaves || (b.layers.is_some() && b.layers != upstream.layers)
+        let old = registry.get(&upstream.id).map(|e| &e.upstream);
+        old.is_some_and(|b| {
+            let starts_leaving = upstream.leaving && !b.leaving;
+            starts_leaving || (b.layers.is_some() && b.layers != upstream.layers)
         })
     }
 
@@ -292,12 +294,12 @@
     /// are ignored because they had been removed before the store was restored.
     fn has_uncertain_removals(&self) -> bool {
         let now = self.shared.now();
-        let is_away = self.failed_at.get().is_some();
-        let has_returned = self
+        let is_store_down = self.failed_at.get().is_some();
+        let has_just_recovered = self
             .returned_at
             .get()
             .is_some_and(|t| now < t + RESTORE_GRACE);
-        is_away || has_returned || self.restore.settling.get()
+        is_store_down || has_just_recovered || self.restore.settling.get()
     }
 
     /// Updates the certainty of removals that is reported to other boxes.
@@ -308,28 +310,28 @@
     }
 
     /// Records a failed call; logs only the first failure of each outage.
-    fn note_store_failure(&self, what: &str, fault: &StoreError) {
+    fn note_store_failure(&self, call: &str, fault: &StoreError) {
         if matches!(fault, StoreError::HistoryGone) {
-            log::event(Level::Info, "store", "history gone", json!({"watch": what}));
+            log::event(Level::Info, "store", "history gone", json!({"watch": call}));
             return;
         }
         self.shared.store_down.set(true);
         self.shared.removals_certain.set(false);
-        let first = self.failed_at.replace(Some(self.shared.now())).is_none();
-        if first {
-            let fields = json!({"call": what, "fault": fault.to_string()});
+        let is_first = self.failed_at.replace(Some(self.shared.now())).is_none();
+        if is_first {
+            let fields = json!({"call": call, "fault": fault.to_string()});
             log::event(Level::Warn, "store", "lost", fields);
         }
     }
 
     async fn note_store_recovery(&self) {
-        let Some(last) = self.failed_at.take() else {
+        let Some(last_failure) = self.failed_at.take() else {
             return;
         };
         let now = self.shared.now();
         self.returned_at.set(Some(now));
         self.shared.store_down.set(false);
-        let fields = json!({"last_failure_ms": (now - last).as_millis() as u64});
+        let fields = json!({"last_failure_ms": (now - last_failure).as_millis() as u64});
         log::event(Level::Info, "store", "regained", fields);
         self.restart.notify_waiters();
         self.notify_pollers().await;
@@ -337,8 +339,8 @@
 }
 
 /// Advances a known revision; a read that has been overtaken does not move it back.
-fn advance_revision(known: &Cell<Option<Revision>>, at: Revision) {
-    known.set(known.get().max(Some(at)));
+fn advance_revision(known: &Cell<Option<Revision>>, revision: Revision) {
+    known.set(known.get().max(Some(revision)));
 }
 
 /// Returns whether this many upstreams announced at once are logged individually; if not,
--- a/crates/ashgauged/src/relay/follow/poll.rs
+++ b/crates/ashgauged/src/relay/follow/poll.rs
@@ -50,30 +50,30 @@
 
 impl StoreFollower {
     /// Polls the readers as long as the process runs.
-    pub(super) async fn poll_readers(self: Rc<Self>, mut heard: mpsc::Receiver<PeerMessage>) {
+    pub(super) async fn poll_readers(self: Rc<Self>, mut messages: mpsc::Receiver<PeerMessage>) {
         let Some(peers) = self.peers.clone() else {
             return;
         };
-        let mut alone_at = Duration::ZERO;
-        let mut woken = self.shared.clock.resumptions();
+        let mut direct_read_at = Duration::ZERO;
+        let mut resumptions = self.shared.clock.resumptions();
         loop {
-            let until = self.poll_next(&peers, &mut alone_at).await;
-            let rest = until.saturating_sub(self.shared.now());
+            let next_at = self.poll_next(&peers, &mut direct_read_at).await;
+            let wait = next_at.saturating_sub(self.shared.now());
             tokio::select! {
-                heard = heard.recv() => match heard {
-                    Some(heard) => self.handle_message(&peers, heard).await,
+                message = messages.recv() => match message {
+                    Some(message) => self.handle_message(&peers, message).await,
                     None => return,
                 },
-                () = sleep(rest) => {}
+                () = sleep(wait) => {}
                 // The data has aged during the suspension; the clock lives as long as the
                 // shared state.
-                Ok(()) = woken.changed() => {}
+                Ok(()) = resumptions.changed() => {}
             }
         }
     }
 
     /// Takes the next polling step; returns when to take the one after it.
-    async fn poll_next(&self, peers: &Peers, alone_at: &mut Duration) -> Duration {
+    async fn poll_next(&self, peers: &Peers, direct_read_at: &mut Duration) -> Duration {
         let now = self.shared.now();
         if self.shared.discovered_at.get().is_none() {
             return now + DISCOVERY_INTERVAL;
@@ -81,29 +81,29 @@
         let readers = self.readers(now);
         self.set_role(&readers);
         self.shared.registry.borrow_mut().expire(now);
-        let pace = self.pace();
+        let timing = self.poll_timing();
         let age = self.shared.freshness.borrow().age(now);
-        let is_fresh = age.is_some_and(|age| age <= pace.max_age);
+        let is_fresh = age.is_some_and(|age| age <= timing.max_age);
         if readers.includes_self && is_fresh && self.has_synced() {
-            return now + pace.interval;
+            return now + timing.interval;
         }
-        let step = {
+        let action = {
             let sources = || readers.sources.clone();
-            let mut asker = self.asker.borrow_mut();
-            asker.next_action(now, &pace, sources, &mut *self.shared.rng())
+            let mut poller = self.poller.borrow_mut();
+            poller.next_action(now, &timing, sources, &mut *self.shared.rng())
         };
-        match step {
+        match action {
             PollAction::Query { to, id } => {
-                let question = self.build_query(id, None);
-                peers.ask(&to, question).await;
-                now + pace.answer_timeout
+                let query = self.build_query(id, None);
+                peers.send_query(&to, query).await;
+                now + timing.answer_timeout
             }
-            PollAction::Failed(lack) => {
-                if lack == PollFailure::NoAnswer {
+            PollAction::Failed(failure) => {
+                if failure == PollFailure::NoAnswer {
                     self.refresh_members(now);
                 }
-                if !self.is_reader() && self.may_read_directly(lack) && now >= *alone_at {
-                    *alone_at = self.read_directly().await;
+                if !self.is_reader() && self.may_read_directly(failure) && now >= *direct_read_at {
+                    *direct_read_at = self.read_directly().await;
                 }
                 now
             }
@@ -118,9 +118,9 @@
             return shared.readers.borrow().clone();
         }
         self.chosen_at.set(now);
-        let (me, fleet) = membership::known_fleet(shared);
-        *shared.permits.givers.borrow_mut() = Rc::new(givers(&me, &fleet, now));
-        let readers = reader::choose(&me, &fleet, &self.asker.borrow().backoffs, now);
+        let (own, fleet) = membership::known_fleet(shared);
+        *shared.permits.issuers.borrow_mut() = Rc::new(issuers(&own, &fleet, now));
+        let readers = reader::choose(&own, &fleet, &self.poller.borrow().backoffs, now);
         *shared.readers.borrow_mut() = Rc::new(readers);
         shared.readers.borrow().clone()
     }
@@ -141,21 +141,21 @@
 
     /// Starts or stops reading the store.
     fn set_role(&self, readers: &Readers) {
-        let (shared, reads) = (&self.shared, readers.includes_self);
-        self.is_shared.set(readers.has_followers);
-        if reads == self.is_reader() {
+        let (shared, reads_store) = (&self.shared, readers.includes_self);
+        self.is_polled.set(readers.has_followers);
+        if reads_store == self.is_reader() {
             return;
         }
-        let known = shared.is_synced().then(|| shared.mirror.borrow().covered());
-        self.config_revision.set(known);
-        self.upstreams_revision.set(known);
-        if !reads {
+        let known_revision = shared.is_synced().then(|| shared.mirror.borrow().covered());
+        self.config_revision.set(known_revision);
+        self.upstreams_revision.set(known_revision);
+        if !reads_store {
             // Past failures say nothing about the store when this box reads it again.
             self.failed_at.set(None);
             shared.store_down.set(false);
         }
-        shared.reads_store.send_replace(reads);
-        if reads {
+        shared.reads_store.send_replace(reads_store);
+        if reads_store {
             tokio::task::spawn_local(quarantine::load_held(shared.clone()));
             // A reader answers only boxes that it knows.
             tokio::task::spawn_local(membership::refresh(shared.clone()));
@@ -164,54 +164,54 @@
             Level::Info,
             "store",
             "role",
-            json!({"reads": reads, "known": known}),
+            json!({"reads": reads_store, "known": known_revision}),
         );
     }
 
-    fn pace(&self) -> PollTiming {
-        let pace = self.shared.settings().poll_pace();
+    fn poll_timing(&self) -> PollTiming {
+        let timing = self.shared.settings().poll_timing();
         match self.shared.is_synced() {
-            true => pace,
+            true => timing,
             false => PollTiming {
                 interval: UNSYNCED_INTERVAL,
-                ..pace
+                ..timing
             },
         }
     }
 
-    fn build_query(&self, id: u64, ticket: Option<FetchToken>) -> Query {
-        let informed = self.shared.is_synced();
+    fn build_query(&self, id: u64, token: Option<FetchToken>) -> Query {
+        let is_synced = self.shared.is_synced();
         let covered = self.shared.mirror.borrow().covered();
         Query {
             from: self.shared.settings().id.as_str().into(),
             id,
-            after: match informed && self.has_synced() && !self.restore.needs_copy.get() {
+            after: match is_synced && self.has_synced() && !self.restore.needs_copy.get() {
                 true => covered,
                 false => 0,
             },
-            fetch_token: ticket,
+            fetch_token: token,
         }
     }
 
     /// Returns whether this box, which no other box could inform, is to read the store
     /// itself.
-    fn may_read_directly(&self, lack: PollFailure) -> bool {
+    fn may_read_directly(&self, failure: PollFailure) -> bool {
         let shared = &self.shared;
         if let Some(age) = shared.freshness.borrow().age(shared.now()) {
             let settings = shared.settings();
             let bound = settings.max_key_age().min(settings.apply_bound());
             return age >= bound.mul_f64(DIRECT_READ_SHARE);
         }
-        let patience = match lack {
+        let delay = match failure {
             PollFailure::NoAnswer => DIRECT_READ_DELAY,
             PollFailure::StaleAnswer => ANSWERED_READ_DELAY,
             PollFailure::EmptyStore => return false,
         };
-        let asking = shared
+        let since_discovery = shared
             .discovered_at
             .get()
             .map(|at| shared.now().saturating_sub(at));
-        asking.is_some_and(|time| time >= self.random_delay(patience..patience * 2))
+        since_discovery.is_some_and(|time| time >= self.random_delay(delay..delay * 2))
     }
 
     /// Reads the store; returns when to do so again if no box can inform this one until
@@ -243,36 +243,44 @@
         self.shared.rng().random_range(range)
     }
 
-    async fn handle_message(&self, peers: &Rc<Peers>, heard: PeerMessage) {
-        match heard {
-            PeerMessage::News(from) => self.handle_news(from),
+    async fn handle_message(&self, peers: &Rc<Peers>, message: PeerMessage) {
+        match message {
+            PeerMessage::Changed(from) => self.handle_changed(from),
             PeerMessage::FetchFailed(from) => {
                 let now = self.shared.now();
-                self.asker.borrow_mut().on_fetch_failed(now, &from);
+                self.poller.borrow_mut().on_fetch_failed(now, &from);
             }
-            PeerMessage::Answer(answer, fetched) => {
-                self.handle_answer(peers, answer, fetched).await
+            PeerMessage::Answer(answer, fetch_asked_at) => {
+                self.handle_answer(peers, answer, fetch_asked_at).await
             }
         }
     }
 
     /// Polls a box with new data at once. In a large fleet each box waits for its own
     /// hub, which soon has the same data: otherwise all boxes would poll the first one.
-    fn handle_news(&self, from: BoxId) {
+    fn handle_changed(&self, from: BoxId) {
         let is_own = match self.shared.role() {
             Role::Leaf(hub) => hub == from,
             _ => true,
         };
         if is_own {
-            self.asker.borrow_mut().on_changed(from);
+            self.poller.borrow_mut().on_changed(from);
         }
     }
 
     /// Handles an answer. An answer to a query that this box did not send, or that was
     /// answered before, is dropped.
-    async fn handle_answer(&self, peers: &Rc<Peers>, answer: Answer, fetched: Option<Duration>) {
-        let closed = self.asker.borrow_mut().close_query(answer.id, &answer.from);
-        let Some(asked) = fetched.or(closed) else {
+    async fn handle_answer(
+        &self,
+        peers: &Rc<Peers>,
+        answer: Answer,
+        fetch_asked_at: Option<Duration>,
+    ) {
+        let query_sent_at = self
+            .poller
+            .borrow_mut()
+            .close_query(answer.id, &answer.from);
+        let Some(asked_at) = fetch_asked_at.or(query_sent_at) else {
             self.shared
                 .metrics
                 .datagrams
@@ -280,16 +288,16 @@
                 .inc();
             return;
         };
-        let pace = self.pace();
+        let timing = self.poll_timing();
         let now = self.shared.now();
-        let is_fetched = fetched.is_some();
-        let is_large = matches!(answer.body, AnswerBody::TooLarge { .. });
-        if is_large && is_fetched {
+        let is_fetched = fetch_asked_at.is_some();
+        let is_too_large = matches!(answer.body, AnswerBody::TooLarge { .. });
+        if is_too_large && is_fetched {
             return;
         }
-        self.asker
+        self.poller
             .borrow_mut()
-            .on_answer(now, &pace, &answer.from, &answer.body);
+            .on_answer(now, &timing, &answer.from, &answer.body);
         if answer.boxes > self.shared.counted_boxes() {
             self.shared.set_fleet_size(answer.boxes);
         }
@@ -297,16 +305,16 @@
             // A compressed answer was decompressed when it was fetched.
             AnswerBody::Empty { .. } | AnswerBody::Compressed { .. } => {}
             AnswerBody::Update { age, update } => {
-                self.apply_update(&answer.from, asked, age, update).await
+                self.apply_update(&answer.from, asked_at, age, update).await
             }
             AnswerBody::TooLarge {
-                fetch_token: ticket,
+                fetch_token: token,
                 bytes,
             } => {
-                let question = self.build_query(answer.id, Some(ticket));
+                let query = self.build_query(answer.id, Some(token));
                 let peers = peers.clone();
-                let most = pace.fetch_timeout(bytes);
-                tokio::task::spawn_local(peers.fetch(answer.from, question, most));
+                let timeout = timing.fetch_timeout(bytes);
+                tokio::task::spawn_local(peers.fetch(answer.from, query, timeout));
             }
         }
     }
@@ -316,7 +324,7 @@
     async fn apply_update(
         &self,
         from: &BoxId,
-        asked: Duration,
+        asked_at: Duration,
         age: Duration,
         update: ashgauge::mirror::Update,
     ) {
@@ -332,47 +340,48 @@
                 return log::event(Level::Warn, "fleet", "answer cannot be read", fields);
             }
         };
-        let (sure, whole) = (update.removals_certain, update.is_full);
+        let (removals_certain, is_full) = (update.removals_certain, update.is_full);
         let era = revision::era(update.up_to);
         let covered = shared.mirror.borrow().covered();
         // A full copy that is older than the data here is not applied.
-        let replaced = whole && update.up_to >= covered;
+        let replaced = is_full && update.up_to >= covered;
         if era < revision::era(covered) {
             // The sender's data is from before the store was restored.
             return;
         }
         shared.store.raise_era(era);
         self.restore.peer_synced.set(true);
-        let before = shared.is_synced();
-        let news = shared.mirror.borrow_mut().apply(update);
-        let is_news = !news.is_empty();
+        let was_synced = shared.is_synced();
+        let changes = shared.mirror.borrow_mut().apply(update);
+        let has_changes = !changes.is_empty();
         if let Some(config) = config
             && let Err(fault) = self.activate_config(config)
         {
             log_skipped("config", &fault);
         }
         if era > 0 {
-            self.note_copy_certainty(replaced, sure);
+            self.note_copy_certainty(replaced, removals_certain);
         }
-        self.apply_changes(news, sure);
+        self.apply_changes(changes, removals_certain);
         // This box's copy may lack entries that the sender already accepts again.
         shared
             .removals_certain
-            .set(sure && !self.restore.settling.get());
+            .set(removals_certain && !self.restore.settling.get());
         shared.upstreams_listed.set(true);
-        if let Some(at) = proven_at(asked, age) {
+        if let Some(at) = proven_at(asked_at, age) {
             shared.freshness.borrow_mut().confirm(at);
         }
-        if !self.is_reader() && age <= self.pace().max_age {
+        if !self.is_reader() && age <= self.poll_timing().max_age {
             self.failed_at.set(None);
             shared.store_down.set(false);
         }
         shared.update_synced();
-        if !before {
-            let fields = json!({"from": &**from, "whole": whole, "age_ms": age.as_millis() as u64});
+        if !was_synced {
+            let fields =
+                json!({"from": &**from, "whole": is_full, "age_ms": age.as_millis() as u64});
             log::event(Level::Info, "store", "learned", fields);
         }
-        if is_news {
+        if has_changes {
             self.changed.notify_waiters();
             self.notify_pollers().await;
         }
@@ -382,9 +391,9 @@
 /// Returns the boxes that may issue permits: all in a small fleet, otherwise the readers
 /// that are selected when every box answers, as they know all boxes and all boxes know
 /// them.
-fn givers(me: &Member, fleet: &Fleet, now: Duration) -> Vec<BoxId> {
+fn issuers(own: &Member, fleet: &Fleet, now: Duration) -> Vec<BoxId> {
     if hub::is_full_mesh(fleet.box_count) {
         return fleet.candidates.iter().map(|m| m.id.clone()).collect();
     }
-    reader::choose(me, fleet, &Backoffs::default(), now).ids
+    reader::choose(own, fleet, &Backoffs::default(), now).ids
 }
--- a/crates/ashgauged/src/relay/follow/revision_check.rs
+++ b/crates/ashgauged/src/relay/follow/revision_check.rs
@@ -30,28 +30,28 @@
 impl StoreFollower {
     /// Checks freshness periodically while this box reads the store.
     pub(super) async fn confirm_loop(self: Rc<Self>) {
-        let mut pause = MIN_RETRY_DELAY;
+        let mut delay = MIN_RETRY_DELAY;
         loop {
             self.wait_until_reader().await;
-            let began = self.shared.now();
-            let informed = self.shared.is_synced();
+            let started = self.shared.now();
+            let was_synced = self.shared.is_synced();
             let confirmed = self.confirm_once().await;
             self.shared.registry.borrow_mut().expire(self.shared.now());
             self.update_certainty();
-            if !informed && self.shared.is_synced() {
+            if !was_synced && self.shared.is_synced() {
                 self.notify_pollers().await;
             }
             match confirmed {
                 Ok(()) => {
-                    pause = MIN_RETRY_DELAY;
+                    delay = MIN_RETRY_DELAY;
                     // A failed watch triggers the check earlier.
-                    let rest = (began + self.proof_interval()).saturating_sub(self.shared.now());
-                    let _ = timeout(rest, self.check_now.notified()).await;
+                    let wait = (started + self.check_interval()).saturating_sub(self.shared.now());
+                    let _ = timeout(wait, self.check_now.notified()).await;
                 }
                 Err(fault) => {
                     self.note_store_failure("confirm", &fault);
-                    sleep(pause).await;
-                    pause = (pause * 2).min(self.max_retry_delay());
+                    sleep(delay).await;
+                    delay = (delay * 2).min(self.max_retry_delay());
                 }
             }
         }
@@ -59,16 +59,16 @@
 
     fn max_retry_delay(&self) -> Duration {
         let age = self.shared.freshness.borrow().age(self.shared.now());
-        let stale = self.shared.settings().poll_pace().max_age;
-        match age.is_some_and(|age| age <= stale) {
+        let max_age = self.shared.settings().poll_timing().max_age;
+        match age.is_some_and(|age| age <= max_age) {
             true => INFORMED_RETRY_DELAY,
             false => MAX_RETRY_DELAY,
         }
     }
 
-    fn proof_interval(&self) -> Duration {
+    fn check_interval(&self) -> Duration {
         let settings = self.shared.settings();
-        match self.is_shared.get() {
+        match self.is_polled.get() {
             true => settings.reader_interval(),
             false => settings.confirm_interval(),
         }
@@ -77,13 +77,13 @@
     /// Confirms that all changes are known; if some are missing, reads everything again.
     pub(super) async fn confirm_once(&self) -> Result<(), StoreError> {
         let shared = &self.shared;
-        let known = shared.is_synced();
+        let was_synced = shared.is_synced();
         if self.failed_at.get().is_none() {
-            if !known && !self.first_read.replace(true) {
+            if !was_synced && !self.first_read.replace(true) {
                 // The initial reads of the watches are in progress.
                 return Ok(());
             }
-            if known && self.prove().await? {
+            if was_synced && self.check_revision().await? {
                 return Ok(());
             }
         }
@@ -93,7 +93,7 @@
             return Ok(());
         }
         let missed = self.read_upstreams().await?;
-        if known && missed {
+        if was_synced && missed {
             // A watch that has not delivered this may hang on a dead connection.
             self.restart.notify_waiters();
             self.notify_pollers().await;
@@ -103,13 +103,13 @@
     }
 
     /// Reads the store's revision; returns whether all changes up to it are known.
-    async fn prove(&self) -> Result<bool, StoreError> {
-        let asked = self.shared.now();
-        let at = config::revision(&self.shared.store).await;
-        self.shared.count_store_call("proof", &at);
-        let covered = self.covers(at?).await;
+    async fn check_revision(&self) -> Result<bool, StoreError> {
+        let asked_at = self.shared.now();
+        let revision = config::revision(&self.shared.store).await;
+        self.shared.count_store_call("proof", &revision);
+        let covered = self.covers(revision?).await;
         if covered {
-            self.shared.freshness.borrow_mut().confirm(asked);
+            self.shared.freshness.borrow_mut().confirm(asked_at);
         }
         Ok(covered)
     }
@@ -117,40 +117,40 @@
     /// Returns whether all changes up to a revision are known: those that watches
     /// delivered, and the boxes' own objects. No watch covers the latter; they are read
     /// by stale reads, which cost a tenth of a fresh one.
-    async fn covers(&self, at: Revision) -> bool {
+    async fn covers(&self, revision: Revision) -> bool {
         // The watch may be delaying its call to batch the missing changes. The confirmed
         // data ages meanwhile, so there is time for one such wait.
-        let until = self.shared.now() + self.upstreams_batch_delay() + BATCH_MARGIN;
+        let deadline = self.shared.now() + self.upstreams_batch_delay() + BATCH_MARGIN;
         loop {
             let changed = self.changed.notified();
-            if self.shared.mirror.borrow().covers(at) {
+            if self.shared.mirror.borrow().covers(revision) {
                 return true;
             }
-            let rest = until.saturating_sub(self.shared.now());
-            if timeout(rest, changed).await.is_err() {
-                return self.covers_own_objects(at).await;
+            let remaining = deadline.saturating_sub(self.shared.now());
+            if timeout(remaining, changed).await.is_err() {
+                return self.covers_own_objects(revision).await;
             }
         }
     }
 
-    async fn covers_own_objects(&self, at: Revision) -> bool {
+    async fn covers_own_objects(&self, revision: Revision) -> bool {
         if self.is_recent() {
             return false;
         }
         self.note_revisions(placer::round_revisions(&self.shared).await);
-        if self.shared.mirror.borrow().covers(at) {
+        if self.shared.mirror.borrow().covers(revision) {
             return true;
         }
         self.note_revisions(membership::announce_revisions(&self.shared).await);
-        if self.shared.mirror.borrow().covers(at) {
+        if self.shared.mirror.borrow().covers(revision) {
             return true;
         }
         self.note_revisions(quarantine::hold_revisions(&self.shared).await);
-        self.shared.mirror.borrow().covers(at)
+        self.shared.mirror.borrow().covers(revision)
     }
 
-    fn note_revisions(&self, read: Result<Vec<Revision>, StoreError>) {
-        match read {
+    fn note_revisions(&self, result: Result<Vec<Revision>, StoreError>) {
+        match result {
             Ok(revisions) => {
                 let mut mirror = self.shared.mirror.borrow_mut();
                 revisions.into_iter().for_each(|r| mirror.mark_read(r));
--- a/crates/ashgauged/src/relay/follow/store_restore.rs
+++ b/crates/ashgauged/src/relay/follow/store_restore.rs
@@ -46,14 +46,14 @@
     /// and watches from before the restore deliver nothing.
     pub(super) async fn follow_restores(self: Rc<Self>) {
         let mut eras = self.shared.store.subscribe_era();
-        let mut before = *eras.borrow_and_update();
+        let mut previous = *eras.borrow_and_update();
         // The store client lives as long as the shared state.
         while eras.changed().await.is_ok() {
             let era = *eras.borrow_and_update();
             self.shared.metrics.store_era.set(era as i64);
-            let fields = json!({"era": era, "before": before});
+            let fields = json!({"era": era, "before": previous});
             log::event(Level::Warn, "store", "era", fields);
-            before = era;
+            previous = era;
             self.restore.era_at.set(self.shared.now());
             if !self.shared.is_synced() {
                 continue;
@@ -74,8 +74,8 @@
         if *self.shared.store.subscribe_era().borrow() != era {
             return;
         }
-        let passed_over = self.shared.mirror.borrow_mut().accept_restored();
-        if passed_over {
+        let has_ignored = self.shared.mirror.borrow_mut().accept_restored();
+        if has_ignored {
             self.reread_entries().await;
         }
         // A copy marked as certain is the last one that polling boxes request.
@@ -99,17 +99,17 @@
     /// Returns whether the last restore is so recent that stale reads may return data
     /// from before it.
     pub(super) fn is_recent(&self) -> bool {
-        let at = self.restore.era_at.get();
-        !at.is_zero() && self.shared.now() < at + MAX_STALE_AGE
+        let era_at = self.restore.era_at.get();
+        !era_at.is_zero() && self.shared.now() < era_at + MAX_STALE_AGE
     }
 
     /// Requests the full copy again once the data is certain, as a copy sent while the
     /// store's content was uncertain may lack entries.
-    pub(super) fn note_copy_certainty(&self, replaced: bool, sure: bool) {
+    pub(super) fn note_copy_certainty(&self, replaced: bool, removals_certain: bool) {
         if replaced {
             self.restore.needs_copy.set(false);
-            self.restore.copy_uncertain.set(!sure);
-        } else if sure && self.restore.copy_uncertain.take() {
+            self.restore.copy_uncertain.set(!removals_certain);
+        } else if removals_certain && self.restore.copy_uncertain.take() {
             self.restore.needs_copy.set(true);
         }
     }
@@ -117,7 +117,7 @@
     /// Returns whether the other boxes have no data that the store has lost, as far as
     /// this box could poll them.
     pub(super) fn has_synced(&self) -> bool {
-        let has_returned = *self.shared.store.subscribe_era().borrow() > 0;
-        self.restore.peer_synced.get() || !has_returned || self.shared.uptime() >= PEER_SYNC_TIME
+        let was_restored = *self.shared.store.subscribe_era().borrow() > 0;
+        self.restore.peer_synced.get() || !was_restored || self.shared.uptime() >= PEER_SYNC_TIME
     }
 }
--- a/crates/ashgauged/src/relay/follow/watch.rs
+++ b/crates/ashgauged/src/relay/follow/watch.rs
@@ -31,18 +31,18 @@
     pub(super) async fn follow_config(self: Rc<Self>) {
         loop {
             self.wait_until_reader().await;
-            let Some(from) = self.config_revision.get() else {
+            let Some(since) = self.config_revision.get() else {
                 self.wait_if_failed("config", self.read_config().await)
                     .await;
                 self.notify_pollers().await;
                 continue;
             };
-            let watch = config::watch(&self.shared.store, from, self.watch_time(), log_skipped);
+            let watch = config::watch(&self.shared.store, since, self.watch_time(), log_skipped);
             match self.unless_restarted(watch).await {
-                Some(Ok((configs, at))) => {
+                Some(Ok((configs, revision))) => {
                     let changed = !configs.is_empty();
                     self.apply_configs(configs);
-                    advance_revision(&self.config_revision, at);
+                    advance_revision(&self.config_revision, revision);
                     if changed {
                         self.notify_pollers().await;
                         sleep(self.config_batch_delay()).await;
@@ -58,7 +58,7 @@
     }
 
     fn apply_configs(&self, configs: Vec<(config::Config, u64)>) {
-        let first = self.shared.routing().version == 0;
+        let is_first = self.shared.routing().version == 0;
         let changed = !configs.is_empty();
         for (config, revision) in configs {
             if let Err(fault) = self.apply_config(config, revision) {
@@ -66,7 +66,7 @@
             }
         }
         self.changed.notify_waiters();
-        if changed && first {
+        if changed && is_first {
             // A watch does not confirm freshness.
             self.shared.update_synced();
             self.check_now.notify_one();
@@ -77,18 +77,18 @@
     pub(super) async fn follow_upstreams(self: Rc<Self>) {
         loop {
             self.wait_until_reader().await;
-            let Some(from) = self.upstreams_revision.get() else {
+            let Some(since) = self.upstreams_revision.get() else {
                 self.wait_if_failed("servers", self.read_upstreams().await.map(drop))
                     .await;
                 self.notify_pollers().await;
                 continue;
             };
-            let watch = servers::watch(&self.shared.store, from, self.watch_time(), log_skipped);
+            let watch = servers::watch(&self.shared.store, since, self.watch_time(), log_skipped);
             match self.unless_restarted(watch).await {
-                Some(Ok((updates, at))) => {
+                Some(Ok((updates, revision))) => {
                     let changed = !updates.is_empty();
                     self.apply_updates(updates);
-                    advance_revision(&self.upstreams_revision, at);
+                    advance_revision(&self.upstreams_revision, revision);
                     if changed {
                         self.notify_pollers().await;
                         sleep(self.upstreams_batch_delay()).await;
@@ -105,18 +105,18 @@
 
     /// Applies changes from a watch, except those older than a list read meanwhile.
     fn apply_updates(&self, updates: Vec<UpstreamChange>) {
-        let sure = !self.has_uncertain_removals();
-        let has_lines = may_log_each(updates.len());
+        let removals_certain = !self.has_uncertain_removals();
+        let logs_each = may_log_each(updates.len());
         for update in updates {
             match update {
                 UpstreamChange::Put(upstream, revision) => {
-                    let is_news = self
+                    let is_new = self
                         .shared
                         .mirror
                         .borrow_mut()
                         .put(revision, upstream.clone());
-                    if is_news {
-                        if has_lines {
+                    if is_new {
+                        if logs_each {
                             log_announced(&upstream, revision);
                         }
                         self.put(upstream);
@@ -124,7 +124,7 @@
                 }
                 UpstreamChange::Gone(id, revision) => {
                     if self.shared.mirror.borrow_mut().remove(revision, &id) {
-                        self.remove(&id, revision, sure);
+                        self.remove(&id, revision, removals_certain);
                     }
                 }
             }
@@ -133,9 +133,9 @@
     }
 
     /// Waits if an initial read failed.
-    async fn wait_if_failed(&self, what: &str, read: Result<(), StoreError>) {
-        if let Err(fault) = read {
-            self.wait_after_failure(what, &fault).await;
+    async fn wait_if_failed(&self, call: &str, result: Result<(), StoreError>) {
+        if let Err(fault) = result {
+            self.wait_after_failure(call, &fault).await;
         }
     }
 
@@ -150,19 +150,19 @@
         watch: impl Future<Output = Result<T, StoreError>>,
     ) -> Option<Result<T, StoreError>> {
         let mut reads = self.shared.reads_store.subscribe();
-        let answer = tokio::select! {
-            answer = watch => answer,
+        let result = tokio::select! {
+            result = watch => result,
             () = self.restart.notified() => return None,
             _ = reads.wait_for(|reads| !reads) => return None,
         };
-        self.shared.count_store_call("watch", &answer);
-        Some(answer)
+        self.shared.count_store_call("watch", &result);
+        Some(result)
     }
 
     pub(super) fn upstreams_batch_delay(&self) -> Duration {
         let registry = self.shared.registry.borrow();
-        let placed = registry.iter().any(|e| e.upstream.layers.is_some());
-        match placed || self.shared.is_ready() {
+        let has_placed = registry.iter().any(|e| e.upstream.layers.is_some());
+        match has_placed || self.shared.is_ready() {
             true => self
                 .shared
                 .settings()
@@ -180,7 +180,7 @@
     }
 
     fn batch_share(&self) -> f64 {
-        match self.is_shared.get() {
+        match self.is_polled.get() {
             true => READER_BATCH_SHARE,
             false => BATCH_SHARE,
         }
@@ -188,8 +188,8 @@
 
     /// Waits after a failed watch. While the store is unreachable only the freshness
     /// checks keep calling it, as each call is billed, refused ones too.
-    async fn wait_after_failure(&self, what: &str, fault: &StoreError) {
-        self.note_store_failure(what, fault);
+    async fn wait_after_failure(&self, call: &str, fault: &StoreError) {
+        self.note_store_failure(call, fault);
         if self.failed_at.get().is_none() {
             sleep(MIN_RETRY_DELAY).await;
             return;
--- a/crates/ashgauged/src/relay/levels.rs
+++ b/crates/ashgauged/src/relay/levels.rs
@@ -93,20 +93,20 @@
 }
 
 fn class_statuses(state: &ServiceAdmission, basis: &LevelInputs) -> Vec<ClassStatus> {
-    let asked = basis.classes.iter().map(|(class, _)| *class);
-    let all: BTreeSet<Class> = asked.chain(state.counts.keys().copied()).collect();
-    let one = |class: Class| {
-        let asked = basis.classes.iter().find(|(c, _)| *c == class);
+    let with_demand = basis.classes.iter().map(|(class, _)| *class);
+    let all: BTreeSet<Class> = with_demand.chain(state.counts.keys().copied()).collect();
+    let class_status = |class: Class| {
+        let with_demand = basis.classes.iter().find(|(c, _)| *c == class);
         let counts = state.counts.get(&class).copied().unwrap_or_default();
         ClassStatus {
             class,
-            asked: asked.map_or(0.0, |(_, rate)| *rate),
+            asked: with_demand.map_or(0.0, |(_, rate)| *rate),
             admits: admits(state.class(), class),
             admitted: counts.admitted,
             refused: counts.refused,
         }
     };
-    all.into_iter().map(one).collect()
+    all.into_iter().map(class_status).collect()
 }
 
 fn admits(level: Option<Class>, class: Class) -> &'static str {
@@ -121,10 +121,10 @@
 pub fn set_gauges(shared: &SharedState) {
     let metrics = &shared.metrics;
     let levels = shared.admissions.with_levels(|_, state, basis| {
-        let before = state
+        let classes_before = state
             .class()
             .map(|class| basis.classes_before(class) as i64);
-        (basis.pressure, before.unwrap_or(ALL_ADMITTED))
+        (basis.pressure, classes_before.unwrap_or(ALL_ADMITTED))
     });
     let highest = levels
         .into_iter()
@@ -162,8 +162,8 @@
         LevelChange::ClassChanged => "moved",
         LevelChange::Ended(_) => "ended",
     });
-    if let LevelChange::Ended(lasted) = change {
-        fields["lasted_ms"] = json!(lasted.as_millis() as u64);
+    if let LevelChange::Ended(duration) = change {
+        fields["lasted_ms"] = json!(duration.as_millis() as u64);
     }
     log::event(Severity::Info, "admission", "level", fields);
 }
--- a/crates/ashgauged/src/relay/load_reporter.rs
+++ b/crates/ashgauged/src/relay/load_reporter.rs
@@ -26,7 +26,7 @@
 /// Sends load reports to other boxes as long as the process runs.
 pub async fn broadcast(shared: Rc<SharedState>, peers: Rc<Peers>) {
     let boot = shared.rng().random();
-    let mut teller = LoadReporter {
+    let mut reporter = LoadReporter {
         boot,
         sequence: 0,
         local: LastReport::default(),
@@ -36,7 +36,7 @@
         peers,
     };
     loop {
-        teller.report_once().await;
+        reporter.report_once().await;
     }
 }
 
@@ -57,17 +57,17 @@
 impl LoadReporter {
     async fn report_once(&mut self) {
         let shared = self.shared.clone();
-        let (role, listeners) = (shared.role(), shared.report_targets());
-        let here = listeners.iter().filter(|(_, p)| p.is_local).count();
-        let (near_time, far_time) = role.intervals(here, listeners.len());
-        sleep(near_time.min(far_time)).await;
+        let (role, targets) = (shared.role(), shared.report_targets());
+        let local_count = targets.iter().filter(|(_, p)| p.is_local).count();
+        let (local_interval, remote_interval) = role.intervals(local_count, targets.len());
+        sleep(local_interval.min(remote_interval)).await;
         let now = shared.now();
-        let lag = role.remote_interval(listeners.len());
-        shared.report_interval.set(lag);
-        shared.fleet_load.borrow_mut().expire(now, lag);
+        let report_interval = role.remote_interval(targets.len());
+        shared.report_interval.set(report_interval);
+        shared.fleet_load.borrow_mut().expire(now, report_interval);
         permit::expire(&shared);
         let own = own_load(&shared);
-        let told = match role {
+        let report = match role {
             Role::Hub => {
                 let hubs = shared.readers.borrow().clone();
                 let is_hub = |id: &str| hubs.ids.iter().any(|hub| **hub == *id);
@@ -79,7 +79,7 @@
             }
             _ => own.clone(),
         };
-        self.report_to_peers(now, &listeners, (near_time, far_time), told)
+        self.report_to_peers(now, &targets, (local_interval, remote_interval), report)
             .await;
         if role == Role::Hub {
             self.report_to_leaves(now, own).await;
@@ -90,31 +90,36 @@
     async fn report_to_peers(
         &mut self,
         now: Duration,
-        listeners: &[(Arc<str>, Peer)],
-        (near_time, far_time): (Duration, Duration),
+        targets: &[(Arc<str>, Peer)],
+        (local_interval, remote_interval): (Duration, Duration),
         sum: LoadSum,
     ) {
         let limits = self.shared.permits.limits.borrow().rates();
-        let to_near = self.local.is_due(now, near_time, &sum.usage, &limits);
-        let to_far = self.remote.is_due(now, far_time, &sum.usage, &limits);
-        for (near, due, time) in [(true, to_near, near_time), (false, to_far, far_time)] {
+        let local_due = self.local.is_due(now, local_interval, &sum.usage, &limits);
+        let remote_due = self
+            .remote
+            .is_due(now, remote_interval, &sum.usage, &limits);
+        for (is_local, due, interval) in [
+            (true, local_due, local_interval),
+            (false, remote_due, remote_interval),
+        ] {
             if !due {
                 continue;
             }
             let mut sum = sum.clone();
-            if !load_report::includes_suspects(time) {
+            if !load_report::includes_suspects(interval) {
                 sum.suspects.clear();
                 sum.slow.clear();
             }
-            let to = listeners.iter().filter(|(_, p)| p.is_local == near);
+            let to = targets.iter().filter(|(_, p)| p.is_local == is_local);
             let to: Vec<&Peer> = to.map(|(_, p)| p).collect();
             self.send(Scope::Own, sum, &to).await;
             self.send_losses(Audience::All, &to).await;
         }
-        if to_near {
+        if local_due {
             self.local.update(now, &sum.usage, &limits);
         }
-        if to_far {
+        if remote_due {
             self.remote.update(now, &sum.usage, &limits);
         }
     }
@@ -122,23 +127,23 @@
     /// Sends the load of all boxes to the leaves, which receive reports only from this
     /// hub.
     async fn report_to_leaves(&mut self, now: Duration, own: LoadSum) {
-        let told = |scope: &Scope| self.leaf_times.get(scope).copied().unwrap_or_default();
+        let last_sent = |scope: &Scope| self.leaf_times.get(scope).copied().unwrap_or_default();
         let due =
-            hub::leaf_scopes().filter(|scope| now >= told(scope) + hub::leaf_interval(*scope));
+            hub::leaf_scopes().filter(|scope| now >= last_sent(scope) + hub::leaf_interval(*scope));
         let due: Vec<Scope> = due.collect();
         if due.is_empty() {
             return;
         }
         let leaves = self.shared.leaves();
-        let parts = LoadTotals::new(&self.shared, own);
+        let totals = LoadTotals::new(&self.shared, own);
         for scope in due {
             self.leaf_times.insert(scope, now);
-            let mut by_place: HashMap<Arc<str>, LoadSum> = HashMap::new();
+            let mut by_data_centre: HashMap<Arc<str>, LoadSum> = HashMap::new();
             for (id, leaf) in &leaves {
-                let part = by_place.entry(leaf.data_centre.clone());
-                let part = part.or_insert_with(|| parts.for_scope(scope, &leaf.data_centre));
-                let part = self.shared.fleet_load.borrow().without(part, id);
-                self.send(scope, part.truncated(), &[leaf]).await;
+                let sum = by_data_centre.entry(leaf.data_centre.clone());
+                let sum = sum.or_insert_with(|| totals.for_scope(scope, &leaf.data_centre));
+                let sum = self.shared.fleet_load.borrow().without(sum, id);
+                self.send(scope, sum.truncated(), &[leaf]).await;
             }
             if scope == Scope::Remote(0) {
                 let leaves: Vec<&Peer> = leaves.iter().map(|(_, leaf)| leaf).collect();
@@ -150,7 +155,7 @@
     async fn send(&mut self, scope: Scope, sum: LoadSum, to: &[&Peer]) {
         self.sequence += 1;
         let now = self.shared.now();
-        let word = LoadReport {
+        let report = LoadReport {
             from: Arc::from(self.shared.settings().id.as_str()),
             boot: self.boot,
             sequence: self.sequence,
@@ -168,7 +173,7 @@
                 Scope::Own | Scope::Local => self.shared.permits.limits.borrow().reports(now),
             },
         };
-        let Some(bytes) = pack::encode(&Datagram::Load(word)) else {
+        let Some(bytes) = pack::encode(&Datagram::Load(report)) else {
             return;
         };
         for peer in to {
@@ -196,21 +201,22 @@
 impl LoadTotals {
     fn new(shared: &SharedState, own: LoadSum) -> Self {
         let registry = shared.registry.borrow();
-        let places = registry.iter().map(|e| &e.upstream);
-        let places = places.map(|u| (load_report::upstream_key(&u.id), u.data_centre.clone()));
+        let data_centres = registry.iter().map(|e| &e.upstream);
+        let data_centres =
+            data_centres.map(|u| (load_report::upstream_key(&u.id), u.data_centre.clone()));
         LoadTotals {
             total: shared.fleet_load.borrow().fleet_sum(own),
-            data_centres: places.collect(),
+            data_centres: data_centres.collect(),
         }
     }
 
     /// Returns the part of the total that is reported to a box in a data centre.
-    fn for_scope(&self, scope: Scope, place: &str) -> LoadSum {
-        let is_told = |key| {
+    fn for_scope(&self, scope: Scope, data_centre: &str) -> LoadSum {
+        let is_included = |key| {
             let other = self.data_centres.get(&key);
-            other.is_some_and(|other| hub::is_in_scope(scope, key, **other == *place))
+            other.is_some_and(|other| hub::is_in_scope(scope, key, **other == *data_centre))
         };
-        let mut part = self.total.filtered(is_told);
+        let mut part = self.total.filtered(is_included);
         if scope != Scope::Local {
             part.suspects.clear();
             part.slow.clear();
@@ -222,46 +228,46 @@
 /// What was last reported to some boxes, and when.
 #[derive(Default)]
 struct LastReport {
-    uses: UsageList,
+    usage: UsageList,
     limits: LimitRates,
-    at: Duration,
+    sent_at: Duration,
 }
 
 impl LastReport {
-    /// Returns whether a new report is due: after `time` if something has changed,
+    /// Returns whether a new report is due: after `interval` if something has changed,
     /// otherwise after [`MAX_REPORT_INTERVAL`] if that is longer.
     fn is_due(
         &self,
         now: Duration,
-        time: Duration,
-        uses: &[(UpstreamKey, Usage)],
+        interval: Duration,
+        usage: &[(UpstreamKey, Usage)],
         limits: &LimitRates,
     ) -> bool {
-        let age = now.saturating_sub(self.at);
-        let news = self.uses != uses || self.limits != *limits;
-        age >= time.max(MAX_REPORT_INTERVAL) || (news && age >= time)
+        let age = now.saturating_sub(self.sent_at);
+        let has_changed = self.usage != usage || self.limits != *limits;
+        age >= interval.max(MAX_REPORT_INTERVAL) || (has_changed && age >= interval)
     }
 
-    fn update(&mut self, now: Duration, uses: &[(UpstreamKey, Usage)], limits: &LimitRates) {
-        self.uses = uses.to_vec();
+    fn update(&mut self, now: Duration, usage: &[(UpstreamKey, Usage)], limits: &LimitRates) {
+        self.usage = usage.to_vec();
         self.limits = limits.clone();
-        self.at = now;
+        self.sent_at = now;
     }
 }
 
 /// Returns the load of this box on the upstreams that it uses.
 fn own_load(shared: &SharedState) -> LoadSum {
     let (registry, now) = (shared.registry.borrow(), shared.now());
-    let uses = registry.iter().map(|e| (e, e.usage(now)));
-    let uses = uses.filter(|(_, used)| *used != Usage::default());
-    let mut uses: UsageList = uses
+    let by_upstream = registry.iter().map(|e| (e, e.usage(now)));
+    let by_upstream = by_upstream.filter(|(_, used)| *used != Usage::default());
+    let mut by_upstream: UsageList = by_upstream
         .map(|(e, used)| (load_report::upstream_key(&e.upstream.id), used))
         .collect();
-    uses.sort_unstable_by_key(|(key, _)| *key);
+    by_upstream.sort_unstable_by_key(|(key, _)| *key);
     let suspects = registry.iter().filter(|e| e.is_suspect(now));
     LoadSum {
         boxes: 1,
-        usage: uses,
+        usage: by_upstream,
         suspects: suspects
             .map(|e| load_report::upstream_key(&e.upstream.id))
             .collect(),
--- a/crates/ashgauged/src/relay/log.rs
+++ b/crates/ashgauged/src/relay/log.rs
@@ -40,7 +40,7 @@
         other => eyre::bail!("log: `{other}` is no level; use error, warn, info or debug"),
     };
     let formatter = PatternFormatter::new(pattern!("{payload}{eol}"));
-    let out = StdStreamSink::builder()
+    let stdout = StdStreamSink::builder()
         .std_stream(StdStream::Stdout)
         .formatter(formatter)
         .build()?;
@@ -50,7 +50,7 @@
         let _ = pool.capacity(capacity);
     }
     let sink = AsyncPoolSink::builder()
-        .sink(Arc::new(out))
+        .sink(Arc::new(stdout))
         .thread_pool(Arc::new(pool.build()?))
         .overflow_policy(OverflowPolicy::DropIncoming)
         .build()?;
--- a/crates/ashgauged/src/relay/membership.rs
+++ b/crates/ashgauged/src/relay/membership.rs
@@ -81,31 +81,31 @@
 /// shrink.
 pub async fn follow_members(shared: Rc<SharedState>) {
     let own = StoredBox::of(&shared);
-    let began = shared.now();
-    let fresh = shared.settings().fresh_fleet;
-    let found = if fresh {
+    let started = shared.now();
+    let is_fresh_fleet = shared.settings().fresh_fleet;
+    let stored = if is_fresh_fleet {
         None
     } else {
         first_list(&shared).await
     };
-    if !fresh {
-        shared.discovered_at.set(Some(began));
+    if !is_fresh_fleet {
+        shared.discovered_at.set(Some(started));
     }
-    if found.is_some() {
+    if stored.is_some() {
         shared.was_listed.set(true);
         shared.trust_count();
     }
-    if found.as_ref() != Some(&own) {
+    if stored.as_ref() != Some(&own) {
         while let Err(fault) = announce(&shared, &own).await {
             log_fault("announce", &fault);
             random_pause(&shared).await;
         }
     }
-    for time in DISCOVERY_TIMES {
-        if fresh && time < FRESH_DISCOVERY_TIME {
+    for delay in DISCOVERY_TIMES {
+        if is_fresh_fleet && delay < FRESH_DISCOVERY_TIME {
             continue;
         }
-        sleep((began + time).saturating_sub(shared.now())).await;
+        sleep((started + delay).saturating_sub(shared.now())).await;
         if shared.discovered_at.get().is_none() || needs_all(&shared) {
             refresh(shared.clone()).await;
         }
@@ -114,9 +114,9 @@
         }
     }
     shared.trust_count();
-    for turn in 1u32.. {
+    for round in 1u32.. {
         sleep(LIST_INTERVAL).await;
-        if needs_all(&shared) || turn.is_multiple_of(LISTS_SKIPPED) {
+        if needs_all(&shared) || round.is_multiple_of(LISTS_SKIPPED) {
             refresh(shared.clone()).await;
         }
     }
@@ -128,8 +128,8 @@
     let mut eras = shared.store.subscribe_era();
     // The store client lives as long as the shared state.
     while eras.changed().await.is_ok() {
-        let spread = shared.rng().random_range(Duration::ZERO..MAX_RENEW_DELAY);
-        sleep(spread).await;
+        let delay = shared.rng().random_range(Duration::ZERO..MAX_RENEW_DELAY);
+        sleep(delay).await;
         let own = StoredBox::of(&shared);
         while let Err(fault) = announce(&shared, &own).await {
             log_fault("announce", &fault);
@@ -183,7 +183,7 @@
 async fn first_list(shared: &SharedState) -> Option<StoredBox> {
     loop {
         match list_boxes(shared).await {
-            Ok(seen) => return seen.own,
+            Ok(listing) => return listing.own,
             Err(fault) => log_fault("look", &fault),
         }
         random_pause(shared).await;
@@ -191,10 +191,10 @@
 }
 
 async fn random_pause(shared: &SharedState) {
-    let time = shared
+    let delay = shared
         .rng()
         .random_range(MAX_RETRY_DELAY / 4..MAX_RETRY_DELAY);
-    sleep(time).await;
+    sleep(delay).await;
 }
 
 /// Creates this box's registration, or corrects one with another address.
@@ -206,13 +206,13 @@
         Err(StoreError::Conflict) => {}
         other => return other,
     }
-    let known = shared.store.get::<StoredBox>(KIND, &name).await;
-    shared.count_store_call("get", &known);
-    let known = known?;
-    if known.value == *member {
+    let stored = shared.store.get::<StoredBox>(KIND, &name).await;
+    shared.count_store_call("get", &stored);
+    let stored = stored?;
+    if stored.value == *member {
         return Ok(());
     }
-    let replaced = shared.store.replace(KIND, &name, known.revision, member);
+    let replaced = shared.store.replace(KIND, &name, stored.revision, member);
     let replaced = replaced.await;
     shared.count_store_call("write", &replaced);
     replaced
@@ -246,37 +246,39 @@
 /// Reads the member list: its first page, and the remaining ones if this box must know
 /// all boxes.
 async fn list_boxes(shared: &SharedState) -> Result<Listing, StoreError> {
-    let head = shared.store.first_stale_page::<StoredBox>(KIND).await;
-    shared.count_store_call("stale", &head);
-    let head = head?;
-    let mut seen = Listing {
+    let first_page = shared.store.first_stale_page::<StoredBox>(KIND).await;
+    shared.count_store_call("stale", &first_page);
+    let first_page = first_page?;
+    let mut listing = Listing {
         own: None,
         revisions: Vec::new(),
     };
-    let is_whole = head.next_after.is_none();
-    if !is_whole {
+    let is_complete = first_page.next_after.is_none();
+    if !is_complete {
         let mut peers = shared.peers.borrow_mut();
         peers.values_mut().for_each(|p| p.is_candidate = false);
     }
-    add_peers(shared, head.objects, true, &mut seen);
-    shared.is_candidate.set(is_whole || seen.own.is_some());
-    shared.peers_partial.set(!is_whole);
-    let reads_all = is_whole || *shared.reads_store.borrow();
-    if !is_whole && reads_all {
-        let rest = shared
+    add_peers(shared, first_page.objects, true, &mut listing);
+    shared
+        .is_candidate
+        .set(is_complete || listing.own.is_some());
+    shared.peers_partial.set(!is_complete);
+    let reads_all = is_complete || *shared.reads_store.borrow();
+    if !is_complete && reads_all {
+        let remaining = shared
             .store
-            .remaining_stale::<StoredBox>(KIND, head.next_after)
+            .remaining_stale::<StoredBox>(KIND, first_page.next_after)
             .await;
-        shared.count_store_call("stale", &rest);
-        add_peers(shared, rest?, false, &mut seen);
+        shared.count_store_call("stale", &remaining);
+        add_peers(shared, remaining?, false, &mut listing);
     }
     // If this box is missing from an older state of the store, others may be as well. An
     // unchanged count is trusted more than the first one after a start.
-    let count = seen.revisions.len() as u32;
-    if reads_all && seen.own.is_some() && count >= shared.counted_boxes() {
+    let count = listing.revisions.len() as u32;
+    if reads_all && listing.own.is_some() && count >= shared.counted_boxes() {
         shared.set_fleet_size(count);
     }
-    Ok(seen)
+    Ok(listing)
 }
 
 /// Adds listed boxes to the peers.
@@ -284,24 +286,24 @@
     shared: &SharedState,
     objects: Vec<Object<StoredBox>>,
     is_candidate: bool,
-    seen: &mut Listing,
+    listing: &mut Listing,
 ) {
     let settings = shared.settings();
     let mut peers = shared.peers.borrow_mut();
     for object in objects {
         let member = object.value;
-        seen.revisions.push(object.revision);
+        listing.revisions.push(object.revision);
         if member.id == settings.id {
-            seen.own = Some(member);
+            listing.own = Some(member);
             continue;
         }
         if let Some(addr) = member.peer {
-            let near = member.data_centre == settings.data_centre;
-            let place = member.data_centre.into();
+            let local = member.data_centre == settings.data_centre;
+            let name = member.data_centre.into();
             let peer = Peer {
                 addr,
-                data_centre: place,
-                is_local: near,
+                data_centre: name,
+                is_local: local,
                 link_mbps: member.link_mbps,
                 is_candidate,
             };
--- a/crates/ashgauged/src/relay/mod.rs
+++ b/crates/ashgauged/src/relay/mod.rs
@@ -64,7 +64,7 @@
 use shared_state::SharedState;
 
 /// How long the load balancer may still send callers here after the box has reported that
-/// it is not ready. The balancer asks every second and removes the box after the second
+/// it is not ready. The balancer checks every second and removes the box after the second
 /// negative answer. Later requests, on kept-alive connections, are refused.
 const BALANCER_GRACE: Duration = Duration::from_millis(2600);
 
@@ -98,16 +98,16 @@
 }
 
 async fn serve(settings: Settings, path: &Path) -> Result<()> {
-    let callers = bind(&settings.caller).await?;
-    let ready = bind(&settings.ready).await?;
+    let caller_listener = bind(&settings.caller).await?;
+    let ready_listener = bind(&settings.ready).await?;
     let metrics = match &settings.metrics {
         Some(addr) => Some(bind(addr).await?),
         None => None,
     };
     let fields = json!({
         "settings": settings.summary(),
-        "caller": callers.local_addr()?.to_string(),
-        "ready": ready.local_addr()?.to_string(),
+        "caller": caller_listener.local_addr()?.to_string(),
+        "ready": ready_listener.local_addr()?.to_string(),
         "metrics": metrics.as_ref().and_then(|m| m.local_addr().ok()).map(|a| a.to_string()),
     });
     log::event(Level::Info, "box", "started", fields);
@@ -122,8 +122,8 @@
     Placer::start(shared.clone());
     tokio::task::spawn_local(clock::watch_suspension(shared.clone()));
     tokio::task::spawn_local(shedding::update_levels(shared.clone()));
-    tokio::task::spawn_local(serve::accept(shared.clone(), callers));
-    tokio::task::spawn_local(serve::serve_readiness(shared.clone(), ready));
+    tokio::task::spawn_local(serve::accept(shared.clone(), caller_listener));
+    tokio::task::spawn_local(serve::serve_readiness(shared.clone(), ready_listener));
     if let Some(listener) = metrics {
         tokio::task::spawn_local(serve::serve_metrics(shared.clone(), listener));
     }
@@ -138,7 +138,7 @@
     let mut term = signal(SignalKind::terminate())?;
     let mut int = signal(SignalKind::interrupt())?;
     let mut hup = signal(SignalKind::hangup())?;
-    let mut changed = modified_at(path);
+    let mut last_modified = modified_at(path);
     loop {
         tokio::select! {
             _ = term.recv() => return Ok(()),
@@ -146,7 +146,7 @@
             _ = hup.recv() => reload(shared, path),
             () = sleep(SETTINGS_POLL_INTERVAL) => {
                 let now = modified_at(path);
-                if now.is_some() && std::mem::replace(&mut changed, now) != now {
+                if now.is_some() && std::mem::replace(&mut last_modified, now) != now {
                     reload(shared, path);
                 }
             }
@@ -178,31 +178,31 @@
 
 /// Shuts down: lets the requests in flight finish within the time that is left.
 async fn stop(shared: &SharedState) {
-    let began = Instant::now();
+    let started = Instant::now();
     shared.is_stopping.set(true);
-    let most = shared.settings().stop_timeout();
-    let most = most.saturating_sub(KILL_MARGIN);
+    let limit = shared.settings().stop_timeout();
+    let limit = limit.saturating_sub(KILL_MARGIN);
     log::event(
         Level::Info,
         "box",
         "stopping",
         json!({"inflight": shared.inflight.get()}),
     );
-    sleep(BALANCER_GRACE.min(most)).await;
+    sleep(BALANCER_GRACE.min(limit)).await;
     shared.is_stopped.set(true);
-    let mut busy = Instant::now();
-    while busy.elapsed() < IDLE_GRACE && began.elapsed() < most {
+    let mut last_busy = Instant::now();
+    while last_busy.elapsed() < IDLE_GRACE && started.elapsed() < limit {
         sleep(STOP_POLL_INTERVAL).await;
         if shared.inflight.get() > 0 {
-            busy = Instant::now();
+            last_busy = Instant::now();
         }
     }
-    let fields = json!({"cut": shared.inflight.get(), "ms": began.elapsed().as_millis() as u64});
+    let fields = json!({"cut": shared.inflight.get(), "ms": started.elapsed().as_millis() as u64});
     log::event(Level::Info, "box", "stopped", fields);
     log::flush();
 }
 
 async fn bind(addr: &str) -> Result<TcpListener> {
-    let bound = TcpListener::bind(addr).await;
-    bound.wrap_err_with(|| format!("cannot listen on {addr}; free the port or set another"))
+    let result = TcpListener::bind(addr).await;
+    result.wrap_err_with(|| format!("cannot listen on {addr}; free the port or set another"))
 }
--- a/crates/ashgauged/src/relay/notice.rs
+++ b/crates/ashgauged/src/relay/notice.rs
@@ -13,13 +13,13 @@
 
 /// Applies what the response head of an upstream announces; the request was sent at
 /// `sent`.
-pub fn apply(shared: &SharedState, upstream: &str, sent: Duration, head: &response::Parts) {
-    apply_limit(shared, upstream, sent, head);
+pub fn apply(shared: &SharedState, upstream: &str, sent_at: Duration, head: &response::Parts) {
+    apply_limit(shared, upstream, sent_at, head);
     if engine::is_leaving(&head.headers) {
         note_leaving(shared, upstream);
     }
-    let rest = match engine::requested_backoff(head) {
-        Ok(Some(rest)) => rest,
+    let backoff = match engine::requested_backoff(head) {
+        Ok(Some(backoff)) => backoff,
         Ok(None) => return,
         Err(text) => {
             let fields = json!({"upstream": upstream, "text": text});
@@ -28,25 +28,26 @@
     };
     let mut registry = shared.registry.borrow_mut();
     // A later engine of a chain sends its request for a backoff through the first one.
-    let named = engine::engine_at_fault(&head.headers).and_then(|addr| registry.by_addr(addr));
-    let named = named.map(|e| e.upstream.id.clone());
+    let named_engine =
+        engine::engine_at_fault(&head.headers).and_then(|addr| registry.by_addr(addr));
+    let named_engine = named_engine.map(|e| e.upstream.id.clone());
     let now = shared.now();
-    registry.note_backoff(now, upstream, rest);
-    if let Some(id) = &named {
-        registry.note_backoff(now, id, rest);
+    registry.note_backoff(now, upstream, backoff);
+    if let Some(id) = &named_engine {
+        registry.note_backoff(now, id, backoff);
     }
     shared.metrics.backoffs.inc();
     let fields = json!({
         "upstream": upstream,
-        "named": named.as_deref(),
-        "rest_ms": rest.as_millis() as u64,
+        "named": named_engine.as_deref(),
+        "rest_ms": backoff.as_millis() as u64,
     });
     log::event(Level::Info, "roster", "asks for rest", fields);
 }
 
 /// Records the rate limit that an upstream announces for all boxes together. A refusal or
 /// failure without a limit says nothing about it.
-fn apply_limit(shared: &SharedState, upstream: &str, sent: Duration, head: &response::Parts) {
+fn apply_limit(shared: &SharedState, upstream: &str, sent_at: Duration, head: &response::Parts) {
     let (now, mut limits) = (shared.now(), shared.permits.limits.borrow_mut());
     let rate = match engine::rate_limit(&head.headers) {
         Ok(None) if !head.status.is_success() => return,
@@ -59,7 +60,7 @@
             return;
         }
     };
-    if limits.record(now, upstream, sent, rate) {
+    if limits.record(now, upstream, sent_at, rate) {
         let fields = json!({"upstream": upstream, "rate": rate});
         log::event(Level::Info, "roster", "names its limit", fields);
         if rate.is_none() {
@@ -100,11 +101,11 @@
         shared.metrics.limited_sends.inc();
     }
     let registry = shared.registry.borrow();
-    let Some(left) = registry.get(upstream).and_then(|e| e.backoff(shared.now())) else {
+    let Some(remaining) = registry.get(upstream).and_then(|e| e.backoff(shared.now())) else {
         return;
     };
     shared.metrics.backoff_sends.inc();
-    let left = left.as_millis() as u64;
-    let fields = json!({"id": id, "upstream": upstream, "left_ms": left});
+    let remaining = remaining.as_millis() as u64;
+    let fields = json!({"id": id, "upstream": upstream, "left_ms": remaining});
     log::event(Level::Warn, "request", "sent at rest", fields);
 }
--- a/crates/ashgauged/src/relay/pack.rs
+++ b/crates/ashgauged/src/relay/pack.rs
@@ -25,10 +25,10 @@
 ///
 /// Fails if the update cannot be encoded, which does not happen in practice.
 pub fn pack(update: &Update) -> Result<Vec<u8>> {
-    let plain = postcard::to_allocvec(update)?;
-    let mut packer = DeflateEncoder::new(Vec::new(), Compression::fast());
-    packer.write_all(&plain)?;
-    Ok(packer.finish()?)
+    let encoded = postcard::to_allocvec(update)?;
+    let mut encoder = DeflateEncoder::new(Vec::new(), Compression::fast());
+    encoder.write_all(&encoded)?;
+    Ok(encoder.finish()?)
 }
 
 /// Decodes a compressed update.
@@ -38,15 +38,15 @@
 /// Fails if the bytes are not a valid update, or are larger than [`MAX_UNPACKED_BYTES`]
 /// when decompressed.
 pub fn unpack(bytes: &[u8]) -> Result<Update> {
-    let mut plain = Vec::new();
-    let unpacked = DeflateDecoder::new(bytes)
+    let mut decompressed = Vec::new();
+    let result = DeflateDecoder::new(bytes)
         .take(MAX_UNPACKED_BYTES + 1)
-        .read_to_end(&mut plain);
-    unpacked.wrap_err("the update cannot be unpacked")?;
-    if plain.len() as u64 > MAX_UNPACKED_BYTES {
+        .read_to_end(&mut decompressed);
+    result.wrap_err("the update cannot be unpacked")?;
+    if decompressed.len() as u64 > MAX_UNPACKED_BYTES {
         bail!("the update is larger than {MAX_UNPACKED_BYTES} bytes unpacked");
     }
-    Ok(postcard::from_bytes(&plain)?)
+    Ok(postcard::from_bytes(&decompressed)?)
 }
 
 /// Encodes a datagram; logs and returns `None` if that fails.
--- a/crates/ashgauged/src/relay/peers.rs
+++ b/crates/ashgauged/src/relay/peers.rs
@@ -79,7 +79,7 @@
     /// An answer could not be fetched from this box.
     FetchFailed(BoxId),
     /// A box has new data.
-    News(BoxId),
+    Changed(BoxId),
 }
 
 /// Messaging of this box with the others.
@@ -88,7 +88,7 @@
     socket: Rc<UdpSocket>,
     messages: mpsc::Sender<PeerMessage>,
     /// Expiry time of each fetch token.
-    tickets: RefCell<HashMap<FetchToken, Duration>>,
+    fetch_tokens: RefCell<HashMap<FetchToken, Duration>>,
     /// Cached compressed updates, the latest last.
     packed_updates: RefCell<VecDeque<PackedUpdate>>,
     /// When a query with a later revision was last logged.
@@ -102,9 +102,9 @@
     /// Revision up to which they know everything afterwards.
     until: Revision,
     /// Generation of the mirror from which it was made.
-    edition: u64,
+    generation: u64,
     /// Whether missing entries are certainly removed.
-    sure: bool,
+    removals_certain: bool,
     bytes: Bytes,
 }
 
@@ -126,20 +126,20 @@
         // The messaging is started once.
         let _ = shared.permits.socket.set(socket.clone());
         shared.peer_addr.set(Some(socket.local_addr()?));
-        let (heard, messages) = mpsc::channel(MAX_QUEUED_MESSAGES);
+        let (sender, receiver) = mpsc::channel(MAX_QUEUED_MESSAGES);
         let peers = Rc::new(Peers {
             shared: shared.clone(),
             socket,
-            messages: heard,
-            tickets: RefCell::default(),
+            messages: sender,
+            fetch_tokens: RefCell::default(),
             packed_updates: RefCell::default(),
             later_logged_at: Cell::default(),
         });
         tokio::task::spawn_local(peers.clone().receive());
-        let (fetches, asked) = mpsc::channel(MAX_QUEUED_MESSAGES);
-        tokio::task::spawn_local(peers.clone().serve_fetches(asked));
+        let (fetches, requests) = mpsc::channel(MAX_QUEUED_MESSAGES);
+        tokio::task::spawn_local(peers.clone().serve_fetches(requests));
         tokio::task::spawn_local(fetch::serve(listener, fetches));
-        Ok(Some((peers, messages)))
+        Ok(Some((peers, receiver)))
     }
 
     /// Sends one datagram to a box. A failure is ignored; the next datagram makes up for
@@ -149,19 +149,19 @@
     }
 
     /// Sends a query to a box.
-    pub async fn ask(&self, to: &BoxId, question: Query) {
+    pub async fn send_query(&self, to: &BoxId, query: Query) {
         let addr = self.shared.peers.borrow().get(to).map(|p| p.addr);
-        let bytes = pack::encode(&Datagram::Query(question));
+        let bytes = pack::encode(&Datagram::Query(query));
         if let (Some(addr), Some(bytes)) = (addr, bytes) {
             self.send(addr, &bytes).await;
         }
     }
 
     /// Fetches an answer that is too large for a datagram.
-    pub async fn fetch(self: Rc<Self>, to: BoxId, question: Query, most: Duration) {
-        let asked = self.shared.now();
-        let heard = match self.fetch_once(&to, &question, most).await {
-            Ok(answer) => PeerMessage::Answer(answer, Some(asked)),
+    pub async fn fetch(self: Rc<Self>, to: BoxId, query: Query, timeout: Duration) {
+        let asked_at = self.shared.now();
+        let message = match self.fetch_once(&to, &query, timeout).await {
+            Ok(answer) => PeerMessage::Answer(answer, Some(asked_at)),
             Err(e) => {
                 let fields = json!({"from": &*to, "fault": format!("{e:#}")});
                 log::event(Level::Info, "fleet", "answer not fetched", fields);
@@ -169,28 +169,28 @@
             }
         };
         // The polling task runs until the process ends.
-        let _ = self.messages.send(heard).await;
+        let _ = self.messages.send(message).await;
     }
 
-    async fn fetch_once(&self, to: &BoxId, question: &Query, most: Duration) -> Result<Answer> {
+    async fn fetch_once(&self, to: &BoxId, query: &Query, timeout: Duration) -> Result<Answer> {
         let addr = self.shared.peers.borrow().get(to).map(|p| p.addr);
         let addr = addr.ok_or_else(|| eyre!("the box is not listed any more"))?;
         let addr = addr.to_string();
-        let body = Full::new(Bytes::from(postcard::to_allocvec(question)?));
+        let body = Full::new(Bytes::from(postcard::to_allocvec(query)?));
         let request = Request::builder().method(Method::POST).uri(ANSWER_PATH);
         let request = request.header(hyper::header::HOST, &addr);
         let request = request.body(body)?;
-        let reply = self.shared.client.send(&addr, request, most);
-        let reply = reply.await?;
-        if reply.status() != StatusCode::OK {
-            return Err(eyre!("the box answered {}", reply.status()));
+        let response = self.shared.client.send(&addr, request, timeout);
+        let response = response.await?;
+        if response.status() != StatusCode::OK {
+            return Err(eyre!("the box answered {}", response.status()));
         }
-        let mut answer: Answer = postcard::from_bytes(reply.body())?;
+        let mut answer: Answer = postcard::from_bytes(response.body())?;
         if let AnswerBody::Compressed { age, bytes } = answer.body {
             let update = pack::unpack(&bytes)?;
             answer.body = AnswerBody::Update { age, update };
         }
-        match answer.from == *to && answer.id == question.id {
+        match answer.from == *to && answer.id == query.id {
             true => Ok(answer),
             false => Err(eyre!("the answer is to another question")),
         }
@@ -203,21 +203,21 @@
         let Some(bytes) = pack::encode(&Datagram::Changed(own)) else {
             return;
         };
-        let to: Vec<SocketAddr> = {
-            let mut askers = self.shared.pollers.borrow_mut();
-            askers.retain(|_, asked| now < asked.asked_at + POLLER_TTL);
+        let addrs: Vec<SocketAddr> = {
+            let mut pollers = self.shared.pollers.borrow_mut();
+            pollers.retain(|_, last_query| now < last_query.asked_at + POLLER_TTL);
             let peers = self.shared.peers.borrow();
-            let addrs = askers.keys().filter_map(|id| peers.get(id));
+            let addrs = pollers.keys().filter_map(|id| peers.get(id));
             addrs.map(|p| p.addr).collect()
         };
-        for addr in to {
+        for addr in addrs {
             self.send(addr, &bytes).await;
         }
     }
 
     async fn receive(self: Rc<Self>) {
         let mut buffer = vec![0; MAX_DATAGRAM_BYTES];
-        let mut counted = Duration::ZERO;
+        let mut refreshed_at = Duration::ZERO;
         loop {
             let Ok((len, from)) = self.socket.recv_from(&mut buffer).await else {
                 sleep(READ_RETRY_DELAY).await;
@@ -231,9 +231,9 @@
                 .with_label_values(&label)
                 .inc();
             let now = self.shared.now();
-            if result == DatagramResult::Stranger && now >= counted + MIN_REFRESH_INTERVAL {
+            if result == DatagramResult::Stranger && now >= refreshed_at + MIN_REFRESH_INTERVAL {
                 // The sender may be a box that has just started.
-                counted = now;
+                refreshed_at = now;
                 tokio::task::spawn_local(membership::refresh(self.shared.clone()));
             }
         }
@@ -244,34 +244,34 @@
         let Ok(datagram) = postcard::from_bytes::<Datagram>(bytes) else {
             return DatagramResult::Unreadable;
         };
-        let listed = self
+        let registered = self
             .shared
             .peers
             .borrow()
             .get(datagram.from())
             .map(|p| p.addr);
-        if listed != Some(addr) {
+        if registered != Some(addr) {
             return DatagramResult::Stranger;
         }
         match datagram {
-            Datagram::Load(word) => self.handle_load(word),
-            Datagram::Query(question) => {
-                self.handle_query(question, addr).await;
-                DatagramResult::Question
+            Datagram::Load(report) => self.handle_load(report),
+            Datagram::Query(query) => {
+                self.handle_query(query, addr).await;
+                DatagramResult::Query
             }
             Datagram::Answer(answer) => self.forward(PeerMessage::Answer(answer, None)),
-            Datagram::Changed(from) => self.forward(PeerMessage::News(from)),
+            Datagram::Changed(from) => self.forward(PeerMessage::Changed(from)),
             Datagram::Losses(from, report) => {
                 quarantine::merge_report(&self.shared, &from, &report);
                 DatagramResult::Accepted
             }
-            Datagram::Suspects(from, starts) => {
-                suspicion::handle_reports(&self.shared, &from, &starts);
+            Datagram::Suspects(from, instances) => {
+                suspicion::handle_reports(&self.shared, &from, &instances);
                 DatagramResult::Accepted
             }
-            Datagram::AskPermit(ask) => {
-                permit::handle_ask(&self.shared, ask, addr);
-                DatagramResult::Question
+            Datagram::AskPermit(request) => {
+                permit::handle_request(&self.shared, request, addr);
+                DatagramResult::Query
             }
             Datagram::Permit(reply) => {
                 permit::handle_reply(&self.shared, reply);
@@ -280,15 +280,15 @@
         }
     }
 
-    fn handle_load(&self, mut word: LoadReport) -> DatagramResult {
+    fn handle_load(&self, mut report: LoadReport) -> DatagramResult {
         let now = self.shared.now();
-        let (suspects, slow) = (word.suspects.clone(), word.slow.clone());
-        permit::merge_limits(&self.shared, &word.from, &word.limits);
+        let (suspects, slow) = (report.suspects.clone(), report.slow.clone());
+        permit::merge_limits(&self.shared, &report.from, &report.limits);
         if self.shared.role() != Role::Hub {
-            word.suspects.clear();
-            word.slow.clear();
+            report.suspects.clear();
+            report.slow.clear();
         }
-        if !self.shared.fleet_load.borrow_mut().apply(now, word) {
+        if !self.shared.fleet_load.borrow_mut().apply(now, report) {
             return DatagramResult::Late;
         }
         let mut registry = self.shared.registry.borrow_mut();
@@ -299,67 +299,73 @@
         DatagramResult::Accepted
     }
 
-    fn forward(&self, heard: PeerMessage) -> DatagramResult {
-        match self.messages.try_send(heard) {
+    fn forward(&self, message: PeerMessage) -> DatagramResult {
+        match self.messages.try_send(message) {
             Ok(()) => DatagramResult::Accepted,
             Err(_) => DatagramResult::Late,
         }
     }
 
-    async fn handle_query(&self, question: Query, addr: SocketAddr) {
+    async fn handle_query(&self, query: Query, addr: SocketAddr) {
         let now = self.shared.now();
-        let asked = LastQuery {
+        let last_query = LastQuery {
             asked_at: now,
-            revision: question.after,
+            revision: query.after,
         };
-        let from = question.from.clone();
-        self.log_later_revision(&question);
-        self.shared.pollers.borrow_mut().insert(from, asked);
-        if let Some(bytes) = self.encode_answer(&question) {
+        let from = query.from.clone();
+        self.log_later_revision(&query);
+        self.shared.pollers.borrow_mut().insert(from, last_query);
+        if let Some(bytes) = self.encode_answer(&query) {
             self.send(addr, &bytes).await;
         }
     }
 
     /// Logs that another box knows more than this one, at most once a second.
-    fn log_later_revision(&self, question: &Query) {
+    fn log_later_revision(&self, query: &Query) {
         let (now, covered) = (self.shared.now(), self.shared.mirror.borrow().covered());
-        if question.after <= covered || now < self.later_logged_at.get() + LATER_LOG_INTERVAL {
+        if query.after <= covered || now < self.later_logged_at.get() + LATER_LOG_INTERVAL {
             return;
         }
         self.later_logged_at.set(now);
         let fields = json!({
-            "from": &*question.from,
-            "after": [revision::era(question.after), revision::count(question.after)],
+            "from": &*query.from,
+            "after": [revision::era(query.after), revision::count(query.after)],
             "known": [revision::era(covered), revision::count(covered)],
         });
         log::event(Level::Info, "fleet", "asked by a later revision", fields);
     }
 
     /// Encodes the answer to a query: the data that this box has, or how to fetch it.
-    fn encode_answer(&self, question: &Query) -> Option<Vec<u8>> {
-        if self.cached_update(question.after).is_none() {
-            let bytes = pack::encode(&Datagram::Answer(self.build_answer(question)))?;
+    fn encode_answer(&self, query: &Query) -> Option<Vec<u8>> {
+        if self.cached_update(query.after).is_none() {
+            let bytes = pack::encode(&Datagram::Answer(self.build_answer(query)))?;
             if bytes.len() <= MAX_ANSWER_BYTES {
                 return Some(bytes);
             }
         }
-        let packed = self.pack_update(question.after)?;
-        let large = self.issue_token(question, packed.len() as u64);
-        pack::encode(&Datagram::Answer(large))
+        let update = self.pack_update(query.after)?;
+        let answer = self.issue_token(query, update.len() as u64);
+        pack::encode(&Datagram::Answer(answer))
     }
 
     /// Returns the cached update for a box that knows everything up to `after`, if
     /// nothing has changed since it was compressed.
     fn cached_update(&self, after: Revision) -> Option<Bytes> {
-        let (mirror, sure) = (
+        let (mirror, removals_certain) = (
             self.shared.mirror.borrow(),
             self.shared.removals_certain.get(),
         );
-        let now = (after, mirror.covered(), mirror.generation(), sure);
-        let packed = self.packed_updates.borrow();
-        let mut packed = packed.iter();
-        let known = packed.find(|p| (p.after, p.until, p.edition, p.sure) == now)?;
-        Some(known.bytes.clone())
+        let wanted = (
+            after,
+            mirror.covered(),
+            mirror.generation(),
+            removals_certain,
+        );
+        let updates = self.packed_updates.borrow();
+        let mut updates = updates.iter();
+        let update =
+            updates.find(|p| (p.after, p.until, p.generation, p.removals_certain) == wanted)?;
+        Some(update.bytes.clone())
     }
 
     /// Returns the compressed update for a box that knows everything up to `after`.
@@ -367,11 +373,11 @@
         if let Some(bytes) = self.cached_update(after) {
             return Some(bytes);
         }
-        let (mirror, sure) = (
+        let (mirror, removals_certain) = (
             self.shared.mirror.borrow(),
             self.shared.removals_certain.get(),
         );
-        let bytes = match pack::pack(&mirror.update(after, sure)) {
+        let bytes = match pack::pack(&mirror.update(after, removals_certain)) {
             Ok(bytes) => Bytes::from(bytes),
             Err(e) => {
                 let fields = json!({"cause": e.to_string()});
@@ -379,37 +385,37 @@
                 return None;
             }
         };
-        let mut packed = self.packed_updates.borrow_mut();
-        if packed.len() >= MAX_CACHED_UPDATES {
-            packed.pop_front();
+        let mut updates = self.packed_updates.borrow_mut();
+        if updates.len() >= MAX_CACHED_UPDATES {
+            updates.pop_front();
         }
-        packed.push_back(PackedUpdate {
+        updates.push_back(PackedUpdate {
             after,
             until: mirror.covered(),
-            edition: mirror.generation(),
-            sure,
+            generation: mirror.generation(),
+            removals_certain,
             bytes: bytes.clone(),
         });
         Some(bytes)
     }
 
     /// Builds the answer for a box that fetches it, with a compressed update.
-    fn packed_answer(&self, question: &Query) -> Option<Answer> {
+    fn packed_answer(&self, query: &Query) -> Option<Answer> {
         let shared = &self.shared;
         let age = shared.freshness.borrow().age(shared.now());
         let body = match age.filter(|_| shared.is_synced()) {
             Some(age) => AnswerBody::Compressed {
                 age,
-                bytes: self.pack_update(question.after)?.to_vec(),
+                bytes: self.pack_update(query.after)?.to_vec(),
             },
             None => self.empty_body(),
         };
-        Some(self.answer_with(question, body))
+        Some(self.answer_with(query, body))
     }
 
     /// Builds the answer with this box's present data. The age is as of now, which is
     /// after the query was sent.
-    fn build_answer(&self, question: &Query) -> Answer {
+    fn build_answer(&self, query: &Query) -> Answer {
         let shared = &self.shared;
         let age = shared.freshness.borrow().age(shared.now());
         let body = match age.filter(|_| shared.is_synced()) {
@@ -418,56 +424,56 @@
                 update: shared
                     .mirror
                     .borrow()
-                    .update(question.after, shared.removals_certain.get()),
+                    .update(query.after, shared.removals_certain.get()),
             },
             None => self.empty_body(),
         };
-        self.answer_with(question, body)
+        self.answer_with(query, body)
     }
 
     fn empty_body(&self) -> AnswerBody {
         let now = self.shared.now();
-        let asked = self.shared.config_missing_at.get();
+        let missing_at = self.shared.config_missing_at.get();
         AnswerBody::Empty {
-            asked_ago: asked.map(|at| now.saturating_sub(at)),
+            asked_ago: missing_at.map(|at| now.saturating_sub(at)),
         }
     }
 
-    fn answer_with(&self, question: &Query, body: AnswerBody) -> Answer {
+    fn answer_with(&self, query: &Query, body: AnswerBody) -> Answer {
         Answer {
             from: self.shared.settings().id.as_str().into(),
-            id: question.id,
+            id: query.id,
             boxes: self.shared.counted_boxes(),
             body,
         }
     }
 
-    fn issue_token(&self, question: &Query, bytes: u64) -> Answer {
-        let ticket = self.shared.rng().random();
+    fn issue_token(&self, query: &Query, bytes: u64) -> Answer {
+        let token = self.shared.rng().random();
         let now = self.shared.now();
-        let mut tickets = self.tickets.borrow_mut();
-        tickets.retain(|_, until| now < *until);
-        if tickets.len() >= MAX_FETCH_TOKENS {
-            return self.answer_with(question, AnswerBody::Empty { asked_ago: None });
+        let mut fetch_tokens = self.fetch_tokens.borrow_mut();
+        fetch_tokens.retain(|_, expires_at| now < *expires_at);
+        if fetch_tokens.len() >= MAX_FETCH_TOKENS {
+            return self.answer_with(query, AnswerBody::Empty { asked_ago: None });
         }
-        tickets.insert(ticket, now + FETCH_TOKEN_TTL);
+        fetch_tokens.insert(token, now + FETCH_TOKEN_TTL);
         self.answer_with(
-            question,
+            query,
             AnswerBody::TooLarge {
-                fetch_token: ticket,
+                fetch_token: token,
                 bytes,
             },
         )
     }
 
     /// Answers queries received over connections, from boxes with a valid fetch token.
-    async fn serve_fetches(self: Rc<Self>, mut asked: mpsc::Receiver<FetchRequest>) {
-        while let Some(FetchRequest { question, reply }) = asked.recv().await {
-            let ticket = question.fetch_token;
-            let until = ticket.and_then(|t| self.tickets.borrow_mut().remove(&t));
-            let is_good = until.is_some_and(|until| self.shared.now() < until);
+    async fn serve_fetches(self: Rc<Self>, mut requests: mpsc::Receiver<FetchRequest>) {
+        while let Some(FetchRequest { query, reply }) = requests.recv().await {
+            let token = query.fetch_token;
+            let expires_at = token.and_then(|t| self.fetch_tokens.borrow_mut().remove(&t));
+            let is_valid = expires_at.is_some_and(|expires_at| self.shared.now() < expires_at);
             // The requester may be gone.
-            let answer = is_good.then(|| self.packed_answer(&question));
+            let answer = is_valid.then(|| self.packed_answer(&query));
             let _ = reply.send(answer.flatten());
         }
     }
@@ -479,7 +485,7 @@
     /// Its content was accepted.
     Accepted,
     /// It was a query or a permit request.
-    Question,
+    Query,
     /// A later datagram was accepted before, or too many messages are queued.
     Late,
     /// It could not be decoded.
@@ -492,7 +498,7 @@
     fn label(self) -> &'static str {
         match self {
             DatagramResult::Accepted => "heard",
-            DatagramResult::Question => "question",
+            DatagramResult::Query => "question",
             DatagramResult::Late => "late",
             DatagramResult::Unreadable => "unreadable",
             DatagramResult::Stranger => "stranger",
--- a/crates/ashgauged/src/relay/permit.rs
+++ b/crates/ashgauged/src/relay/permit.rs
@@ -24,18 +24,18 @@
 /// a box that has used up its CPU quota.
 const REPLY_TIMEOUT: Duration = Duration::from_millis(40);
 
-/// Maximum number of boxes that are asked for one permit.
+/// Maximum number of boxes from which one permit is requested.
 const MAX_ASKED_BOXES: u32 = 2;
 
 /// Acquires a permit if the upstream needs one; without a permit the upstream is blocked
 /// for a while and `false` is returned.
 pub async fn acquire(shared: &SharedState, id: &UpstreamId) -> bool {
     let key = load_report::upstream_key(id);
-    let told = shared.permits.limits.borrow().report_of(shared.now(), key);
-    let Some(told) = told.filter(|t| t.rate.is_some()) else {
+    let report = shared.permits.limits.borrow().report_of(shared.now(), key);
+    let Some(report) = report.filter(|t| t.rate.is_some()) else {
         return true;
     };
-    let verdict = request_permit(shared, told).await;
+    let verdict = request_permit(shared, report).await;
     let result = match verdict {
         Some(Verdict::Granted) => "given",
         Some(Verdict::Unlimited) => "free",
@@ -43,87 +43,90 @@
         None => "no answer",
     };
     shared.metrics.permits.with_label_values(&[result]).inc();
-    let Some(time) = permit::closed_for(verdict) else {
+    let Some(duration) = permit::closed_for(verdict) else {
         return true;
     };
-    shared.registry.borrow_mut().block(shared.now(), id, time);
+    shared
+        .registry
+        .borrow_mut()
+        .block(shared.now(), id, duration);
     false
 }
 
 /// Requests a permit from the box that issues them for an upstream, which may be this
 /// one, and from the next one if it does not answer; returns `None` if that one does not
 /// answer either.
-async fn request_permit(shared: &SharedState, told: LimitReport) -> Option<Verdict> {
-    let mut silent = None;
+async fn request_permit(shared: &SharedState, report: LimitReport) -> Option<Verdict> {
+    let mut unanswered = None;
     for _ in 0..MAX_ASKED_BOXES {
-        match next_issuer(shared, told.key, silent.as_ref()) {
-            Issuer::Local(place) => return Some(decide(shared, told.key, place)),
-            Issuer::Remote(id) => match ask_box(shared, &id, told).await {
+        match next_issuer(shared, report.key, unanswered.as_ref()) {
+            Issuer::Local(rank) => return Some(decide(shared, report.key, rank)),
+            Issuer::Remote(id) => match request_from(shared, &id, report).await {
                 Some(verdict) => return Some(verdict),
-                None => silent = Some(id),
+                None => unanswered = Some(id),
             },
         }
     }
     None
 }
 
-fn next_issuer(shared: &SharedState, key: UpstreamKey, silent: Option<&BoxId>) -> Issuer {
-    let (passed, shares) = (
+fn next_issuer(shared: &SharedState, key: UpstreamKey, unanswered: Option<&BoxId>) -> Issuer {
+    let (silent_boxes, fleet_load) = (
         shared.permits.silent_boxes.borrow(),
         shared.fleet_load.borrow(),
     );
-    let (own, order) = (shared.settings().id.clone(), issuers_of(shared, key));
-    let hears = |id: &BoxId| shares.hears_from(id);
+    let (own, issuers) = (shared.settings().id.clone(), issuers_of(shared, key));
+    let hears_from = |id: &BoxId| fleet_load.hears_from(id);
     permit::choose_issuer(
         shared.now(),
         &own,
         shared.fleet_size(),
-        &order,
-        &passed,
-        silent,
-        hears,
+        &issuers,
+        &silent_boxes,
+        unanswered,
+        hears_from,
     )
 }
 
 /// Returns the boxes that issue permits for an upstream, in order of preference.
 fn issuers_of(shared: &SharedState, key: UpstreamKey) -> Vec<BoxId> {
-    permit::issuer_order(key, &shared.permits.givers.borrow())
+    permit::issuer_order(key, &shared.permits.issuers.borrow())
 }
 
-async fn ask_box(shared: &SharedState, to: &BoxId, told: LimitReport) -> Option<Verdict> {
+async fn request_from(shared: &SharedState, to: &BoxId, report: LimitReport) -> Option<Verdict> {
     let id = shared.rng().random();
     let addr = shared.peers.borrow().get(to).map(|p| p.addr)?;
     let (sender, answer) = oneshot::channel();
-    let ask = PermitRequest {
+    let request = PermitRequest {
         from: shared.settings().id.as_str().into(),
         id,
-        limit: told,
+        limit: report,
     };
     shared.permits.await_answer(id, sender);
-    send(shared, addr, &Datagram::AskPermit(ask));
+    send(shared, addr, &Datagram::AskPermit(request));
     let verdict = timeout(REPLY_TIMEOUT, answer).await;
     shared.permits.pending.borrow_mut().remove(&id);
-    let mut passed = shared.permits.silent_boxes.borrow_mut();
+    let mut silent_boxes = shared.permits.silent_boxes.borrow_mut();
     match verdict {
         Ok(Ok(verdict)) => {
-            passed.clear(to);
+            silent_boxes.clear(to);
             Some(verdict)
         }
         // The sender is only dropped once it has been used.
         Ok(Err(_)) | Err(_) => {
-            passed.record_miss(shared.now(), to);
+            silent_boxes.record_miss(shared.now(), to);
             None
         }
     }
 }
 
 /// Answers a permit request of another box.
-pub fn handle_ask(shared: &SharedState, ask: PermitRequest, addr: SocketAddr) {
-    merge_limits(shared, &ask.from, &[ask.limit]);
-    let key = ask.limit.key;
+pub fn handle_request(shared: &SharedState, request: PermitRequest, addr: SocketAddr) {
+    merge_limits(shared, &request.from, &[request.limit]);
+    let key = request.limit.key;
     let reply = PermitReply {
         from: shared.settings().id.as_str().into(),
-        id: ask.id,
+        id: request.id,
         verdict: decide(shared, key, issuer_rank(shared, key)),
         limit: shared.permits.limits.borrow().report_of(shared.now(), key),
     };
@@ -132,19 +135,23 @@
 
 /// Handles another box's answer to a permit request.
 pub fn handle_reply(shared: &SharedState, reply: PermitReply) {
-    if let Some(told) = reply.limit {
-        merge_limits(shared, &reply.from, &[told]);
+    if let Some(report) = reply.limit {
+        merge_limits(shared, &reply.from, &[report]);
     }
-    if let Some(waiting) = shared.permits.pending.borrow_mut().remove(&reply.id) {
+    if let Some(sender) = shared.permits.pending.borrow_mut().remove(&reply.id) {
         // The requester may have timed out.
-        let _ = waiting.send(reply.verdict);
+        let _ = sender.send(reply.verdict);
     }
 }
 
 /// Merges the rate limits that another box reported.
-pub fn merge_limits(shared: &SharedState, from: &BoxId, told: &[LimitReport]) {
-    let news = shared.permits.limits.borrow_mut().merge(shared.now(), told);
-    for key in &news {
+pub fn merge_limits(shared: &SharedState, from: &BoxId, reports: &[LimitReport]) {
+    let changed = shared
+        .permits
+        .limits
+        .borrow_mut()
+        .merge(shared.now(), reports);
+    for key in &changed {
         let rate = shared.permits.limits.borrow().rate_of(*key);
         let id = upstream_of(shared, *key);
         let fields = json!({"upstream": id.as_deref(), "rate": rate, "from": &**from});
@@ -153,7 +160,7 @@
             shared.registry.borrow_mut().unblock(*key);
         }
     }
-    if !news.is_empty() {
+    if !changed.is_empty() {
         update_gauge(shared);
     }
 }
@@ -175,40 +182,40 @@
 /// upstreams cannot serve, if the limits are the reason.
 pub fn retry_after(shared: &SharedState, service: &Service) -> Option<Duration> {
     let wait = limit_wait(shared, service)?;
-    let rate = closed_rate(shared, &service.name)?;
+    let rate = blocked_rate(shared, &service.name)?;
     let now = shared.now();
     let mut schedule = shared.permits.schedule.borrow_mut();
-    let each = rate / f64::from(shared.fleet_size().max(1));
-    Some(schedule.retry_after(now, &service.name, wait, each))
+    let rate_per_box = rate / f64::from(shared.fleet_size().max(1));
+    Some(schedule.retry_after(now, &service.name, wait, rate_per_box))
 }
 
 /// Returns the time until a service's upstreams accept one more request, if rate limits
 /// are the reason that they don't now.
 pub fn limit_wait(shared: &SharedState, service: &Service) -> Option<Duration> {
-    closed_rate(shared, &service.name)?;
+    blocked_rate(shared, &service.name)?;
     shared.backoff_left(service)
 }
 
 /// Returns the total rate limit of a service's blocked upstreams, in requests per second.
-fn closed_rate(shared: &SharedState, service: &ServiceId) -> Option<f64> {
+fn blocked_rate(shared: &SharedState, service: &ServiceId) -> Option<f64> {
     let (registry, limits) = (shared.registry.borrow(), shared.permits.limits.borrow());
-    let closed = registry.of_service(service);
-    let closed = closed.filter(|e| e.blocked_for(shared.now()).is_some());
-    let rates = closed.filter_map(|e| limits.rate(&e.upstream.id));
+    let blocked = registry.of_service(service);
+    let blocked = blocked.filter(|e| e.blocked_for(shared.now()).is_some());
+    let rates = blocked.filter_map(|e| limits.rate(&e.upstream.id));
     Some(rates.sum()).filter(|rate| *rate > 0.0)
 }
 
-fn decide(shared: &SharedState, key: UpstreamKey, place: IssuerRank) -> Verdict {
+fn decide(shared: &SharedState, key: UpstreamKey, rank: IssuerRank) -> Verdict {
     let permits = &shared.permits;
     let mut grants = permits.grants.borrow_mut();
-    grants.decide(shared.now(), &permits.limits.borrow(), key, place)
+    grants.decide(shared.now(), &permits.limits.borrow(), key, rank)
 }
 
 /// Returns the rank of this box among those that may issue permits for an upstream.
 fn issuer_rank(shared: &SharedState, key: UpstreamKey) -> IssuerRank {
-    let shares = shared.fleet_load.borrow();
-    let hears = |id: &BoxId| shares.hears_from(id);
-    permit::issuer_rank(&shared.settings().id, &issuers_of(shared, key), hears)
+    let fleet_load = shared.fleet_load.borrow();
+    let hears_from = |id: &BoxId| fleet_load.hears_from(id);
+    permit::issuer_rank(&shared.settings().id, &issuers_of(shared, key), hears_from)
 }
 
 fn upstream_of(shared: &SharedState, key: UpstreamKey) -> Option<UpstreamId> {
--- a/crates/ashgauged/src/relay/quarantine.rs
+++ b/crates/ashgauged/src/relay/quarantine.rs
@@ -43,14 +43,14 @@
 }
 
 /// Records that an upstream was lost while it ran a request.
-pub fn record_loss(shared: &Rc<SharedState>, lost: InstanceLoss) {
-    let holds = shared
+pub fn record_loss(shared: &Rc<SharedState>, loss: InstanceLoss) {
+    let is_quarantined = shared
         .quarantine
         .borrow_mut()
-        .record_loss(shared.now(), lost);
-    if holds {
-        log_held(shared, lost.digest, "lost here");
-        tokio::task::spawn_local(persist(shared.clone(), lost.digest));
+        .record_loss(shared.now(), loss);
+    if is_quarantined {
+        log_quarantined(shared, loss.digest, "lost here");
+        tokio::task::spawn_local(persist(shared.clone(), loss.digest));
     }
     shared.loss_notify.notify_one();
 }
@@ -70,20 +70,24 @@
 /// from the sender.
 pub fn merge_report(shared: &SharedState, from: &str, report: &Report) {
     let now = shared.now();
-    let news = shared.quarantine.borrow_mut().merge(now, report);
-    for digest in news {
-        log_held(shared, digest, "told");
+    let quarantined = shared.quarantine.borrow_mut().merge(now, report);
+    for digest in quarantined {
+        log_quarantined(shared, digest, "told");
     }
     if shared.role() != Role::Hub {
         return;
     }
     let is_hub = shared.readers.borrow().ids.iter().any(|id| **id == *from);
-    let to = if is_hub {
+    let audience = if is_hub {
         Audience::Downstream
     } else {
         Audience::All
     };
-    if shared.quarantine.borrow_mut().forward(now, report, to) {
+    if shared
+        .quarantine
+        .borrow_mut()
+        .forward(now, report, audience)
+    {
         shared.loss_notify.notify_one();
     }
 }
@@ -94,11 +98,11 @@
     loop {
         shared.loss_notify.notified().await;
         sleep(BATCH_DELAY).await;
-        let told = [
+        let recipients = [
             (Audience::All, shared.report_targets()),
             (Audience::Downstream, shared.leaves()),
         ];
-        for (audience, boxes) in told {
+        for (audience, boxes) in recipients {
             let Some(bytes) = encode_report(&shared, 0, audience) else {
                 continue;
             };
@@ -110,8 +114,11 @@
 }
 
 /// Encodes the report for an audience; `None` if there is nothing to report.
-pub fn encode_report(shared: &SharedState, turn: u64, to: Audience) -> Option<Vec<u8>> {
-    let report = shared.quarantine.borrow().report(shared.now(), turn, to);
+pub fn encode_report(shared: &SharedState, round: u64, audience: Audience) -> Option<Vec<u8>> {
+    let report = shared
+        .quarantine
+        .borrow()
+        .report(shared.now(), round, audience);
     if report.is_empty() {
         return None;
     }
@@ -121,7 +128,7 @@
 
 /// Reads the quarantined requests from the store, retrying until that succeeds.
 pub async fn load_held(shared: Rc<SharedState>) {
-    let mut pause = MIN_RETRY_DELAY;
+    let mut delay = MIN_RETRY_DELAY;
     loop {
         let listed = shared.store.list::<StoredHold>(KIND, log_skipped).await;
         shared.count_store_call("list", &listed);
@@ -129,8 +136,8 @@
             Ok(listing) => return apply_stored(&shared, listing.objects),
             Err(fault) => log_fault("read", &fault),
         }
-        sleep(pause).await;
-        pause = (pause * 2).min(MAX_RETRY_DELAY);
+        sleep(delay).await;
+        delay = (delay * 2).min(MAX_RETRY_DELAY);
     }
 }
 
@@ -161,13 +168,13 @@
             );
             continue;
         };
-        let left = Duration::from_secs(object.value.until_s.saturating_sub(now_s));
+        let remaining = Duration::from_secs(object.value.until_s.saturating_sub(now_s));
         let is_new = shared
             .quarantine
             .borrow_mut()
-            .quarantine(shared.now(), digest, left);
+            .quarantine(shared.now(), digest, remaining);
         if is_new {
-            log_held(shared, digest, "stored");
+            log_quarantined(shared, digest, "stored");
         }
     }
 }
@@ -191,28 +198,28 @@
 /// Stores a quarantined request for boxes that start later; retries until it is stored or
 /// the quarantine has ended.
 async fn persist(shared: Rc<SharedState>, digest: Digest) {
-    let mut pause = MIN_RETRY_DELAY;
+    let mut delay = MIN_RETRY_DELAY;
     loop {
-        let Some(left) = shared.quarantine.borrow().time_left(shared.now(), digest) else {
+        let Some(remaining) = shared.quarantine.borrow().time_left(shared.now(), digest) else {
             return;
         };
-        match persist_once(&shared, digest, left).await {
+        match persist_once(&shared, digest, remaining).await {
             Ok(()) => return,
             Err(fault) => log_fault("keep", &fault),
         }
-        sleep(pause).await;
-        pause = (pause * 2).min(MAX_RETRY_DELAY);
+        sleep(delay).await;
+        delay = (delay * 2).min(MAX_RETRY_DELAY);
     }
 }
 
 async fn persist_once(
     shared: &SharedState,
     digest: Digest,
-    left: Duration,
+    remaining: Duration,
 ) -> Result<(), StoreError> {
     let name = digest::format_digest(digest);
     let stored = StoredHold {
-        until_s: (unix_time() + left).as_secs(),
+        until_s: (unix_time() + remaining).as_secs(),
     };
     let created = shared.store.create(KIND, &name, &stored).await;
     shared.count_store_call("write", &created);
@@ -221,13 +228,13 @@
         other => return other,
     }
     // Another box has stored it, or it was quarantined before.
-    let known = shared.store.get::<StoredHold>(KIND, &name).await;
-    shared.count_store_call("get", &known);
-    let known = known?;
-    if known.value.until_s >= unix_time().as_secs() {
+    let current = shared.store.get::<StoredHold>(KIND, &name).await;
+    shared.count_store_call("get", &current);
+    let current = current?;
+    if current.value.until_s >= unix_time().as_secs() {
         return Ok(());
     }
-    let replaced = shared.store.replace(KIND, &name, known.revision, &stored);
+    let replaced = shared.store.replace(KIND, &name, current.revision, &stored);
     let replaced = replaced.await;
     shared.count_store_call("write", &replaced);
     replaced
@@ -241,7 +248,7 @@
     now.unwrap_or_default()
 }
 
-fn log_held(shared: &SharedState, digest: Digest, why: &str) {
+fn log_quarantined(shared: &SharedState, digest: Digest, why: &str) {
     let held = shared.quarantine.borrow().quarantined(shared.now()).len();
     shared.metrics.held_requests.set(held as i64);
     let fields = json!({"digest": digest::format_digest(digest), "why": why, "held": held});
--- a/crates/ashgauged/src/relay/retry.rs
+++ b/crates/ashgauged/src/relay/retry.rs
@@ -9,17 +9,17 @@
 /// Decides the next step after a send that brought no usable response.
 pub fn next_step(
     shared: &SharedState,
-    a: &AdmittedRequest,
-    handoff: &mut Attempts,
+    request: &AdmittedRequest,
+    attempts: &mut Attempts,
     outcome: SendOutcome,
 ) -> Decision {
-    handoff.decide(shared.now(), outcome, || take_retry(shared, a))
+    attempts.decide(shared.now(), outcome, || take_retry(shared, request))
 }
 
 /// Withdraws one retry from the service's budget; returns false if none is left.
-fn take_retry(shared: &SharedState, a: &AdmittedRequest) -> bool {
-    let (now, service) = (shared.now(), &a.service.name);
-    let before = shared
+fn take_retry(shared: &SharedState, request: &AdmittedRequest) -> bool {
+    let (now, service) = (shared.now(), &request.service.name);
+    let balance = shared
         .retry_budgets
         .with(service, |window| window.balance(now));
     let taken = shared
@@ -30,12 +30,12 @@
     let fields = json!({
         "result": result,
         "service": &**service,
-        "earned": before.earned,
-        "spent": before.spent,
-        "left": before.left,
+        "earned": balance.earned,
+        "spent": balance.spent,
+        "left": balance.left,
         "boxes": shared.retry_budgets.boxes(),
         "up_ms": shared.uptime().as_millis() as u64,
     });
-    a.record.log_step("retry", fields);
+    request.record.log_step("retry", fields);
     taken
 }
--- a/crates/ashgauged/src/relay/settings.rs
+++ b/crates/ashgauged/src/relay/settings.rs
@@ -192,13 +192,13 @@
     /// Fails if the file cannot be read or is invalid; the error names the faulty setting
     /// and how to correct it.
     pub fn load(path: &Path) -> Result<Self> {
-        let place = path.display();
+        let file = path.display();
         let text = std::fs::read_to_string(path)
-            .wrap_err_with(|| format!("cannot read {place}; name a settings file"))?;
+            .wrap_err_with(|| format!("cannot read {file}; name a settings file"))?;
         let settings: Settings = serde_json::from_str(&text)
-            .map_err(|e| eyre!("{place}: {e}; docs/OPERATIONS.md lists the settings"))?;
+            .map_err(|e| eyre!("{file}: {e}; docs/OPERATIONS.md lists the settings"))?;
         let checked = settings.check();
-        checked.wrap_err_with(|| format!("{place} is not valid"))?;
+        checked.wrap_err_with(|| format!("{file} is not valid"))?;
         Ok(settings)
     }
 
@@ -223,30 +223,30 @@
     /// Returns the interval between freshness checks of the configuration. A check
     /// without an answer leaves time for another one within the maximum key age.
     pub fn confirm_interval(&self) -> Duration {
-        let spare = self.store_timeout() + CONFIRM_MARGIN;
-        let most = self
+        let reserve = self.store_timeout() + CONFIRM_MARGIN;
+        let limit = self
             .max_key_age()
-            .saturating_sub(spare)
+            .saturating_sub(reserve)
             .max(self.max_key_age() / 2);
-        Duration::from_millis(self.timing.confirm_ms).min(most)
+        Duration::from_millis(self.timing.confirm_ms).min(limit)
     }
 
     /// Returns the interval between freshness checks where a few boxes make them for all.
     /// The others learn the result one polling round later, so both times together stay
     /// below the bound on leaving upstreams, even if the polled box has lost the store.
     pub fn reader_interval(&self) -> Duration {
-        let most = self.drain_bound().mul_f64(PROOF_SHARE);
+        let limit = self.drain_bound().mul_f64(PROOF_SHARE);
         Duration::from_millis(self.timing.reader_ms)
-            .min(most)
+            .min(limit)
             .min(self.confirm_interval())
     }
 
     /// Returns the timing with which a box polls the readers.
-    pub fn poll_pace(&self) -> PollTiming {
+    pub fn poll_timing(&self) -> PollTiming {
         let ms = Duration::from_millis;
-        let every = self.drain_bound().mul_f64(ASK_SHARE);
+        let limit = self.drain_bound().mul_f64(ASK_SHARE);
         PollTiming {
-            interval: ms(self.timing.ask_ms).min(every),
+            interval: ms(self.timing.ask_ms).min(limit),
             answer_timeout: ms(self.timing.answer_ms),
             fetch_timeout: ms(self.timing.fetch_ms),
             max_age: self.reader_interval() + self.drain_bound().mul_f64(STALE_SHARE),
@@ -255,9 +255,9 @@
 
     /// Returns whether streams of a service with routes of these priorities are refused
     /// by class.
-    pub fn sheds(&self, ranks: &Ranks) -> bool {
+    pub fn sheds(&self, priorities: &Ranks) -> bool {
         match self.shedding {
-            Shedding::Ranked => ranks.routes_differ(),
+            Shedding::Ranked => priorities.routes_differ(),
             Shedding::All => true,
             Shedding::Off => false,
         }
@@ -320,23 +320,23 @@
                 bail!("{name}: `{bad}` is no address; write IP:PORT");
             }
         }
-        let (b, t) = (&self.bounds, &self.timing);
+        let (bounds, timing) = (&self.bounds, &self.timing);
         let positive = [
-            ("bounds.revoke_ms", b.revoke_ms),
-            ("bounds.drain_ms", b.drain_ms),
-            ("bounds.apply_ms", b.apply_ms),
-            ("bounds.stop_s", b.stop_s),
-            ("bounds.retry_window_s", b.retry_window_s),
-            ("timing.store_ms", t.store_ms as f64),
-            ("timing.watch_ms", t.watch_ms as f64),
-            ("timing.confirm_ms", t.confirm_ms as f64),
-            ("timing.reader_ms", t.reader_ms as f64),
-            ("timing.ask_ms", t.ask_ms as f64),
-            ("timing.answer_ms", t.answer_ms as f64),
-            ("timing.fetch_ms", t.fetch_ms as f64),
-            ("timing.connect_ms", t.connect_ms as f64),
-            ("timing.first_ms", t.first_ms as f64),
-            ("timing.silence_ms", t.silence_ms as f64),
+            ("bounds.revoke_ms", bounds.revoke_ms),
+            ("bounds.drain_ms", bounds.drain_ms),
+            ("bounds.apply_ms", bounds.apply_ms),
+            ("bounds.stop_s", bounds.stop_s),
+            ("bounds.retry_window_s", bounds.retry_window_s),
+            ("timing.store_ms", timing.store_ms as f64),
+            ("timing.watch_ms", timing.watch_ms as f64),
+            ("timing.confirm_ms", timing.confirm_ms as f64),
+            ("timing.reader_ms", timing.reader_ms as f64),
+            ("timing.ask_ms", timing.ask_ms as f64),
+            ("timing.answer_ms", timing.answer_ms as f64),
+            ("timing.fetch_ms", timing.fetch_ms as f64),
+            ("timing.connect_ms", timing.connect_ms as f64),
+            ("timing.first_ms", timing.first_ms as f64),
+            ("timing.silence_ms", timing.silence_ms as f64),
         ];
         for (name, value) in positive {
             if !(1e-3..=MAX_TIME_MS).contains(&value) {
@@ -344,8 +344,8 @@
             }
         }
         for (name, value) in [
-            ("bounds.retry_share", b.retry_share),
-            ("bounds.retry_extra", b.retry_extra),
+            ("bounds.retry_share", bounds.retry_share),
+            ("bounds.retry_extra", bounds.retry_extra),
         ] {
             if !(0.0..=MAX_TIME_MS).contains(&value) {
                 bail!("{name}: {value} must not be negative");
--- a/crates/ashgauged/src/relay/shedding.rs
+++ b/crates/ashgauged/src/relay/shedding.rs
@@ -39,85 +39,88 @@
 /// the setting.
 pub fn is_shedding_enabled(shared: &SharedState, service: &str) -> bool {
     let routing = shared.routing();
-    let ranks = routing.priorities(service);
-    ranks.is_some_and(|r| shared.settings().sheds(r))
+    let priorities = routing.priorities(service);
+    priorities.is_some_and(|r| shared.settings().sheds(r))
 }
 
 /// Returns the priority class of a request, if its service admits streams by class.
-pub fn class_of(shared: &SharedState, a: &AdmittedRequest) -> Option<Class> {
-    if a.route.stream.is_none() || !sheds_streams(shared, &a.service) {
+pub fn class_of(shared: &SharedState, request: &AdmittedRequest) -> Option<Class> {
+    if request.route.stream.is_none() || !sheds_streams(shared, &request.service) {
         return None;
     }
-    let team = a.team.as_ref().and_then(|t| t.priority);
-    Some(Class::new(team, a.route.priority, a.is_retry()))
+    let team = request.team.as_ref().and_then(|t| t.priority);
+    Some(Class::new(team, request.route.priority, request.is_retry()))
 }
 
 /// Records the demand of a new stream and decides whether it is admitted; if not, returns
 /// the time after which its caller should retry.
 pub fn admit(
     shared: &Rc<SharedState>,
-    a: &mut AdmittedRequest,
+    request: &mut AdmittedRequest,
 ) -> Result<Option<Admission>, Duration> {
-    let (Some(model), Some(class)) = (a.service.model.as_ref(), a.class) else {
+    let (Some(model), Some(class)) = (request.service.model.as_ref(), request.class) else {
         return Ok(None);
     };
-    let team = demand::key(a.team.as_ref().map_or("", |t| t.name.as_str()));
-    note_demand(shared, a, model, class, team);
-    update_level(shared, &a.service, model);
-    let start = shared.rng().random_range(0.0..1.0);
+    let team = demand::key(request.team.as_ref().map_or("", |t| t.name.as_str()));
+    note_demand(shared, request, model, class, team);
+    update_level(shared, &request.service, model);
+    let draw = shared.rng().random_range(0.0..1.0);
     let now = shared.now();
-    let (is_in, level) = shared.admissions.with(&a.service.name, |s| {
-        let is_in = s.gate.admit(class, team, start);
-        s.count(class, is_in);
-        if is_in {
+    let (is_admitted, level) = shared.admissions.with(&request.service.name, |s| {
+        let is_admitted = s.gate.admit(class, team, draw);
+        s.count(class, is_admitted);
+        if is_admitted {
             s.recovery_budget.record_request(now);
         }
-        (is_in, s.class())
+        (is_admitted, s.class())
     });
-    a.record.level = level;
-    let result = if is_in { "let in" } else { "refused" };
+    request.record.level = level;
+    let result = if is_admitted { "let in" } else { "refused" };
     shared.metrics.admissions.with_label_values(&[result]).inc();
-    if is_in {
+    if is_admitted {
         return Ok(Some(Admission {
             shared: shared.clone(),
-            service: a.service.name.clone(),
-            begun: Cell::new(false),
+            service: request.service.name.clone(),
+            started: Cell::new(false),
         }));
     }
-    Err(retry_after(shared, a))
+    Err(retry_after(shared, request))
 }
 
 /// Returns the time after which the caller of a request that is refused for overload
 /// should retry.
-pub fn retry_after(shared: &SharedState, a: &AdmittedRequest) -> Duration {
-    let patience = a.client_request.timeout.unwrap_or(a.route.timeout);
+pub fn retry_after(shared: &SharedState, request: &AdmittedRequest) -> Duration {
+    let timeout = request
+        .client_request
+        .timeout
+        .unwrap_or(request.route.timeout);
     let draw = shared.rng().random_range(0.0..1.0);
-    level::retry_after(patience, draw)
+    level::retry_after(timeout, draw)
 }
 
 fn note_demand(
     shared: &SharedState,
-    a: &AdmittedRequest,
+    request: &AdmittedRequest,
     model: &Model,
     class: Class,
     team: demand::TeamKey,
 ) {
     let source = DemandSource {
-        service: demand::key(&a.service.name),
+        service: demand::key(&request.service.name),
         class,
         team: Some(team),
     };
     let work = demand::relative_work(
         (
-            a.client_request.prompt_tokens,
-            a.client_request.answer_tokens,
+            request.client_request.prompt_tokens,
+            request.client_request.answer_tokens,
         ),
         (model.typical_prompt, model.typical_output),
     );
     let now = shared.now();
     shared
         .admissions
-        .with(&a.service.name, |s| s.meter.record(now, source, work));
+        .with(&request.service.name, |s| s.meter.record(now, source, work));
 }
 
 /// Computes the level again if it is older than [`LEVEL_INTERVAL`].
@@ -133,33 +136,33 @@
     if !is_due {
         return;
     }
-    let (demands, ends) = shared.fleet_demand(&service.name);
-    let known = Observation {
+    let (demands, completions) = shared.fleet_demand(&service.name);
+    let observation = Observation {
         demands,
         pressure: shared.pressure(service, model),
-        completion_rate: ends,
+        completion_rate: completions,
         boxes: shared
             .fleet_load
             .borrow()
             .present_boxes(f64::from(shared.fleet_size())),
         age: shared.report_age(),
         report_interval: shared.role().traffic_interval(),
-        full_slowdown: growth(shared, service, model),
+        full_slowdown: full_slowdown_of(shared, service, model),
     };
     let boxes = shared.fleet_load.borrow().boxes();
     shared.admissions.with(&service.name, |s| {
-        let estimate = s.estimator.estimate(now, &known);
+        let estimate = s.estimator.estimate(now, &observation);
         let (demands, pressure) = (&estimate.demands, estimate.pressure);
         let basis = LevelInputs::new(
             demands,
             pressure,
             estimate.completion_rate,
-            known.age,
+            observation.age,
             boxes,
         );
         s.estimator.record_allowed_rate(now, basis.allowed_rate);
         s.recovery_budget
-            .set_pressure(now, known.pressure.max_share());
+            .set_pressure(now, observation.pressure.max_share());
         s.gate
             .set_level(now, AdmissionLevel::new(demands, basis.allowed_rate));
         s.basis = Some(basis);
@@ -167,7 +170,7 @@
     });
 }
 
-fn growth(shared: &SharedState, service: &Service, model: &Model) -> f64 {
+fn full_slowdown_of(shared: &SharedState, service: &Service, model: &Model) -> f64 {
     let registry = shared.registry.borrow();
     pressure::full_slowdown(
         model,
@@ -190,12 +193,12 @@
                 _ => {}
             }
         }
-        let is_off = |name: &ServiceId| {
+        let is_disabled = |name: &ServiceId| {
             let service = routing.services.get(name);
             !service.is_some_and(|s| sheds_streams(&shared, s))
         };
         let now = shared.now();
-        for name in shared.admissions.names().into_iter().filter(is_off) {
+        for name in shared.admissions.names().into_iter().filter(is_disabled) {
             shared
                 .admissions
                 .with(&name, |s| clear_level(now, &name, s));
@@ -215,20 +218,20 @@
 pub struct Admission {
     shared: Rc<SharedState>,
     service: ServiceId,
-    begun: Cell<bool>,
+    started: Cell<bool>,
 }
 
 impl Admission {
     /// Records that an engine runs the stream. A stream that no engine accepted frees no
     /// capacity when it ends.
     pub fn note_started(&self) {
-        self.begun.set(true);
+        self.started.set(true);
     }
 }
 
 impl Drop for Admission {
     fn drop(&mut self) {
-        if !self.begun.get() {
+        if !self.started.get() {
             return;
         }
         let (now, key) = (self.shared.now(), demand::key(&self.service));
--- a/crates/ashgauged/src/relay/state/budgets.rs
+++ b/crates/ashgauged/src/relay/state/budgets.rs
@@ -60,11 +60,11 @@
         self.boxes.get()
     }
 
-    /// Calls `of` with the budget of a service, which is created if it is missing.
-    pub fn with<T>(&self, service: &ServiceId, of: impl FnOnce(&mut SlidingBudget) -> T) -> T {
+    /// Calls `f` with the budget of a service, which is created if it is missing.
+    pub fn with<T>(&self, service: &ServiceId, f: impl FnOnce(&mut SlidingBudget) -> T) -> T {
         let mut windows = self.windows.borrow_mut();
         let window = windows.entry(service.clone());
-        of(window.or_insert_with(|| self.new_window()))
+        f(window.or_insert_with(|| self.new_window()))
     }
 
     fn new_window(&self) -> SlidingBudget {
--- a/crates/ashgauged/src/relay/state/clock.rs
+++ b/crates/ashgauged/src/relay/state/clock.rs
@@ -42,19 +42,19 @@
     /// Waits for `work`, for at most `limit` by this clock; returns `None` once the limit
     /// has passed.
     pub async fn within<T>(&self, limit: Duration, work: impl Future<Output = T>) -> Option<T> {
-        let until = self.elapsed().saturating_add(limit);
-        let mut woken = self.resumptions();
+        let deadline = self.elapsed().saturating_add(limit);
+        let mut resumptions = self.resumptions();
         tokio::pin!(work);
         loop {
-            let rest = until.saturating_sub(self.elapsed());
+            let remaining = deadline.saturating_sub(self.elapsed());
             tokio::select! {
                 biased;
-                done = work.as_mut() => return Some(done),
-                () = sleep(rest) => {}
+                output = work.as_mut() => return Some(output),
+                () = sleep(remaining) => {}
                 // The sender lives as long as the clock.
-                Ok(()) = woken.changed() => {}
+                Ok(()) = resumptions.changed() => {}
             }
-            if self.elapsed() >= until {
+            if self.elapsed() >= deadline {
                 return None;
             }
         }
--- a/crates/ashgauged/src/relay/state/gates.rs
+++ b/crates/ashgauged/src/relay/state/gates.rs
@@ -52,9 +52,9 @@
 
 impl ServiceAdmission {
     /// Counts a request of a class.
-    pub fn count(&mut self, class: Class, is_in: bool) {
+    pub fn count(&mut self, class: Class, is_admitted: bool) {
         let counts = self.counts.entry(class).or_default();
-        match is_in {
+        match is_admitted {
             true => counts.admitted += 1,
             false => counts.refused += 1,
         }
@@ -67,10 +67,10 @@
 }
 
 impl AdmissionStates {
-    /// Calls `of` with the state of a service, which is created if it is missing.
-    pub fn with<T>(&self, service: &ServiceId, of: impl FnOnce(&mut ServiceAdmission) -> T) -> T {
+    /// Calls `f` with the state of a service, which is created if it is missing.
+    pub fn with<T>(&self, service: &ServiceId, f: impl FnOnce(&mut ServiceAdmission) -> T) -> T {
         let mut services = self.services.borrow_mut();
-        of(services.entry(service.clone()).or_default())
+        f(services.entry(service.clone()).or_default())
     }
 
     /// Returns the services that have a state.
@@ -78,18 +78,18 @@
         self.services.borrow().keys().cloned().collect()
     }
 
-    /// Calls `of` for each service whose level is computed, in the order of their names,
+    /// Calls `f` for each service whose level is computed, in the order of their names,
     /// and returns the results.
     pub fn with_levels<T>(
         &self,
-        of: impl Fn(&ServiceId, &ServiceAdmission, &LevelInputs) -> T,
+        f: impl Fn(&ServiceId, &ServiceAdmission, &LevelInputs) -> T,
     ) -> Vec<T> {
         let services = self.services.borrow();
-        let mut named: Vec<_> = services.iter().collect();
-        named.sort_unstable_by_key(|(name, _)| *name);
-        let known = named.into_iter();
-        let known = known.filter_map(|(name, s)| Some(of(name, s, s.basis.as_ref()?)));
-        known.collect()
+        let mut sorted: Vec<_> = services.iter().collect();
+        sorted.sort_unstable_by_key(|(name, _)| *name);
+        let with_basis = sorted.into_iter();
+        let with_basis = with_basis.filter_map(|(name, s)| Some(f(name, s, s.basis.as_ref()?)));
+        with_basis.collect()
     }
 
     /// Returns whether a refused repair may be logged, as none was within `every`; if so,
--- a/crates/ashgauged/src/relay/state/permits.rs
+++ b/crates/ashgauged/src/relay/state/permits.rs
@@ -24,7 +24,7 @@
     pub silent_boxes: RefCell<SkippedBoxes>,
     /// Boxes that may issue permits, as all boxes know them; empty if this box has no
     /// messaging with others.
-    pub givers: RefCell<Rc<Vec<BoxId>>>,
+    pub issuers: RefCell<Rc<Vec<BoxId>>>,
     /// Permit requests that have not been answered yet.
     pub pending: RefCell<HashMap<PermitRequestId, oneshot::Sender<Verdict>>>,
     /// The socket for messages between boxes.
@@ -35,8 +35,8 @@
     /// Registers the sender for the answer to a permit request; drops senders whose
     /// receivers are gone.
     pub fn await_answer(&self, id: PermitRequestId, answer: oneshot::Sender<Verdict>) {
-        let mut open = self.pending.borrow_mut();
-        open.retain(|_, waiting| !waiting.is_closed());
-        open.insert(id, answer);
+        let mut pending = self.pending.borrow_mut();
+        pending.retain(|_, sender| !sender.is_closed());
+        pending.insert(id, answer);
     }
 }
--- a/crates/ashgauged/src/relay/state/probes.rs
+++ b/crates/ashgauged/src/relay/state/probes.rs
@@ -24,28 +24,28 @@
 }
 
 /// Returns whether a probe of an address is in progress or has just finished.
-pub fn is_cached<T>(cached: &ProbeCache<T>, now: Duration, addr: &str, shared: Duration) -> bool {
-    let recent = cached.borrow();
-    recent.get(addr).is_some_and(|(at, _)| now < *at + shared)
+pub fn is_cached<T>(cache: &ProbeCache<T>, now: Duration, addr: &str, max_age: Duration) -> bool {
+    let results = cache.borrow();
+    results.get(addr).is_some_and(|(at, _)| now < *at + max_age)
 }
 
 /// Returns the probe of an address that is in progress or has just finished, or else a
 /// new one.
 pub fn cached_cell<T>(
-    cached: &ProbeCache<T>,
+    cache: &ProbeCache<T>,
     now: Duration,
     addr: &str,
-    shared: Duration,
+    max_age: Duration,
 ) -> Rc<OnceCell<T>> {
-    let mut recent = cached.borrow_mut();
-    if recent.len() > MAX_KEPT {
-        recent.retain(|_, (at, _)| now < *at + shared);
+    let mut results = cache.borrow_mut();
+    if results.len() > MAX_KEPT {
+        results.retain(|_, (at, _)| now < *at + max_age);
     }
-    match recent.get(addr) {
-        Some((at, cell)) if now < *at + shared => cell.clone(),
+    match results.get(addr) {
+        Some((at, cell)) if now < *at + max_age => cell.clone(),
         _ => {
             let cell = Rc::new(OnceCell::new());
-            recent.insert(addr.into(), (now, cell.clone()));
+            results.insert(addr.into(), (now, cell.clone()));
             cell
         }
     }
--- a/crates/ashgauged/src/relay/status.rs
+++ b/crates/ashgauged/src/relay/status.rs
@@ -117,8 +117,9 @@
 
 fn held_requests(shared: &SharedState) -> Vec<(String, u64)> {
     let held = shared.quarantine.borrow().quarantined(shared.now());
-    let text = |(digest, left): (u64, Duration)| (digest::format_digest(digest), left.as_secs());
-    held.into_iter().map(text).collect()
+    let to_entry =
+        |(digest, left): (u64, Duration)| (digest::format_digest(digest), left.as_secs());
+    held.into_iter().map(to_entry).collect()
 }
 
 fn retry_statuses(shared: &SharedState) -> Vec<RetryStatus> {
@@ -140,7 +141,7 @@
         Some(LimitStatus {
             upstream: id.to_string(),
             rate: limits.rate_of(key)?,
-            givers: to_strings(&issuer_order(key, &permits.givers.borrow())),
+            givers: to_strings(&issuer_order(key, &permits.issuers.borrow())),
             given: grants.issued(key),
         })
     });
@@ -153,20 +154,20 @@
 
 fn informed_boxes(shared: &SharedState) -> Vec<Informed> {
     let (now, covered) = (shared.now(), shared.mirror.borrow().covered());
-    let (askers, peers) = (shared.pollers.borrow(), shared.peers.borrow());
-    let mut places: BTreeMap<&str, Informed> = BTreeMap::new();
-    for (id, asked) in askers.iter() {
+    let (pollers, peers) = (shared.pollers.borrow(), shared.peers.borrow());
+    let mut by_data_centre: BTreeMap<&str, Informed> = BTreeMap::new();
+    for (id, query) in pollers.iter() {
         let Some(peer) = peers.get(id) else {
             continue;
         };
-        let place = places.entry(&peer.data_centre).or_default();
-        place.data_centre = peer.data_centre.to_string();
-        place.boxes += 1;
-        place.current += usize::from(asked.revision >= covered);
-        let age = now.saturating_sub(asked.asked_at).as_millis() as u64;
-        place.oldest_ms = place.oldest_ms.max(age);
+        let informed = by_data_centre.entry(&peer.data_centre).or_default();
+        informed.data_centre = peer.data_centre.to_string();
+        informed.boxes += 1;
+        informed.current += usize::from(query.revision >= covered);
+        let age = now.saturating_sub(query.asked_at).as_millis() as u64;
+        informed.oldest_ms = informed.oldest_ms.max(age);
     }
-    places.into_values().collect()
+    by_data_centre.into_values().collect()
 }
 
 fn role(shared: &SharedState) -> String {
@@ -182,7 +183,7 @@
     let now = shared.now();
     let settings = shared.settings();
     let registry = shared.registry.borrow();
-    let shares = shared.fleet_load.borrow();
+    let fleet_load = shared.fleet_load.borrow();
     let upstreams = registry.iter().map(|e| UpstreamStatus {
         id: e.upstream.id.to_string(),
         service: e.upstream.service.to_string(),
@@ -195,7 +196,7 @@
         suspect: e.is_suspect(now),
         slowness: e.slowness(now),
         inflight: e.inflight,
-        others: shares.others(&e.upstream.id).requests,
+        others: fleet_load.others(&e.upstream.id).requests,
         answer_ms: e.latency_seconds * 1e3,
         failures: e.failure_rate(now),
     });
@@ -220,7 +221,7 @@
         role: role(shared),
         readers: to_strings(&shared.readers.borrow().ids),
         informs: informed_boxes(shared),
-        boxes_heard: shares.boxes(),
+        boxes_heard: fleet_load.boxes(),
         inflight: shared.inflight.get(),
         retries: retry_statuses(shared),
         held: held_requests(shared),
--- a/crates/ashgauged/src/relay/suspicion.rs
+++ b/crates/ashgauged/src/relay/suspicion.rs
@@ -26,7 +26,7 @@
 
 /// An engine that another box reports.
 struct ReportedEngine {
-    start: InstanceKey,
+    instance: InstanceKey,
     id: UpstreamId,
     service: ServiceId,
     /// Whether this box checks it, as it has streams there and does not suspect it yet.
@@ -44,11 +44,11 @@
     {
         return;
     }
-    let start = instance_key(&upstream.id, upstream.started_ms);
+    let instance = instance_key(&upstream.id, upstream.started_ms);
     if shared
         .suspicions
         .borrow_mut()
-        .record_found(shared.now(), start)
+        .record_found(shared.now(), instance)
     {
         shared.suspect_notify.notify_one();
     }
@@ -58,22 +58,22 @@
 /// from the sender, and engines on which this box has streams are checked. The report
 /// alone makes no engine suspect, as its sender may be cut off from engines that others
 /// reach.
-pub fn handle_reports(shared: &Rc<SharedState>, from: &BoxId, starts: &[InstanceKey]) {
+pub fn handle_reports(shared: &Rc<SharedState>, from: &BoxId, instances: &[InstanceKey]) {
     let now = shared.now();
-    let starts = &starts[..starts.len().min(MAX_SUSPECTS_SENT)];
+    let instances = &instances[..instances.len().min(MAX_SUSPECTS_SENT)];
     let audience = audience(shared, from);
-    for reported in find_reported(shared, starts) {
-        let start = reported.start;
+    for reported in find_reported(shared, instances) {
+        let instance = reported.instance;
         if shared
             .suspicions
             .borrow_mut()
-            .record_report(now, start, audience)
+            .record_report(now, instance, audience)
         {
             shared.suspect_notify.notify_one();
         }
         let has_budget = || probe::may_check_reported(shared, &reported.service, &reported.id);
         let mut suspicions = shared.suspicions.borrow_mut();
-        if reported.is_used && suspicions.begin_check(now, start, has_budget) {
+        if reported.is_used && suspicions.begin_check(now, instance, has_budget) {
             tokio::task::spawn_local(check_reported(shared.clone(), from.clone(), reported.id));
         } else {
             count_result(shared, "ignored");
@@ -105,15 +105,15 @@
         shared.suspect_notify.notified().await;
         sleep(BATCH_DELAY).await;
         loop {
-            let told = shared.suspicions.borrow_mut().take_pending(shared.now());
-            if told.is_empty() {
+            let pending = shared.suspicions.borrow_mut().take_pending(shared.now());
+            if pending.is_empty() {
                 break;
             }
-            let to_all = told.iter().filter(|(_, to)| *to == Audience::All);
-            let to_all = to_all.map(|(start, _)| *start).collect();
-            let to_below = told.iter().map(|(start, _)| *start).collect();
+            let to_all = pending.iter().filter(|(_, to)| *to == Audience::All);
+            let to_all = to_all.map(|(instance, _)| *instance).collect();
+            let to_leaves = pending.iter().map(|(instance, _)| *instance).collect();
             send(&shared, &peers, to_all, shared.report_targets()).await;
-            send(&shared, &peers, to_below, shared.leaves()).await;
+            send(&shared, &peers, to_leaves, shared.leaves()).await;
         }
     }
 }
@@ -121,14 +121,14 @@
 async fn send(
     shared: &SharedState,
     peers: &Peers,
-    starts: Vec<InstanceKey>,
+    instances: Vec<InstanceKey>,
     to: Vec<(BoxId, Peer)>,
 ) {
-    if starts.is_empty() || to.is_empty() {
+    if instances.is_empty() || to.is_empty() {
         return;
     }
     let from = shared.settings().id.as_str().into();
-    let Some(bytes) = pack::encode(&Datagram::Suspects(from, starts)) else {
+    let Some(bytes) = pack::encode(&Datagram::Suspects(from, instances)) else {
         return;
     };
     for (_, peer) in to {
@@ -151,23 +151,23 @@
 }
 
 /// Returns the engines among the given instances whose service admits streams by class.
-fn find_reported(shared: &SharedState, starts: &[InstanceKey]) -> Vec<ReportedEngine> {
+fn find_reported(shared: &SharedState, instances: &[InstanceKey]) -> Vec<ReportedEngine> {
     let (now, registry) = (shared.now(), shared.registry.borrow());
     let mut services: HashMap<ServiceId, bool> = HashMap::new();
     let mut found = Vec::new();
     for entry in registry.iter() {
         let upstream = &entry.upstream;
-        let start = instance_key(&upstream.id, upstream.started_ms);
-        if !starts.contains(&start) {
+        let instance = instance_key(&upstream.id, upstream.started_ms);
+        if !instances.contains(&instance) {
             continue;
         }
         let service = upstream.service.clone();
-        let is_on = services
+        let sheds = services
             .entry(service.clone())
             .or_insert_with(|| sheds_streams(shared, &service));
-        if *is_on {
+        if *sheds {
             found.push(ReportedEngine {
-                start,
+                instance,
                 id: upstream.id.clone(),
                 service,
                 is_used: entry.inflight > 0 && !entry.is_suspect(now),
