--- a/crates/ashgauged/src/relay/log.rs
+++ b/crates/ashgauged/src/relay/log.rs
@@ -37,7 +37,7 @@
         "warn" => Level::Warn,
         "info" => Level::Info,
         "debug" => Level::Debug,
-        other => eyre::bail!("log: `{other}` is no level; use error, warn, info or debug"),
+        other => eyre::bail!("log: `{other}` is not a log level; use error, warn, info or debug"),
     };
     let formatter = PatternFormatter::new(pattern!("{payload}{eol}"));
     let stdout = StdStreamSink::builder()
--- a/crates/ashgauged/src/relay/peers.rs
+++ b/crates/ashgauged/src/relay/peers.rs
@@ -509,7 +509,7 @@
 /// Binds the same port for datagrams and connections. If the system chooses the port, one
 /// that is free for datagrams may be in use for connections, so other ports are tried.
 async fn bind(addr: &str) -> Result<(UdpSocket, TcpListener)> {
-    let hint = || format!("cannot hear boxes on {addr}; free the port or set another");
+    let hint = || format!("cannot listen for other boxes on {addr}; free the port or set another");
     let mut tries = match addr.ends_with(":0") {
         true => MAX_BIND_TRIES,
         false => 1,
--- a/crates/ashgauged/src/relay/settings.rs
+++ b/crates/ashgauged/src/relay/settings.rs
@@ -317,7 +317,7 @@
         for (name, addr) in addresses {
             let bad = addr.filter(|a| a.parse::<SocketAddr>().is_err());
             if let Some(bad) = bad {
-                bail!("{name}: `{bad}` is no address; write IP:PORT");
+                bail!("{name}: `{bad}` is not an address; write IP:PORT");
             }
         }
         let (bounds, timing) = (&self.bounds, &self.timing);
@@ -358,7 +358,9 @@
             );
         }
         if self.readers == Some(0) {
-            bail!("readers: 0 would leave nobody to read; use 1 or more, or `each_reads`");
+            bail!(
+                "readers: 0 would leave no box to read the store; use 1 or more, or `each_reads`"
+            );
         }
         Ok(())
     }
