--- a/crates/ashgauged/src/relay/notice.rs
+++ b/crates/ashgauged/src/relay/notice.rs
@@ -12,7 +12,7 @@
 use super::{log, permit};
 
 /// Applies what the response head of an upstream announces; the request was sent at
-/// `sent`.
+/// `sent_at`.
 pub fn apply(shared: &SharedState, upstream: &str, sent_at: Duration, head: &response::Parts) {
     apply_limit(shared, upstream, sent_at, head);
     if engine::is_leaving(&head.headers) {
