--- a/crates/ashgauged/src/relay/follow/mod.rs
+++ b/crates/ashgauged/src/relay/follow/mod.rs
@@ -1,8 +1,10 @@
-//! Follows the store: what is in force, who is there, and how sure that is.
+//! Follows the platform's store: the configuration in force, the registered upstreams,
+//! and how certain both are.
 //!
-//! A few boxes read the store ([`watch`], [`prove`]); the others ask them
-//! ([`ask`]). Either way what is learned comes in here. The store may come back from a
-//! copy of an earlier state ([`returns`]).
+//! A few boxes read the store themselves (modules [`watch`] and [`revision_check`]); the
+//! others poll them (module [`poll`]). Both paths update the state through
+//! [`StoreFollower`]. The store may be restored from a copy of an earlier state (module
+//! [`store_restore`]).
 
 mod poll;
 mod revision_check;
@@ -28,63 +30,64 @@
 use super::shared_state::SharedState;
 use super::{log, membership, quarantine};
 
-/// How long after the store's return entries may be missing though their
-/// upstreams live; the users' figure.
+/// How long after the store has become reachable again an entry may be missing although
+/// its upstream is alive. The users gave this figure.
 const RESTORE_GRACE: Duration = Duration::from_secs(2);
 
-/// Upstreams that come together with a line each.
+/// Most upstreams announced at once that are logged individually.
 const MAX_LOGGED_UPSTREAMS: usize = 64;
 
-/// What the following tasks tell each other.
+/// State shared by the tasks that follow the store.
 pub struct StoreFollower {
     shared: Rc<SharedState>,
-    /// The way to the other boxes, if there is one.
+    /// Messaging with the other boxes, if it is configured.
     peers: Option<Rc<Peers>>,
-    /// Whom this box asks.
-    asker: RefCell<Poller>,
-    /// Revision up to which the configuration is known; nothing until it was
-    /// read, or once the history behind it is gone.
+    /// Decides which reader this box polls next.
+    poller: RefCell<Poller>,
+    /// Revision up to which the configuration is known; `None` before the first read and
+    /// after the store has dropped the history since that revision.
     config_revision: Cell<Option<Revision>>,
-    /// The same for the list of upstreams.
+    /// Revision up to which the list of upstreams is known, in the same way.
     upstreams_revision: Cell<Option<Revision>>,
-    /// The configuration in force, as other boxes are handed it.
+    /// The encoded configuration in force, as it is passed to other boxes.
     active_config: RefCell<Option<Vec<u8>>>,
-    /// Whether the first proof was left to the watches' first reading.
+    /// Whether the first freshness check has been left to the initial reads of the
+    /// watches.
     first_read: Cell<bool>,
-    /// Whether other boxes learn from this one.
-    is_shared: Cell<bool>,
-    /// When the readers were chosen last.
+    /// Whether other boxes poll this one.
+    is_polled: Cell<bool>,
+    /// When the readers were last selected.
     chosen_at: Cell<Duration>,
-    /// When boxes may be looked for again as those that were asked are silent.
+    /// Earliest time of the next refresh of the member list after polled boxes have not
+    /// answered.
     refresh_at: Cell<Duration>,
-    /// When a call to the store last failed, while it is away.
+    /// When a call to the store last failed; `None` while the store is reachable.
     failed_at: Cell<Option<Duration>>,
-    /// What is not sure since the store came back from a copy.
+    /// What is uncertain since the store was restored from a copy.
     restore: store_restore::RestoreState,
-    /// When the store last came back.
+    /// When the store last became reachable again or was restored.
     returned_at: Cell<Option<Duration>>,
-    /// Ends the watches, which may hang on dead connections, and begins them
-    /// anew.
+    /// Cancels the watches, which may hang on dead connections, and starts new ones.
     restart: Notify,
-    /// Asks for a proof at once.
+    /// Triggers a freshness check at once.
     check_now: Notify,
-    /// A watch has brought something.
+    /// Signals that a watch or an answer has brought changes.
     changed: Notify,
 }
 
 impl StoreFollower {
-    /// Starts following; the tasks run as long as the process.
+    /// Spawns the tasks that follow the store; they run as long as the process.
     pub fn start(shared: Rc<SharedState>, peers: Option<(Rc<Peers>, mpsc::Receiver<PeerMessage>)>) {
-        let (peers, heard) = peers.unzip();
+        let (peers, messages) = peers.unzip();
         let follower = Rc::new(StoreFollower {
             shared,
             peers,
-            asker: RefCell::default(),
+            poller: RefCell::default(),
             config_revision: Cell::new(None),
             upstreams_revision: Cell::new(None),
             active_config: RefCell::default(),
             first_read: Cell::new(false),
-            is_shared: Cell::new(false),
+            is_polled: Cell::new(false),
             chosen_at: Cell::new(Duration::ZERO),
             refresh_at: Cell::new(Duration::ZERO),
             failed_at: Cell::new(None),
@@ -102,8 +105,8 @@
         tokio::task::spawn_local(quarantine::restore_held(follower.shared.clone()));
         tokio::task::spawn_local(follower.clone().follow_suspensions());
         tokio::task::spawn_local(follower.clone().follow_restores());
-        match heard.filter(|_| follower.shared.settings().shares_reading()) {
-            Some(heard) => drop(tokio::task::spawn_local(follower.poll_readers(heard))),
+        match messages.filter(|_| follower.shared.settings().shares_reading()) {
+            Some(messages) => drop(tokio::task::spawn_local(follower.poll_readers(messages))),
             None => {
                 follower.shared.reads_store.send_replace(true);
                 tokio::task::spawn_local(quarantine::load_held(follower.shared.clone()));
@@ -111,12 +114,12 @@
         }
     }
 
-    /// Begins watches and proofs anew after the machine was suspended: what they wait
-    /// for may have died meanwhile.
+    /// Restarts the watches and checks freshness after the machine was suspended, as the
+    /// connections they wait on may have died meanwhile.
     async fn follow_suspensions(self: Rc<Self>) {
-        let mut woken = self.shared.clock.resumptions();
-        // The clock lives as long as the desk.
-        while woken.changed().await.is_ok() {
+        let mut resumptions = self.shared.clock.resumptions();
+        // The clock lives as long as the shared state.
+        while resumptions.changed().await.is_ok() {
             self.restart.notify_waiters();
             self.check_now.notify_one();
         }
@@ -125,40 +128,41 @@
     /// Waits until this box reads the store itself.
     async fn wait_until_reader(&self) {
         let mut reads = self.shared.reads_store.subscribe();
-        // The sender lives as long as the desk.
+        // The sender lives as long as the shared state.
         let _ = reads.wait_for(|reads| *reads).await;
     }
 
     async fn read_config(&self) -> Result<(), StoreError> {
-        let asked = self.shared.now();
-        let read = config::read(&self.shared.store, log_skipped).await;
-        self.shared.count_store_call("list", &read);
-        let (config, at) = read?;
+        let asked_at = self.shared.now();
+        let result = config::read(&self.shared.store, log_skipped).await;
+        self.shared.count_store_call("list", &result);
+        let (config, list_revision) = result?;
         match config {
             Some((config, revision)) => {
                 self.apply_config(config, revision)?;
-                self.shared.freshness.borrow_mut().confirm(asked);
+                self.shared.freshness.borrow_mut().confirm(asked_at);
             }
-            None => self.shared.config_missing_at.set(Some(asked)),
+            None => self.shared.config_missing_at.set(Some(asked_at)),
         }
-        advance_revision(&self.config_revision, at);
+        advance_revision(&self.config_revision, list_revision);
         self.update_covered();
         Ok(())
     }
 
-    /// Puts a configuration in force unless a newer one is.
+    /// Stores a configuration in the mirror and activates it unless a newer one is in
+    /// force.
     fn apply_config(&self, config: config::Config, revision: Revision) -> Result<(), StoreError> {
         let bytes = config.to_bytes()?;
         self.shared.mirror.borrow_mut().set_config(revision, bytes);
         self.activate_config(config)
     }
 
-    /// Puts a configuration in force; one that is older than that in force goes to no other
-    /// box either.
+    /// Activates a configuration if it is newer than the one in force. An older one is
+    /// not passed to other boxes either.
     fn activate_config(&self, config: config::Config) -> Result<(), StoreError> {
         let shared = &self.shared;
-        let old = shared.routing.borrow().version;
-        let is_newer = config.version() > old;
+        let old_version = shared.routing.borrow().version;
+        let is_newer = config.version() > old_version;
         if is_newer {
             *self.active_config.borrow_mut() = Some(config.to_bytes()?);
         }
@@ -172,174 +176,175 @@
         let version = routing.version;
         shared.metrics.config_version.set(version as i64);
         *shared.routing.borrow_mut() = Arc::new(routing);
-        let fields = json!({"version": version, "before": old});
+        let fields = json!({"version": version, "before": old_version});
         log::event(Level::Info, "config", "in force", fields);
         Ok(())
     }
 
-    /// Reads all entries; returns whether they held something that no watch had
-    /// brought.
+    /// Reads all upstream entries; returns whether they contained something that no watch
+    /// had delivered.
     async fn read_upstreams(&self) -> Result<bool, StoreError> {
-        let read = servers::list(&self.shared.store, log_skipped).await;
-        self.shared.count_store_call("list", &read);
-        let (list, at) = read?;
+        let result = servers::list(&self.shared.store, log_skipped).await;
+        self.shared.count_store_call("list", &result);
+        let (list, list_revision) = result?;
         let count = list.len();
-        // A watch may have overtaken the list.
+        // A watch may have delivered changes newer than the list.
         let list: Vec<Upstream> = {
             let mut mirror = self.shared.mirror.borrow_mut();
-            mirror.replace_all(at, list);
+            mirror.replace_all(list_revision, list);
             mirror.upstreams().cloned().collect()
         };
-        let missed = self.log_changed(&list, at);
-        let gives_up = list.iter().any(|u| self.reduces_layers(u));
-        let (now, sure) = (self.shared.now(), !self.has_uncertain_removals());
-        self.shared.registry.borrow_mut().replace(now, list, sure);
-        let fields = json!({"upstreams": count, "at": revision::count(at), "sure": sure});
+        let missed = self.log_changed(&list, list_revision);
+        let releases_layers = list.iter().any(|u| self.reduces_layers(u));
+        let (now, removals_certain) = (self.shared.now(), !self.has_uncertain_removals());
+        self.shared
+            .registry
+            .borrow_mut()
+            .replace(now, list, removals_certain);
+        let fields = json!({"upstreams": count, "at": revision::count(list_revision), "sure": removals_certain});
         log::event(Level::Info, "roster", "listed", fields);
-        if gives_up {
+        if releases_layers {
             self.shared.notify_streams();
         }
         self.shared.upstreams_listed.set(true);
-        advance_revision(&self.upstreams_revision, at);
+        advance_revision(&self.upstreams_revision, list_revision);
         self.update_covered();
         Ok(missed)
     }
 
-    /// Writes a line for each upstream of a list that no watch had brought;
-    /// returns whether there was one.
-    fn log_changed(&self, list: &[Upstream], at: Revision) -> bool {
+    /// Logs each upstream of a list that no watch had delivered; returns whether there
+    /// was one.
+    fn log_changed(&self, list: &[Upstream], revision: Revision) -> bool {
         let registry = self.shared.registry.borrow();
         let is_known = |u: &Upstream| registry.get(&u.id).is_some_and(|e| e.upstream == *u);
         let changed: Vec<_> = list.iter().filter(|u| !is_known(u)).collect();
         if may_log_each(changed.len()) {
-            changed.iter().for_each(|u| log_announced(u, at));
+            changed.iter().for_each(|u| log_announced(u, revision));
         }
         !changed.is_empty()
     }
 
-    /// Notes that everything up to what was read of both kinds is known.
+    /// Marks everything up to the lower of both read revisions as known.
     fn update_covered(&self) {
-        if let (Some(config), Some(servers)) =
+        if let (Some(config), Some(upstreams)) =
             (self.config_revision.get(), self.upstreams_revision.get())
         {
             self.shared
                 .mirror
                 .borrow_mut()
-                .mark_read_to(config.min(servers));
+                .mark_read_to(config.min(upstreams));
         }
         self.shared.update_synced();
     }
 
-    /// Acts on changes that are news.
-    fn apply_changes(&self, changes: Vec<Change>, sure: bool) {
-        let has_lines = may_log_each(changes.len());
+    /// Applies changes that were not known before.
+    fn apply_changes(&self, changes: Vec<Change>, removals_certain: bool) {
+        let logs_each = may_log_each(changes.len());
         for change in changes {
             match change.kind {
                 ChangeKind::Config(_) => {}
                 ChangeKind::Put(upstream) => {
-                    if has_lines {
+                    if logs_each {
                         log_announced(&upstream, change.revision);
                     }
                     self.put(upstream);
                 }
-                ChangeKind::Removed(id) => self.remove(&id, change.revision, sure),
+                ChangeKind::Removed(id) => self.remove(&id, change.revision, removals_certain),
             }
         }
     }
 
     fn put(&self, upstream: Upstream) {
-        let gives_up = self.reduces_layers(&upstream);
+        let releases_layers = self.reduces_layers(&upstream);
         self.shared.registry.borrow_mut().put(upstream);
-        if gives_up {
+        if releases_layers {
             self.shared.notify_streams();
         }
     }
 
-    fn remove(&self, id: &UpstreamId, revision: Revision, sure: bool) {
-        let fields =
-            json!({"upstream": &**id, "revision": revision::count(revision), "sure": sure});
+    fn remove(&self, id: &UpstreamId, revision: Revision, removals_certain: bool) {
+        let fields = json!({"upstream": &**id, "revision": revision::count(revision), "sure": removals_certain});
         log::event(Level::Info, "roster", "gone", fields);
         let now = self.shared.now();
         let mut registry = self.shared.registry.borrow_mut();
-        match sure {
+        match removals_certain {
             true => registry.remove(now, id),
             false => registry.mark_missing(now, id),
         }
     }
 
-    /// Whether an upstream begins to leave, or gives up layers that it held.
+    /// Returns whether an upstream starts to leave or releases layers that it held.
     fn reduces_layers(&self, upstream: &Upstream) -> bool {
         let registry = self.shared.registry.borrow();
-        let before = registry.get(&upstream.id).map(|e| &e.upstream);
-        before.is_some_and(|b| {
-            let leaves = upstream.leaving && !b.leaving;
-            leaves || (b.layers.is_some() && b.layers != upstream.layers)
+        let old = registry.get(&upstream.id).map(|e| &e.upstream);
+        old.is_some_and(|b| {
+            let starts_leaving = upstream.leaving && !b.leaving;
+            starts_leaving || (b.layers.is_some() && b.layers != upstream.layers)
         })
     }
 
-    /// Tells the boxes that learn from this one that there is something new.
+    /// Notifies the boxes that poll this one of new data.
     async fn notify_pollers(&self) {
         if let Some(peers) = &self.peers {
             peers.notify_pollers().await;
         }
     }
 
-    /// Whether entries may be missing only because the store was away, or passed over as
-    /// they had been removed before it came back.
+    /// Returns whether entries may be missing only because the store was unreachable, or
+    /// are ignored because they had been removed before the store was restored.
     fn has_uncertain_removals(&self) -> bool {
         let now = self.shared.now();
-        let is_away = self.failed_at.get().is_some();
-        let has_returned = self
+        let is_store_down = self.failed_at.get().is_some();
+        let has_just_recovered = self
             .returned_at
             .get()
             .is_some_and(|t| now < t + RESTORE_GRACE);
-        is_away || has_returned || self.restore.settling.get()
+        is_store_down || has_just_recovered || self.restore.settling.get()
     }
 
-    /// Keeps what other boxes are told of it up to date.
+    /// Updates the certainty of removals that is reported to other boxes.
     fn update_certainty(&self) {
         self.shared
             .removals_certain
             .set(!self.has_uncertain_removals());
     }
 
-    /// Notes that a call failed, with one line for each time the store goes.
-    fn note_store_failure(&self, what: &str, fault: &StoreError) {
+    /// Records a failed call; logs only the first failure of each outage.
+    fn note_store_failure(&self, call: &str, fault: &StoreError) {
         if matches!(fault, StoreError::HistoryGone) {
-            log::event(Level::Info, "store", "history gone", json!({"watch": what}));
+            log::event(Level::Info, "store", "history gone", json!({"watch": call}));
             return;
         }
         self.shared.store_down.set(true);
         self.shared.removals_certain.set(false);
-        let first = self.failed_at.replace(Some(self.shared.now())).is_none();
-        if first {
-            let fields = json!({"call": what, "fault": fault.to_string()});
+        let is_first = self.failed_at.replace(Some(self.shared.now())).is_none();
+        if is_first {
+            let fields = json!({"call": call, "fault": fault.to_string()});
             log::event(Level::Warn, "store", "lost", fields);
         }
     }
 
     async fn note_store_recovery(&self) {
-        let Some(last) = self.failed_at.take() else {
+        let Some(last_failure) = self.failed_at.take() else {
             return;
         };
         let now = self.shared.now();
         self.returned_at.set(Some(now));
         self.shared.store_down.set(false);
-        let fields = json!({"last_failure_ms": (now - last).as_millis() as u64});
+        let fields = json!({"last_failure_ms": (now - last_failure).as_millis() as u64});
         log::event(Level::Info, "store", "regained", fields);
         self.restart.notify_waiters();
         self.notify_pollers().await;
     }
 }
 
-/// Moves a known revision on; a reading that was overtaken does not move it
-/// back.
-fn advance_revision(known: &Cell<Option<Revision>>, at: Revision) {
-    known.set(known.get().max(Some(at)));
+/// Advances a known revision; a read that has been overtaken does not move it back.
+fn advance_revision(known: &Cell<Option<Revision>>, revision: Revision) {
+    known.set(known.get().max(Some(revision)));
 }
 
-/// Whether so many upstreams that came together get a line each; else one line
-/// says how many there were. Where a fleet starts all of them come to each box.
+/// Returns whether this many upstreams announced at once are logged individually; if not,
+/// logs their number instead. When a fleet starts, each box receives all of them at once.
 fn may_log_each(count: usize) -> bool {
     if count > MAX_LOGGED_UPSTREAMS {
         log::event(
@@ -363,7 +368,7 @@
     log::event(Level::Info, "roster", "announced", fields);
 }
 
-/// Writes a line for an object of the store that cannot be read.
+/// Logs an object of the store that cannot be decoded.
 pub fn log_skipped(name: &str, fault: &StoreError) {
     let fields = json!({"object": name, "fault": fault.to_string()});
     log::event(Level::Warn, "store", "object cannot be read", fields);
--- a/crates/ashgauged/src/relay/follow/poll.rs
+++ b/crates/ashgauged/src/relay/follow/poll.rs
@@ -1,4 +1,4 @@
-//! Questions to the boxes that read the store for the others.
+//! Polls the boxes that read the store on behalf of the others.
 
 use std::rc::Rc;
 use std::time::Duration;
@@ -21,56 +21,59 @@
 use super::super::{log, membership, quarantine};
 use super::{StoreFollower, log_skipped};
 
-/// Time between two looks before the other boxes are known.
+/// Interval between checks until the other boxes have been discovered.
 const DISCOVERY_INTERVAL: Duration = Duration::from_millis(20);
 
-/// Time between two rounds while nothing is known: boxes that read have just
-/// started as well.
+/// Interval between polling rounds while nothing is known: the readers have just started
+/// as well.
 const UNSYNCED_INTERVAL: Duration = Duration::from_millis(300);
 
-/// Share of the operators' bounds on what a box knows, past which one that no other
-/// could inform asks the store itself. What is left is for the round of questions
-/// that shows it and for the reading.
+/// Share of the operators' bounds on the age of data after which a box that no other box
+/// could inform reads the store itself. The remainder is for the polling round that shows
+/// this and for the read.
 const DIRECT_READ_SHARE: f64 = 0.6;
 
-/// How long a box that knows nothing asks others only, and how long if some answer
-/// that know nothing either: they may be about to.
+/// How long a box without data only polls others before it reads the store: the first
+/// applies if no box answers, the second if some answer that have no data either, as they
+/// may be about to get it.
 const DIRECT_READ_DELAY: Duration = Duration::from_millis(1500);
 const ANSWERED_READ_DELAY: Duration = Duration::from_millis(6000);
 
-/// Time for which a choice of the readers holds: who is silent changes it.
+/// Time for which a selection of the readers is reused; boxes that stop answering change
+/// it.
 const READERS_TTL: Duration = Duration::from_millis(200);
 
-/// Times from such a reading that brought nothing to the next, at random in between, so
-/// that boxes that lost their readers do not call the store together.
+/// Range of the random delay between direct reads that brought nothing, so that boxes
+/// that have lost their readers do not call the store at the same time.
 const DIRECT_READ_INTERVAL: std::ops::Range<Duration> =
     Duration::from_millis(2000)..Duration::from_millis(8000);
 
 impl StoreFollower {
-    /// Learns from other boxes as long as the process runs.
-    pub(super) async fn poll_readers(self: Rc<Self>, mut heard: mpsc::Receiver<PeerMessage>) {
+    /// Polls the readers as long as the process runs.
+    pub(super) async fn poll_readers(self: Rc<Self>, mut messages: mpsc::Receiver<PeerMessage>) {
         let Some(peers) = self.peers.clone() else {
             return;
         };
-        let mut alone_at = Duration::ZERO;
-        let mut woken = self.shared.clock.resumptions();
+        let mut direct_read_at = Duration::ZERO;
+        let mut resumptions = self.shared.clock.resumptions();
         loop {
-            let until = self.poll_next(&peers, &mut alone_at).await;
-            let rest = until.saturating_sub(self.shared.now());
+            let next_at = self.poll_next(&peers, &mut direct_read_at).await;
+            let wait = next_at.saturating_sub(self.shared.now());
             tokio::select! {
-                heard = heard.recv() => match heard {
-                    Some(heard) => self.handle_message(&peers, heard).await,
+                message = messages.recv() => match message {
+                    Some(message) => self.handle_message(&peers, message).await,
                     None => return,
                 },
-                () = sleep(rest) => {}
-                // What is known grew old meanwhile; the clock lives as long as the desk.
-                Ok(()) = woken.changed() => {}
+                () = sleep(wait) => {}
+                // The data has aged during the suspension; the clock lives as long as the
+                // shared state.
+                Ok(()) = resumptions.changed() => {}
             }
         }
     }
 
-    /// Asks whoever is to be asked now; returns when to look again.
-    async fn poll_next(&self, peers: &Peers, alone_at: &mut Duration) -> Duration {
+    /// Takes the next polling step; returns when to take the one after it.
+    async fn poll_next(&self, peers: &Peers, direct_read_at: &mut Duration) -> Duration {
         let now = self.shared.now();
         if self.shared.discovered_at.get().is_none() {
             return now + DISCOVERY_INTERVAL;
@@ -78,29 +81,29 @@
         let readers = self.readers(now);
         self.set_role(&readers);
         self.shared.registry.borrow_mut().expire(now);
-        let pace = self.pace();
+        let timing = self.poll_timing();
         let age = self.shared.freshness.borrow().age(now);
-        let is_fresh = age.is_some_and(|age| age <= pace.max_age);
+        let is_fresh = age.is_some_and(|age| age <= timing.max_age);
         if readers.includes_self && is_fresh && self.has_synced() {
-            return now + pace.interval;
+            return now + timing.interval;
         }
-        let step = {
+        let action = {
             let sources = || readers.sources.clone();
-            let mut asker = self.asker.borrow_mut();
-            asker.next_action(now, &pace, sources, &mut *self.shared.rng())
+            let mut poller = self.poller.borrow_mut();
+            poller.next_action(now, &timing, sources, &mut *self.shared.rng())
         };
-        match step {
+        match action {
             PollAction::Query { to, id } => {
-                let question = self.build_query(id, None);
-                peers.ask(&to, question).await;
-                now + pace.answer_timeout
+                let query = self.build_query(id, None);
+                peers.send_query(&to, query).await;
+                now + timing.answer_timeout
             }
-            PollAction::Failed(lack) => {
-                if lack == PollFailure::NoAnswer {
+            PollAction::Failed(failure) => {
+                if failure == PollFailure::NoAnswer {
                     self.refresh_members(now);
                 }
-                if !self.is_reader() && self.may_read_directly(lack) && now >= *alone_at {
-                    *alone_at = self.read_directly().await;
+                if !self.is_reader() && self.may_read_directly(failure) && now >= *direct_read_at {
+                    *direct_read_at = self.read_directly().await;
                 }
                 now
             }
@@ -108,22 +111,22 @@
         }
     }
 
-    /// Who reads for the others, as far as this box knows.
+    /// Returns the boxes that read the store, as far as this box knows.
     fn readers(&self, now: Duration) -> Rc<Readers> {
         let shared = &self.shared;
         if now < self.chosen_at.get() + READERS_TTL {
             return shared.readers.borrow().clone();
         }
         self.chosen_at.set(now);
-        let (me, fleet) = membership::known_fleet(shared);
-        *shared.permits.givers.borrow_mut() = Rc::new(givers(&me, &fleet, now));
-        let readers = reader::choose(&me, &fleet, &self.asker.borrow().backoffs, now);
+        let (own, fleet) = membership::known_fleet(shared);
+        *shared.permits.issuers.borrow_mut() = Rc::new(issuers(&own, &fleet, now));
+        let readers = reader::choose(&own, &fleet, &self.poller.borrow().backoffs, now);
         *shared.readers.borrow_mut() = Rc::new(readers);
         shared.readers.borrow().clone()
     }
 
-    /// Looks for other boxes, as those that were asked are silent: others may read by
-    /// now.
+    /// Refreshes the member list, as the polled boxes do not answer: others may be
+    /// readers by now.
     fn refresh_members(&self, now: Duration) {
         if now >= self.refresh_at.get() {
             self.refresh_at
@@ -136,82 +139,83 @@
         *self.shared.reads_store.borrow()
     }
 
-    /// Begins or stops to read the store.
+    /// Starts or stops reading the store.
     fn set_role(&self, readers: &Readers) {
-        let (shared, reads) = (&self.shared, readers.includes_self);
-        self.is_shared.set(readers.has_followers);
-        if reads == self.is_reader() {
+        let (shared, reads_store) = (&self.shared, readers.includes_self);
+        self.is_polled.set(readers.has_followers);
+        if reads_store == self.is_reader() {
             return;
         }
-        let known = shared.is_synced().then(|| shared.mirror.borrow().covered());
-        self.config_revision.set(known);
-        self.upstreams_revision.set(known);
-        if !reads {
-            // What calls failed says nothing about those of the next time.
+        let known_revision = shared.is_synced().then(|| shared.mirror.borrow().covered());
+        self.config_revision.set(known_revision);
+        self.upstreams_revision.set(known_revision);
+        if !reads_store {
+            // Past failures say nothing about the store when this box reads it again.
             self.failed_at.set(None);
             shared.store_down.set(false);
         }
-        shared.reads_store.send_replace(reads);
-        if reads {
+        shared.reads_store.send_replace(reads_store);
+        if reads_store {
             tokio::task::spawn_local(quarantine::load_held(shared.clone()));
-            // It answers only boxes that it knows.
+            // A reader answers only boxes that it knows.
             tokio::task::spawn_local(membership::refresh(shared.clone()));
         }
         log::event(
             Level::Info,
             "store",
             "role",
-            json!({"reads": reads, "known": known}),
+            json!({"reads": reads_store, "known": known_revision}),
         );
     }
 
-    fn pace(&self) -> PollTiming {
-        let pace = self.shared.settings().poll_pace();
+    fn poll_timing(&self) -> PollTiming {
+        let timing = self.shared.settings().poll_timing();
         match self.shared.is_synced() {
-            true => pace,
+            true => timing,
             false => PollTiming {
                 interval: UNSYNCED_INTERVAL,
-                ..pace
+                ..timing
             },
         }
     }
 
-    fn build_query(&self, id: u64, ticket: Option<FetchToken>) -> Query {
-        let informed = self.shared.is_synced();
+    fn build_query(&self, id: u64, token: Option<FetchToken>) -> Query {
+        let is_synced = self.shared.is_synced();
         let covered = self.shared.mirror.borrow().covered();
         Query {
             from: self.shared.settings().id.as_str().into(),
             id,
-            after: match informed && self.has_synced() && !self.restore.needs_copy.get() {
+            after: match is_synced && self.has_synced() && !self.restore.needs_copy.get() {
                 true => covered,
                 false => 0,
             },
-            fetch_token: ticket,
+            fetch_token: token,
         }
     }
 
-    /// Whether this box, which no other one could inform, is to read the store.
-    fn may_read_directly(&self, lack: PollFailure) -> bool {
+    /// Returns whether this box, which no other box could inform, is to read the store
+    /// itself.
+    fn may_read_directly(&self, failure: PollFailure) -> bool {
         let shared = &self.shared;
         if let Some(age) = shared.freshness.borrow().age(shared.now()) {
             let settings = shared.settings();
             let bound = settings.max_key_age().min(settings.apply_bound());
             return age >= bound.mul_f64(DIRECT_READ_SHARE);
         }
-        let patience = match lack {
+        let delay = match failure {
             PollFailure::NoAnswer => DIRECT_READ_DELAY,
             PollFailure::StaleAnswer => ANSWERED_READ_DELAY,
             PollFailure::EmptyStore => return false,
         };
-        let asking = shared
+        let since_discovery = shared
             .discovered_at
             .get()
             .map(|at| shared.now().saturating_sub(at));
-        asking.is_some_and(|time| time >= self.random_delay(patience..patience * 2))
+        since_discovery.is_some_and(|time| time >= self.random_delay(delay..delay * 2))
     }
 
-    /// Reads the store; returns when to do so again if no box can inform this
-    /// one until then.
+    /// Reads the store; returns when to do so again if no box can inform this one until
+    /// then.
     async fn read_directly(&self) -> Duration {
         let shared = &self.shared;
         let age = shared.freshness.borrow().age(shared.now());
@@ -222,7 +226,7 @@
             json!({"age_ms": age.map(|a| a.as_millis() as u64)}),
         );
         match self.read_all().await {
-            // What is known grows old as before, and is read again then.
+            // The data ages as before, and the age triggers the next read.
             Ok(()) if shared.is_synced() => return shared.now(),
             Ok(()) => {}
             Err(fault) => self.note_store_failure("read alone", &fault),
@@ -239,36 +243,44 @@
         self.shared.rng().random_range(range)
     }
 
-    async fn handle_message(&self, peers: &Rc<Peers>, heard: PeerMessage) {
-        match heard {
-            PeerMessage::News(from) => self.handle_news(from),
+    async fn handle_message(&self, peers: &Rc<Peers>, message: PeerMessage) {
+        match message {
+            PeerMessage::Changed(from) => self.handle_changed(from),
             PeerMessage::FetchFailed(from) => {
                 let now = self.shared.now();
-                self.asker.borrow_mut().on_fetch_failed(now, &from);
+                self.poller.borrow_mut().on_fetch_failed(now, &from);
             }
-            PeerMessage::Answer(answer, fetched) => {
-                self.handle_answer(peers, answer, fetched).await
+            PeerMessage::Answer(answer, fetch_asked_at) => {
+                self.handle_answer(peers, answer, fetch_asked_at).await
             }
         }
     }
 
-    /// Asks a box that knows something new at once. In a large fleet each box goes by
-    /// its own hub, which soon knows the same: all together would ask the first.
-    fn handle_news(&self, from: BoxId) {
+    /// Polls a box with new data at once. In a large fleet each box waits for its own
+    /// hub, which soon has the same data: otherwise all boxes would poll the first one.
+    fn handle_changed(&self, from: BoxId) {
         let is_own = match self.shared.role() {
             Role::Leaf(hub) => hub == from,
             _ => true,
         };
         if is_own {
-            self.asker.borrow_mut().on_changed(from);
+            self.poller.borrow_mut().on_changed(from);
         }
     }
 
-    /// Takes an answer in. One to a question that this box did not ask, or that
-    /// was answered before, is dropped.
-    async fn handle_answer(&self, peers: &Rc<Peers>, answer: Answer, fetched: Option<Duration>) {
-        let closed = self.asker.borrow_mut().close_query(answer.id, &answer.from);
-        let Some(asked) = fetched.or(closed) else {
+    /// Handles an answer. An answer to a query that this box did not send, or that was
+    /// answered before, is dropped.
+    async fn handle_answer(
+        &self,
+        peers: &Rc<Peers>,
+        answer: Answer,
+        fetch_asked_at: Option<Duration>,
+    ) {
+        let query_sent_at = self
+            .poller
+            .borrow_mut()
+            .close_query(answer.id, &answer.from);
+        let Some(asked_at) = fetch_asked_at.or(query_sent_at) else {
             self.shared
                 .metrics
                 .datagrams
@@ -276,43 +288,43 @@
                 .inc();
             return;
         };
-        let pace = self.pace();
+        let timing = self.poll_timing();
         let now = self.shared.now();
-        let is_fetched = fetched.is_some();
-        let is_large = matches!(answer.body, AnswerBody::TooLarge { .. });
-        if is_large && is_fetched {
+        let is_fetched = fetch_asked_at.is_some();
+        let is_too_large = matches!(answer.body, AnswerBody::TooLarge { .. });
+        if is_too_large && is_fetched {
             return;
         }
-        self.asker
+        self.poller
             .borrow_mut()
-            .on_answer(now, &pace, &answer.from, &answer.body);
+            .on_answer(now, &timing, &answer.from, &answer.body);
         if answer.boxes > self.shared.counted_boxes() {
             self.shared.set_fleet_size(answer.boxes);
         }
         match answer.body {
-            // A packed answer was unpacked when it was fetched.
+            // A compressed answer was decompressed when it was fetched.
             AnswerBody::Empty { .. } | AnswerBody::Compressed { .. } => {}
             AnswerBody::Update { age, update } => {
-                self.apply_update(&answer.from, asked, age, update).await
+                self.apply_update(&answer.from, asked_at, age, update).await
             }
             AnswerBody::TooLarge {
-                fetch_token: ticket,
+                fetch_token: token,
                 bytes,
             } => {
-                let question = self.build_query(answer.id, Some(ticket));
+                let query = self.build_query(answer.id, Some(token));
                 let peers = peers.clone();
-                let most = pace.fetch_timeout(bytes);
-                tokio::task::spawn_local(peers.fetch(answer.from, question, most));
+                let timeout = timing.fetch_timeout(bytes);
+                tokio::task::spawn_local(peers.fetch(answer.from, query, timeout));
             }
         }
     }
 
-    /// Takes over what another box knows, as of the moment that its answer
-    /// proves.
+    /// Applies an update of another box, as of the time for which its answer confirms the
+    /// data.
     async fn apply_update(
         &self,
         from: &BoxId,
-        asked: Duration,
+        asked_at: Duration,
         age: Duration,
         update: ashgauge::mirror::Update,
     ) {
@@ -328,58 +340,60 @@
                 return log::event(Level::Warn, "fleet", "answer cannot be read", fields);
             }
         };
-        let (sure, whole) = (update.removals_certain, update.is_full);
+        let (removals_certain, is_full) = (update.removals_certain, update.is_full);
         let era = revision::era(update.up_to);
         let covered = shared.mirror.borrow().covered();
-        // A whole copy that is older than what is known here is not taken.
-        let replaced = whole && update.up_to >= covered;
+        // A full copy that is older than the data here is not applied.
+        let replaced = is_full && update.up_to >= covered;
         if era < revision::era(covered) {
-            // It knows the store as it was before it came back.
+            // The sender's data is from before the store was restored.
             return;
         }
         shared.store.raise_era(era);
         self.restore.peer_synced.set(true);
-        let before = shared.is_synced();
-        let news = shared.mirror.borrow_mut().apply(update);
-        let is_news = !news.is_empty();
+        let was_synced = shared.is_synced();
+        let changes = shared.mirror.borrow_mut().apply(update);
+        let has_changes = !changes.is_empty();
         if let Some(config) = config
             && let Err(fault) = self.activate_config(config)
         {
             log_skipped("config", &fault);
         }
         if era > 0 {
-            self.note_copy_certainty(replaced, sure);
+            self.note_copy_certainty(replaced, removals_certain);
         }
-        self.apply_changes(news, sure);
-        // Its own copy may lack what the other box believes by now.
+        self.apply_changes(changes, removals_certain);
+        // This box's copy may lack entries that the sender already accepts again.
         shared
             .removals_certain
-            .set(sure && !self.restore.settling.get());
+            .set(removals_certain && !self.restore.settling.get());
         shared.upstreams_listed.set(true);
-        if let Some(at) = proven_at(asked, age) {
+        if let Some(at) = proven_at(asked_at, age) {
             shared.freshness.borrow_mut().confirm(at);
         }
-        if !self.is_reader() && age <= self.pace().max_age {
+        if !self.is_reader() && age <= self.poll_timing().max_age {
             self.failed_at.set(None);
             shared.store_down.set(false);
         }
         shared.update_synced();
-        if !before {
-            let fields = json!({"from": &**from, "whole": whole, "age_ms": age.as_millis() as u64});
+        if !was_synced {
+            let fields =
+                json!({"from": &**from, "whole": is_full, "age_ms": age.as_millis() as u64});
             log::event(Level::Info, "store", "learned", fields);
         }
-        if is_news {
+        if has_changes {
             self.changed.notify_waiters();
             self.notify_pollers().await;
         }
     }
 }
 
-/// Boxes that may give permits: in a small fleet all, else those that read when all are
-/// there, as they know every box and every box knows them.
-fn givers(me: &Member, fleet: &Fleet, now: Duration) -> Vec<BoxId> {
+/// Returns the boxes that may issue permits: all in a small fleet, otherwise the readers
+/// that are selected when every box answers, as they know all boxes and all boxes know
+/// them.
+fn issuers(own: &Member, fleet: &Fleet, now: Duration) -> Vec<BoxId> {
     if hub::is_full_mesh(fleet.box_count) {
         return fleet.candidates.iter().map(|m| m.id.clone()).collect();
     }
-    reader::choose(me, fleet, &Backoffs::default(), now).ids
+    reader::choose(own, fleet, &Backoffs::default(), now).ids
 }
--- a/crates/ashgauged/src/relay/follow/revision_check.rs
+++ b/crates/ashgauged/src/relay/follow/revision_check.rs
@@ -1,5 +1,5 @@
-//! Proofs: plain reads of the store's revision, which show that all changes up
-//! to it are known.
+//! Freshness checks: plain reads of the store's revision, which confirm that all changes
+//! up to it are known.
 
 use std::rc::Rc;
 use std::time::Duration;
@@ -13,45 +13,45 @@
 use super::super::{log, membership, placer, quarantine};
 use super::StoreFollower;
 
-/// First pause after a call that failed; doubled up to [`MAX_RETRY_DELAY`].
+/// Initial delay after a failed call; it doubles up to [`MAX_RETRY_DELAY`].
 pub const MIN_RETRY_DELAY: Duration = Duration::from_millis(100);
 
-/// Longest pause after a call that failed: a store that is back is noticed
-/// within the users' bound on configurations (2 s) with time to spare.
+/// Longest delay after a failed call: a recovered store is noticed within the users'
+/// bound on configurations (2 s) with time to spare.
 const MAX_RETRY_DELAY: Duration = Duration::from_millis(500);
 
-/// The same while other boxes inform this one: refused calls are priced, too.
+/// Longest delay after a failed call while other boxes inform this one, as refused calls
+/// are billed too.
 const INFORMED_RETRY_DELAY: Duration = Duration::from_millis(2000);
 
-/// For the call of a watch that has gathered changes.
+/// Time allowed for the call of a watch whose batch delay has passed.
 const BATCH_MARGIN: Duration = Duration::from_millis(100);
 
 impl StoreFollower {
-    /// Proves again and again that what is known is still so, while this box
-    /// reads.
+    /// Checks freshness periodically while this box reads the store.
     pub(super) async fn confirm_loop(self: Rc<Self>) {
-        let mut pause = MIN_RETRY_DELAY;
+        let mut delay = MIN_RETRY_DELAY;
         loop {
             self.wait_until_reader().await;
-            let began = self.shared.now();
-            let informed = self.shared.is_synced();
+            let started = self.shared.now();
+            let was_synced = self.shared.is_synced();
             let confirmed = self.confirm_once().await;
             self.shared.registry.borrow_mut().expire(self.shared.now());
             self.update_certainty();
-            if !informed && self.shared.is_synced() {
+            if !was_synced && self.shared.is_synced() {
                 self.notify_pollers().await;
             }
             match confirmed {
                 Ok(()) => {
-                    pause = MIN_RETRY_DELAY;
-                    // A watch that failed asks earlier.
-                    let rest = (began + self.proof_interval()).saturating_sub(self.shared.now());
-                    let _ = timeout(rest, self.check_now.notified()).await;
+                    delay = MIN_RETRY_DELAY;
+                    // A failed watch triggers the check earlier.
+                    let wait = (started + self.check_interval()).saturating_sub(self.shared.now());
+                    let _ = timeout(wait, self.check_now.notified()).await;
                 }
                 Err(fault) => {
                     self.note_store_failure("confirm", &fault);
-                    sleep(pause).await;
-                    pause = (pause * 2).min(self.max_retry_delay());
+                    sleep(delay).await;
+                    delay = (delay * 2).min(self.max_retry_delay());
                 }
             }
         }
@@ -59,43 +59,42 @@
 
     fn max_retry_delay(&self) -> Duration {
         let age = self.shared.freshness.borrow().age(self.shared.now());
-        let stale = self.shared.settings().poll_pace().max_age;
-        match age.is_some_and(|age| age <= stale) {
+        let max_age = self.shared.settings().poll_timing().max_age;
+        match age.is_some_and(|age| age <= max_age) {
             true => INFORMED_RETRY_DELAY,
             false => MAX_RETRY_DELAY,
         }
     }
 
-    fn proof_interval(&self) -> Duration {
+    fn check_interval(&self) -> Duration {
         let settings = self.shared.settings();
-        match self.is_shared.get() {
+        match self.is_polled.get() {
             true => settings.reader_interval(),
             false => settings.confirm_interval(),
         }
     }
 
-    /// Proves that all changes are known; if some are missing, reads everything
-    /// anew.
+    /// Confirms that all changes are known; if some are missing, reads everything again.
     pub(super) async fn confirm_once(&self) -> Result<(), StoreError> {
         let shared = &self.shared;
-        let known = shared.is_synced();
+        let was_synced = shared.is_synced();
         if self.failed_at.get().is_none() {
-            if !known && !self.first_read.replace(true) {
-                // The watches' first reading is under way.
+            if !was_synced && !self.first_read.replace(true) {
+                // The initial reads of the watches are in progress.
                 return Ok(());
             }
-            if known && self.prove().await? {
+            if was_synced && self.check_revision().await? {
                 return Ok(());
             }
         }
         self.read_config().await?;
         if shared.routing().version == 0 && self.failed_at.get().is_none() {
-            // Nothing can be served yet, and the watch brings the upstreams.
+            // Nothing can be served yet, and the watch delivers the upstreams.
             return Ok(());
         }
         let missed = self.read_upstreams().await?;
-        if known && missed {
-            // A watch that did not bring this may hang on a silent connection.
+        if was_synced && missed {
+            // A watch that has not delivered this may hang on a dead connection.
             self.restart.notify_waiters();
             self.notify_pollers().await;
         }
@@ -103,61 +102,60 @@
         Ok(())
     }
 
-    /// Asks for the store's revision; returns whether all changes up to it are
-    /// known.
-    async fn prove(&self) -> Result<bool, StoreError> {
-        let asked = self.shared.now();
-        let at = config::revision(&self.shared.store).await;
-        self.shared.count_store_call("proof", &at);
-        let covered = self.covers(at?).await;
+    /// Reads the store's revision; returns whether all changes up to it are known.
+    async fn check_revision(&self) -> Result<bool, StoreError> {
+        let asked_at = self.shared.now();
+        let revision = config::revision(&self.shared.store).await;
+        self.shared.count_store_call("proof", &revision);
+        let covered = self.covers(revision?).await;
         if covered {
-            self.shared.freshness.borrow_mut().confirm(asked);
+            self.shared.freshness.borrow_mut().confirm(asked_at);
         }
         Ok(covered)
     }
 
-    /// Whether all changes up to a revision are known: those that watches
-    /// brought, and the boxes' own objects, which no watch brings and which are
-    /// read at a tenth.
-    async fn covers(&self, at: Revision) -> bool {
-        // The watch may be gathering what is missing. What was known before
-        // ages meanwhile, so there is time for one such wait.
-        let until = self.shared.now() + self.upstreams_batch_delay() + BATCH_MARGIN;
+    /// Returns whether all changes up to a revision are known: those that watches
+    /// delivered, and the boxes' own objects. No watch covers the latter; they are read
+    /// by stale reads, which cost a tenth of a fresh one.
+    async fn covers(&self, revision: Revision) -> bool {
+        // The watch may be delaying its call to batch the missing changes. The confirmed
+        // data ages meanwhile, so there is time for one such wait.
+        let deadline = self.shared.now() + self.upstreams_batch_delay() + BATCH_MARGIN;
         loop {
             let changed = self.changed.notified();
-            if self.shared.mirror.borrow().covers(at) {
+            if self.shared.mirror.borrow().covers(revision) {
                 return true;
             }
-            let rest = until.saturating_sub(self.shared.now());
-            if timeout(rest, changed).await.is_err() {
-                return self.covers_own_objects(at).await;
+            let remaining = deadline.saturating_sub(self.shared.now());
+            if timeout(remaining, changed).await.is_err() {
+                return self.covers_own_objects(revision).await;
             }
         }
     }
 
-    async fn covers_own_objects(&self, at: Revision) -> bool {
+    async fn covers_own_objects(&self, revision: Revision) -> bool {
         if self.is_recent() {
             return false;
         }
         self.note_revisions(placer::round_revisions(&self.shared).await);
-        if self.shared.mirror.borrow().covers(at) {
+        if self.shared.mirror.borrow().covers(revision) {
             return true;
         }
         self.note_revisions(membership::announce_revisions(&self.shared).await);
-        if self.shared.mirror.borrow().covers(at) {
+        if self.shared.mirror.borrow().covers(revision) {
             return true;
         }
         self.note_revisions(quarantine::hold_revisions(&self.shared).await);
-        self.shared.mirror.borrow().covers(at)
+        self.shared.mirror.borrow().covers(revision)
     }
 
-    fn note_revisions(&self, read: Result<Vec<Revision>, StoreError>) {
-        match read {
+    fn note_revisions(&self, result: Result<Vec<Revision>, StoreError>) {
+        match result {
             Ok(revisions) => {
                 let mut mirror = self.shared.mirror.borrow_mut();
                 revisions.into_iter().for_each(|r| mirror.mark_read(r));
             }
-            // Everything is read anew then.
+            // The caller then reads everything again.
             Err(fault) => {
                 let fields = json!({"fault": fault.to_string()});
                 log::event(Level::Debug, "store", "own objects not read", fields);
--- a/crates/ashgauged/src/relay/follow/watch.rs
+++ b/crates/ashgauged/src/relay/follow/watch.rs
@@ -1,4 +1,4 @@
-//! Watches of the store: the configuration and the upstreams, as they change.
+//! Watches the configuration and the upstreams in the store.
 
 use std::rc::Rc;
 use std::time::Duration;
@@ -10,21 +10,20 @@
 use super::revision_check::MIN_RETRY_DELAY;
 use super::{StoreFollower, advance_revision, log_announced, log_skipped, may_log_each};
 
-/// How long watches wait for the store's return before they try by
-/// themselves.
+/// How long watches wait for the store to recover before they retry on their own.
 const MAX_AWAY_WAIT: Duration = Duration::from_secs(5);
 
-/// Share of the operators' bounds for which changes are gathered after a watch
-/// brought some, so that those which come together cost one call. What is left
-/// is for the call itself and for requests on their way.
+/// Share of the operators' bounds for which further changes are batched after a watch has
+/// delivered some, so that simultaneous changes cost one call. The remainder is for the
+/// call itself and for requests in flight.
 const BATCH_SHARE: f64 = 0.35;
 
-/// The same where few boxes read for all: each call serves thirty boxes, and
-/// what it brings has a further way to go.
+/// Batching share where a few boxes read for all: each call serves thirty boxes, and its
+/// data takes another hop to reach them.
 const READER_BATCH_SHARE: f64 = 0.1;
 
-/// How long they are gathered before any engine holds layers: all entries are
-/// new then, and nothing can be served yet.
+/// Batch delay before any engine holds layers: all entries are new then, and nothing can
+/// be served yet.
 const INITIAL_BATCH_DELAY: Duration = Duration::from_millis(1200);
 
 impl StoreFollower {
@@ -32,18 +31,18 @@
     pub(super) async fn follow_config(self: Rc<Self>) {
         loop {
             self.wait_until_reader().await;
-            let Some(from) = self.config_revision.get() else {
+            let Some(since) = self.config_revision.get() else {
                 self.wait_if_failed("config", self.read_config().await)
                     .await;
                 self.notify_pollers().await;
                 continue;
             };
-            let watch = config::watch(&self.shared.store, from, self.watch_time(), log_skipped);
+            let watch = config::watch(&self.shared.store, since, self.watch_time(), log_skipped);
             match self.unless_restarted(watch).await {
-                Some(Ok((configs, at))) => {
+                Some(Ok((configs, revision))) => {
                     let changed = !configs.is_empty();
                     self.apply_configs(configs);
-                    advance_revision(&self.config_revision, at);
+                    advance_revision(&self.config_revision, revision);
                     if changed {
                         self.notify_pollers().await;
                         sleep(self.config_batch_delay()).await;
@@ -59,7 +58,7 @@
     }
 
     fn apply_configs(&self, configs: Vec<(config::Config, u64)>) {
-        let first = self.shared.routing().version == 0;
+        let is_first = self.shared.routing().version == 0;
         let changed = !configs.is_empty();
         for (config, revision) in configs {
             if let Err(fault) = self.apply_config(config, revision) {
@@ -67,8 +66,8 @@
             }
         }
         self.changed.notify_waiters();
-        if changed && first {
-            // A watch proves nothing.
+        if changed && is_first {
+            // A watch does not confirm freshness.
             self.shared.update_synced();
             self.check_now.notify_one();
         }
@@ -78,18 +77,18 @@
     pub(super) async fn follow_upstreams(self: Rc<Self>) {
         loop {
             self.wait_until_reader().await;
-            let Some(from) = self.upstreams_revision.get() else {
+            let Some(since) = self.upstreams_revision.get() else {
                 self.wait_if_failed("servers", self.read_upstreams().await.map(drop))
                     .await;
                 self.notify_pollers().await;
                 continue;
             };
-            let watch = servers::watch(&self.shared.store, from, self.watch_time(), log_skipped);
+            let watch = servers::watch(&self.shared.store, since, self.watch_time(), log_skipped);
             match self.unless_restarted(watch).await {
-                Some(Ok((updates, at))) => {
+                Some(Ok((updates, revision))) => {
                     let changed = !updates.is_empty();
                     self.apply_updates(updates);
-                    advance_revision(&self.upstreams_revision, at);
+                    advance_revision(&self.upstreams_revision, revision);
                     if changed {
                         self.notify_pollers().await;
                         sleep(self.upstreams_batch_delay()).await;
@@ -104,20 +103,20 @@
         }
     }
 
-    /// Takes what a watch brought; a list that was read meanwhile is newer.
+    /// Applies changes from a watch, except those older than a list read meanwhile.
     fn apply_updates(&self, updates: Vec<UpstreamChange>) {
-        let sure = !self.has_uncertain_removals();
-        let has_lines = may_log_each(updates.len());
+        let removals_certain = !self.has_uncertain_removals();
+        let logs_each = may_log_each(updates.len());
         for update in updates {
             match update {
                 UpstreamChange::Put(upstream, revision) => {
-                    let is_news = self
+                    let is_new = self
                         .shared
                         .mirror
                         .borrow_mut()
                         .put(revision, upstream.clone());
-                    if is_news {
-                        if has_lines {
+                    if is_new {
+                        if logs_each {
                             log_announced(&upstream, revision);
                         }
                         self.put(upstream);
@@ -125,7 +124,7 @@
                 }
                 UpstreamChange::Gone(id, revision) => {
                     if self.shared.mirror.borrow_mut().remove(revision, &id) {
-                        self.remove(&id, revision, sure);
+                        self.remove(&id, revision, removals_certain);
                     }
                 }
             }
@@ -133,10 +132,10 @@
         self.changed.notify_waiters();
     }
 
-    /// Waits if a first reading failed.
-    async fn wait_if_failed(&self, what: &str, read: Result<(), StoreError>) {
-        if let Err(fault) = read {
-            self.wait_after_failure(what, &fault).await;
+    /// Waits if an initial read failed.
+    async fn wait_if_failed(&self, call: &str, result: Result<(), StoreError>) {
+        if let Err(fault) = result {
+            self.wait_after_failure(call, &fault).await;
         }
     }
 
@@ -144,26 +143,26 @@
         Duration::from_millis(self.shared.settings().timing.watch_ms)
     }
 
-    /// Runs a watch; `None` if the store came back meanwhile, or this box does
-    /// not read any more.
+    /// Runs a watch; returns `None` if the watches were restarted meanwhile or this box
+    /// stopped reading the store.
     async fn unless_restarted<T>(
         &self,
         watch: impl Future<Output = Result<T, StoreError>>,
     ) -> Option<Result<T, StoreError>> {
         let mut reads = self.shared.reads_store.subscribe();
-        let answer = tokio::select! {
-            answer = watch => answer,
+        let result = tokio::select! {
+            result = watch => result,
             () = self.restart.notified() => return None,
             _ = reads.wait_for(|reads| !reads) => return None,
         };
-        self.shared.count_store_call("watch", &answer);
-        Some(answer)
+        self.shared.count_store_call("watch", &result);
+        Some(result)
     }
 
     pub(super) fn upstreams_batch_delay(&self) -> Duration {
         let registry = self.shared.registry.borrow();
-        let placed = registry.iter().any(|e| e.upstream.layers.is_some());
-        match placed || self.shared.is_ready() {
+        let has_placed = registry.iter().any(|e| e.upstream.layers.is_some());
+        match has_placed || self.shared.is_ready() {
             true => self
                 .shared
                 .settings()
@@ -181,16 +180,16 @@
     }
 
     fn batch_share(&self) -> f64 {
-        match self.is_shared.get() {
+        match self.is_polled.get() {
             true => READER_BATCH_SHARE,
             false => BATCH_SHARE,
         }
     }
 
-    /// Waits after a watch that failed. While the store is away only the
-    /// proofs go on calling it, as each call is priced, refused ones too.
-    async fn wait_after_failure(&self, what: &str, fault: &StoreError) {
-        self.note_store_failure(what, fault);
+    /// Waits after a failed watch. While the store is unreachable only the freshness
+    /// checks keep calling it, as each call is billed, refused ones too.
+    async fn wait_after_failure(&self, call: &str, fault: &StoreError) {
+        self.note_store_failure(call, fault);
         if self.failed_at.get().is_none() {
             sleep(MIN_RETRY_DELAY).await;
             return;
--- a/crates/ashgauged/src/relay/notice.rs
+++ b/crates/ashgauged/src/relay/notice.rs
@@ -1,4 +1,4 @@
-//! What upstreams say of themselves in their answers.
+//! Handles what upstreams announce about themselves in their responses.
 
 use std::time::Duration;
 
@@ -11,15 +11,15 @@
 use super::shared_state::SharedState;
 use super::{log, permit};
 
-/// Takes in what the head of an upstream's answer says of it, to a request that went out
-/// at `sent`.
-pub fn apply(shared: &SharedState, upstream: &str, sent: Duration, head: &response::Parts) {
-    apply_limit(shared, upstream, sent, head);
+/// Applies what the response head of an upstream announces; the request was sent at
+/// `sent_at`.
+pub fn apply(shared: &SharedState, upstream: &str, sent_at: Duration, head: &response::Parts) {
+    apply_limit(shared, upstream, sent_at, head);
     if engine::is_leaving(&head.headers) {
         note_leaving(shared, upstream);
     }
-    let rest = match engine::requested_backoff(head) {
-        Ok(Some(rest)) => rest,
+    let backoff = match engine::requested_backoff(head) {
+        Ok(Some(backoff)) => backoff,
         Ok(None) => return,
         Err(text) => {
             let fields = json!({"upstream": upstream, "text": text});
@@ -27,26 +27,27 @@
         }
     };
     let mut registry = shared.registry.borrow_mut();
-    // An engine behind the first one of a chain asks by way of that.
-    let named = engine::engine_at_fault(&head.headers).and_then(|addr| registry.by_addr(addr));
-    let named = named.map(|e| e.upstream.id.clone());
+    // A later engine of a chain sends its request for a backoff through the first one.
+    let named_engine =
+        engine::engine_at_fault(&head.headers).and_then(|addr| registry.by_addr(addr));
+    let named_engine = named_engine.map(|e| e.upstream.id.clone());
     let now = shared.now();
-    registry.note_backoff(now, upstream, rest);
-    if let Some(id) = &named {
-        registry.note_backoff(now, id, rest);
+    registry.note_backoff(now, upstream, backoff);
+    if let Some(id) = &named_engine {
+        registry.note_backoff(now, id, backoff);
     }
     shared.metrics.backoffs.inc();
     let fields = json!({
         "upstream": upstream,
-        "named": named.as_deref(),
-        "rest_ms": rest.as_millis() as u64,
+        "named": named_engine.as_deref(),
+        "rest_ms": backoff.as_millis() as u64,
     });
     log::event(Level::Info, "roster", "asks for rest", fields);
 }
 
-/// Notes what an upstream takes from all boxes together. A refusal or a failure that names
-/// nothing says nothing of that.
-fn apply_limit(shared: &SharedState, upstream: &str, sent: Duration, head: &response::Parts) {
+/// Records the rate limit that an upstream announces for all boxes together. A refusal or
+/// failure without a limit says nothing about it.
+fn apply_limit(shared: &SharedState, upstream: &str, sent_at: Duration, head: &response::Parts) {
     let (now, mut limits) = (shared.now(), shared.permits.limits.borrow_mut());
     let rate = match engine::rate_limit(&head.headers) {
         Ok(None) if !head.status.is_success() => return,
@@ -59,7 +60,7 @@
             return;
         }
     };
-    if limits.record(now, upstream, sent, rate) {
+    if limits.record(now, upstream, sent_at, rate) {
         let fields = json!({"upstream": upstream, "rate": rate});
         log::event(Level::Info, "roster", "names its limit", fields);
         if rate.is_none() {
@@ -73,8 +74,9 @@
     }
 }
 
-/// Notes that an upstream's answer says that it leaves, so that nothing new goes there
-/// and streams are led away, also while the store is down or its entry comes late.
+/// Records that an upstream has announced in a response that it is leaving, so that no
+/// new requests go there and streams move away, even while the store is down or its entry
+/// is late.
 pub fn note_leaving(shared: &SharedState, upstream: &str) {
     if !shared
         .registry
@@ -92,18 +94,18 @@
     shared.notify_streams();
 }
 
-/// Counts a send to an upstream that names a limit, and notes one that wants nothing from
-/// this box, as when it asked for that while the connection came up.
+/// Counts a send to an upstream with a rate limit, and logs a send to an upstream in a
+/// backoff, which happens if the upstream requested it while the connection was set up.
 pub fn count_send(shared: &SharedState, upstream: &str, id: &str) {
     if shared.permits.limits.borrow().rate(upstream).is_some() {
         shared.metrics.limited_sends.inc();
     }
     let registry = shared.registry.borrow();
-    let Some(left) = registry.get(upstream).and_then(|e| e.backoff(shared.now())) else {
+    let Some(remaining) = registry.get(upstream).and_then(|e| e.backoff(shared.now())) else {
         return;
     };
     shared.metrics.backoff_sends.inc();
-    let left = left.as_millis() as u64;
-    let fields = json!({"id": id, "upstream": upstream, "left_ms": left});
+    let remaining = remaining.as_millis() as u64;
+    let fields = json!({"id": id, "upstream": upstream, "left_ms": remaining});
     log::event(Level::Warn, "request", "sent at rest", fields);
 }
--- a/crates/ashgauged/src/relay/peers.rs
+++ b/crates/ashgauged/src/relay/peers.rs
@@ -1,9 +1,9 @@
-//! What boxes send each other: loads, questions and answers.
+//! Messaging between boxes: load reports, queries and answers.
 //!
-//! Datagrams carry what is small; an answer that is too large for one is
-//! fetched over a connection, with a ticket that only the asking box has. What
-//! cannot be read, or comes from an address that no box has announced, is
-//! dropped and counted.
+//! Small messages are datagrams. An answer that is too large for one is fetched over a
+//! connection, with a fetch token that only the querying box has. Datagrams that cannot
+//! be decoded, or come from an address that no box has registered, are dropped and
+//! counted.
 
 use std::cell::{Cell, RefCell};
 use std::collections::{HashMap, VecDeque};
@@ -33,81 +33,84 @@
 use super::shared_state::{LastQuery, SharedState};
 use super::{log, membership, pack, permit, quarantine, suspicion};
 
-/// Largest datagram that is read; a word on 860 engines takes 12 kB.
+/// Maximum size of a received datagram; a load report on 860 engines takes 12 kB.
 const MAX_DATAGRAM_BYTES: usize = 60_000;
 
-/// Largest answer that goes out as a datagram: what an Ethernet frame carries
-/// in one piece.
+/// Maximum size of an answer sent as a datagram: what an Ethernet frame carries without
+/// fragmentation.
 const MAX_ANSWER_BYTES: usize = 1400;
 
-/// Pause after the socket could not be read.
+/// Delay after a failed read from the socket.
 const READ_RETRY_DELAY: Duration = Duration::from_millis(500);
 
-/// Least time between two looks at the boxes because of a stranger's datagram.
+/// Minimum interval between reads of the member list that datagrams from unknown senders
+/// trigger.
 const MIN_REFRESH_INTERVAL: Duration = Duration::from_secs(1);
 
-/// Least time between two lines on boxes that ask by a later revision.
+/// Minimum interval between log entries on boxes that query with a later revision.
 const LATER_LOG_INTERVAL: Duration = Duration::from_secs(1);
 
-/// How long a box that asked is told of news: some rounds of questions.
+/// How long a box that sent a query is notified of changes: some polling rounds.
 const POLLER_TTL: Duration = Duration::from_secs(4);
 
-/// How long a ticket is good.
+/// How long a fetch token is valid.
 pub const FETCH_TOKEN_TTL: Duration = Duration::from_secs(3);
 
-/// Boxes that may fetch at one time: where a fleet starts, all turn to the first
-/// reader that knows something. The others ask the next one, or again.
+/// Maximum number of boxes that may fetch at the same time: when a fleet starts, all
+/// boxes turn to the first reader that has data. The rest poll the next reader, or the
+/// same one again.
 const MAX_FETCH_TOKENS: usize = MAX_READER_BOXES;
 
-/// Packed updates that are kept: boxes that start together lack the same, and those
-/// that go on lack what came with the last changes.
+/// Maximum number of cached compressed updates: boxes that start together need the same
+/// update, and running ones need the latest changes.
 const MAX_CACHED_UPDATES: usize = 4;
 
-/// Ports that are tried if the system chooses them.
+/// Number of ports that are tried if the system chooses the port.
 const MAX_BIND_TRIES: u32 = 32;
 
-/// Messages that may wait for the following task.
+/// Maximum number of messages queued for the polling task.
 const MAX_QUEUED_MESSAGES: usize = 256;
 
-/// What the other boxes said.
+/// A message from another box, for the polling task.
 #[derive(Debug)]
 pub enum PeerMessage {
-    /// An answer, and when its question went out if it was fetched.
+    /// An answer, and the time at which its query was sent if it was fetched.
     Answer(Answer, Option<Duration>),
     /// An answer could not be fetched from this box.
     FetchFailed(BoxId),
-    /// A box knows something new.
-    News(BoxId),
+    /// A box has new data.
+    Changed(BoxId),
 }
 
-/// This box's way to the others.
+/// Messaging of this box with the others.
 pub struct Peers {
     shared: Rc<SharedState>,
     socket: Rc<UdpSocket>,
     messages: mpsc::Sender<PeerMessage>,
-    /// Until when each ticket is good.
-    tickets: RefCell<HashMap<FetchToken, Duration>>,
-    /// What was packed last, the latest last.
+    /// Expiry time of each fetch token.
+    fetch_tokens: RefCell<HashMap<FetchToken, Duration>>,
+    /// Cached compressed updates, the latest last.
     packed_updates: RefCell<VecDeque<PackedUpdate>>,
-    /// When it was last told that a box asks by a later revision.
+    /// When a query with a later revision was last logged.
     later_logged_at: Cell<Duration>,
 }
 
-/// A packed update, and what it was made for.
+/// A compressed update, and the state from which it was made.
 struct PackedUpdate {
-    /// Revision up to which its receivers know everything.
+    /// Revision up to which its receivers already know everything.
     after: Revision,
-    /// Revision up to which they do afterwards.
+    /// Revision up to which they know everything afterwards.
     until: Revision,
-    /// The mirror's edition that it holds.
-    edition: u64,
-    /// Whether entries that are gone are certainly gone.
-    sure: bool,
+    /// Generation of the mirror from which it was made.
+    generation: u64,
+    /// Whether missing entries are certainly removed.
+    removals_certain: bool,
     bytes: Bytes,
 }
 
 impl Peers {
-    /// Starts to hear the other boxes, if the settings name an address for it.
+    /// Starts the messaging with the other boxes, if the settings contain an address for
+    /// it.
     ///
     /// # Errors
     ///
@@ -120,101 +123,101 @@
         };
         let (socket, listener) = bind(&addr).await?;
         let socket = Rc::new(socket);
-        // Boxes start to hear each other once.
+        // The messaging is started once.
         let _ = shared.permits.socket.set(socket.clone());
         shared.peer_addr.set(Some(socket.local_addr()?));
-        let (heard, messages) = mpsc::channel(MAX_QUEUED_MESSAGES);
+        let (sender, receiver) = mpsc::channel(MAX_QUEUED_MESSAGES);
         let peers = Rc::new(Peers {
             shared: shared.clone(),
             socket,
-            messages: heard,
-            tickets: RefCell::default(),
+            messages: sender,
+            fetch_tokens: RefCell::default(),
             packed_updates: RefCell::default(),
             later_logged_at: Cell::default(),
         });
         tokio::task::spawn_local(peers.clone().receive());
-        let (fetches, asked) = mpsc::channel(MAX_QUEUED_MESSAGES);
-        tokio::task::spawn_local(peers.clone().serve_fetches(asked));
+        let (fetches, requests) = mpsc::channel(MAX_QUEUED_MESSAGES);
+        tokio::task::spawn_local(peers.clone().serve_fetches(requests));
         tokio::task::spawn_local(fetch::serve(listener, fetches));
-        Ok(Some((peers, messages)))
+        Ok(Some((peers, receiver)))
     }
 
-    /// Sends one datagram to a box. One that does not get out is made good by
-    /// the next.
+    /// Sends one datagram to a box. A failure is ignored; the next datagram makes up for
+    /// it.
     pub async fn send(&self, to: SocketAddr, bytes: &[u8]) {
         let _ = self.socket.send_to(bytes, to).await;
     }
 
-    /// Asks a box.
-    pub async fn ask(&self, to: &BoxId, question: Query) {
+    /// Sends a query to a box.
+    pub async fn send_query(&self, to: &BoxId, query: Query) {
         let addr = self.shared.peers.borrow().get(to).map(|p| p.addr);
-        let bytes = pack::encode(&Datagram::Query(question));
+        let bytes = pack::encode(&Datagram::Query(query));
         if let (Some(addr), Some(bytes)) = (addr, bytes) {
             self.send(addr, &bytes).await;
         }
     }
 
     /// Fetches an answer that is too large for a datagram.
-    pub async fn fetch(self: Rc<Self>, to: BoxId, question: Query, most: Duration) {
-        let asked = self.shared.now();
-        let heard = match self.fetch_once(&to, &question, most).await {
-            Ok(answer) => PeerMessage::Answer(answer, Some(asked)),
+    pub async fn fetch(self: Rc<Self>, to: BoxId, query: Query, timeout: Duration) {
+        let asked_at = self.shared.now();
+        let message = match self.fetch_once(&to, &query, timeout).await {
+            Ok(answer) => PeerMessage::Answer(answer, Some(asked_at)),
             Err(e) => {
                 let fields = json!({"from": &*to, "fault": format!("{e:#}")});
                 log::event(Level::Info, "fleet", "answer not fetched", fields);
                 PeerMessage::FetchFailed(to)
             }
         };
-        // The following task ends with the process only.
-        let _ = self.messages.send(heard).await;
+        // The polling task runs until the process ends.
+        let _ = self.messages.send(message).await;
     }
 
-    async fn fetch_once(&self, to: &BoxId, question: &Query, most: Duration) -> Result<Answer> {
+    async fn fetch_once(&self, to: &BoxId, query: &Query, timeout: Duration) -> Result<Answer> {
         let addr = self.shared.peers.borrow().get(to).map(|p| p.addr);
         let addr = addr.ok_or_else(|| eyre!("the box is not listed any more"))?;
         let addr = addr.to_string();
-        let body = Full::new(Bytes::from(postcard::to_allocvec(question)?));
+        let body = Full::new(Bytes::from(postcard::to_allocvec(query)?));
         let request = Request::builder().method(Method::POST).uri(ANSWER_PATH);
         let request = request.header(hyper::header::HOST, &addr);
         let request = request.body(body)?;
-        let reply = self.shared.client.send(&addr, request, most);
-        let reply = reply.await?;
-        if reply.status() != StatusCode::OK {
-            return Err(eyre!("the box answered {}", reply.status()));
+        let response = self.shared.client.send(&addr, request, timeout);
+        let response = response.await?;
+        if response.status() != StatusCode::OK {
+            return Err(eyre!("the box answered {}", response.status()));
         }
-        let mut answer: Answer = postcard::from_bytes(reply.body())?;
+        let mut answer: Answer = postcard::from_bytes(response.body())?;
         if let AnswerBody::Compressed { age, bytes } = answer.body {
             let update = pack::unpack(&bytes)?;
             answer.body = AnswerBody::Update { age, update };
         }
-        match answer.from == *to && answer.id == question.id {
+        match answer.from == *to && answer.id == query.id {
             true => Ok(answer),
             false => Err(eyre!("the answer is to another question")),
         }
     }
 
-    /// Tells the boxes that asked lately that there is something new.
+    /// Notifies the boxes that recently sent queries that there is new data.
     pub async fn notify_pollers(&self) {
         let now = self.shared.now();
         let own: BoxId = self.shared.settings().id.as_str().into();
         let Some(bytes) = pack::encode(&Datagram::Changed(own)) else {
             return;
         };
-        let to: Vec<SocketAddr> = {
-            let mut askers = self.shared.pollers.borrow_mut();
-            askers.retain(|_, asked| now < asked.asked_at + POLLER_TTL);
+        let addrs: Vec<SocketAddr> = {
+            let mut pollers = self.shared.pollers.borrow_mut();
+            pollers.retain(|_, last_query| now < last_query.asked_at + POLLER_TTL);
             let peers = self.shared.peers.borrow();
-            let addrs = askers.keys().filter_map(|id| peers.get(id));
+            let addrs = pollers.keys().filter_map(|id| peers.get(id));
             addrs.map(|p| p.addr).collect()
         };
-        for addr in to {
+        for addr in addrs {
             self.send(addr, &bytes).await;
         }
     }
 
     async fn receive(self: Rc<Self>) {
         let mut buffer = vec![0; MAX_DATAGRAM_BYTES];
-        let mut counted = Duration::ZERO;
+        let mut refreshed_at = Duration::ZERO;
         loop {
             let Ok((len, from)) = self.socket.recv_from(&mut buffer).await else {
                 sleep(READ_RETRY_DELAY).await;
@@ -228,47 +231,47 @@
                 .with_label_values(&label)
                 .inc();
             let now = self.shared.now();
-            if result == DatagramResult::Stranger && now >= counted + MIN_REFRESH_INTERVAL {
-                // It may be a box that has just come.
-                counted = now;
+            if result == DatagramResult::Stranger && now >= refreshed_at + MIN_REFRESH_INTERVAL {
+                // The sender may be a box that has just started.
+                refreshed_at = now;
                 tokio::task::spawn_local(membership::refresh(self.shared.clone()));
             }
         }
     }
 
-    /// Takes a datagram in; returns what became of it.
+    /// Handles a datagram; returns the result.
     async fn handle_datagram(&self, bytes: &[u8], addr: SocketAddr) -> DatagramResult {
         let Ok(datagram) = postcard::from_bytes::<Datagram>(bytes) else {
             return DatagramResult::Unreadable;
         };
-        let listed = self
+        let registered = self
             .shared
             .peers
             .borrow()
             .get(datagram.from())
             .map(|p| p.addr);
-        if listed != Some(addr) {
+        if registered != Some(addr) {
             return DatagramResult::Stranger;
         }
         match datagram {
-            Datagram::Load(word) => self.handle_load(word),
-            Datagram::Query(question) => {
-                self.handle_query(question, addr).await;
-                DatagramResult::Question
+            Datagram::Load(report) => self.handle_load(report),
+            Datagram::Query(query) => {
+                self.handle_query(query, addr).await;
+                DatagramResult::Query
             }
             Datagram::Answer(answer) => self.forward(PeerMessage::Answer(answer, None)),
-            Datagram::Changed(from) => self.forward(PeerMessage::News(from)),
+            Datagram::Changed(from) => self.forward(PeerMessage::Changed(from)),
             Datagram::Losses(from, report) => {
                 quarantine::merge_report(&self.shared, &from, &report);
                 DatagramResult::Accepted
             }
-            Datagram::Suspects(from, starts) => {
-                suspicion::handle_reports(&self.shared, &from, &starts);
+            Datagram::Suspects(from, instances) => {
+                suspicion::handle_reports(&self.shared, &from, &instances);
                 DatagramResult::Accepted
             }
-            Datagram::AskPermit(ask) => {
-                permit::handle_ask(&self.shared, ask, addr);
-                DatagramResult::Question
+            Datagram::AskPermit(request) => {
+                permit::handle_request(&self.shared, request, addr);
+                DatagramResult::Query
             }
             Datagram::Permit(reply) => {
                 permit::handle_reply(&self.shared, reply);
@@ -277,15 +280,15 @@
         }
     }
 
-    fn handle_load(&self, mut word: LoadReport) -> DatagramResult {
+    fn handle_load(&self, mut report: LoadReport) -> DatagramResult {
         let now = self.shared.now();
-        let (suspects, slow) = (word.suspects.clone(), word.slow.clone());
-        permit::merge_limits(&self.shared, &word.from, &word.limits);
+        let (suspects, slow) = (report.suspects.clone(), report.slow.clone());
+        permit::merge_limits(&self.shared, &report.from, &report.limits);
         if self.shared.role() != Role::Hub {
-            word.suspects.clear();
-            word.slow.clear();
+            report.suspects.clear();
+            report.slow.clear();
         }
-        if !self.shared.fleet_load.borrow_mut().apply(now, word) {
+        if !self.shared.fleet_load.borrow_mut().apply(now, report) {
             return DatagramResult::Late;
         }
         let mut registry = self.shared.registry.borrow_mut();
@@ -296,79 +299,85 @@
         DatagramResult::Accepted
     }
 
-    fn forward(&self, heard: PeerMessage) -> DatagramResult {
-        match self.messages.try_send(heard) {
+    fn forward(&self, message: PeerMessage) -> DatagramResult {
+        match self.messages.try_send(message) {
             Ok(()) => DatagramResult::Accepted,
             Err(_) => DatagramResult::Late,
         }
     }
 
-    async fn handle_query(&self, question: Query, addr: SocketAddr) {
+    async fn handle_query(&self, query: Query, addr: SocketAddr) {
         let now = self.shared.now();
-        let asked = LastQuery {
+        let last_query = LastQuery {
             asked_at: now,
-            revision: question.after,
+            revision: query.after,
         };
-        let from = question.from.clone();
-        self.log_later_revision(&question);
-        self.shared.pollers.borrow_mut().insert(from, asked);
-        if let Some(bytes) = self.encode_answer(&question) {
+        let from = query.from.clone();
+        self.log_later_revision(&query);
+        self.shared.pollers.borrow_mut().insert(from, last_query);
+        if let Some(bytes) = self.encode_answer(&query) {
             self.send(addr, &bytes).await;
         }
     }
 
-    /// Writes a line if a box knows more than this one, once a second at most.
-    fn log_later_revision(&self, question: &Query) {
+    /// Logs that another box knows more than this one, at most once a second.
+    fn log_later_revision(&self, query: &Query) {
         let (now, covered) = (self.shared.now(), self.shared.mirror.borrow().covered());
-        if question.after <= covered || now < self.later_logged_at.get() + LATER_LOG_INTERVAL {
+        if query.after <= covered || now < self.later_logged_at.get() + LATER_LOG_INTERVAL {
             return;
         }
         self.later_logged_at.set(now);
         let fields = json!({
-            "from": &*question.from,
-            "after": [revision::era(question.after), revision::count(question.after)],
+            "from": &*query.from,
+            "after": [revision::era(query.after), revision::count(query.after)],
             "known": [revision::era(covered), revision::count(covered)],
         });
         log::event(Level::Info, "fleet", "asked by a later revision", fields);
     }
 
-    /// The datagram that answers a question: what this box knows, or how to fetch it.
-    fn encode_answer(&self, question: &Query) -> Option<Vec<u8>> {
-        if self.cached_update(question.after).is_none() {
-            let bytes = pack::encode(&Datagram::Answer(self.build_answer(question)))?;
+    /// Encodes the answer to a query: the data that this box has, or how to fetch it.
+    fn encode_answer(&self, query: &Query) -> Option<Vec<u8>> {
+        if self.cached_update(query.after).is_none() {
+            let bytes = pack::encode(&Datagram::Answer(self.build_answer(query)))?;
             if bytes.len() <= MAX_ANSWER_BYTES {
                 return Some(bytes);
             }
         }
-        let packed = self.pack_update(question.after)?;
-        let large = self.issue_token(question, packed.len() as u64);
-        pack::encode(&Datagram::Answer(large))
+        let update = self.pack_update(query.after)?;
+        let answer = self.issue_token(query, update.len() as u64);
+        pack::encode(&Datagram::Answer(answer))
     }
 
-    /// What a box that knows everything up to `after` lacks, if it was packed and
-    /// nothing has changed.
+    /// Returns the cached update for a box that knows everything up to `after`, if
+    /// nothing has changed since it was compressed.
     fn cached_update(&self, after: Revision) -> Option<Bytes> {
-        let (mirror, sure) = (
+        let (mirror, removals_certain) = (
             self.shared.mirror.borrow(),
             self.shared.removals_certain.get(),
         );
-        let now = (after, mirror.covered(), mirror.generation(), sure);
-        let packed = self.packed_updates.borrow();
-        let mut packed = packed.iter();
-        let known = packed.find(|p| (p.after, p.until, p.edition, p.sure) == now)?;
-        Some(known.bytes.clone())
+        let wanted = (
+            after,
+            mirror.covered(),
+            mirror.generation(),
+            removals_certain,
+        );
+        let updates = self.packed_updates.borrow();
+        let mut updates = updates.iter();
+        let update =
+            updates.find(|p| (p.after, p.until, p.generation, p.removals_certain) == wanted)?;
+        Some(update.bytes.clone())
     }
 
-    /// What a box that knows everything up to `after` lacks, packed.
+    /// Returns the compressed update for a box that knows everything up to `after`.
     fn pack_update(&self, after: Revision) -> Option<Bytes> {
         if let Some(bytes) = self.cached_update(after) {
             return Some(bytes);
         }
-        let (mirror, sure) = (
+        let (mirror, removals_certain) = (
             self.shared.mirror.borrow(),
             self.shared.removals_certain.get(),
         );
-        let bytes = match pack::pack(&mirror.update(after, sure)) {
+        let bytes = match pack::pack(&mirror.update(after, removals_certain)) {
             Ok(bytes) => Bytes::from(bytes),
             Err(e) => {
                 let fields = json!({"cause": e.to_string()});
@@ -376,37 +385,37 @@
                 return None;
             }
         };
-        let mut packed = self.packed_updates.borrow_mut();
-        if packed.len() >= MAX_CACHED_UPDATES {
-            packed.pop_front();
+        let mut updates = self.packed_updates.borrow_mut();
+        if updates.len() >= MAX_CACHED_UPDATES {
+            updates.pop_front();
         }
-        packed.push_back(PackedUpdate {
+        updates.push_back(PackedUpdate {
             after,
             until: mirror.covered(),
-            edition: mirror.generation(),
-            sure,
+            generation: mirror.generation(),
+            removals_certain,
             bytes: bytes.clone(),
         });
         Some(bytes)
     }
 
-    /// What this box knows now, packed for a box that fetches it.
-    fn packed_answer(&self, question: &Query) -> Option<Answer> {
+    /// Builds the answer for a box that fetches it, with a compressed update.
+    fn packed_answer(&self, query: &Query) -> Option<Answer> {
         let shared = &self.shared;
         let age = shared.freshness.borrow().age(shared.now());
         let body = match age.filter(|_| shared.is_synced()) {
             Some(age) => AnswerBody::Compressed {
                 age,
-                bytes: self.pack_update(question.after)?.to_vec(),
+                bytes: self.pack_update(query.after)?.to_vec(),
             },
             None => self.empty_body(),
         };
-        Some(self.answer_with(question, body))
+        Some(self.answer_with(query, body))
     }
 
-    /// What this box knows now. The age counts to this moment, which is after
-    /// the question was asked.
-    fn build_answer(&self, question: &Query) -> Answer {
+    /// Builds the answer with this box's present data. The age is as of now, which is
+    /// after the query was sent.
+    fn build_answer(&self, query: &Query) -> Answer {
         let shared = &self.shared;
         let age = shared.freshness.borrow().age(shared.now());
         let body = match age.filter(|_| shared.is_synced()) {
@@ -415,73 +424,73 @@
                 update: shared
                     .mirror
                     .borrow()
-                    .update(question.after, shared.removals_certain.get()),
+                    .update(query.after, shared.removals_certain.get()),
             },
             None => self.empty_body(),
         };
-        self.answer_with(question, body)
+        self.answer_with(query, body)
     }
 
     fn empty_body(&self) -> AnswerBody {
         let now = self.shared.now();
-        let asked = self.shared.config_missing_at.get();
+        let missing_at = self.shared.config_missing_at.get();
         AnswerBody::Empty {
-            asked_ago: asked.map(|at| now.saturating_sub(at)),
+            asked_ago: missing_at.map(|at| now.saturating_sub(at)),
         }
     }
 
-    fn answer_with(&self, question: &Query, body: AnswerBody) -> Answer {
+    fn answer_with(&self, query: &Query, body: AnswerBody) -> Answer {
         Answer {
             from: self.shared.settings().id.as_str().into(),
-            id: question.id,
+            id: query.id,
             boxes: self.shared.counted_boxes(),
             body,
         }
     }
 
-    fn issue_token(&self, question: &Query, bytes: u64) -> Answer {
-        let ticket = self.shared.rng().random();
+    fn issue_token(&self, query: &Query, bytes: u64) -> Answer {
+        let token = self.shared.rng().random();
         let now = self.shared.now();
-        let mut tickets = self.tickets.borrow_mut();
-        tickets.retain(|_, until| now < *until);
-        if tickets.len() >= MAX_FETCH_TOKENS {
-            return self.answer_with(question, AnswerBody::Empty { asked_ago: None });
+        let mut fetch_tokens = self.fetch_tokens.borrow_mut();
+        fetch_tokens.retain(|_, expires_at| now < *expires_at);
+        if fetch_tokens.len() >= MAX_FETCH_TOKENS {
+            return self.answer_with(query, AnswerBody::Empty { asked_ago: None });
         }
-        tickets.insert(ticket, now + FETCH_TOKEN_TTL);
+        fetch_tokens.insert(token, now + FETCH_TOKEN_TTL);
         self.answer_with(
-            question,
+            query,
             AnswerBody::TooLarge {
-                fetch_token: ticket,
+                fetch_token: token,
                 bytes,
             },
         )
     }
 
-    /// Answers what comes over connections, to boxes that have a ticket.
-    async fn serve_fetches(self: Rc<Self>, mut asked: mpsc::Receiver<FetchRequest>) {
-        while let Some(FetchRequest { question, reply }) = asked.recv().await {
-            let ticket = question.fetch_token;
-            let until = ticket.and_then(|t| self.tickets.borrow_mut().remove(&t));
-            let is_good = until.is_some_and(|until| self.shared.now() < until);
-            // Whoever asked may be gone.
-            let answer = is_good.then(|| self.packed_answer(&question));
+    /// Answers queries received over connections, from boxes with a valid fetch token.
+    async fn serve_fetches(self: Rc<Self>, mut requests: mpsc::Receiver<FetchRequest>) {
+        while let Some(FetchRequest { query, reply }) = requests.recv().await {
+            let token = query.fetch_token;
+            let expires_at = token.and_then(|t| self.fetch_tokens.borrow_mut().remove(&t));
+            let is_valid = expires_at.is_some_and(|expires_at| self.shared.now() < expires_at);
+            // The requester may be gone.
+            let answer = is_valid.then(|| self.packed_answer(&query));
             let _ = reply.send(answer.flatten());
         }
     }
 }
 
-/// What became of a datagram.
+/// How a datagram was handled.
 #[derive(Clone, Copy, Debug, PartialEq)]
 enum DatagramResult {
-    /// It was taken in.
+    /// Its content was accepted.
     Accepted,
-    /// It was a question.
-    Question,
-    /// A later one was taken in before, or too many wait.
+    /// It was a query or a permit request.
+    Query,
+    /// A later datagram was accepted before, or too many messages are queued.
     Late,
-    /// It is none of ours.
+    /// It could not be decoded.
     Unreadable,
-    /// It came from an address that its box has not announced.
+    /// It came from an address that its box has not registered.
     Stranger,
 }
 
@@ -489,7 +498,7 @@
     fn label(self) -> &'static str {
         match self {
             DatagramResult::Accepted => "heard",
-            DatagramResult::Question => "question",
+            DatagramResult::Query => "question",
             DatagramResult::Late => "late",
             DatagramResult::Unreadable => "unreadable",
             DatagramResult::Stranger => "stranger",
@@ -497,10 +506,10 @@
     }
 }
 
-/// Binds the same port for datagrams and connections. If the system is to choose
-/// it, one that is free for datagrams may be taken for connections.
+/// Binds the same port for datagrams and connections. If the system chooses the port, one
+/// that is free for datagrams may be in use for connections, so other ports are tried.
 async fn bind(addr: &str) -> Result<(UdpSocket, TcpListener)> {
-    let hint = || format!("cannot hear boxes on {addr}; free the port or set another");
+    let hint = || format!("cannot listen for other boxes on {addr}; free the port or set another");
     let mut tries = match addr.ends_with(":0") {
         true => MAX_BIND_TRIES,
         false => 1,
--- a/crates/ashgauged/src/relay/suspicion.rs
+++ b/crates/ashgauged/src/relay/suspicion.rs
@@ -1,4 +1,4 @@
-//! Notifies the other boxes of engines that accept no connections, and checks those that
+//! Reports engines that accept no connections to the other boxes, and checks those that
 //! they report.
 
 use std::collections::HashMap;
@@ -20,20 +20,20 @@
 use super::shared_state::{Peer, SharedState};
 use super::{log, pack, shedding};
 
-/// How long engines are gathered before the others are notified: those that are lost
+/// How long suspected engines are collected before they are reported: those that are lost
 /// together are found within milliseconds of each other.
 const BATCH_DELAY: Duration = Duration::from_millis(5);
 
 /// An engine that another box reports.
 struct ReportedEngine {
-    start: InstanceKey,
+    instance: InstanceKey,
     id: UpstreamId,
     service: ServiceId,
-    /// Whether this box checks it: it has streams there and does not suspect it yet.
+    /// Whether this box checks it, as it has streams there and does not suspect it yet.
     is_used: bool,
 }
 
-/// Notes an engine that this box suspects, if its own connection failed a moment ago.
+/// Records an engine that this box suspects, if its own connection to it has just failed.
 pub fn note_suspect(shared: &SharedState, id: &str) {
     let registry = shared.registry.borrow();
     let Some(entry) = registry.get(id) else {
@@ -44,35 +44,36 @@
     {
         return;
     }
-    let start = instance_key(&upstream.id, upstream.started_ms);
+    let instance = instance_key(&upstream.id, upstream.started_ms);
     if shared
         .suspicions
         .borrow_mut()
-        .record_found(shared.now(), start)
+        .record_found(shared.now(), instance)
     {
         shared.suspect_notify.notify_one();
     }
 }
 
-/// Takes what another box reports: a hub forwards it to those that do not hear that box,
-/// and engines on which this one has streams are checked. The report itself makes none
-/// suspect, as its sender may be cut off from engines that others reach.
-pub fn handle_reports(shared: &Rc<SharedState>, from: &BoxId, starts: &[InstanceKey]) {
+/// Handles a report of another box: a hub forwards it to the boxes that do not receive it
+/// from the sender, and engines on which this box has streams are checked. The report
+/// alone makes no engine suspect, as its sender may be cut off from engines that others
+/// reach.
+pub fn handle_reports(shared: &Rc<SharedState>, from: &BoxId, instances: &[InstanceKey]) {
     let now = shared.now();
-    let starts = &starts[..starts.len().min(MAX_SUSPECTS_SENT)];
+    let instances = &instances[..instances.len().min(MAX_SUSPECTS_SENT)];
     let audience = audience(shared, from);
-    for reported in find_reported(shared, starts) {
-        let start = reported.start;
+    for reported in find_reported(shared, instances) {
+        let instance = reported.instance;
         if shared
             .suspicions
             .borrow_mut()
-            .record_report(now, start, audience)
+            .record_report(now, instance, audience)
         {
             shared.suspect_notify.notify_one();
         }
         let has_budget = || probe::may_check_reported(shared, &reported.service, &reported.id);
         let mut suspicions = shared.suspicions.borrow_mut();
-        if reported.is_used && suspicions.begin_check(now, start, has_budget) {
+        if reported.is_used && suspicions.begin_check(now, instance, has_budget) {
             tokio::task::spawn_local(check_reported(shared.clone(), from.clone(), reported.id));
         } else {
             count_result(shared, "ignored");
@@ -80,7 +81,8 @@
     }
 }
 
-/// Checks an engine that another box reports, and suspects it if it accepts no connection.
+/// Checks an engine that another box reported, and marks it suspect if it accepts no
+/// connection.
 async fn check_reported(shared: Rc<SharedState>, from: BoxId, id: UpstreamId) {
     let found = probe::check_reported(&shared, &id).await;
     shared.suspicions.borrow_mut().end_check();
@@ -96,22 +98,22 @@
     }
 }
 
-/// Notifies the other boxes, as long as the process runs. What is lost of it is not sent
-/// again: boxes find lost engines by their own streams as well.
+/// Sends reports to the other boxes as long as the process runs. Lost datagrams are not
+/// sent again: boxes find lost engines through their own streams as well.
 pub async fn broadcast(shared: Rc<SharedState>, peers: Rc<Peers>) {
     loop {
         shared.suspect_notify.notified().await;
         sleep(BATCH_DELAY).await;
         loop {
-            let told = shared.suspicions.borrow_mut().take_pending(shared.now());
-            if told.is_empty() {
+            let pending = shared.suspicions.borrow_mut().take_pending(shared.now());
+            if pending.is_empty() {
                 break;
             }
-            let to_all = told.iter().filter(|(_, to)| *to == Audience::All);
-            let to_all = to_all.map(|(start, _)| *start).collect();
-            let to_below = told.iter().map(|(start, _)| *start).collect();
+            let to_all = pending.iter().filter(|(_, to)| *to == Audience::All);
+            let to_all = to_all.map(|(instance, _)| *instance).collect();
+            let to_leaves = pending.iter().map(|(instance, _)| *instance).collect();
             send(&shared, &peers, to_all, shared.report_targets()).await;
-            send(&shared, &peers, to_below, shared.leaves()).await;
+            send(&shared, &peers, to_leaves, shared.leaves()).await;
         }
     }
 }
@@ -119,14 +121,14 @@
 async fn send(
     shared: &SharedState,
     peers: &Peers,
-    starts: Vec<InstanceKey>,
+    instances: Vec<InstanceKey>,
     to: Vec<(BoxId, Peer)>,
 ) {
-    if starts.is_empty() || to.is_empty() {
+    if instances.is_empty() || to.is_empty() {
         return;
     }
     let from = shared.settings().id.as_str().into();
-    let Some(bytes) = pack::encode(&Datagram::Suspects(from, starts)) else {
+    let Some(bytes) = pack::encode(&Datagram::Suspects(from, instances)) else {
         return;
     };
     for (_, peer) in to {
@@ -134,7 +136,8 @@
     }
 }
 
-/// Whom this box forwards a report to: a hub tells those that do not hear its sender.
+/// Returns the boxes to which this one forwards a report: a hub forwards to those that do
+/// not receive it from the sender.
 fn audience(shared: &SharedState, from: &BoxId) -> Option<Audience> {
     if shared.role() != Role::Hub {
         return None;
@@ -147,24 +150,24 @@
     })
 }
 
-/// The engines among some starts whose service lets streams in by their class.
-fn find_reported(shared: &SharedState, starts: &[InstanceKey]) -> Vec<ReportedEngine> {
+/// Returns the engines among the given instances whose service admits streams by class.
+fn find_reported(shared: &SharedState, instances: &[InstanceKey]) -> Vec<ReportedEngine> {
     let (now, registry) = (shared.now(), shared.registry.borrow());
     let mut services: HashMap<ServiceId, bool> = HashMap::new();
     let mut found = Vec::new();
     for entry in registry.iter() {
         let upstream = &entry.upstream;
-        let start = instance_key(&upstream.id, upstream.started_ms);
-        if !starts.contains(&start) {
+        let instance = instance_key(&upstream.id, upstream.started_ms);
+        if !instances.contains(&instance) {
             continue;
         }
         let service = upstream.service.clone();
-        let is_on = services
+        let sheds = services
             .entry(service.clone())
             .or_insert_with(|| sheds_streams(shared, &service));
-        if *is_on {
+        if *sheds {
             found.push(ReportedEngine {
-                start,
+                instance,
                 id: upstream.id.clone(),
                 service,
                 is_used: entry.inflight > 0 && !entry.is_suspect(now),
