--- a/crates/ashgauge/src/context.rs
+++ b/crates/ashgauge/src/context.rs
@@ -86,7 +86,7 @@
     pub fn estimate(context: &SelectionContext, state: &UpstreamState) -> Self {
         let own = state.usage(context.now);
         let mut total = own;
-        total.add(&context.fleet_load.others(&state.upstream.id));
+        total.add(&context.fleet_load.usage_by_others(&state.upstream.id));
         let similar = similar_boxes(context, state);
         let reporting = context.fleet_load.boxes() as f64 + 1.0;
         let factor = (similar / reporting).max(1.0);
--- a/crates/ashgauge/src/load_report.rs
+++ b/crates/ashgauge/src/load_report.rs
@@ -232,7 +232,7 @@
     }
 
     /// Returns how much of an upstream all other boxes use.
-    pub fn others(&self, id: &str) -> Usage {
+    pub fn usage_by_others(&self, id: &str) -> Usage {
         self.sums
             .get(&upstream_key(id))
             .map(UsageTotal::usage)
--- a/crates/ashgauge/src/message.rs
+++ b/crates/ashgauge/src/message.rs
@@ -6,7 +6,7 @@
 use crate::clock::Timestamp;
 use crate::member::{BoxId, MemberList, UpstreamId};
 use crate::policy::TeamId;
-use crate::quarantine::Report;
+use crate::quarantine::LossReport;
 use crate::table::{Edit, Table, Version};
 
 /// A message with its sender and timestamp.
@@ -36,8 +36,8 @@
         #[serde(rename = "answer")]
         wants_reply: bool,
         /// Upstreams lost while they ran a request, and the requests quarantined for that.
-        #[serde(default, skip_serializing_if = "Report::is_empty")]
-        losses: Report,
+        #[serde(default, skip_serializing_if = "LossReport::is_empty")]
+        losses: LossReport,
     },
     /// Asks the receiver to lend parts of its shares of team rates.
     #[serde(rename = "ask_loans")]
--- a/crates/ashgauge/src/node/call.rs
+++ b/crates/ashgauge/src/node/call.rs
@@ -83,7 +83,7 @@
             self.stats.dropped += 1;
             return;
         };
-        let timing = crate::upstream_stats::OrderTiming {
+        let timing = crate::upstream_stats::CallTiming {
             round_trip: self.now - since,
             ran: self.now - since,
             layers: 1,
--- a/crates/ashgauge/src/node/claims.rs
+++ b/crates/ashgauge/src/node/claims.rs
@@ -165,14 +165,14 @@
             Outcome::Unknown => ClaimState::Claimed,
         };
         if outcome != Outcome::Unknown {
-            self.end_claim_at(claim.owner.clone(), key, &claim.id, state);
+            self.send_claim_state(claim.owner.clone(), key, &claim.id, state);
         }
         for claim_id in &claim.abandoned_ids {
-            self.end_claim_at(None, key, claim_id, ClaimState::NotRun);
+            self.send_claim_state(None, key, claim_id, ClaimState::NotRun);
         }
     }
 
-    pub(super) fn end_claim_at(
+    pub(super) fn send_claim_state(
         &mut self,
         owner: Option<(BoxId, String)>,
         key: &str,
--- a/crates/ashgauge/src/node/dispatch.rs
+++ b/crates/ashgauge/src/node/dispatch.rs
@@ -38,7 +38,7 @@
                     };
                     let token_time = stages
                         .iter()
-                        .map(|s| self.upstream_stats.order_seconds(&s.upstream))
+                        .map(|s| self.upstream_stats.position_seconds(&s.upstream))
                         .sum();
                     let Some(id) = self.pop_request(route, token_time) else {
                         return;
--- a/crates/ashgauge/src/node/peers.rs
+++ b/crates/ashgauge/src/node/peers.rs
@@ -8,7 +8,7 @@
 use super::*;
 use crate::limit;
 use crate::message::{Envelope, Message};
-use crate::order::{Command, Reply as OrderReply};
+use crate::order::{Order, Reply as OrderReply};
 use crate::policy::TeamId;
 
 /// Number of peers that a starting box asks for their table version before it is ready.
@@ -212,7 +212,7 @@
             if addr.is_empty() {
                 continue;
             }
-            self.actions.push(Action::Command(Command {
+            self.actions.push(Action::Command(Order {
                 upstream,
                 addr,
                 term,
--- a/crates/ashgauge/src/node/pipeline.rs
+++ b/crates/ashgauge/src/node/pipeline.rs
@@ -5,7 +5,7 @@
 use super::*;
 use crate::chain::Stage;
 use crate::member::UpstreamId;
-use crate::upstream_stats::OrderTiming;
+use crate::upstream_stats::CallTiming;
 
 /// Stages and progress of one running request.
 pub(super) struct Pipeline {
@@ -18,7 +18,7 @@
     /// Number of stage replacements so far.
     pub(super) replacements: u32,
     /// Time at which stages were last chosen.
-    pub(super) placed_at: Duration,
+    pub(super) chosen_at: Duration,
     /// Value of the request's `maybe_ran` before the current stage run was sent.
     pub(super) ran_before: bool,
     /// Whether no engines were found to replace the current stage.
@@ -47,7 +47,7 @@
     pub(super) positions_done: u32,
     /// Number of positions that a replaced stage had forwarded. Running them again only
     /// rebuilds its state.
-    pub(super) rebuild: u32,
+    pub(super) rebuild_count: u32,
     /// Time at which the run in flight was sent, if there is one.
     pub(super) sent_at: Option<Duration>,
     /// Number of times that the run was sent again, 0 or 1.
@@ -75,7 +75,7 @@
             kept_from: 0,
             kept_inputs: Vec::new(),
             positions_done: 0,
-            rebuild: 0,
+            rebuild_count: 0,
             sent_at: None,
             resends: 0,
         }
@@ -185,7 +185,7 @@
             // Session ids of earlier attempts must not be used again.
             last_session: request.attempt << 16,
             replacements: 0,
-            placed_at: self.now,
+            chosen_at: self.now,
             ran_before: false,
             stalled: false,
             abandoned: Vec::new(),
@@ -230,8 +230,8 @@
             first: active.stage.first,
             end: active.stage.end,
             start: active.positions_done,
-            rebuild: (inputs.len() as u32)
-                .min(active.rebuild.saturating_sub(active.positions_done)),
+            rebuild_count: (inputs.len() as u32)
+                .min(active.rebuild_count.saturating_sub(active.positions_done)),
             inputs,
         };
         self.actions.push(Action::Run(run));
@@ -324,8 +324,8 @@
     }
 }
 
-fn stage_timing(round_trip: Duration, stage: &Stage, result: &StageResult) -> OrderTiming {
-    OrderTiming {
+fn stage_timing(round_trip: Duration, stage: &Stage, result: &StageResult) -> CallTiming {
+    CallTiming {
         round_trip,
         queued: result.queued,
         ran: result.ran,
--- a/crates/ashgauge/src/node/quarantined.rs
+++ b/crates/ashgauge/src/node/quarantined.rs
@@ -5,7 +5,7 @@
 
 use super::*;
 use crate::digest;
-use crate::quarantine::{Audience, InstanceLoss, Report, instance_key, is_safe_run};
+use crate::quarantine::{Audience, InstanceLoss, LossReport, instance_key, is_safe_run};
 
 impl Node {
     /// Returns how much longer a team's request stays in quarantine, if it is in
@@ -27,7 +27,7 @@
         let Phase::Running(pipeline) = &mut request.phase else {
             return false;
         };
-        if pipeline.active().positions_done > 0 && is_safe_run(pipeline.placed_at, self.now) {
+        if pipeline.active().positions_done > 0 && is_safe_run(pipeline.chosen_at, self.now) {
             return false;
         }
         let instance = instance_key(&pipeline.active().stage.upstream, None);
@@ -59,12 +59,12 @@
 
     /// Returns the report of losses and quarantined requests for the other boxes. If
     /// there are too many for one report, successive reports take turns.
-    pub(super) fn loss_report(&self) -> Report {
+    pub(super) fn loss_report(&self) -> LossReport {
         self.quarantine
             .report(self.now, self.stats.arrived, Audience::All)
     }
 
-    pub(super) fn merge_losses(&mut self, report: &Report) {
+    pub(super) fn merge_losses(&mut self, report: &LossReport) {
         let news = self.quarantine.merge(self.now, report);
         if !news.is_empty() {
             self.expedite_heartbeat();
--- a/crates/ashgauge/src/node/recover.rs
+++ b/crates/ashgauge/src/node/recover.rs
@@ -210,7 +210,7 @@
             return;
         };
         pipeline.replacements += 1;
-        pipeline.placed_at = self.now;
+        pipeline.chosen_at = self.now;
         pipeline.stalled = false;
         let mut new_stages = Vec::new();
         for stage in &stages {
@@ -220,7 +220,7 @@
         let index = pipeline.current;
         let old = pipeline.stages.remove(index);
         for active in &mut new_stages {
-            active.rebuild = old.positions_done.max(old.rebuild);
+            active.rebuild_count = old.positions_done.max(old.rebuild_count);
         }
         new_stages[0].kept_inputs = old.kept_inputs.clone();
         pipeline.stages.splice(index..index, new_stages);
--- a/crates/ashgauge/src/node/store.rs
+++ b/crates/ashgauge/src/node/store.rs
@@ -192,7 +192,7 @@
                         result: format!("{answer:?}"),
                     };
                     self.record(None, record_kind);
-                    self.actions.push(Action::EditAnswer(waiter, answer));
+                    self.actions.push(Action::EditDone(waiter, answer));
                 }
             }
         }
--- a/crates/ashgauge/src/node/types.rs
+++ b/crates/ashgauge/src/node/types.rs
@@ -105,7 +105,8 @@
     pub inputs: Vec<StageValue>,
     /// Number of leading inputs that a lost stage had already run. They only rebuild its
     /// state.
-    pub rebuild: u32,
+    #[serde(rename = "rebuild")]
+    pub rebuild_count: u32,
 }
 
 /// A stage's answer to a [`StageRun`].
@@ -361,9 +362,9 @@
     Send(crate::member::BoxId, String, Envelope),
     /// Tell an operator the result of an edit.
     #[serde(rename = "Edited")]
-    EditAnswer(WaiterId, EditResult),
+    EditDone(WaiterId, EditResult),
     /// Send a fenced order to an upstream.
-    Command(crate::order::Command),
+    Command(crate::order::Order),
     /// Append a record to the timeline.
     #[serde(rename = "Note")]
     Record(Record),
--- a/crates/ashgauge/src/order.rs
+++ b/crates/ashgauge/src/order.rs
@@ -61,7 +61,7 @@
 
 /// An order to one upstream.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
-pub struct Command {
+pub struct Order {
     /// The upstream.
     pub upstream: UpstreamId,
     /// Address of the upstream.
--- a/crates/ashgauge/src/quarantine.rs
+++ b/crates/ashgauge/src/quarantine.rs
@@ -70,12 +70,13 @@
 
 /// Report of one box to others.
 #[derive(Clone, Debug, Default, PartialEq, Serialize, Deserialize)]
-pub struct Report {
+pub struct LossReport {
     /// Losses that the box saw or was told of within the last seconds.
     #[serde(rename = "lost")]
     pub losses: Vec<InstanceLoss>,
     /// Quarantined requests.
-    pub held: Vec<QuarantinedRequest>,
+    #[serde(rename = "held")]
+    pub quarantined: Vec<QuarantinedRequest>,
 }
 
 /// The losses during one request.
@@ -196,7 +197,7 @@
 
     /// Forwards the losses of another box's report to boxes that do not get that report;
     /// returns true if there is something new to send.
-    pub fn forward(&mut self, now: Duration, report: &Report, audience: Audience) -> bool {
+    pub fn forward(&mut self, now: Duration, report: &LossReport, audience: Audience) -> bool {
         let is_reported = |entry: &GossipLoss, loss: &InstanceLoss| {
             entry.loss == *loss && now < entry.since + GOSSIP_TIME
         };
@@ -222,14 +223,14 @@
     }
 
     /// Merges the report of another box; returns the requests that are newly quarantined.
-    pub fn merge(&mut self, now: Duration, report: &Report) -> Vec<Digest> {
+    pub fn merge(&mut self, now: Duration, report: &LossReport) -> Vec<Digest> {
         let mut new = Vec::new();
         for loss in &report.losses {
             if self.add_loss(now, *loss) {
                 new.push(loss.digest);
             }
         }
-        for held in &report.held {
+        for held in &report.quarantined {
             let left = Duration::from_secs(held.left_s.into());
             if self.quarantine(now, held.digest, left) {
                 new.push(held.digest);
@@ -290,7 +291,7 @@
 
     /// Builds a report for an audience. If there are too many quarantined requests for one
     /// report, `turn` selects which of them it contains.
-    pub fn report(&self, now: Duration, turn: u64, audience: Audience) -> Report {
+    pub fn report(&self, now: Duration, turn: u64, audience: Audience) -> LossReport {
         let recent = self.gossip.iter().rev();
         let recent = recent.filter(|entry| now < entry.since + GOSSIP_TIME);
         let recent =
@@ -299,12 +300,12 @@
         let skipped = (turn as usize).wrapping_mul(MAX_REPORT_HELD) % held.len().max(1);
         let reported = held.iter().cycle().skip(skipped);
         let reported = reported.take(held.len().min(MAX_REPORT_HELD));
-        Report {
+        LossReport {
             losses: recent
                 .map(|entry| entry.loss)
                 .take(MAX_REPORT_LOSSES)
                 .collect(),
-            held: reported.map(QuarantinedRequest::new).collect(),
+            quarantined: reported.map(QuarantinedRequest::new).collect(),
         }
     }
 
@@ -342,10 +343,10 @@
     }
 }
 
-impl Report {
+impl LossReport {
     /// Returns true if there is nothing to report.
     pub fn is_empty(&self) -> bool {
-        self.losses.is_empty() && self.held.is_empty()
+        self.losses.is_empty() && self.quarantined.is_empty()
     }
 }
 
--- a/crates/ashgauge/src/query.rs
+++ b/crates/ashgauge/src/query.rs
@@ -16,7 +16,7 @@
 use crate::member::BoxId;
 use crate::mirror::{Revision, Update};
 use crate::permit;
-use crate::quarantine::{InstanceKey, Report};
+use crate::quarantine::{InstanceKey, LossReport};
 
 /// Random number that identifies a query.
 pub type QueryId = u64;
@@ -35,7 +35,7 @@
     #[serde(rename = "News")]
     Changed(BoxId),
     /// Report by the box with this name of requests that crash upstreams.
-    Losses(BoxId, Report),
+    Losses(BoxId, LossReport),
     /// Request for a permit to send to an upstream that announces a limit.
     AskPermit(permit::PermitRequest),
     /// Reply to a permit request.
--- a/crates/ashgauge/src/upstream_stats.rs
+++ b/crates/ashgauge/src/upstream_stats.rs
@@ -31,7 +31,7 @@
 
 /// Duration of an order, as the box and the engine measured it.
 #[derive(Clone, Copy, Debug, Default)]
-pub struct OrderTiming {
+pub struct CallTiming {
     /// Time from sending to the answer, by the clock of the box.
     pub round_trip: Duration,
     /// Time that the order waited in the engine.
@@ -141,7 +141,7 @@
         self.inflight < self.window()
     }
 
-    fn record(&mut self, now: Duration, timing: &OrderTiming) {
+    fn record(&mut self, now: Duration, timing: &CallTiming) {
         self.record_speed(timing);
         let link = timing
             .round_trip
@@ -158,7 +158,7 @@
 
     /// Records the speed of an order. Orders of one position and of several are measured
     /// separately, as engines run the positions of an order together.
-    fn record_speed(&mut self, timing: &OrderTiming) {
+    fn record_speed(&mut self, timing: &CallTiming) {
         let per_layer = timing.ran.as_secs_f64() / f64::from(timing.layers.max(1));
         let round_trip = timing.round_trip.as_secs_f64();
         if timing.positions > 1 {
@@ -242,7 +242,7 @@
     }
 
     /// Records the timing of an order that was answered.
-    pub fn record(&mut self, now: Duration, id: &UpstreamId, timing: &OrderTiming) {
+    pub fn record(&mut self, now: Duration, id: &UpstreamId, timing: &CallTiming) {
         self.get_mut(id).record(now, timing);
     }
 
@@ -272,7 +272,7 @@
     }
 
     /// Returns the average seconds that an order of one position takes.
-    pub fn order_seconds(&self, id: &str) -> f64 {
+    pub fn position_seconds(&self, id: &str) -> f64 {
         self.by_id
             .get(id)
             .map_or(0.0, |stats| stats.single_order.mean)
--- a/crates/ashgauge/tests/fleet/mod.rs
+++ b/crates/ashgauge/tests/fleet/mod.rs
@@ -397,7 +397,7 @@
         for (_, demand) in &mut demands {
             *demand = demand.scaled(unheard);
         }
-        let others = self.shares.others(ENGINES);
+        let others = self.shares.usage_by_others(ENGINES);
         let held = self.held + f64::from(others.token_layers) / 1e3;
         let pressure = Pressure {
             requests: (f64::from(self.count) + f64::from(others.head_requests)) * unheard,
--- a/crates/ashgauge/tests/node.rs
+++ b/crates/ashgauge/tests/node.rs
@@ -87,7 +87,7 @@
             Some((_, _, outputs)) => outputs.clone(),
             None if session.next != run.start => return Err(RefusalReason::NoSession),
             None => {
-                for position in run.start + run.rebuild..run.start + run.inputs.len() as u32 {
+                for position in run.start + run.rebuild_count..run.start + run.inputs.len() as u32 {
                     for layer in run.first..run.end {
                         *self.ran.entry((run.id, position, layer)).or_default() += 1;
                     }
--- a/crates/ashgauge/tests/quarantine.rs
+++ b/crates/ashgauge/tests/quarantine.rs
@@ -4,8 +4,8 @@
 
 use ashgauge::digest::Digest;
 use ashgauge::quarantine::{
-    Audience, InstanceLoss, QUARANTINE_TIME, Quarantine, QuarantinedRequest, Report, instance_key,
-    is_safe_run,
+    Audience, InstanceLoss, LossReport, QUARANTINE_TIME, Quarantine, QuarantinedRequest,
+    instance_key, is_safe_run,
 };
 use proptest::prelude::*;
 
@@ -18,10 +18,10 @@
     }
 }
 
-fn report(lost: &[InstanceLoss]) -> Report {
-    Report {
+fn report(lost: &[InstanceLoss]) -> LossReport {
+    LossReport {
         losses: lost.to_vec(),
-        held: Vec::new(),
+        quarantined: Vec::new(),
     }
 }
 
@@ -173,9 +173,9 @@
     }];
     own.merge(
         SECOND,
-        &Report {
+        &LossReport {
             losses: vec![],
-            held,
+            quarantined: held,
         },
     );
     assert_eq!(own.time_left(SECOND, 7), Some(QUARANTINE_TIME));
--- a/crates/ashgauge/tests/share.rs
+++ b/crates/ashgauge/tests/share.rs
@@ -37,8 +37,8 @@
     let mut shares = FleetLoad::default();
     assert!(shares.apply(SECOND, word(1, 7, 1, 10)));
     assert!(shares.apply(SECOND, word(1, 7, 2, 4)));
-    assert_eq!(shares.others("e1").requests, 4);
-    assert_eq!(shares.others("e2"), Usage::default());
+    assert_eq!(shares.usage_by_others("e1").requests, 4);
+    assert_eq!(shares.usage_by_others("e2"), Usage::default());
 }
 
 /// Datagrams overtake each other.
@@ -48,7 +48,7 @@
     assert!(shares.apply(SECOND, word(1, 7, 2, 4)));
     assert!(!shares.apply(SECOND, word(1, 7, 1, 10)));
     assert!(!shares.apply(SECOND, word(1, 7, 2, 10)));
-    assert_eq!(shares.others("e1").requests, 4);
+    assert_eq!(shares.usage_by_others("e1").requests, 4);
 }
 
 /// A process that starts again counts its words from one.
@@ -57,7 +57,7 @@
     let mut shares = FleetLoad::default();
     assert!(shares.apply(SECOND, word(1, 7, 900, 10)));
     assert!(shares.apply(SECOND, word(1, 8, 1, 2)));
-    assert_eq!(shares.others("e1").requests, 2);
+    assert_eq!(shares.usage_by_others("e1").requests, 2);
 }
 
 #[test]
@@ -67,7 +67,7 @@
     shares.apply(SECOND * 3, word(2, 7, 1, 5));
     shares.expire(SECOND * 4, lag(2));
     assert_eq!(shares.boxes(), 1);
-    assert_eq!(shares.others("e1").requests, 5);
+    assert_eq!(shares.usage_by_others("e1").requests, 5);
 }
 
 /// What a box sends does not grow with the fleet.
@@ -111,11 +111,11 @@
             }
         }
         let sum: u32 = last.values().map(|(_, requests)| requests).sum();
-        prop_assert_eq!(shares.others("e1").requests, sum);
-        prop_assert_eq!(shares.others("e1").token_layers, sum * 900);
+        prop_assert_eq!(shares.usage_by_others("e1").requests, sum);
+        prop_assert_eq!(shares.usage_by_others("e1").token_layers, sum * 900);
         prop_assert_eq!(shares.boxes(), last.len());
         shares.expire(SECOND * 9, lag(5));
-        prop_assert_eq!(shares.others("e1"), Usage::default());
+        prop_assert_eq!(shares.usage_by_others("e1"), Usage::default());
     }
 }
 
@@ -148,8 +148,8 @@
     let mut absurd = word(3, 7, 1, 0);
     absurd.usage[0].1 = most;
     shares.apply(SECOND, absurd);
-    assert_eq!(shares.others("e1"), most);
+    assert_eq!(shares.usage_by_others("e1"), most);
     shares.apply(SECOND, word(3, 7, 2, 5));
-    let others = shares.others("e1");
+    let others = shares.usage_by_others("e1");
     assert_eq!((others.requests, others.token_layers), (35, 35 * 900));
 }
--- a/crates/ashgauged/src/actor.rs
+++ b/crates/ashgauged/src/actor.rs
@@ -176,7 +176,7 @@
     fn perform(&mut self, action: Action) {
         match action {
             Action::Reply(id, reply) => self.reply(id, reply),
-            Action::EditAnswer(waiter_id, answer) => {
+            Action::EditDone(waiter_id, answer) => {
                 if let Some(waiter) = self.pending_edits.remove(&waiter_id) {
                     let _ = waiter.send(answer);
                 }
--- a/crates/ashgauged/src/io.rs
+++ b/crates/ashgauged/src/io.rs
@@ -101,7 +101,7 @@
                 Event::Written(key, value, result)
             }),
             Action::Send(to, addr, envelope) => self.deliver(to, addr, envelope),
-            Action::Reply(..) | Action::EditAnswer(..) | Action::Record(_) => {}
+            Action::Reply(..) | Action::EditDone(..) | Action::Record(_) => {}
         }
     }
 
--- a/crates/ashgauged/src/relay/quarantine.rs
+++ b/crates/ashgauged/src/relay/quarantine.rs
@@ -7,7 +7,7 @@
 
 use ashgauge::digest::{self, Digest};
 use ashgauge::hub::Role;
-use ashgauge::quarantine::{Audience, InstanceLoss, Report};
+use ashgauge::quarantine::{Audience, InstanceLoss, LossReport};
 use ashgauge::query::Datagram;
 use platform::StoreError;
 use platform::store::{Object, Revision};
@@ -68,7 +68,7 @@
 
 /// Merges a report of another box; a hub forwards it to the boxes that do not receive it
 /// from the sender.
-pub fn merge_report(shared: &SharedState, from: &str, report: &Report) {
+pub fn merge_report(shared: &SharedState, from: &str, report: &LossReport) {
     let now = shared.now();
     let quarantined = shared.quarantine.borrow_mut().merge(now, report);
     for digest in quarantined {
--- a/crates/ashgauged/src/relay/status.rs
+++ b/crates/ashgauged/src/relay/status.rs
@@ -196,7 +196,7 @@
         suspect: e.is_suspect(now),
         slowness: e.slowness(now),
         inflight: e.inflight,
-        others: fleet_load.others(&e.upstream.id).requests,
+        others: fleet_load.usage_by_others(&e.upstream.id).requests,
         answer_ms: e.latency_seconds * 1e3,
         failures: e.failure_rate(now),
     });
--- a/crates/upstream/src/lib.rs
+++ b/crates/upstream/src/lib.rs
@@ -14,7 +14,7 @@
 use std::time::Duration;
 
 use ashgauge::node::{ServiceCall, ServiceResponse, StageResult, StageRun, UpstreamError};
-use ashgauge::order::{Command, Reply};
+use ashgauge::order::{Order, Reply};
 use bytes::Bytes;
 use http::{Client, Failure, Full};
 use hyper::header::{CONTENT_TYPE, HeaderName, HeaderValue};
@@ -50,7 +50,7 @@
         end: order.end,
         start: order.start,
         inputs: order.inputs.clone(),
-        rebuild: order.rebuild,
+        rebuild: order.rebuild_count,
     };
     let request = post("/v1/stages/run", &body);
     let answer = client
@@ -120,7 +120,7 @@
 }
 
 /// Sends a fenced order.
-pub async fn send_order(client: &Client, order: &Command, limit: Duration) -> Reply {
+pub async fn send_order(client: &Client, order: &Order, limit: Duration) -> Reply {
     let body = OrderBody {
         term: order.term,
         desired: order.desired.clone(),
