--- a/crates/ashgauge/src/attempts.rs
+++ b/crates/ashgauge/src/attempts.rs
@@ -113,12 +113,12 @@
         &mut self,
         now: Duration,
         outcome: SendOutcome,
-        take_retry: impl FnOnce() -> bool,
+        withdraw_retry: impl FnOnce() -> bool,
     ) -> Decision {
         if matches!(outcome, SendOutcome::NotSent | SendOutcome::NotRun) {
             self.runs = self.runs.saturating_sub(1);
         }
-        if self.may_resend(now, outcome) && take_retry() {
+        if self.may_resend(now, outcome) && withdraw_retry() {
             return Decision::Resend;
         }
         match outcome {
--- a/crates/ashgauge/src/claim.rs
+++ b/crates/ashgauge/src/claim.rs
@@ -16,17 +16,17 @@
 use crate::table::Version;
 
 /// Length of a time slice: keys that were made in the same slice share shards.
-const SLICE_SECS: u64 = 10;
+const SLICE_SECONDS: u64 = 10;
 
 /// Time after which the state of an unused shard is dropped from memory.
 const IDLE_TIMEOUT: Duration = Duration::from_secs(60);
 
 /// Clock difference that is tolerated between boxes and callers; a key that is closer than
 /// this to its expiry is refused, since another box may already have dropped its claim.
-const EXPIRY_MARGIN_SECS: u64 = 60;
+const EXPIRY_MARGIN_SECONDS: u64 = 60;
 
 /// Maximum time by which a key's timestamp may be ahead of a box's clock.
-const EARLY_MARGIN_SECS: u64 = 30;
+const EARLY_MARGIN_SECONDS: u64 = 30;
 
 /// Maximum burst of writes to a shard that was idle before; on average one write is allowed
 /// in each write interval.
@@ -198,8 +198,8 @@
             return base;
         };
         // One slice more than is in use, and one more for clock differences.
-        let slices = self.config.retention.as_secs() / SLICE_SECS + 2;
-        let slice = (created / SLICE_SECS % slices) as ShardId;
+        let slices = self.config.retention.as_secs() / SLICE_SECONDS + 2;
+        let slice = (created / SLICE_SECONDS % slices) as ShardId;
         self.config.shards * (1 + slice) + base
     }
 
@@ -208,13 +208,13 @@
     /// Always false for keys without a timestamp; see [`key_time`].
     pub fn is_expired(&self, wall_secs: u64, key: &str) -> bool {
         let oldest = wall_secs.saturating_sub(self.config.retention.as_secs());
-        key_time(key).is_some_and(|created| created <= oldest + EXPIRY_MARGIN_SECS)
+        key_time(key).is_some_and(|created| created <= oldest + EXPIRY_MARGIN_SECONDS)
     }
 
     /// Returns true if a key's timestamp lies in the future, so that its claim could be
     /// dropped before the key expires.
     pub fn is_early(&self, wall_secs: u64, key: &str) -> bool {
-        key_time(key).is_some_and(|created| created > wall_secs + EARLY_MARGIN_SECS)
+        key_time(key).is_some_and(|created| created > wall_secs + EARLY_MARGIN_SECONDS)
     }
 
     /// Starts to claim a key.
@@ -329,11 +329,11 @@
             return Vec::new();
         };
         let mut actions = Vec::new();
-        let is_late = |a: &PendingClaim| !late_only || a.deadline <= now;
+        let is_late = |claim: &PendingClaim| !late_only || claim.deadline <= now;
         let (mut expired, kept): (Vec<PendingClaim>, Vec<PendingClaim>) =
             s.queue.drain(..).partition(is_late);
         s.queue = kept.into();
-        expired.extend(s.inflight.extract_if(.., |a| a.deadline <= now));
+        expired.extend(s.inflight.extract_if(.., |claim| claim.deadline <= now));
         for claim in expired {
             // A write whose response was lost may have stored the claim, so the key is
             // released once the platform is available again.
@@ -368,7 +368,7 @@
         if s.write_debt_at(now, interval) + 1.0 > MAX_WRITE_BURST {
             return actions;
         }
-        s.write_pending(&mut next, wall_secs, self.config.retention);
+        s.apply_pending(&mut next, wall_secs, self.config.retention);
         if s.inflight.is_empty() && s.inflight_updates.is_empty() {
             return actions;
         }
@@ -400,7 +400,7 @@
     fn requeue(&mut self) {
         self.inflight
             .drain(..)
-            .for_each(|a| self.queue.push_front(a));
+            .for_each(|claim| self.queue.push_front(claim));
         self.updates.append(&mut self.inflight_updates);
     }
 
@@ -412,8 +412,8 @@
             let Some(e) = stored.keys.get(&claim.key) else {
                 return true;
             };
-            let update = updates.iter().find(|n| n.id == e.id);
-            let state = update.map_or(e.state, |n| n.state);
+            let update = updates.iter().find(|update| update.id == e.id);
+            let state = update.map_or(e.state, |update| update.state);
             let result = match state {
                 _ if e.id == claim.id => ClaimResult::Granted,
                 ClaimState::NotRun => return true,
@@ -425,8 +425,8 @@
         actions
     }
 
-    /// Writes the queued claims and state updates into the shard to be stored.
-    fn write_pending(&mut self, stored: &mut StoredShard, wall_secs: u64, retention: Duration) {
+    /// Applies the queued claims and state updates to the shard that will be written.
+    fn apply_pending(&mut self, stored: &mut StoredShard, wall_secs: u64, retention: Duration) {
         // An update whose claim is not stored still causes a write: the new object version
         // makes a delayed write of that claim fail.
         self.inflight_updates.append(&mut self.updates);
--- a/crates/ashgauge/src/cost.rs
+++ b/crates/ashgauge/src/cost.rs
@@ -36,9 +36,9 @@
 /// longer.
 const SPARE_FILL_EXPONENT: i32 = 3;
 
-/// Copies of the model in a data centre from which on other engines can replace one that is
-/// full. With fewer, memory is saved from the first request on.
-const SPARE_COPIES: f64 = 2.0;
+/// Copies of the model in a data centre, in total, from which on other engines can replace
+/// one that is full. With fewer, memory is saved from the first request on.
+const MIN_COPIES_WITH_SPARE: f64 = 2.0;
 
 /// Penalty in seconds for an engine past [`FULL_THRESHOLD`]: more than two changes of data
 /// centre.
@@ -92,7 +92,7 @@
 
 impl<'a> CostModel<'a> {
     pub(crate) fn new(context: &'a SelectionContext<'a>, model: &'a Model) -> Self {
-        let has_spare = local_copies(context, model) >= SPARE_COPIES;
+        let has_spare = local_copies(context, model) >= MIN_COPIES_WITH_SPARE;
         let size = context.size.unwrap_or_else(|| RequestSize::typical(model));
         CostModel {
             context,
--- a/crates/ashgauge/src/estimate.rs
+++ b/crates/ashgauge/src/estimate.rs
@@ -32,15 +32,15 @@
 
 /// Assumed duration of a request on an empty engine before any has completed: users'
 /// answers take 1.7 to 2.9 s on full engines.
-const INITIAL_DURATION_S: f64 = 1.5;
+const INITIAL_DURATION_SECONDS: f64 = 1.5;
 
 /// Bounds of the learned duration.
-const DURATION_RANGE_S: (f64, f64) = (0.05, 100.0);
+const DURATION_RANGE_SECONDS: (f64, f64) = (0.05, 100.0);
 
 /// Weight of the newest observation in the learned duration, on a logarithmic scale. With
 /// a weight of 1 the duration oscillates when 985 boxes with reports 0.5 s old fill the
 /// engines at once.
-const DURATION_GAIN: f64 = 0.3;
+const DURATION_ALPHA: f64 = 0.3;
 
 /// Largest factor by which one observation may change the duration.
 const MAX_DURATION_STEP: f64 = 2.0;
@@ -64,7 +64,7 @@
 const MAX_BOX_CHANGE: f64 = 0.2;
 
 /// Gap between two samples from which earlier state is discarded.
-const MAX_SAMPLE_GAP_S: f64 = 1.0;
+const MAX_SAMPLE_GAP_SECONDS: f64 = 1.0;
 
 /// Shortest time over which a change of demand is measured.
 const MIN_TREND_INTERVAL: Duration = Duration::from_millis(100);
@@ -151,7 +151,7 @@
             admitted_shares: VecDeque::new(),
             last_sample: None,
             trend: Trend::default(),
-            base_duration: INITIAL_DURATION_S,
+            base_duration: INITIAL_DURATION_SECONDS,
             demand_rate: 0.0,
         }
     }
@@ -260,7 +260,7 @@
             boxes: observation.boxes,
         };
         match self.last_sample.replace(sample) {
-            Some(last) if at - last.at >= MAX_SAMPLE_GAP_S => {
+            Some(last) if at - last.at >= MAX_SAMPLE_GAP_SECONDS => {
                 self.reset_cohorts(observation.full_slowdown, &sample)
             }
             Some(last) if (last.boxes - sample.boxes).abs() > last.boxes * MAX_BOX_CHANGE => {
@@ -331,8 +331,8 @@
             return;
         }
         let step = (requests / remaining).clamp(1.0 / MAX_DURATION_STEP, MAX_DURATION_STEP);
-        let (min, max) = DURATION_RANGE_S;
-        self.base_duration = (self.base_duration * step.powf(DURATION_GAIN)).clamp(min, max);
+        let (min, max) = DURATION_RANGE_SECONDS;
+        self.base_duration = (self.base_duration * step.powf(DURATION_ALPHA)).clamp(min, max);
     }
 
     /// Returns how many of the requests in all cohorts are still in flight at a time.
@@ -423,7 +423,7 @@
             self.samples.pop_front();
         }
         let is_apart =
-            |(at, _): &(f64, f64)| (interval..MAX_SAMPLE_GAP_S).contains(&(observed_at - at));
+            |(at, _): &(f64, f64)| (interval..MAX_SAMPLE_GAP_SECONDS).contains(&(observed_at - at));
         let Some((at, previous)) = previous.filter(is_apart) else {
             return reported_rate;
         };
--- a/crates/ashgauge/src/forecast.rs
+++ b/crates/ashgauge/src/forecast.rs
@@ -22,7 +22,7 @@
 
 /// Weight of the newest ratio in a calibration. One late event changes little, and a
 /// change of the load is learned within some forty streams.
-const LEARNING_RATE: f64 = 0.05;
+const RATIO_ALPHA: f64 = 0.05;
 
 /// Bounds of the learned ratio. Forecasts that are further off are meaningless, and
 /// silent streams must be checked whatever engines report.
@@ -202,8 +202,8 @@
         }
         let (min, max) = RATIO_RANGE;
         let error = ratio.clamp(min, max).ln() - self.mean;
-        self.mean += LEARNING_RATE * error;
-        self.deviation += LEARNING_RATE * (error.abs() - self.deviation);
+        self.mean += RATIO_ALPHA * error;
+        self.deviation += RATIO_ALPHA * (error.abs() - self.deviation);
     }
 
     /// Returns the factor on a forecast, 0.25 to 4.
--- a/crates/ashgauge/src/lease.rs
+++ b/crates/ashgauge/src/lease.rs
@@ -35,7 +35,7 @@
 /// change of the object's version for the time to live plus the margin, by its own clock.
 #[derive(Debug)]
 pub struct Lease {
-    owner: String,
+    candidate: String,
     ttl: Duration,
     last_read: Option<(Version, StoredLease)>,
     changed_at: Duration,
@@ -46,10 +46,10 @@
 }
 
 impl Lease {
-    /// Creates a lease that `owner` (box and incarnation) tries to hold.
-    pub fn new(owner: String, ttl: Duration) -> Self {
+    /// Creates a lease that `candidate` (box and incarnation) tries to hold.
+    pub fn new(candidate: String, ttl: Duration) -> Self {
         Lease {
-            owner,
+            candidate,
             ttl,
             last_read: None,
             changed_at: Duration::ZERO,
@@ -80,7 +80,7 @@
         let Some((version, stored)) = &self.last_read else {
             return Some(LeaseAction::Read);
         };
-        let is_own = stored.holder == self.owner;
+        let is_own = stored.holder == self.candidate;
         let expired = now >= self.changed_at + self.ttl + self.margin();
         if !is_own && !stored.holder.is_empty() && !expired {
             return Some(LeaseAction::Read);
@@ -91,7 +91,7 @@
             stored.term + 1
         };
         let next = StoredLease {
-            holder: self.owner.clone(),
+            holder: self.candidate.clone(),
             term,
         };
         self.pending = Some(next.clone());
@@ -118,7 +118,7 @@
         };
         let is_newer = self.last_read.as_ref().is_none_or(|(v, _)| version > *v);
         if is_newer {
-            if stored.holder != self.owner {
+            if stored.holder != self.candidate {
                 self.held = None;
             }
             self.last_read = Some((version, stored));
--- a/crates/ashgauge/src/level.rs
+++ b/crates/ashgauge/src/level.rs
@@ -19,9 +19,10 @@
 /// sum of some 180 requests in an engine's memory is 0.08.
 const TARGET_UTILIZATION: f64 = 0.87;
 
-/// Utilization below which all requests are admitted: a box that has just started
-/// estimates the fleet's demand from its own few requests.
-const SHED_THRESHOLD: f64 = 0.5;
+/// Utilization below which all requests are admitted. A box that has just started estimates the
+/// fleet's demand from its own few requests, and must not refuse any on that basis while the
+/// engines are far from full.
+const REFUSAL_THRESHOLD: f64 = 0.5;
 
 /// Time within which the requests in flight are brought to the target. With 500 ms the
 /// most urgent class was refused at times though its demand was far below the capacity.
@@ -60,7 +61,7 @@
 /// ```
 pub fn allowed_rate(pressure: &Pressure, completion_rate: f64) -> f64 {
     let utilization = pressure.max_share();
-    if utilization < SHED_THRESHOLD || pressure.requests <= 0.0 {
+    if utilization < REFUSAL_THRESHOLD || pressure.requests <= 0.0 {
         return f64::INFINITY;
     }
     let adjustment =
--- a/crates/ashgauge/src/limit.rs
+++ b/crates/ashgauge/src/limit.rs
@@ -22,10 +22,10 @@
 const REQUEST_INTERVAL: Duration = Duration::from_millis(500);
 
 /// Seconds of the rate that may be saved up as a burst.
-const BURST_S: f64 = 0.25;
+const BURST_SECONDS: f64 = 0.25;
 
 /// Time constant of the learned demand, in seconds.
-const DEMAND_WINDOW_S: f64 = 1.0;
+const DEMAND_WINDOW_SECONDS: f64 = 1.0;
 
 /// Factor on its own demand that a lender keeps for itself.
 const RESERVE_FACTOR: f64 = 1.1;
@@ -219,11 +219,11 @@
 
     fn demand_rate(&self, now: Duration) -> f64 {
         let idle = now.saturating_sub(self.last_demand).as_secs_f64();
-        self.demand * (-idle / DEMAND_WINDOW_S).exp() / DEMAND_WINDOW_S
+        self.demand * (-idle / DEMAND_WINDOW_SECONDS).exp() / DEMAND_WINDOW_SECONDS
     }
 
     fn add_demand(&mut self, now: Duration, tokens: f64) {
-        self.demand = self.demand_rate(now) * DEMAND_WINDOW_S + tokens;
+        self.demand = self.demand_rate(now) * DEMAND_WINDOW_SECONDS + tokens;
         self.last_demand = now;
     }
 
@@ -234,7 +234,7 @@
             l.rate * end.saturating_sub(self.refilled).as_secs_f64()
         });
         let earned = self.own_rate(now) * elapsed + borrowed.sum::<f64>();
-        let max_tokens = (self.rate(now) * BURST_S).max(self.tokens);
+        let max_tokens = (self.rate(now) * BURST_SECONDS).max(self.tokens);
         self.tokens = (self.tokens + earned).min(max_tokens);
         self.refilled = now;
         self.borrowed.retain(|_, l| now < l.until);
--- a/crates/ashgauge/src/node/claims.rs
+++ b/crates/ashgauge/src/node/claims.rs
@@ -95,8 +95,8 @@
         let owner = self
             .members
             .owner_of(self.now, &self.claims.shard_of(&key).to_string());
-        let owner = owner.filter(|h| *h != self.config.id);
-        let owner = owner.and_then(|h| self.peer_addr(&h).map(|a| (h, a)));
+        let owner = owner.filter(|owner| *owner != self.config.id);
+        let owner = owner.and_then(|owner| self.peer_addr(&owner).map(|addr| (owner, addr)));
         if let Some(request) = self.requests.get_mut(&id) {
             request.incoming.idempotency_key = Some(key.clone());
             request.phase = Phase::Claiming;
@@ -124,7 +124,11 @@
             return;
         };
         let claim = request.claim.as_ref();
-        let own = claim.is_some_and(|c| c.abandoned_ids.iter().any(|d| d == other_id));
+        let own = claim.is_some_and(|c| {
+            c.abandoned_ids
+                .iter()
+                .any(|abandoned| abandoned == other_id)
+        });
         if own {
             // This box abandoned that claim before it sent a call, so the key can be
             // released.
--- a/crates/ashgauge/src/node/pipeline.rs
+++ b/crates/ashgauge/src/node/pipeline.rs
@@ -147,7 +147,7 @@
         let Some(abandoned) = pipeline
             .abandoned
             .iter()
-            .find(|p| p.session == result.session)
+            .find(|stage| stage.session == result.session)
         else {
             return;
         };
--- a/crates/ashgauge/src/order.rs
+++ b/crates/ashgauge/src/order.rs
@@ -96,7 +96,7 @@
 impl Orders {
     /// Returns the hash of the state that the upstream confirmed in this term.
     pub fn confirmed(&self, id: &str) -> Option<u64> {
-        self.confirmed.get(id).map(|(n, _)| *n)
+        self.confirmed.get(id).map(|(hash, _)| *hash)
     }
 
     /// Returns the orders to send now in `term`: upstreams and their desired states.
@@ -118,8 +118,8 @@
         }
         let mut due = Vec::new();
         for (id, state) in desired {
-            let is_confirmed = self.confirmed.get(id).is_some_and(|(n, at)| {
-                *n == state.hash && (fenced(id) || now < *at + RESEND_INTERVAL)
+            let is_confirmed = self.confirmed.get(id).is_some_and(|(hash, at)| {
+                *hash == state.hash && (fenced(id) || now < *at + RESEND_INTERVAL)
             });
             let is_waiting = self
                 .sent_at
--- a/crates/ashgauge/src/permit/limits.rs
+++ b/crates/ashgauge/src/permit/limits.rs
@@ -103,8 +103,8 @@
         // The upstream named no limit at some moment since the request was sent.
         let as_of = if rate.is_some() { now } else { sent };
         let since = previous
-            .filter(|k| k.rate.is_some())
-            .map_or(now, |k| k.since);
+            .filter(|record| record.rate.is_some())
+            .map_or(now, |record| record.since);
         self.update(key, LimitRecord { rate, since, as_of })
     }
 
@@ -139,12 +139,12 @@
 
     /// Drops outdated records.
     pub fn expire(&mut self, now: Duration) {
-        self.records.retain(|_, k| {
-            let ttl = match k.rate {
+        self.records.retain(|_, record| {
+            let ttl = match record.rate {
                 Some(_) => LIMIT_TTL,
                 None => REMOVED_TTL,
             };
-            now < k.as_of + ttl
+            now < record.as_of + ttl
         });
     }
 
@@ -173,10 +173,10 @@
             .map(|(key, record)| record.report(now, *key));
         let mut reports: Vec<LimitReport> = reports.collect();
         if reports.len() > MAX_REPORTS {
-            reports.select_nth_unstable_by_key(MAX_REPORTS, |t| t.age_ms);
+            reports.select_nth_unstable_by_key(MAX_REPORTS, |report| report.age_ms);
             reports.truncate(MAX_REPORTS);
         }
-        reports.sort_unstable_by_key(|t| t.key);
+        reports.sort_unstable_by_key(|report| report.key);
         reports
     }
 
@@ -188,7 +188,10 @@
 
     /// Returns the number of upstreams that name a limit.
     pub fn len(&self) -> usize {
-        self.records.values().filter(|k| k.rate.is_some()).count()
+        self.records
+            .values()
+            .filter(|record| record.rate.is_some())
+            .count()
     }
 
     /// Returns whether no upstream names a limit.
--- a/crates/ashgauge/src/placement.rs
+++ b/crates/ashgauge/src/placement.rs
@@ -328,11 +328,11 @@
             .data_centres
             .get(&self.engines[index].data_centre)
             .map(|s| &s.announced[..]);
-        let other_holders = |shown: &[i32], l: Layer| shown[l as usize] - 1;
+        let other_holders = |announced: &[i32], l: Layer| announced[l as usize] - 1;
         let end = old.end.min(self.model.layers);
         let mut given_up = (old.first..end).filter(|l| !new.contains(*l));
         given_up.all(|l| {
-            let local_holders = local.map_or(0, |shown| other_holders(shown, l));
+            let local_holders = local.map_or(0, |announced| other_holders(announced, l));
             local_holders >= MIN_LOCAL_HOLDERS
                 || other_holders(&self.announced, l) >= MIN_TOTAL_HOLDERS
         })
--- a/crates/ashgauge/src/quarantine.rs
+++ b/crates/ashgauge/src/quarantine.rs
@@ -16,7 +16,7 @@
 
 /// Number of upstreams lost during a request after which it is quarantined, as the users
 /// specified.
-const MAX_LOSSES: usize = 3;
+const LOSSES_TO_QUARANTINE: usize = 3;
 
 /// Time from the first event of a run after which the request counts as harmless to its
 /// upstream. Requests that crash an upstream did so 3 to 96 ms after they began to run; with
@@ -41,7 +41,7 @@
 const MAX_REPORT_LOSSES: usize = 128;
 
 /// Maximum number of quarantined requests in one report, about 300 bytes.
-const MAX_REPORT_HELD: usize = 32;
+const MAX_REPORT_QUARANTINED: usize = 32;
 
 /// Maximum number of losses that are kept for reports.
 const MAX_GOSSIP_LOSSES: usize = 1024;
@@ -141,17 +141,18 @@
     xxh3_64_with_seed(id.as_bytes(), born.unwrap_or_default()) as InstanceKey
 }
 
-/// Returns true if a run with its first event at `first` and its latest at `last` has shown
-/// that the request does not crash its upstream.
-pub fn is_safe_run(first: Duration, last: Duration) -> bool {
-    last >= first + SAFE_RUN_TIME
+/// Returns whether a run has shown that the request does not crash its upstream: it was known
+/// to go on at `last`, and began by `start`, the time of its first event or at which its stages
+/// were chosen.
+pub fn is_safe_run(start: Duration, last: Duration) -> bool {
+    last >= start + SAFE_RUN_TIME
 }
 
 impl Quarantine {
     /// Records a loss that this box saw; returns true if the request is now quarantined
     /// because of it.
     pub fn record_loss(&mut self, now: Duration, loss: InstanceLoss) -> bool {
-        self.enqueue(now, loss, Audience::All);
+        self.add_gossip(now, loss, Audience::All);
         self.add_loss(now, loss)
     }
 
@@ -192,7 +193,7 @@
                 instances.push(check.instance);
             }
         }
-        instances.len() >= MAX_LOSSES
+        instances.len() >= LOSSES_TO_QUARANTINE
     }
 
     /// Forwards the losses of another box's report to boxes that do not get that report;
@@ -205,11 +206,13 @@
         let new = new.filter(|loss| !self.gossip.iter().any(|entry| is_reported(entry, loss)));
         let new: Vec<InstanceLoss> = new.copied().collect();
         new.iter()
-            .for_each(|loss| self.enqueue(now, *loss, audience));
+            .for_each(|loss| self.add_gossip(now, *loss, audience));
         !new.is_empty()
     }
 
-    fn enqueue(&mut self, now: Duration, loss: InstanceLoss, audience: Audience) {
+    /// Adds a loss to those that are reported to other boxes; drops the oldest if there are
+    /// too many.
+    fn add_gossip(&mut self, now: Duration, loss: InstanceLoss, audience: Audience) {
         self.gossip.retain(|entry| now < entry.since + GOSSIP_TIME);
         if self.gossip.len() >= MAX_GOSSIP_LOSSES {
             self.gossip.remove(0);
@@ -230,10 +233,10 @@
                 new.push(loss.digest);
             }
         }
-        for held in &report.quarantined {
-            let left = Duration::from_secs(held.left_s.into());
-            if self.quarantine(now, held.digest, left) {
-                new.push(held.digest);
+        for request in &report.quarantined {
+            let left = Duration::from_secs(request.left_s.into());
+            if self.quarantine(now, request.digest, left) {
+                new.push(request.digest);
             }
         }
         new
@@ -278,10 +281,10 @@
     /// Returns the quarantined requests and their remaining times, longest first.
     pub fn quarantined(&self, now: Duration) -> Vec<(Digest, Duration)> {
         let left = |(digest, until): (&Digest, &Duration)| (*digest, until.saturating_sub(now));
-        let mut held: Vec<_> = self.quarantined.iter().map(left).collect();
-        held.retain(|(_, left)| !left.is_zero());
-        held.sort_unstable_by_key(|(digest, left)| (std::cmp::Reverse(*left), *digest));
-        held
+        let mut quarantined: Vec<_> = self.quarantined.iter().map(left).collect();
+        quarantined.retain(|(_, left)| !left.is_zero());
+        quarantined.sort_unstable_by_key(|(digest, left)| (std::cmp::Reverse(*left), *digest));
+        quarantined
     }
 
     /// Returns the number of requests with losses that are not quarantined.
@@ -296,10 +299,11 @@
         let recent = recent.filter(|entry| now < entry.since + GOSSIP_TIME);
         let recent =
             recent.filter(|entry| audience == Audience::Downstream || entry.audience == audience);
-        let held = self.quarantined(now);
-        let skipped = (turn as usize).wrapping_mul(MAX_REPORT_HELD) % held.len().max(1);
-        let reported = held.iter().cycle().skip(skipped);
-        let reported = reported.take(held.len().min(MAX_REPORT_HELD));
+        let quarantined = self.quarantined(now);
+        let skipped =
+            (turn as usize).wrapping_mul(MAX_REPORT_QUARANTINED) % quarantined.len().max(1);
+        let reported = quarantined.iter().cycle().skip(skipped);
+        let reported = reported.take(quarantined.len().min(MAX_REPORT_QUARANTINED));
         LossReport {
             losses: recent
                 .map(|entry| entry.loss)
@@ -329,8 +333,8 @@
             suspect.instances.push(loss.instance);
             suspect.last_loss = now;
         }
-        let is_over_limit = suspect.instances.len() >= MAX_LOSSES;
-        is_over_limit && self.quarantine(now, loss.digest, QUARANTINE_TIME)
+        let reaches_threshold = suspect.instances.len() >= LOSSES_TO_QUARANTINE;
+        reaches_threshold && self.quarantine(now, loss.digest, QUARANTINE_TIME)
     }
 }
 
--- a/crates/ashgauge/src/queue.rs
+++ b/crates/ashgauge/src/queue.rs
@@ -14,7 +14,7 @@
 const FLOOR_WINDOW_TOKENS: f64 = 100_000.0;
 
 /// Weight of the newest gap in the learned drain rate.
-const DRAIN_GAIN: f64 = 0.05;
+const DRAIN_ALPHA: f64 = 0.05;
 
 /// A waiting request.
 #[derive(Clone, Debug, PartialEq)]
@@ -199,7 +199,7 @@
         } else {
             gap_per_token
         };
-        self.drain_rate = 1.0 / (mean_gap + DRAIN_GAIN * (gap_per_token - mean_gap)).max(1e-9);
+        self.drain_rate = 1.0 / (mean_gap + DRAIN_ALPHA * (gap_per_token - mean_gap)).max(1e-9);
         if self.is_empty() {
             // Idle time does not show how fast a backlog would drain.
             self.last_pop = None;
--- a/crates/ashgauge/src/retry.rs
+++ b/crates/ashgauge/src/retry.rs
@@ -127,7 +127,7 @@
 /// Counts of one bucket.
 #[derive(Clone, Copy, Debug, Default)]
 struct Bucket {
-    first_tries: f64,
+    first_attempts: f64,
     retries: f64,
 }
 
@@ -168,7 +168,7 @@
 
     /// Records a first try.
     pub fn deposit(&mut self, now: Duration) {
-        self.advance(now).first_tries += 1.0;
+        self.advance(now).first_attempts += 1.0;
     }
 
     /// Withdraws one retry; returns false if none is left.
@@ -213,11 +213,11 @@
     /// Returns the retries earned in some of the last buckets, where bucket 0 is the
     /// present one.
     fn earned(&self, now: Duration, buckets: Range<usize>) -> f64 {
-        let first_tries = self.sum(buckets.clone(), |bucket| bucket.first_tries);
+        let first_attempts = self.sum(buckets.clone(), |bucket| bucket.first_attempts);
         let extra = self.boxes.map(|n| self.allowance.extra / f64::from(n));
         let time =
             self.running_time(now, buckets).as_secs_f64() / self.allowance.window.as_secs_f64();
-        self.allowance.ratio * first_tries + extra.unwrap_or(0.0) * time
+        self.allowance.ratio * first_attempts + extra.unwrap_or(0.0) * time
     }
 
     /// Returns the time within some of the last buckets in which the process ran.
--- a/crates/ashgauge/src/silence.rs
+++ b/crates/ashgauge/src/silence.rs
@@ -3,7 +3,7 @@
 use std::time::Duration;
 
 /// Weight of the newest gap in the mean time between a stream's events.
-const GAP_WEIGHT: f64 = 0.2;
+const GAP_ALPHA: f64 = 0.2;
 
 /// Multiple of a stream's mean event gap after which it counts as silent.
 ///
@@ -61,7 +61,7 @@
         let gap = (now - self.last_event).as_secs_f64();
         if self.started {
             let mean = self.event_gap.unwrap_or(gap);
-            self.event_gap = Some(mean + GAP_WEIGHT * (gap - mean));
+            self.event_gap = Some(mean + GAP_ALPHA * (gap - mean));
         }
         self.started = true;
         self.reset(now);
--- a/crates/ashgauge/src/upstream_stats.rs
+++ b/crates/ashgauge/src/upstream_stats.rs
@@ -7,11 +7,12 @@
 use crate::member::UpstreamId;
 
 /// Weight of the newest sample in the averages.
-const ALPHA: f64 = 0.1;
+const AVERAGE_ALPHA: f64 = 0.1;
 
-/// Step with which the network delay rises if a sample is above it. It falls with a ninth
-/// of this step, so that it settles near the 90th percentile.
-const LINK_QUANTILE_STEP: f64 = 0.09;
+/// Gain of the learned network delay. It rises with twice this share of the distance to a
+/// higher sample, and falls with a ninth of that for a lower one, so that it settles well above
+/// the mean (at the 90 % expectile of the samples).
+const LINK_GAIN: f64 = 0.09;
 
 /// Seconds after which the delay of an unused link counts only a third, so that a link that
 /// was slow is tried again.
@@ -83,7 +84,7 @@
     layer_seconds: f64,
     link_seconds: f64,
     queue_ratio: f64,
-    single_order: DurationEstimate,
+    single_position: DurationEstimate,
     per_position: DurationEstimate,
     last_answer: Duration,
     suspect_until: Duration,
@@ -107,7 +108,7 @@
             layer_seconds: INITIAL_LAYER_SECONDS,
             link_seconds: 0.0,
             queue_ratio: 0.0,
-            single_order: DurationEstimate::default(),
+            single_position: DurationEstimate::default(),
             per_position: DurationEstimate::default(),
             last_answer: Duration::ZERO,
             suspect_until: Duration::ZERO,
@@ -149,7 +150,7 @@
             .as_secs_f64();
         self.record_link(link);
         let ratio = timing.queued.as_secs_f64() / timing.ran.as_secs_f64().max(1e-6);
-        self.queue_ratio += ALPHA * (ratio.min(10.0) - self.queue_ratio);
+        self.queue_ratio += AVERAGE_ALPHA * (ratio.min(10.0) - self.queue_ratio);
         self.resize_window();
         self.last_answer = now;
         self.failures = 0;
@@ -164,13 +165,13 @@
         if timing.positions > 1 {
             self.per_position
                 .record(round_trip / f64::from(timing.positions));
-        } else if self.single_order.mean == 0.0 {
+        } else if self.single_position.mean == 0.0 {
             self.layer_seconds = per_layer;
         } else {
-            self.layer_seconds += ALPHA * (per_layer - self.layer_seconds);
+            self.layer_seconds += AVERAGE_ALPHA * (per_layer - self.layer_seconds);
         }
         if timing.positions <= 1 {
-            self.single_order.record(round_trip);
+            self.single_position.record(round_trip);
         }
     }
 
@@ -178,9 +179,9 @@
         if self.link_seconds == 0.0 {
             self.link_seconds = link;
         } else if link > self.link_seconds {
-            self.link_seconds += (link - self.link_seconds) * LINK_QUANTILE_STEP * 2.0;
+            self.link_seconds += (link - self.link_seconds) * LINK_GAIN * 2.0;
         } else {
-            self.link_seconds -= (self.link_seconds - link) * LINK_QUANTILE_STEP / 4.5;
+            self.link_seconds -= (self.link_seconds - link) * LINK_GAIN / 4.5;
         }
     }
 
@@ -275,7 +276,7 @@
     pub fn position_seconds(&self, id: &str) -> f64 {
         self.by_id
             .get(id)
-            .map_or(0.0, |stats| stats.single_order.mean)
+            .map_or(0.0, |stats| stats.single_position.mean)
     }
 
     /// Returns the time that an order of so many positions seldom exceeds; `None` if there
@@ -283,9 +284,9 @@
     pub fn late_after(&self, id: &str, positions: u32) -> Option<Duration> {
         let stats = self.by_id.get(id)?;
         let late = match positions {
-            0 | 1 => stats.single_order.upper_bound(),
+            0 | 1 => stats.single_position.upper_bound(),
             n => (stats.per_position.upper_bound() * f64::from(n))
-                .max(stats.single_order.upper_bound()),
+                .max(stats.single_position.upper_bound()),
         };
         (late > 0.0).then(|| Duration::from_secs_f64(late))
     }
