--- a/crates/ashgauge/src/attempts.rs
+++ b/crates/ashgauge/src/attempts.rs
@@ -61,7 +61,8 @@
 
 impl Attempts {
     /// Creates the state of a request that must end by `deadline`, may run on at most
-    /// `max_runs` upstreams, and may run more than once if it is `idempotent`.
+    /// `max_runs` upstreams, not counting those that were lost, and may run more than once if
+    /// it is `idempotent`.
     pub fn new(deadline: Duration, max_runs: u32, idempotent: bool) -> Self {
         Attempts {
             deadline,
@@ -88,7 +89,7 @@
         &self.tried
     }
 
-    /// Returns true if the request may have run, so that the caller must not be told that it
+    /// Returns whether the request may have run, so that the caller must not be told that it
     /// has not.
     pub fn may_have_run(&self) -> bool {
         self.runs > 0
@@ -107,8 +108,8 @@
 
     /// Decides what to do after a send that brought no successful response.
     ///
-    /// `take_retry` is called if the request may be sent again; it takes a retry from the
-    /// retry budget and returns false if there is none left.
+    /// `withdraw_retry` is called if the request may be sent again; it withdraws a retry from
+    /// the retry budget and returns false if there is none left.
     pub fn decide(
         &mut self,
         now: Duration,
--- a/crates/ashgauge/src/chain.rs
+++ b/crates/ashgauge/src/chain.rs
@@ -166,7 +166,7 @@
     paths.min_by(|a, b| a.0.total_cmp(&b.0))
 }
 
-/// Returns true if the stages cover `first..end` with no gap and no overlap.
+/// Returns whether the stages cover `first..end` with no gap and no overlap.
 pub fn covers(first: Layer, end: Layer, stages: &[Stage]) -> bool {
     let mut at = first;
     for s in stages {
--- a/crates/ashgauge/src/claim.rs
+++ b/crates/ashgauge/src/claim.rs
@@ -35,7 +35,8 @@
 /// Number of a shard.
 pub type ShardId = u32;
 
-/// Unique name of one attempt to claim a key, such as `box.incarnation.request`.
+/// Unique name of one attempt to claim a key, such as `box.incarnation.request`; the
+/// incarnation differs with every start of the box's process.
 pub type ClaimId = String;
 
 /// State of the request that a claim stands for.
@@ -203,7 +204,7 @@
         self.config.shards * (1 + slice) + base
     }
 
-    /// Returns true if a key is so old that its claim may have been dropped.
+    /// Returns whether a key is so old that its claim may have been dropped.
     ///
     /// Always false for keys without a timestamp; see [`key_time`].
     pub fn is_expired(&self, wall_secs: u64, key: &str) -> bool {
@@ -211,7 +212,7 @@
         key_time(key).is_some_and(|created| created <= oldest + EXPIRY_MARGIN_SECONDS)
     }
 
-    /// Returns true if a key's timestamp lies in the future, so that its claim could be
+    /// Returns whether a key's timestamp lies in the future, so that its claim could be
     /// dropped before the key expires.
     pub fn is_early(&self, wall_secs: u64, key: &str) -> bool {
         key_time(key).is_some_and(|created| created > wall_secs + EARLY_MARGIN_SECONDS)
@@ -262,7 +263,8 @@
         };
         s.busy = false;
         let Some(state) = result else {
-            // State updates alone must not lead to a tight loop of failing reads.
+            // Counted like a write, so that state updates alone do not lead to a tight loop of
+            // failing reads.
             s.write_debt = s.write_debt_at(now, self.config.write_interval);
             s.last_write = Some(now);
             return self.fail_claims(now, shard, false);
--- a/crates/ashgauge/src/cost.rs
+++ b/crates/ashgauge/src/cost.rs
@@ -31,9 +31,9 @@
 const FULL_THRESHOLD: f64 = 0.95;
 
 /// Exponent with which the cost of an engine rises as it fills, where the data centre holds
-/// [`SPARE_COPIES`]. An engine that is half full then costs an eighth more. With exponent 1
-/// it cost twice as much, which sent requests to slow engines, where they hold memory for
-/// longer.
+/// [`MIN_COPIES_WITH_SPARE`]. An engine that is half full then costs an eighth more. With
+/// exponent 1 it cost twice as much, which sent requests to slow engines, where they hold
+/// memory for longer.
 const SPARE_FILL_EXPONENT: i32 = 3;
 
 /// Copies of the model in a data centre, in total, from which on other engines can replace
@@ -86,7 +86,8 @@
     model: &'a Model,
     /// Tokens that the request has to read and to write.
     size: RequestSize,
-    /// Whether the data centre has spare engines.
+    /// Whether the engines of the box's data centre hold at least [`MIN_COPIES_WITH_SPARE`]
+    /// copies of the model.
     has_spare: bool,
 }
 
--- a/crates/ashgauge/src/error.rs
+++ b/crates/ashgauge/src/error.rs
@@ -71,7 +71,7 @@
         }
     }
 
-    /// Returns true if another edit changed the same cell first.
+    /// Returns whether another edit changed the same cell first.
     pub fn is_conflict(&self) -> bool {
         self.classify() == Category::Conflict
     }
--- a/crates/ashgauge/src/freshness.rs
+++ b/crates/ashgauge/src/freshness.rs
@@ -75,7 +75,7 @@
         self.asked_at = self.asked_at.max(Some(asked_at));
     }
 
-    /// Returns true if the data may still be used at `now`.
+    /// Returns whether the data may still be used at `now`.
     pub fn is_fresh(&self, now: Duration) -> bool {
         self.age(now).is_some_and(|age| age <= self.max_age)
     }
@@ -124,7 +124,7 @@
         self.absorb_pending();
     }
 
-    /// Returns true if every change up to `revision` was read.
+    /// Returns whether every change up to `revision` was read.
     pub fn covers(&self, revision: u64) -> bool {
         revision <= self.base
     }
--- a/crates/ashgauge/src/hub.rs
+++ b/crates/ashgauge/src/hub.rs
@@ -44,7 +44,7 @@
     }
 }
 
-/// Returns the time between two such reports.
+/// Returns the time between two reports of this scope from a hub to its boxes.
 pub fn leaf_interval(scope: Scope) -> Duration {
     match scope {
         Scope::Remote(_) => REMOTE_INTERVAL,
@@ -53,9 +53,12 @@
 }
 
 /// Role of a box in the exchange of load reports.
+///
+/// The hubs are the readers ([`crate::reader`]). The boxes that are not readers are their
+/// leaves; [`Readers::has_followers`] tells whether there are any.
 #[derive(Clone, Debug, PartialEq)]
 pub enum Role {
-    /// Reports to every other box.
+    /// Reports to every other box, as the fleet is small or no hub is known.
     Peer,
     /// Reports to the other hubs, and to the boxes that report to it.
     Hub,
--- a/crates/ashgauge/src/level.rs
+++ b/crates/ashgauge/src/level.rs
@@ -104,9 +104,9 @@
     /// Class that is admitted in part. More urgent classes are admitted in full, less
     /// urgent ones not at all.
     pub class: Class,
-    /// Work a second that each team of this class may start.
+    /// Work that each team of this class may start, in typical requests a second.
     pub team_limit: f64,
-    /// Demands of the teams of this class.
+    /// Demands of the teams of this class; the small ones are combined under `None`.
     demands: Vec<(Option<TeamKey>, Demand)>,
 }
 
--- a/crates/ashgauge/src/limit.rs
+++ b/crates/ashgauge/src/limit.rs
@@ -80,7 +80,7 @@
         self.entry(now, team).add_demand(now, tokens);
     }
 
-    /// Returns true if a request may start now.
+    /// Returns whether a request may start now.
     ///
     /// One request may overdraw the balance; the next one waits until that is repaid.
     pub fn has_room(&mut self, now: Duration, team: &TeamId) -> bool {
--- a/crates/ashgauge/src/load_report.rs
+++ b/crates/ashgauge/src/load_report.rs
@@ -85,7 +85,8 @@
 pub struct LoadReport {
     /// Box that sends it.
     pub from: BoxId,
-    /// Random id of the sender's process; after a restart `sequence` begins again.
+    /// Incarnation of the sender: a random number for each start of its process; `sequence`
+    /// begins again after a restart.
     pub boot: u64,
     /// Sequence number of the report.
     #[serde(rename = "number")]
--- a/crates/ashgauge/src/member.rs
+++ b/crates/ashgauge/src/member.rs
@@ -154,7 +154,7 @@
         ids
     }
 
-    /// Returns true if an upstream must get no new work: it is leaving or not listed.
+    /// Returns whether an upstream must get no new work: it is leaving or not listed.
     pub fn is_leaving(&self, now: Duration, id: &str) -> bool {
         let listed = self.upstreams.get(id);
         let is_reported = self.leaving.get(id).is_some_and(|until| *until > now);
--- a/crates/ashgauge/src/mirror.rs
+++ b/crates/ashgauge/src/mirror.rs
@@ -101,7 +101,7 @@
         self.tracker.covered()
     }
 
-    /// Returns true if the mirror has every change up to a revision.
+    /// Returns whether the mirror has every change up to a revision.
     pub fn covers(&self, revision: Revision) -> bool {
         self.tracker.covers(revision)
     }
@@ -164,7 +164,7 @@
     }
 
     /// Accepts from now on that a restored store contains entries that had been removed before;
-    /// returns true if such entries were skipped so far.
+    /// returns whether such entries were skipped so far.
     pub fn accept_restored(&mut self) -> bool {
         let era = revision::era(self.covered());
         let is_old = |r: &Revision| revision::era(*r) < era;
@@ -306,7 +306,7 @@
         missing
     }
 
-    /// Returns true if a listed entry had been removed before the store was restored; the list
+    /// Returns whether a listed entry had been removed before the store was restored; the list
     /// may show the state of the backup copy.
     fn was_removed_before(&mut self, id: &UpstreamId, revision: Revision) -> bool {
         let removed = self.removed_at.get(id);
--- a/crates/ashgauge/src/node/admit.rs
+++ b/crates/ashgauge/src/node/admit.rs
@@ -296,8 +296,8 @@
         Ok(())
     }
 
-    /// Returns the expected run time of a request, from earlier requests of its route;
-    /// zero if there were none.
+    /// Returns the run time to expect for the tokens that a request may still generate, from
+    /// earlier requests of its route; zero for service calls and if there were none.
     pub(super) fn expected_run(&self, request: &Request) -> Duration {
         let token_time = self
             .token_times
--- a/crates/ashgauge/src/node/claims.rs
+++ b/crates/ashgauge/src/node/claims.rs
@@ -176,6 +176,8 @@
         }
     }
 
+    /// Updates a claim's state through `owner`, the box that owns its key, or on this box if it
+    /// is `None`.
     pub(super) fn send_claim_state(
         &mut self,
         owner: Option<(BoxId, String)>,
--- a/crates/ashgauge/src/node/dispatch.rs
+++ b/crates/ashgauge/src/node/dispatch.rs
@@ -79,7 +79,7 @@
         self.refuse(id, RefusalKind::UnknownRoute, message, Some(RETRY_AFTER));
     }
 
-    /// Returns true if upstreams that are not leaving could serve the route, busy or not.
+    /// Returns whether upstreams that are not leaving could serve the route, busy or not.
     pub(super) fn is_servable(&self, route: &str) -> bool {
         let now = self.now;
         match self.policy.routes.get(route).map(|r| &r.target) {
--- a/crates/ashgauge/src/node/mod.rs
+++ b/crates/ashgauge/src/node/mod.rs
@@ -46,7 +46,7 @@
 pub struct Config {
     /// Name of the box.
     pub id: BoxId,
-    /// Number that differs with every start of the process.
+    /// Incarnation of the box: a number that differs with every start of its process.
     pub incarnation: u64,
     /// Data centre of the box.
     pub data_centre: String,
@@ -350,7 +350,7 @@
         std::mem::take(&mut self.actions)
     }
 
-    /// Returns true if the load balancer may send requests to this box: its table is up
+    /// Returns whether the load balancer may send requests to this box: its table is up
     /// to date, the peers that it asked at start have answered or failed, it has contact
     /// to the platform or to a peer, and it is not draining.
     pub fn is_ready(&self, now: Duration) -> bool {
@@ -364,7 +364,7 @@
         table_current && peers_answered && !isolated && !control.draining
     }
 
-    /// Returns true if the node is draining and has no requests left.
+    /// Returns whether the node is draining and has no requests left.
     pub fn is_drained(&self) -> bool {
         self.control.draining && self.requests.is_empty()
     }
--- a/crates/ashgauge/src/node/pipeline.rs
+++ b/crates/ashgauge/src/node/pipeline.rs
@@ -266,7 +266,7 @@
         self.send_run(id);
     }
 
-    /// Sends the caller a token; returns true if it was the last.
+    /// Sends the caller a token; returns whether it was the last.
     fn emit_token(&mut self, id: RequestId, token: Token) -> bool {
         let Some(request) = self.requests.get_mut(&id) else {
             return true;
--- a/crates/ashgauge/src/node/quarantined.rs
+++ b/crates/ashgauge/src/node/quarantined.rs
@@ -16,7 +16,7 @@
     }
 
     /// Records the loss of the current stage's engine against the request, and returns
-    /// true if the request is in quarantine from now on.
+    /// whether the request is in quarantine from now on.
     ///
     /// The loss does not count if the stage had returned results and the request had run
     /// on its engines for long enough to be safe.
--- a/crates/ashgauge/src/node/recover.rs
+++ b/crates/ashgauge/src/node/recover.rs
@@ -178,8 +178,10 @@
         }
     }
 
-    /// Replaces the current stage by other stages for its layers, or restarts the request
-    /// if its inputs are not kept any more. Without suitable engines the request is
+    /// Replaces the current stage by other stages for its layers.
+    ///
+    /// Restarts the request instead if its inputs are not kept any more or `strategy.replay` is
+    /// off, and refuses it after [`MAX_REPLACEMENTS`]. Without suitable engines the request is
     /// stalled.
     pub(super) fn replace_stage(&mut self, id: RequestId, lost: Option<UpstreamId>) {
         let replay = self.config.strategy.replay;
--- a/crates/ashgauge/src/node/types.rs
+++ b/crates/ashgauge/src/node/types.rs
@@ -80,7 +80,7 @@
     pub end: bool,
 }
 
-/// Request to one stage to run these positions through these layers.
+/// Instruction to one stage to run some positions through its layers.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub struct StageRun {
     /// Id of the caller's request.
@@ -321,11 +321,12 @@
     /// A message from another box.
     #[serde(rename = "Heard")]
     MessageReceived(Envelope),
-    /// A message to another box could not be delivered.
+    /// Sending a message to another box failed; it may have arrived all the same.
     SendFailed(crate::member::BoxId, Message),
     /// An operator requested an edit of the table.
     Edit(WaiterId, Edit),
-    /// An upstream answered a fenced order that was sent under this term of the lease.
+    /// A fenced order ended: upstream, term of the lease under which it was sent, and reply,
+    /// which may be [`Reply::Lost`](crate::order::Reply::Lost).
     #[serde(rename = "Obeyed")]
     OrderAnswered(UpstreamId, u64, crate::order::Reply),
     /// The process was asked to stop.
--- a/crates/ashgauge/src/notice.rs
+++ b/crates/ashgauge/src/notice.rs
@@ -48,7 +48,7 @@
 }
 
 impl UpstreamNotice {
-    /// Records that the upstream is leaving; returns true if that is new.
+    /// Records that the upstream is leaving; returns whether that is new.
     pub fn set_leaving(&mut self) -> bool {
         !std::mem::replace(&mut self.leaving, true)
     }
--- a/crates/ashgauge/src/order.rs
+++ b/crates/ashgauge/src/order.rs
@@ -73,7 +73,7 @@
     pub desired: DesiredState,
 }
 
-/// Reply of an upstream to an order.
+/// Result of an order.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub enum Reply {
     /// The upstream has the state with this hash.
--- a/crates/ashgauge/src/pending.rs
+++ b/crates/ashgauge/src/pending.rs
@@ -101,8 +101,9 @@
 
 /// The last round of orders that a box has heard of, by service.
 ///
-/// A store that was restored from a copy issues round numbers again. The rounds that the
-/// copy holds were ordered long before, and those that it lost are known to the engines.
+/// A store that was restored from a copy has lost the latest rounds, and uses their numbers
+/// again in its next era. The orders of the rounds that the copy holds were sent long before,
+/// and the engines know those of the lost rounds, so none of them need be sent again.
 ///
 /// # Example
 ///
--- a/crates/ashgauge/src/permit/limits.rs
+++ b/crates/ashgauge/src/permit/limits.rs
@@ -61,7 +61,7 @@
 struct LimitRecord {
     rate: Option<f64>,
     since: Duration,
-    /// Time of the information.
+    /// Time at which this was known to hold.
     as_of: Duration,
 }
 
--- a/crates/ashgauge/src/permit/mod.rs
+++ b/crates/ashgauge/src/permit/mod.rs
@@ -38,7 +38,7 @@
 pub struct PermitRequest {
     /// Box that makes the request.
     pub from: BoxId,
-    /// Number of the request.
+    /// Id of the permit request.
     pub id: PermitRequestId,
     /// The box's knowledge of the upstream's limit.
     #[serde(rename = "told")]
@@ -50,9 +50,9 @@
 pub struct PermitReply {
     /// Box that replies.
     pub from: BoxId,
-    /// Number of the request.
+    /// Id of the permit request.
     pub id: PermitRequestId,
-    /// Whether the request may be sent.
+    /// Whether the box may send its request to the upstream.
     pub verdict: Verdict,
     /// The replying box's knowledge of the upstream's limit.
     #[serde(rename = "told")]
--- a/crates/ashgauge/src/placement.rs
+++ b/crates/ashgauge/src/placement.rs
@@ -27,19 +27,21 @@
 /// a small engine's memory may make a layer more.
 const WEIGHT_SHARE_STEP: f64 = 0.01;
 
-/// Minimum share in a data centre with memory for a second copy of every layer, and the
-/// share of its fast accelerators, which chains prefer.
+/// Share of memory for weights on fast accelerators, which chains prefer, and the minimum on
+/// the others, in a data centre with memory for a second copy of every layer.
 const MIN_SPARE_SHARE: f64 = 0.60;
 
 /// Copies of the model in a data centre at which no more memory is given to weights: one
 /// chain, and second holders for some of the layers.
 const TARGET_COPIES: f64 = 1.15;
 
-/// The same where the memory allows a second copy of every layer. The loss of any engine,
-/// and of most pairs, then leaves a chain in the data centre.
+/// The same in a data centre whose memory allows a second copy of every layer, see
+/// [`MIN_SPARE_COPIES`]. The loss of any engine, and of most pairs, then leaves a chain in the
+/// data centre.
 const TARGET_SPARE_COPIES: f64 = 2.4;
 
-/// Copies that the memory must allow for that.
+/// Copies that a data centre's memory must allow to count as one with a second copy of every
+/// layer.
 const MIN_SPARE_COPIES: f64 = 2.0;
 
 /// An accelerator counts as fast if the slowest kind takes this many times as long for a
@@ -82,8 +84,8 @@
 const MIN_LOCAL_HOLDERS: i32 = 1;
 const MIN_TOTAL_HOLDERS: i32 = 2;
 
-/// Share by which the value of a range rises for each boundary that it has in common with
-/// the range of another engine: chains then have fewer stages.
+/// Share by which the value of a range rises for each of its two ends that is also an end of
+/// another engine's range in the data centre, or of the model: chains then have fewer stages.
 const ALIGNMENT_BONUS: f64 = 0.04;
 
 /// An engine and its layers, as the placement sees it.
--- a/crates/ashgauge/src/quarantine.rs
+++ b/crates/ashgauge/src/quarantine.rs
@@ -18,9 +18,10 @@
 /// specified.
 const LOSSES_TO_QUARANTINE: usize = 3;
 
-/// Time from the first event of a run after which the request counts as harmless to its
-/// upstream. Requests that crash an upstream did so 3 to 96 ms after they began to run; with
-/// a longer time, more losses are attributed to requests that only ran at the same time.
+/// Time from the start of a run, see [`is_safe_run`], after which the request counts as
+/// harmless to its upstream. Requests that crash an upstream did so 3 to 96 ms after they began
+/// to run; with a longer time, more losses are attributed to requests that only ran at the same
+/// time.
 const SAFE_RUN_TIME: Duration = Duration::from_millis(500);
 
 /// How long a request is quarantined before it may run again, and how long a loss counts:
@@ -68,7 +69,7 @@
     pub left_s: u32,
 }
 
-/// Report of one box to others.
+/// Report of one box to others on losses and quarantined requests.
 #[derive(Clone, Debug, Default, PartialEq, Serialize, Deserialize)]
 pub struct LossReport {
     /// Losses that the box saw or was told of within the last seconds.
@@ -131,7 +132,8 @@
     /// All boxes: peers that report to each other, and boxes that get reports only through
     /// this one.
     All,
-    /// Only the boxes that get the reports of others through this one.
+    /// Only the boxes that get the reports of others through this one, its leaves
+    /// ([`crate::hub::Role::Leaf`]).
     Downstream,
 }
 
@@ -149,7 +151,7 @@
 }
 
 impl Quarantine {
-    /// Records a loss that this box saw; returns true if the request is now quarantined
+    /// Records a loss that this box saw; returns whether the request is now quarantined
     /// because of it.
     pub fn record_loss(&mut self, now: Duration, loss: InstanceLoss) -> bool {
         self.add_gossip(now, loss, Audience::All);
@@ -168,7 +170,7 @@
         }
     }
 
-    /// Returns true if a request would be quarantined if all checks of its upstreams found
+    /// Returns whether a request would be quarantined if all checks of its upstreams found
     /// them lost. It is not sent anywhere until the checks have ended: a process takes some
     /// time to end, and each send in the meantime may crash another upstream.
     ///
@@ -197,7 +199,7 @@
     }
 
     /// Forwards the losses of another box's report to boxes that do not get that report;
-    /// returns true if there is something new to send.
+    /// returns whether there is something new to send.
     pub fn forward(&mut self, now: Duration, report: &LossReport, audience: Audience) -> bool {
         let is_reported = |entry: &GossipLoss, loss: &InstanceLoss| {
             entry.loss == *loss && now < entry.since + GOSSIP_TIME
@@ -242,7 +244,7 @@
         new
     }
 
-    /// Quarantines a request for the time `left`; returns true if it was not quarantined before.
+    /// Quarantines a request for the time `left`; returns whether it was not quarantined before.
     ///
     /// Boxes report the time left, rounded down to whole seconds. So it never grows when it is
     /// passed between boxes, and each quarantine ends.
@@ -266,7 +268,7 @@
         self.suspects.remove(&digest);
     }
 
-    /// Returns true if upstreams were lost during a request that is not quarantined.
+    /// Returns whether upstreams were lost during a request that is not quarantined.
     pub fn is_suspect(&self, digest: Digest) -> bool {
         self.suspects.contains_key(&digest)
     }
@@ -313,7 +315,7 @@
         }
     }
 
-    /// Adds a loss to those of its request; returns true if the request is now quarantined.
+    /// Adds a loss to those of its request; returns whether the request is now quarantined.
     fn add_loss(&mut self, now: Duration, loss: InstanceLoss) -> bool {
         if self.time_left(now, loss.digest).is_some() {
             return false;
@@ -348,7 +350,7 @@
 }
 
 impl LossReport {
-    /// Returns true if there is nothing to report.
+    /// Returns whether there is nothing to report.
     pub fn is_empty(&self) -> bool {
         self.losses.is_empty() && self.quarantined.is_empty()
     }
--- a/crates/ashgauge/src/query.rs
+++ b/crates/ashgauge/src/query.rs
@@ -36,7 +36,7 @@
     Changed(BoxId),
     /// Report by the box with this name of requests that crash upstreams.
     Losses(BoxId, LossReport),
-    /// Request for a permit to send to an upstream that announces a limit.
+    /// Request for a permit to send to an upstream that names a limit.
     AskPermit(permit::PermitRequest),
     /// Reply to a permit request.
     Permit(permit::PermitReply),
--- a/crates/ashgauge/src/queue.rs
+++ b/crates/ashgauge/src/queue.rs
@@ -66,7 +66,7 @@
         self.len
     }
 
-    /// Returns true if no request waits.
+    /// Returns whether no request waits.
     pub fn is_empty(&self) -> bool {
         self.len == 0
     }
--- a/crates/ashgauge/src/reader.rs
+++ b/crates/ashgauge/src/reader.rs
@@ -88,7 +88,8 @@
 pub struct Readers {
     /// Whether this box is a reader.
     pub includes_self: bool,
-    /// Whether there are boxes that are not readers.
+    /// Whether there are boxes that are not readers; in a large fleet these are leaves
+    /// ([`crate::hub::Role::Leaf`]).
     pub has_followers: bool,
     /// Names of all readers.
     pub ids: Vec<BoxId>,
@@ -110,7 +111,7 @@
         self.boxes.remove(id);
     }
 
-    /// Returns true if a box must be skipped at `now`.
+    /// Returns whether a box must be skipped at `now`.
     pub fn is_backed_off(&self, now: Duration, id: &str) -> bool {
         self.boxes.get(id).is_some_and(|s| now < s.until)
     }
--- a/crates/ashgauge/src/registry.rs
+++ b/crates/ashgauge/src/registry.rs
@@ -227,7 +227,7 @@
         self.update(id, |e| e.note_activity(now));
     }
 
-    /// Excludes an upstream for some time; returns true if it was not suspect before.
+    /// Excludes an upstream for some time; returns whether it was not suspect before.
     pub fn mark_suspect(&mut self, now: Duration, id: &str) -> bool {
         self.update(id, |e| e.mark_suspect(now)).unwrap_or(false)
     }
@@ -248,7 +248,7 @@
         self.update(id, |e| e.block(now, duration));
     }
 
-    /// Records that an upstream no longer sets a rate limit.
+    /// Records that an upstream no longer names a rate limit.
     pub fn unblock(&mut self, key: UpstreamKey) {
         for (id, entry) in &mut self.entries {
             if load_report::upstream_key(id) == key {
@@ -262,7 +262,7 @@
         self.update_notice(now, id, |n| n.extend_backoff(now, backoff));
     }
 
-    /// Records that an upstream announced in an answer that it is leaving; returns true if
+    /// Records that an upstream announced in an answer that it is leaving; returns whether
     /// that was not known.
     pub fn note_leaving(&mut self, now: Duration, id: &str) -> bool {
         let announced = self.get(id).is_some_and(UpstreamState::is_leaving);
@@ -286,7 +286,7 @@
         }
     }
 
-    /// Records the slowness factor that an engine reported; returns true if it changed
+    /// Records the slowness factor that an engine reported; returns whether it changed
     /// notably.
     pub fn note_slow(&mut self, now: Duration, id: &str, factor: f64) -> bool {
         let changed = self.update(id, |e| e.note_slow(now, factor));
--- a/crates/ashgauge/src/retry.rs
+++ b/crates/ashgauge/src/retry.rs
@@ -1,4 +1,4 @@
-//! Retry budgets, which limit retries to a small share of first tries.
+//! Retry budgets, which limit retries to a small share of first attempts.
 
 use std::ops::Range;
 use std::time::Duration;
@@ -6,7 +6,7 @@
 /// Largest number of retries that may be saved up.
 const MAX_CREDITS: f64 = 20.0;
 
-/// Retry budget that earns a share of a retry with each first try.
+/// Retry budget that earns a share of a retry with each first attempt.
 #[derive(Clone, Copy, Debug)]
 pub struct RetryBudget {
     share: f64,
@@ -14,7 +14,7 @@
 }
 
 impl RetryBudget {
-    /// Creates a budget of `share` retries for each first try, 0 to 1.
+    /// Creates a budget of `share` retries for each first attempt, 0 to 1.
     pub fn new(share: f64) -> Self {
         RetryBudget {
             share,
@@ -22,7 +22,7 @@
         }
     }
 
-    /// Records a first try.
+    /// Records a first attempt.
     pub fn deposit(&mut self) {
         self.credits = (self.credits + self.share).min(MAX_CREDITS);
     }
@@ -66,7 +66,7 @@
 pub struct Allowance {
     /// Length of the window.
     pub window: Duration,
-    /// Retries for each first try, 0 to 1.
+    /// Retries for each first attempt, 0 to 1.
     pub ratio: f64,
     /// Additional retries in each window, over all boxes.
     pub extra: f64,
@@ -75,7 +75,7 @@
 /// State of a box's share of the allowance in the present window.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct Balance {
-    /// Retries earned by first tries and by the box's share of the additional ones.
+    /// Retries earned by first attempts and by the box's share of the additional ones.
     pub earned: f64,
     /// Retries made.
     pub spent: f64,
@@ -166,7 +166,7 @@
         };
     }
 
-    /// Records a first try.
+    /// Records a first attempt.
     pub fn deposit(&mut self, now: Duration) {
         self.advance(now).first_attempts += 1.0;
     }
--- a/crates/ashgauge/src/slack.rs
+++ b/crates/ashgauge/src/slack.rs
@@ -6,8 +6,8 @@
 /// Time that a request has left until it is late.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Slack {
-    /// The stream has begun and its caller waits for the next event: it is late after a
-    /// pause, which is nearly over.
+    /// The stream has begun and its caller waits for the next event: a short pause already
+    /// makes it late.
     Streaming,
     /// The answer may still arrive within its target latency.
     OnTime,
@@ -68,7 +68,7 @@
 ///
 /// A late request goes behind those of its priority that are not late, level with the next
 /// priority, as it loses nothing more by waiting. A stream that has begun goes before them,
-/// as it is late after a short pause.
+/// except at priority 0, as a short pause already makes it late.
 ///
 /// # Example
 ///
--- a/crates/ashgauge/src/table.rs
+++ b/crates/ashgauge/src/table.rs
@@ -159,7 +159,7 @@
         Some(&self.edits[from..])
     }
 
-    /// Returns true if this table's history contains the edit.
+    /// Returns whether this table's history contains the edit.
     pub fn contains_edit(&self, id: &str) -> bool {
         self.edits.iter().any(|e| e.id == id)
     }
--- a/crates/ashgauge/src/throughput.rs
+++ b/crates/ashgauge/src/throughput.rs
@@ -7,8 +7,8 @@
 use crate::chain::Layer;
 use crate::routing::Model;
 
-/// Passes that a token takes at each engine, its own included: on average it arrives in the
-/// middle of one.
+/// Passes of an engine that a token takes: it arrives in the middle of one on average, and is
+/// processed in the next.
 const PASSES_PER_TOKEN: f64 = 1.5;
 
 /// Number of requests that are assumed to share the passes of an engine when chains are
--- a/crates/ashgauge/src/upstream.rs
+++ b/crates/ashgauge/src/upstream.rs
@@ -46,7 +46,7 @@
 
 impl Upstream {
     /// Merges this entry, which may be older, with the one announced `before`. An instance
-    /// that is leaving never stops leaving, and never gives up all of its layers.
+    /// never stops leaving once it has begun, and never goes back to holding no layers.
     pub fn merge_previous(self, before: &Upstream) -> Self {
         if self.started_ms != before.started_ms {
             return self;
--- a/crates/ashgauge/src/upstream_state.rs
+++ b/crates/ashgauge/src/upstream_state.rs
@@ -1,4 +1,7 @@
 //! What a box has learned about one upstream by using it.
+//!
+//! This state is for requests that are handed on as a whole. [`crate::upstream_stats`] is for
+//! those that a [`Node`](crate::node::Node) runs stage by stage.
 
 use std::time::Duration;
 
@@ -74,6 +77,8 @@
     failure_rate: (f64, Duration),
     /// When the last event arrived that it took part in.
     last_activity: Option<Duration>,
+    /// Until when it is excluded, because it was marked as suspect or does not hold what it
+    /// announces.
     suspect_until: Option<Duration>,
     /// Until when another box's report that it is lost counts.
     peer_suspect_until: Option<Duration>,
@@ -95,7 +100,8 @@
 }
 
 impl UpstreamState {
-    /// Returns whether it may be used at `now`.
+    /// Returns whether it is neither leaving, missing nor suspect; see
+    /// [`UpstreamState::accepts_requests`] for new requests.
     pub fn is_usable(&self, now: Duration) -> bool {
         !self.is_leaving() && !self.is_missing() && !self.is_suspect(now)
     }
@@ -116,7 +122,8 @@
         self.missing_since.is_some()
     }
 
-    /// Returns whether it failed a short while ago.
+    /// Returns whether it is excluded for now, because it was marked as suspect or does not
+    /// hold what it announces.
     pub fn is_suspect(&self, now: Duration) -> bool {
         self.suspect_until.is_some_and(|until| now < until)
     }
@@ -281,7 +288,7 @@
         self.peer_suspect_until = Some(now + PEER_SUSPECT_TTL);
     }
 
-    /// Excludes it for some time; returns true if it was not suspect before.
+    /// Excludes it for some time; returns whether it was not suspect before.
     pub(crate) fn mark_suspect(&mut self, now: Duration) -> bool {
         let new = !self.is_suspect(now);
         self.suspect_until = Some(now + SUSPECT_DURATION);
@@ -308,7 +315,7 @@
         self.peer_slow = Some((factor, now + PEER_SLOW_TTL));
     }
 
-    /// Records a slowness factor; returns true if it changed notably.
+    /// Records a slowness factor; returns whether it changed notably.
     pub(crate) fn note_slow(&mut self, now: Duration, factor: f64) -> bool {
         let before = self.slowness(now);
         self.own_slow = Some((factor, now + SLOW_TTL));
--- a/crates/ashgauge/src/upstream_stats.rs
+++ b/crates/ashgauge/src/upstream_stats.rs
@@ -1,4 +1,7 @@
 //! What a box has learned about each upstream: speed, network delay, queueing and window.
+//!
+//! These statistics are for a [`Node`](crate::node::Node), which runs each request stage by
+//! stage. [`crate::upstream_state`] is for requests that are handed on as a whole.
 
 use std::collections::HashMap;
 use std::time::Duration;
@@ -18,7 +21,7 @@
 /// was slow is tried again.
 const LINK_DECAY_SECONDS: f64 = 20.0;
 
-/// Ratio of queueing time to run time of an order below which the window grows.
+/// Ratio of queueing time to run time of a call below which the window grows.
 const GROW_QUEUE_RATIO: f64 = 0.5;
 
 /// Ratio above which it shrinks.
@@ -30,12 +33,12 @@
 const INITIAL_SUSPECT_DURATION: Duration = Duration::from_millis(250);
 const MAX_SUSPECT_DURATION: Duration = Duration::from_secs(2);
 
-/// Duration of an order, as the box and the engine measured it.
+/// Duration of a call, a stage run or a service call, as the box and the engine measured it.
 #[derive(Clone, Copy, Debug, Default)]
 pub struct CallTiming {
     /// Time from sending to the answer, by the clock of the box.
     pub round_trip: Duration,
-    /// Time that the order waited in the engine.
+    /// Time that the call waited in the engine.
     pub queued: Duration,
     /// Time that it ran in the engine.
     pub ran: Duration,
@@ -157,8 +160,8 @@
         self.probing = false;
     }
 
-    /// Records the speed of an order. Orders of one position and of several are measured
-    /// separately, as engines run the positions of an order together.
+    /// Records the speed of a call. Calls with one position and with several are measured
+    /// separately, as engines run the positions of a call together.
     fn record_speed(&mut self, timing: &CallTiming) {
         let per_layer = timing.ran.as_secs_f64() / f64::from(timing.layers.max(1));
         let round_trip = timing.round_trip.as_secs_f64();
@@ -242,12 +245,12 @@
         stats.probing = false;
     }
 
-    /// Records the timing of an order that was answered.
+    /// Records the timing of a call that was answered.
     pub fn record(&mut self, now: Duration, id: &UpstreamId, timing: &CallTiming) {
         self.get_mut(id).record(now, timing);
     }
 
-    /// Records an order that failed; the upstream gets no requests for a while.
+    /// Records a call that failed; the upstream gets no requests for a while.
     pub fn record_failure(&mut self, now: Duration, id: &UpstreamId) {
         let stats = self.get_mut(id);
         let pause = INITIAL_SUSPECT_DURATION * 2u32.saturating_pow(stats.failures.min(10));
@@ -272,15 +275,15 @@
         }
     }
 
-    /// Returns the average seconds that an order of one position takes.
+    /// Returns the average seconds that a call with one position takes.
     pub fn position_seconds(&self, id: &str) -> f64 {
         self.by_id
             .get(id)
             .map_or(0.0, |stats| stats.single_position.mean)
     }
 
-    /// Returns the time that an order of so many positions seldom exceeds; `None` if there
-    /// was no such order yet.
+    /// Returns the time that a call with so many positions seldom exceeds; `None` if nothing
+    /// was measured that it could be estimated from.
     pub fn late_after(&self, id: &str, positions: u32) -> Option<Duration> {
         let stats = self.by_id.get(id)?;
         let late = match positions {
