--- a/crates/ashgauge/src/quarantine.rs
+++ b/crates/ashgauge/src/quarantine.rs
@@ -131,7 +131,7 @@
     /// this one.
     All,
     /// Only the boxes that get the reports of others through this one.
-    Downstream,
+    Leaves,
 }
 
 /// Returns the key of an upstream instance: a hash of its id, and of its start time if it
@@ -263,7 +263,7 @@
     }
 
     /// Returns true if upstreams were lost during a request that is not quarantined.
-    pub fn is_suspect(&self, digest: Digest) -> bool {
+    pub fn has_losses(&self, digest: Digest) -> bool {
         self.suspects.contains_key(&digest)
     }
 
@@ -294,7 +294,7 @@
         let recent = self.gossip.iter().rev();
         let recent = recent.filter(|entry| now < entry.since + GOSSIP_TIME);
         let recent =
-            recent.filter(|entry| audience == Audience::Downstream || entry.audience == audience);
+            recent.filter(|entry| audience == Audience::Leaves || entry.audience == audience);
         let held = self.quarantined(now);
         let skipped = (turn as usize).wrapping_mul(MAX_REPORT_HELD) % held.len().max(1);
         let reported = held.iter().cycle().skip(skipped);
--- a/crates/ashgauge/tests/quarantine.rs
+++ b/crates/ashgauge/tests/quarantine.rs
@@ -227,10 +227,10 @@
     assert!(hubs[0].forward(SECOND, &told, Audience::All));
     // The other hub tells its boxes, and no hub.
     let told = hubs[0].report(SECOND, 0, Audience::All);
-    assert!(hubs[1].forward(SECOND, &told, Audience::Downstream));
+    assert!(hubs[1].forward(SECOND, &told, Audience::Leaves));
     assert!(hubs[1].report(SECOND, 0, Audience::All).is_empty());
-    leaf.merge(SECOND, &hubs[1].report(SECOND, 0, Audience::Downstream));
+    leaf.merge(SECOND, &hubs[1].report(SECOND, 0, Audience::Leaves));
     assert!(leaf.time_left(SECOND, 7).is_some());
     // What goes round ends.
-    assert!(!hubs[1].forward(SECOND, &told, Audience::Downstream));
+    assert!(!hubs[1].forward(SECOND, &told, Audience::Leaves));
 }
--- a/crates/ashgauge/tests/suspicion.rs
+++ b/crates/ashgauge/tests/suspicion.rs
@@ -72,13 +72,10 @@
 #[test]
 fn notification_is_forwarded_once() {
     let mut own = SuspectReports::default();
-    let below = Some(Audience::Downstream);
+    let below = Some(Audience::Leaves);
     assert!(own.record_report(SECOND, engine(1), below));
     assert!(!own.record_report(SECOND, engine(1), Some(Audience::All)));
-    assert_eq!(
-        own.take_pending(SECOND),
-        [(engine(1), Audience::Downstream)]
-    );
+    assert_eq!(own.take_pending(SECOND), [(engine(1), Audience::Leaves)]);
     for ms in 1..MIN_REPEAT_INTERVAL.as_millis() as u32 {
         assert!(!own.record_report(SECOND + MS * ms, engine(1), below));
     }
@@ -107,7 +104,7 @@
                     (true, Audience::All) => {
                         sent.extend(hubs.chain(below).map(|to| (n, to, start)))
                     }
-                    (true, Audience::Downstream) => sent.extend(below.map(|to| (n, to, start))),
+                    (true, Audience::Leaves) => sent.extend(below.map(|to| (n, to, start))),
                     (false, _) => sent.push((n, hub(n), start)),
                 }
             }
@@ -115,7 +112,7 @@
         for (from, to, start) in sent {
             heard[to] += 1;
             let audience = match (to < HUBS, from < HUBS) {
-                (true, true) => Some(Audience::Downstream),
+                (true, true) => Some(Audience::Leaves),
                 (true, false) => Some(Audience::All),
                 (false, _) => None,
             };
@@ -137,7 +134,7 @@
     let mut own = SuspectReports::default();
     assert!(own.record_found(SECOND, engine(0)));
     for n in 1..2 * MAX_ENTRIES {
-        own.record_report(SECOND, engine(n), Some(Audience::Downstream));
+        own.record_report(SECOND, engine(n), Some(Audience::Leaves));
         assert!(own.len() <= MAX_ENTRIES);
     }
     assert!(!own.record_found(SECOND, engine(2 * MAX_ENTRIES)));
--- a/crates/ashgauged/src/relay/capacity_wait.rs
+++ b/crates/ashgauged/src/relay/capacity_wait.rs
@@ -9,7 +9,7 @@
 use serde_json::json;
 use tokio::time::sleep;
 
-use super::request::AdmittedRequest;
+use super::request::RoutedRequest;
 use super::shared_state::SharedState;
 
 /// Longest wait for capacity. A request that would wait longer is refused at once and comes
@@ -40,7 +40,7 @@
 
 impl CapacityWait {
     /// Creates the wait of a request that is not in the queue yet.
-    pub fn new(shared: &Rc<SharedState>, request: &AdmittedRequest) -> Self {
+    pub fn new(shared: &Rc<SharedState>, request: &RoutedRequest) -> Self {
         let is_first = !request.may_be_retry();
         let max_wait = if is_first { MAX_WAIT } else { MAX_RETRY_WAIT };
         CapacityWait {
@@ -54,7 +54,7 @@
 
     /// Puts the request into the queue, if it is not there yet, because no chain has the
     /// capacity.
-    pub fn wait_for_capacity(&mut self, request: &AdmittedRequest) {
+    pub fn enqueue_for_capacity(&mut self, request: &RoutedRequest) {
         if self.ticket.is_none() {
             let fields = json!({
                 "full": self.shared.count_full(&request.service),
@@ -67,7 +67,7 @@
     }
 
     /// Puts the request into the queue, if it is not there yet.
-    fn enqueue(&mut self, request: &AdmittedRequest) {
+    fn enqueue(&mut self, request: &RoutedRequest) {
         if self.ticket.is_none() {
             let team = request.team.as_ref().map_or("", |t| t.name.as_str());
             let rank = request.rank(&self.shared);
@@ -80,7 +80,7 @@
 
     /// Waits until the request may choose a chain. Returns `false` if that would take too
     /// long.
-    pub async fn wait(&mut self, request: &AdmittedRequest) -> bool {
+    pub async fn wait(&mut self, request: &RoutedRequest) -> bool {
         let rank = request.rank(&self.shared);
         let queue_ahead = |queue: &mut AdmissionQueue| queue.ahead_of_new(rank);
         if self.ticket.is_none() && self.shared.with_queue(&self.service, queue_ahead) > 0 {
--- a/crates/ashgauged/src/relay/pack.rs
+++ b/crates/ashgauged/src/relay/codec.rs
@@ -15,7 +15,7 @@
 
 /// Maximum size of a decompressed update, in bytes: many times the size of any fleet's
 /// data.
-const MAX_UNPACKED_BYTES: u64 = 32 << 20;
+const MAX_DECOMPRESSED_BYTES: u64 = 32 << 20;
 
 /// Encodes and compresses an update. Without compression, the entries of thousands of
 /// engines are more than a box with a slow link can send to thirty others within a
@@ -24,7 +24,7 @@
 /// # Errors
 ///
 /// Fails if the update cannot be encoded, which does not happen in practice.
-pub fn pack(update: &Update) -> Result<Vec<u8>> {
+pub fn compress(update: &Update) -> Result<Vec<u8>> {
     let encoded = postcard::to_allocvec(update)?;
     let mut encoder = DeflateEncoder::new(Vec::new(), Compression::fast());
     encoder.write_all(&encoded)?;
@@ -35,16 +35,16 @@
 ///
 /// # Errors
 ///
-/// Fails if the bytes are not a valid update, or are larger than [`MAX_UNPACKED_BYTES`]
+/// Fails if the bytes are not a valid update, or are larger than [`MAX_DECOMPRESSED_BYTES`]
 /// when decompressed.
-pub fn unpack(bytes: &[u8]) -> Result<Update> {
+pub fn decompress(bytes: &[u8]) -> Result<Update> {
     let mut decompressed = Vec::new();
     let result = DeflateDecoder::new(bytes)
-        .take(MAX_UNPACKED_BYTES + 1)
+        .take(MAX_DECOMPRESSED_BYTES + 1)
         .read_to_end(&mut decompressed);
     result.wrap_err("the update cannot be unpacked")?;
-    if decompressed.len() as u64 > MAX_UNPACKED_BYTES {
-        bail!("the update is larger than {MAX_UNPACKED_BYTES} bytes unpacked");
+    if decompressed.len() as u64 > MAX_DECOMPRESSED_BYTES {
+        bail!("the update is larger than {MAX_DECOMPRESSED_BYTES} bytes unpacked");
     }
     Ok(postcard::from_bytes(&decompressed)?)
 }
--- a/crates/ashgauged/src/relay/event_forwarder/mod.rs
+++ b/crates/ashgauged/src/relay/event_forwarder/mod.rs
@@ -18,7 +18,7 @@
 
 use super::forecast;
 use super::open::{MAX_SILENCE, Run};
-use super::request::AdmittedRequest;
+use super::request::RoutedRequest;
 use super::serve::AbortedBody;
 use super::shared_state::SharedState;
 use super::stream_body::StreamBody;
@@ -35,7 +35,7 @@
 /// Starts to forward a stream's events. Dropping the body ends the task.
 pub fn start(
     shared: Rc<SharedState>,
-    request: AdmittedRequest,
+    request: RoutedRequest,
     attempts: Attempts,
     policy: StreamPolicy,
     run: Run,
@@ -68,7 +68,7 @@
 /// Forwards the events of one stream.
 struct EventForwarder {
     shared: Rc<SharedState>,
-    request: AdmittedRequest,
+    request: RoutedRequest,
     attempts: Attempts,
     policy: StreamPolicy,
     run: Run,
@@ -163,7 +163,7 @@
             .min(recheck)
             .saturating_sub(now);
         let wake_at = tokio::time::Instant::now() + wait;
-        let body = self.run.exchange.response.body_mut();
+        let body = self.run.response.response.body_mut();
         tokio::select! {
             biased;
             frame = body.frame() => match frame {
--- a/crates/ashgauged/src/relay/fetch.rs
+++ b/crates/ashgauged/src/relay/fetch.rs
@@ -8,7 +8,7 @@
 use tokio::net::TcpListener;
 use tokio::sync::{mpsc, oneshot, watch};
 
-use super::pack;
+use super::codec;
 use super::peers::FETCH_TOKEN_TTL;
 
 /// Maximum size of a query, in bytes.
@@ -63,6 +63,6 @@
     let sent = fetches.send(FetchRequest { query, reply }).await;
     sent.map_err(|_| StatusCode::SERVICE_UNAVAILABLE)?;
     let answer = answer.await.ok().flatten().ok_or(StatusCode::FORBIDDEN)?;
-    let bytes = pack::encode(&answer).ok_or(StatusCode::INTERNAL_SERVER_ERROR)?;
+    let bytes = codec::encode(&answer).ok_or(StatusCode::INTERNAL_SERVER_ERROR)?;
     Ok(Response::new(http::full(bytes)))
 }
--- a/crates/ashgauged/src/relay/follow/mod.rs
+++ b/crates/ashgauged/src/relay/follow/mod.rs
@@ -102,14 +102,14 @@
         tokio::task::spawn_local(follower.clone().follow_upstreams());
         tokio::task::spawn_local(membership::follow_members(follower.shared.clone()));
         tokio::task::spawn_local(membership::reannounce(follower.shared.clone()));
-        tokio::task::spawn_local(quarantine::restore_held(follower.shared.clone()));
+        tokio::task::spawn_local(quarantine::restore_quarantined(follower.shared.clone()));
         tokio::task::spawn_local(follower.clone().follow_suspensions());
         tokio::task::spawn_local(follower.clone().follow_restores());
         match messages.filter(|_| follower.shared.settings().shares_reading()) {
             Some(messages) => drop(tokio::task::spawn_local(follower.poll_readers(messages))),
             None => {
                 follower.shared.reads_store.send_replace(true);
-                tokio::task::spawn_local(quarantine::load_held(follower.shared.clone()));
+                tokio::task::spawn_local(quarantine::load_quarantined(follower.shared.clone()));
             }
         }
     }
--- a/crates/ashgauged/src/relay/follow/poll.rs
+++ b/crates/ashgauged/src/relay/follow/poll.rs
@@ -84,7 +84,7 @@
         let timing = self.poll_timing();
         let age = self.shared.freshness.borrow().age(now);
         let is_fresh = age.is_some_and(|age| age <= timing.max_age);
-        if readers.includes_self && is_fresh && self.has_synced() {
+        if readers.includes_self && is_fresh && self.has_synced_with_peers() {
             return now + timing.interval;
         }
         let action = {
@@ -156,7 +156,7 @@
         }
         shared.reads_store.send_replace(reads_store);
         if reads_store {
-            tokio::task::spawn_local(quarantine::load_held(shared.clone()));
+            tokio::task::spawn_local(quarantine::load_quarantined(shared.clone()));
             // A reader answers only boxes that it knows.
             tokio::task::spawn_local(membership::refresh(shared.clone()));
         }
@@ -185,7 +185,8 @@
         Query {
             from: self.shared.settings().id.as_str().into(),
             id,
-            after: match is_synced && self.has_synced() && !self.restore.needs_copy.get() {
+            after: match is_synced && self.has_synced_with_peers() && !self.restore.needs_copy.get()
+            {
                 true => covered,
                 false => 0,
             },
--- a/crates/ashgauged/src/relay/follow/revision_check.rs
+++ b/crates/ashgauged/src/relay/follow/revision_check.rs
@@ -134,7 +134,7 @@
     }
 
     async fn covers_own_objects(&self, revision: Revision) -> bool {
-        if self.is_recent() {
+        if self.was_restored_recently() {
             return false;
         }
         self.note_revisions(placer::round_revisions(&self.shared).await);
@@ -145,7 +145,7 @@
         if self.shared.mirror.borrow().covers(revision) {
             return true;
         }
-        self.note_revisions(quarantine::hold_revisions(&self.shared).await);
+        self.note_revisions(quarantine::reread_quarantined(&self.shared).await);
         self.shared.mirror.borrow().covers(revision)
     }
 
--- a/crates/ashgauged/src/relay/follow/store_restore.rs
+++ b/crates/ashgauged/src/relay/follow/store_restore.rs
@@ -98,7 +98,7 @@
 
     /// Returns whether the last restore is so recent that stale reads may return data
     /// from before it.
-    pub(super) fn is_recent(&self) -> bool {
+    pub(super) fn was_restored_recently(&self) -> bool {
         let era_at = self.restore.era_at.get();
         !era_at.is_zero() && self.shared.now() < era_at + MAX_STALE_AGE
     }
@@ -116,7 +116,7 @@
 
     /// Returns whether the other boxes have no data that the store has lost, as far as
     /// this box could poll them.
-    pub(super) fn has_synced(&self) -> bool {
+    pub(super) fn has_synced_with_peers(&self) -> bool {
         let was_restored = *self.shared.store.subscribe_era().borrow() > 0;
         self.restore.peer_synced.get() || !was_restored || self.shared.uptime() >= PEER_SYNC_TIME
     }
--- a/crates/ashgauged/src/relay/forecast.rs
+++ b/crates/ashgauged/src/relay/forecast.rs
@@ -9,7 +9,7 @@
 use serde_json::json;
 
 use super::open::MAX_SILENCE;
-use super::request::AdmittedRequest;
+use super::request::RoutedRequest;
 use super::shared_state::SharedState;
 
 /// Forecast for a stream on its chain.
@@ -35,7 +35,7 @@
 /// streams by class.
 pub fn estimate(
     shared: &SharedState,
-    request: &AdmittedRequest,
+    request: &RoutedRequest,
     stages: &[Stage],
 ) -> Option<Estimate> {
     request.class?;
--- a/crates/ashgauged/src/relay/forward.rs
+++ b/crates/ashgauged/src/relay/forward.rs
@@ -30,9 +30,9 @@
 use super::quarantine;
 use super::record::Record;
 use super::request::{
-    AdmittedRequest, FullResponse, LoadGuard, RETRY_AFTER_FULL, RETRY_AFTER_UNSYNCED,
-    apply_refusal, failure_outcome, finish, is_authorized, is_quarantined, note_outcome,
-    own_response, refuse_quarantined, unsynced_retry_after, upstream_response,
+    FullResponse, LoadGuard, RETRY_AFTER_FULL, RETRY_AFTER_UNSYNCED, RoutedRequest, apply_refusal,
+    failure_outcome, finish, is_authorized, is_quarantined, note_outcome, own_response,
+    refuse_quarantined, unsynced_retry_after, upstream_response,
 };
 use super::retry;
 use super::serve::Body;
@@ -87,7 +87,7 @@
     let digest = digest_of(&head, &client_request, team.as_deref(), &body);
     record.digest = Some(digest);
     let mut attempts = Attempts::new(deadline, route.max_attempts, route.is_retryable());
-    let mut admitted = AdmittedRequest {
+    let mut admitted = RoutedRequest {
         head,
         client_request,
         body,
@@ -212,7 +212,7 @@
 /// allow.
 async fn send_plain(
     shared: &Rc<SharedState>,
-    mut request: AdmittedRequest,
+    mut request: RoutedRequest,
     attempts: &mut Attempts,
 ) -> Response<Body> {
     loop {
@@ -263,7 +263,7 @@
 /// Chooses an upstream and takes the permit that it may need.
 async fn choose_upstream(
     shared: &SharedState,
-    request: &AdmittedRequest,
+    request: &RoutedRequest,
     attempts: &Attempts,
 ) -> Option<(UpstreamId, String)> {
     for _ in 0..MAX_PICKS {
@@ -278,7 +278,7 @@
 /// Sends such a request to one upstream and waits for the whole answer.
 async fn send_once(
     shared: &Rc<SharedState>,
-    request: &AdmittedRequest,
+    request: &RoutedRequest,
     attempts: &Attempts,
     id: &UpstreamId,
     addr: &str,
@@ -327,7 +327,7 @@
 }
 
 /// Time that a retryable request waits on a silent upstream.
-fn silence_timeout(shared: &SharedState, request: &AdmittedRequest, id: &str) -> Duration {
+fn silence_timeout(shared: &SharedState, request: &RoutedRequest, id: &str) -> Duration {
     let registry = shared.registry.borrow();
     let latency = registry.get(id).map_or(0.0, |e| e.latency_seconds);
     let latency_limit = Duration::from_secs_f64(latency * SILENCE_FACTOR);
--- a/crates/ashgauged/src/relay/levels.rs
+++ b/crates/ashgauged/src/relay/levels.rs
@@ -29,14 +29,14 @@
     /// Time since the class last changed, in milliseconds.
     since_ms: u64,
     #[serde(flatten)]
-    cause: LevelCause,
+    inputs: InputStatus,
     /// Classes with demand now or since the box started.
     classes: Vec<ClassStatus>,
 }
 
 /// Inputs of a level, as requests per second and as shares.
 #[derive(Serialize)]
-struct LevelCause {
+struct InputStatus {
     asked: f64,
     /// `null` if no bound is in use.
     allowed: f64,
@@ -62,9 +62,9 @@
     refused: u64,
 }
 
-impl LevelCause {
+impl InputStatus {
     fn new(basis: &LevelInputs) -> Self {
-        LevelCause {
+        InputStatus {
             asked: basis.demand_rate(),
             allowed: basis.allowed_rate,
             ends: basis.completion_rate,
@@ -86,7 +86,7 @@
             class: state.class(),
             team_rate: state.gate.level().map(|l| l.team_limit),
             since_ms: since.as_millis() as u64,
-            cause: LevelCause::new(basis),
+            inputs: InputStatus::new(basis),
             classes: class_statuses(state, basis),
         }
     })
@@ -146,11 +146,11 @@
 
 /// Logs a change of a service's level, once a second at most.
 pub fn log_change(now: Duration, service: &ServiceId, state: &mut ServiceAdmission) {
-    let Some(change) = state.report.change(now, state.class()) else {
+    let Some(change) = state.change_reporter.change(now, state.class()) else {
         return;
     };
-    let mut fields = match &state.basis {
-        Some(basis) => json!(LevelCause::new(basis)),
+    let mut fields = match &state.inputs {
+        Some(basis) => json!(InputStatus::new(basis)),
         // Shedding was disabled.
         None => json!({}),
     };
--- a/crates/ashgauged/src/relay/load_reporter.rs
+++ b/crates/ashgauged/src/relay/load_reporter.rs
@@ -15,7 +15,7 @@
 use rand::Rng;
 use tokio::time::sleep;
 
-use super::pack;
+use super::codec;
 use super::peers::Peers;
 use super::shared_state::{Peer, SharedState};
 use super::{permit, quarantine, shedding};
@@ -147,7 +147,7 @@
             }
             if scope == Scope::Remote(0) {
                 let leaves: Vec<&Peer> = leaves.iter().map(|(_, leaf)| leaf).collect();
-                self.send_losses(Audience::Downstream, &leaves).await;
+                self.send_losses(Audience::Leaves, &leaves).await;
             }
         }
     }
@@ -173,7 +173,7 @@
                 Scope::Own | Scope::Local => self.shared.permits.limits.borrow().reports(now),
             },
         };
-        let Some(bytes) = pack::encode(&Datagram::Load(report)) else {
+        let Some(bytes) = codec::encode(&Datagram::Load(report)) else {
             return;
         };
         for peer in to {
--- a/crates/ashgauged/src/relay/loss.rs
+++ b/crates/ashgauged/src/relay/loss.rs
@@ -10,7 +10,7 @@
 use spdlog::Level;
 use tokio::time::sleep;
 
-use super::request::AdmittedRequest;
+use super::request::RoutedRequest;
 use super::shared_state::SharedState;
 use super::{log, probe, quarantine};
 
@@ -61,7 +61,7 @@
 impl SuspectRun {
     /// Records that a request goes to an upstream, if others were lost under it.
     pub fn begin(shared: &Rc<SharedState>, digest: Digest, upstream: &UpstreamId) -> Option<Self> {
-        if !shared.quarantine.borrow().is_suspect(digest) {
+        if !shared.quarantine.borrow().has_losses(digest) {
             return None;
         }
         shared.suspect_runs.borrow_mut().push(upstream.clone());
@@ -86,7 +86,7 @@
     /// Id of the attempt.
     id: String,
     digest: Digest,
-    loss: BrokenRun,
+    broken_run: BrokenRun,
     /// Instance whose loss is attributed to the request, if it is.
     instance: Option<InstanceKey>,
     /// Delays other sends of the request during the check.
@@ -126,7 +126,7 @@
 /// continues.
 pub async fn check_loss(
     shared: &Rc<SharedState>,
-    request: &AdmittedRequest,
+    request: &RoutedRequest,
     loss: BrokenRun,
 ) -> bool {
     let digest = request.digest;
@@ -135,12 +135,12 @@
     let suspected = SuspectedLoss {
         id: request.client_request.id.clone(),
         digest,
-        loss,
+        broken_run: loss,
         instance,
         _check: instance
             .map(|instance| LossCheck::begin(shared, InstanceLoss { digest, instance })),
     };
-    if probe::is_lost(shared, &suspected.loss.upstream).await {
+    if probe::is_lost(shared, &suspected.broken_run.upstream).await {
         suspected.confirm(shared);
         return true;
     }
@@ -148,7 +148,7 @@
     tokio::task::spawn_local(async move {
         for delay in RECHECK_DELAYS {
             sleep(delay).await;
-            if probe::is_lost(&shared, &suspected.loss.upstream).await {
+            if probe::is_lost(&shared, &suspected.broken_run.upstream).await {
                 return suspected.confirm(&shared);
             }
         }
@@ -174,15 +174,15 @@
         shared
             .registry
             .borrow_mut()
-            .note_unreachable(now, &self.loss.upstream);
+            .note_unreachable(now, &self.broken_run.upstream);
         // Avoiding lost engines does not stop a request that crashes them: it moves on to
         // the next one with each repeat.
         if let Some(instance) = self.instance {
             let digest = self.digest;
             quarantine::record_loss(shared, InstanceLoss { digest, instance });
         }
-        let run_time = shared.now().saturating_sub(self.loss.began);
-        let events = if self.loss.event_count == 0 {
+        let run_time = shared.now().saturating_sub(self.broken_run.began);
+        let events = if self.broken_run.event_count == 0 {
             "none"
         } else {
             "some"
@@ -190,10 +190,10 @@
         shared.metrics.lost_runs.with_label_values(&[events]).inc();
         let fields = json!({
             "id": self.id,
-            "upstream": &*self.loss.upstream,
+            "upstream": &*self.broken_run.upstream,
             "digest": digest::format_digest(self.digest),
             "run_ms": run_time.as_millis() as u64,
-            "events": self.loss.event_count,
+            "events": self.broken_run.event_count,
             "counts": self.instance.is_some(),
         });
         log::event(Level::Info, "request", "upstream lost", fields);
--- a/crates/ashgauged/src/relay/mod.rs
+++ b/crates/ashgauged/src/relay/mod.rs
@@ -8,6 +8,7 @@
 mod body;
 mod capacity_wait;
 mod clock;
+mod codec;
 mod dial;
 mod event_forwarder;
 mod fetch;
@@ -22,7 +23,6 @@
 mod metrics;
 mod notice;
 mod open;
-mod pack;
 mod peers;
 mod permit;
 mod pick;
--- a/crates/ashgauged/src/relay/open.rs
+++ b/crates/ashgauged/src/relay/open.rs
@@ -22,7 +22,7 @@
 use super::pick::ChosenChain;
 use super::probe::{find_unreachable, query_engines};
 use super::recovery;
-use super::request::{AdmittedRequest, LoadGuard, apply_refusal, failure_outcome, is_authorized};
+use super::request::{LoadGuard, RoutedRequest, apply_refusal, failure_outcome, is_authorized};
 use super::shared_state::SharedState;
 
 /// Silence after which a stream continues elsewhere though all its engines answer; its
@@ -39,7 +39,7 @@
     /// Address of the first engine.
     pub first_addr: String,
     /// The response whose body is being received.
-    pub exchange: OpenResponse,
+    pub response: OpenResponse,
     /// When the head of the answer arrived.
     pub head_at: Duration,
     /// Number of complete events received.
@@ -64,7 +64,7 @@
     /// Engine that the request was sent to.
     pub upstream: UpstreamId,
     /// The engine's own error response, if it sent one.
-    pub answer: Option<Response<Bytes>>,
+    pub error_response: Option<Response<Bytes>>,
 }
 
 /// Copies the head of a response.
@@ -79,7 +79,7 @@
 /// continues after event `last_event`.
 pub async fn start_run(
     shared: &Rc<SharedState>,
-    request: &mut AdmittedRequest,
+    request: &mut RoutedRequest,
     attempts: &mut Attempts,
     avoid: &mut Vec<UpstreamId>,
     last_event: Option<u64>,
@@ -99,7 +99,7 @@
     let failed = |outcome| FailedSend {
         outcome,
         upstream: first_engine.clone(),
-        answer: None,
+        error_response: None,
     };
     attempts.record_send(first_engine.clone());
     request
@@ -147,7 +147,7 @@
             return Err(FailedSend {
                 outcome,
                 upstream: first_engine,
-                answer: failure,
+                error_response: failure,
             });
         }
         verdict @ (Verdict::Full(_) | Verdict::Stale(_)) => {
@@ -159,7 +159,7 @@
     Ok(Run {
         stages,
         first_addr,
-        exchange,
+        response: exchange,
         head_at: shared.now(),
         event_count: 0,
         first_event: None,
@@ -171,7 +171,7 @@
 }
 
 /// Slack of a request, which continues after event `last_event` if there is one.
-fn slack_of(request: &AdmittedRequest, last_event: Option<u64>) -> Slack {
+fn slack_of(request: &RoutedRequest, last_event: Option<u64>) -> Slack {
     match last_event {
         Some(_) => Slack::Streaming,
         None => request.slack(),
@@ -179,7 +179,7 @@
 }
 
 /// Records the load that a request will put on its chain.
-fn note_expected_load(shared: &SharedState, request: &AdmittedRequest, stages: &[Stage]) {
+fn note_expected_load(shared: &SharedState, request: &RoutedRequest, stages: &[Stage]) {
     if let Some(model) = request.service.model.as_ref().filter(|m| m.layers > 0) {
         shared.note_transfers(model, stages, request.max_tokens());
         shared.note_prefill(
@@ -201,7 +201,7 @@
 /// `wait`.
 async fn await_head(
     shared: &Rc<SharedState>,
-    request: &AdmittedRequest,
+    request: &RoutedRequest,
     stages: &[Stage],
     sending: impl Future<Output = Result<OpenResponse, ::http::Failure>>,
     attempts: &Attempts,
--- a/crates/ashgauged/src/relay/peers.rs
+++ b/crates/ashgauged/src/relay/peers.rs
@@ -31,14 +31,14 @@
 
 use super::fetch::{self, ANSWER_PATH, FetchRequest};
 use super::shared_state::{LastQuery, SharedState};
-use super::{log, membership, pack, permit, quarantine, suspicion};
+use super::{codec, log, membership, permit, quarantine, suspicion};
 
 /// Maximum size of a received datagram; a load report on 860 engines takes 12 kB.
 const MAX_DATAGRAM_BYTES: usize = 60_000;
 
 /// Maximum size of an answer sent as a datagram: what an Ethernet frame carries without
 /// fragmentation.
-const MAX_ANSWER_BYTES: usize = 1400;
+const MAX_INLINE_ANSWER_BYTES: usize = 1400;
 
 /// Delay after a failed read from the socket.
 const READ_RETRY_DELAY: Duration = Duration::from_millis(500);
@@ -90,13 +90,13 @@
     /// Expiry time of each fetch token.
     fetch_tokens: RefCell<HashMap<FetchToken, Duration>>,
     /// Cached compressed updates, the latest last.
-    packed_updates: RefCell<VecDeque<PackedUpdate>>,
+    compressed_updates: RefCell<VecDeque<CompressedUpdate>>,
     /// When a query with a later revision was last logged.
     later_logged_at: Cell<Duration>,
 }
 
 /// A compressed update, and the state from which it was made.
-struct PackedUpdate {
+struct CompressedUpdate {
     /// Revision up to which its receivers already know everything.
     after: Revision,
     /// Revision up to which they know everything afterwards.
@@ -132,7 +132,7 @@
             socket,
             messages: sender,
             fetch_tokens: RefCell::default(),
-            packed_updates: RefCell::default(),
+            compressed_updates: RefCell::default(),
             later_logged_at: Cell::default(),
         });
         tokio::task::spawn_local(peers.clone().receive());
@@ -151,7 +151,7 @@
     /// Sends a query to a box.
     pub async fn send_query(&self, to: &BoxId, query: Query) {
         let addr = self.shared.peers.borrow().get(to).map(|p| p.addr);
-        let bytes = pack::encode(&Datagram::Query(query));
+        let bytes = codec::encode(&Datagram::Query(query));
         if let (Some(addr), Some(bytes)) = (addr, bytes) {
             self.send(addr, &bytes).await;
         }
@@ -187,7 +187,7 @@
         }
         let mut answer: Answer = postcard::from_bytes(response.body())?;
         if let AnswerBody::Compressed { age, bytes } = answer.body {
-            let update = pack::unpack(&bytes)?;
+            let update = codec::decompress(&bytes)?;
             answer.body = AnswerBody::Update { age, update };
         }
         match answer.from == *to && answer.id == query.id {
@@ -200,7 +200,7 @@
     pub async fn notify_pollers(&self) {
         let now = self.shared.now();
         let own: BoxId = self.shared.settings().id.as_str().into();
-        let Some(bytes) = pack::encode(&Datagram::Changed(own)) else {
+        let Some(bytes) = codec::encode(&Datagram::Changed(own)) else {
             return;
         };
         let addrs: Vec<SocketAddr> = {
@@ -338,14 +338,14 @@
     /// Encodes the answer to a query: the data that this box has, or how to fetch it.
     fn encode_answer(&self, query: &Query) -> Option<Vec<u8>> {
         if self.cached_update(query.after).is_none() {
-            let bytes = pack::encode(&Datagram::Answer(self.build_answer(query)))?;
-            if bytes.len() <= MAX_ANSWER_BYTES {
+            let bytes = codec::encode(&Datagram::Answer(self.build_answer(query)))?;
+            if bytes.len() <= MAX_INLINE_ANSWER_BYTES {
                 return Some(bytes);
             }
         }
-        let update = self.pack_update(query.after)?;
+        let update = self.compress_update(query.after)?;
         let answer = self.issue_token(query, update.len() as u64);
-        pack::encode(&Datagram::Answer(answer))
+        codec::encode(&Datagram::Answer(answer))
     }
 
     /// Returns the cached update for a box that knows everything up to `after`, if
@@ -361,7 +361,7 @@
             mirror.generation(),
             removals_certain,
         );
-        let updates = self.packed_updates.borrow();
+        let updates = self.compressed_updates.borrow();
         let mut updates = updates.iter();
         let update =
             updates.find(|p| (p.after, p.until, p.generation, p.removals_certain) == wanted)?;
@@ -369,7 +369,7 @@
     }
 
     /// Returns the compressed update for a box that knows everything up to `after`.
-    fn pack_update(&self, after: Revision) -> Option<Bytes> {
+    fn compress_update(&self, after: Revision) -> Option<Bytes> {
         if let Some(bytes) = self.cached_update(after) {
             return Some(bytes);
         }
@@ -377,7 +377,7 @@
             self.shared.mirror.borrow(),
             self.shared.removals_certain.get(),
         );
-        let bytes = match pack::pack(&mirror.update(after, removals_certain)) {
+        let bytes = match codec::compress(&mirror.update(after, removals_certain)) {
             Ok(bytes) => Bytes::from(bytes),
             Err(e) => {
                 let fields = json!({"cause": e.to_string()});
@@ -385,11 +385,11 @@
                 return None;
             }
         };
-        let mut updates = self.packed_updates.borrow_mut();
+        let mut updates = self.compressed_updates.borrow_mut();
         if updates.len() >= MAX_CACHED_UPDATES {
             updates.pop_front();
         }
-        updates.push_back(PackedUpdate {
+        updates.push_back(CompressedUpdate {
             after,
             until: mirror.covered(),
             generation: mirror.generation(),
@@ -400,13 +400,13 @@
     }
 
     /// Builds the answer for a box that fetches it, with a compressed update.
-    fn packed_answer(&self, query: &Query) -> Option<Answer> {
+    fn compressed_answer(&self, query: &Query) -> Option<Answer> {
         let shared = &self.shared;
         let age = shared.freshness.borrow().age(shared.now());
         let body = match age.filter(|_| shared.is_synced()) {
             Some(age) => AnswerBody::Compressed {
                 age,
-                bytes: self.pack_update(query.after)?.to_vec(),
+                bytes: self.compress_update(query.after)?.to_vec(),
             },
             None => self.empty_body(),
         };
@@ -473,7 +473,7 @@
             let expires_at = token.and_then(|t| self.fetch_tokens.borrow_mut().remove(&t));
             let is_valid = expires_at.is_some_and(|expires_at| self.shared.now() < expires_at);
             // The requester may be gone.
-            let answer = is_valid.then(|| self.packed_answer(&query));
+            let answer = is_valid.then(|| self.compressed_answer(&query));
             let _ = reply.send(answer.flatten());
         }
     }
--- a/crates/ashgauged/src/relay/permit.rs
+++ b/crates/ashgauged/src/relay/permit.rs
@@ -18,7 +18,7 @@
 use tokio::time::timeout;
 
 use super::shared_state::SharedState;
-use super::{log, pack};
+use super::{codec, log};
 
 /// Timeout for another box's answer. An answer takes a millisecond or two, and longer on
 /// a box that has used up its CPU quota.
@@ -72,7 +72,7 @@
 
 fn next_issuer(shared: &SharedState, key: UpstreamKey, unanswered: Option<&BoxId>) -> Issuer {
     let (silent_boxes, fleet_load) = (
-        shared.permits.silent_boxes.borrow(),
+        shared.permits.skipped_boxes.borrow(),
         shared.fleet_load.borrow(),
     );
     let (own, issuers) = (shared.settings().id.clone(), issuers_of(shared, key));
@@ -102,11 +102,11 @@
         id,
         limit: report,
     };
-    shared.permits.await_answer(id, sender);
+    shared.permits.register_pending(id, sender);
     send(shared, addr, &Datagram::AskPermit(request));
     let verdict = timeout(REPLY_TIMEOUT, answer).await;
     shared.permits.pending.borrow_mut().remove(&id);
-    let mut silent_boxes = shared.permits.silent_boxes.borrow_mut();
+    let mut silent_boxes = shared.permits.skipped_boxes.borrow_mut();
     match verdict {
         Ok(Ok(verdict)) => {
             silent_boxes.record_reply(to);
@@ -175,7 +175,7 @@
 pub fn expire(shared: &SharedState) {
     let now = shared.now();
     shared.permits.limits.borrow_mut().expire(now);
-    shared.permits.grants.borrow_mut().expire(now);
+    shared.permits.buckets.borrow_mut().expire(now);
 }
 
 /// Returns the time after which a caller should retry whom a service's rate-limited
@@ -207,7 +207,7 @@
 
 fn decide(shared: &SharedState, key: UpstreamKey, rank: IssuerRank) -> Verdict {
     let permits = &shared.permits;
-    let mut grants = permits.grants.borrow_mut();
+    let mut grants = permits.buckets.borrow_mut();
     grants.decide(shared.now(), &permits.limits.borrow(), key, rank)
 }
 
@@ -226,7 +226,7 @@
 
 /// Sends one datagram; a failure is treated like a datagram lost on the network.
 fn send(shared: &SharedState, to: SocketAddr, datagram: &Datagram) {
-    let Some(bytes) = pack::encode(datagram) else {
+    let Some(bytes) = codec::encode(datagram) else {
         return;
     };
     if let Some(socket) = shared.permits.socket.get() {
--- a/crates/ashgauged/src/relay/pick.rs
+++ b/crates/ashgauged/src/relay/pick.rs
@@ -13,7 +13,7 @@
 
 use super::permit;
 use super::quarantine;
-use super::request::{AdmittedRequest, is_authorized, is_quarantined};
+use super::request::{RoutedRequest, is_authorized, is_quarantined};
 use super::select::ChainCriteria;
 use super::shared_state::SharedState;
 
@@ -54,7 +54,7 @@
 /// already has part of it, up to event `last_event`.
 fn try_pick(
     shared: &SharedState,
-    request: &AdmittedRequest,
+    request: &RoutedRequest,
     attempts: &Attempts,
     avoid: &[UpstreamId],
     continues: bool,
@@ -85,7 +85,7 @@
 /// Chooses a chain as [`try_pick`] does, and takes the permit for its first engine.
 pub async fn pick_with_permit(
     shared: &SharedState,
-    request: &AdmittedRequest,
+    request: &RoutedRequest,
     attempts: &Attempts,
     avoid: &[UpstreamId],
     continues: bool,
@@ -105,7 +105,7 @@
 /// request cannot be refused, so it waits while engines are at their rate limits.
 pub async fn pick_or_wait(
     shared: &SharedState,
-    request: &AdmittedRequest,
+    request: &RoutedRequest,
     attempts: &Attempts,
     avoid: &[UpstreamId],
     last_event: Option<u64>,
@@ -135,13 +135,13 @@
 /// that run other requests of that kind.
 fn choose_isolated(
     shared: &SharedState,
-    request: &AdmittedRequest,
+    request: &RoutedRequest,
     attempts: &Attempts,
     avoid: &[UpstreamId],
     need: Option<Requirements>,
     last_event: Option<u64>,
 ) -> Option<ChosenChain> {
-    if !shared.quarantine.borrow().is_suspect(request.digest) {
+    if !shared.quarantine.borrow().has_losses(request.digest) {
         return None;
     }
     let mut avoid = avoid.to_vec();
@@ -152,7 +152,7 @@
 /// Chooses a chain, or a single engine if each one holds the whole model.
 fn choose(
     shared: &SharedState,
-    request: &AdmittedRequest,
+    request: &RoutedRequest,
     attempts: &Attempts,
     avoid: &[UpstreamId],
     need: Option<Requirements>,
@@ -195,7 +195,7 @@
 /// Whether there is a chain with capacity for a request without the engines in `avoid`.
 pub fn has_capacity(
     shared: &SharedState,
-    request: &AdmittedRequest,
+    request: &RoutedRequest,
     attempts: &Attempts,
     avoid: &[UpstreamId],
 ) -> bool {
@@ -216,7 +216,7 @@
 /// The caller's expected length is that of the whole answer, also if the caller already has
 /// part of it.
 pub fn request_size(
-    request: &AdmittedRequest,
+    request: &RoutedRequest,
     model: &Model,
     last_event: Option<u64>,
 ) -> Option<RequestSize> {
@@ -230,7 +230,7 @@
 }
 
 /// Capacity that a request needs, if it goes over a chain.
-fn requirements(shared: &SharedState, request: &AdmittedRequest) -> Option<Requirements> {
+fn requirements(shared: &SharedState, request: &RoutedRequest) -> Option<Requirements> {
     request.service.model.as_ref().filter(|m| m.layers > 0)?;
     let learned_limit = shared.with_queue(&request.service.name, |queue| queue.fill_limit());
     let (fill_limit, reserved_share) = match request.class {
--- a/crates/ashgauged/src/relay/probe.rs
+++ b/crates/ashgauged/src/relay/probe.rs
@@ -21,7 +21,7 @@
 use tokio::task::JoinSet;
 use tokio::time::timeout;
 
-use super::request::AdmittedRequest;
+use super::request::RoutedRequest;
 use super::shared_state::SharedState;
 use super::state::probes::{ProbeCache, cached_cell, is_cached};
 use super::{log, notice, recovery, shedding};
@@ -55,7 +55,7 @@
 /// the event that the request waits for was due.
 pub async fn find_unreachable(
     shared: &Rc<SharedState>,
-    request: &AdmittedRequest,
+    request: &RoutedRequest,
     stages: &[Stage],
     since: Duration,
 ) -> Vec<UpstreamId> {
@@ -80,7 +80,7 @@
 /// Returns the engines of a chain that are probed because they showed no recent activity.
 fn engines_to_probe(
     shared: &SharedState,
-    request: &AdmittedRequest,
+    request: &RoutedRequest,
     stages: &[Stage],
     since: Duration,
 ) -> Vec<UpstreamId> {
@@ -103,13 +103,13 @@
     ids.sort_by_cached_key(|id| (last_activity(id), shared.rng().random::<u32>()));
     drop(registry);
     let cache = &shared.probes.reachable;
-    ids.retain(|id| may_probe(shared, &request.service.name, cache, id, MAX_PROBE_AGE));
+    ids.retain(|id| reserve_probe(shared, &request.service.name, cache, id, MAX_PROBE_AGE));
     ids
 }
 
 /// Whether there is a result of an engine to share, or the recovery budget allows another
 /// query. The result of that query is shared with all that ask meanwhile.
-fn may_probe<T>(
+fn reserve_probe<T>(
     shared: &SharedState,
     service: &ServiceId,
     cache: &ProbeCache<T>,
@@ -133,7 +133,7 @@
 
 /// Whether an engine of a chain is asked for its report. Under pressure only the first one
 /// is, which names the engine that stalls the chain.
-fn may_query(shared: &SharedState, request: &AdmittedRequest, index: usize, id: &str) -> bool {
+fn reserve_query(shared: &SharedState, request: &RoutedRequest, index: usize, id: &str) -> bool {
     if request.class.is_none() {
         return true;
     }
@@ -141,20 +141,20 @@
         return false;
     }
     let cache = &shared.probes.reports;
-    may_probe(shared, &request.service.name, cache, id, MAX_REPORT_AGE)
+    reserve_probe(shared, &request.service.name, cache, id, MAX_REPORT_AGE)
 }
 
 /// Queries the engines of a chain for their reports, and records which are slow. Returns
 /// the engine that the first one names as the cause of the request's silence.
 pub async fn query_engines(
     shared: &Rc<SharedState>,
-    request: &AdmittedRequest,
+    request: &RoutedRequest,
     stages: &[Stage],
 ) -> Option<UpstreamId> {
     let id = request.client_request.id.as_str();
     let mut queries = JoinSet::new();
     for (index, stage) in stages.iter().enumerate() {
-        if !may_query(shared, request, index, &stage.upstream) {
+        if !reserve_query(shared, request, index, &stage.upstream) {
             continue;
         }
         let (shared, upstream) = (shared.clone(), stage.upstream.clone());
@@ -227,7 +227,7 @@
     let sheds = |s: &Arc<Service>| shedding::sheds_streams(shared, s);
     let sheds = routing.services.get(&service).is_some_and(sheds);
     sheds
-        && !may_probe(
+        && !reserve_probe(
             shared,
             &service,
             &shared.probes.reachable,
@@ -248,8 +248,8 @@
 
 /// Whether the recovery budget of a service allows the check of an engine that another box
 /// reported. The result of the connection attempt is shared with all that ask meanwhile.
-pub fn may_check_reported(shared: &SharedState, service: &ServiceId, id: &str) -> bool {
-    may_probe(
+pub fn reserve_reported_check(shared: &SharedState, service: &ServiceId, id: &str) -> bool {
+    reserve_probe(
         shared,
         service,
         &shared.probes.reachable,
@@ -258,7 +258,7 @@
     )
 }
 
-/// Connects to an engine that another box reported and that [`may_check_reported`] allowed
+/// Connects to an engine that another box reported and that [`reserve_reported_check`] allowed
 /// to check.
 ///
 /// Recent activity and earlier probes do not count, as they may be from before the other
--- a/crates/ashgauged/src/relay/quarantine.rs
+++ b/crates/ashgauged/src/relay/quarantine.rs
@@ -16,9 +16,9 @@
 use spdlog::Level;
 use tokio::time::sleep;
 
+use super::codec;
 use super::follow::log_skipped;
 use super::log;
-use super::pack;
 use super::peers::Peers;
 use super::shared_state::SharedState;
 
@@ -37,7 +37,7 @@
 
 /// A quarantined request as it is stored.
 #[derive(Debug, Serialize, Deserialize)]
-struct StoredHold {
+struct StoredQuarantine {
     /// End of the quarantine, in Unix seconds.
     until_s: u64,
 }
@@ -79,7 +79,7 @@
     }
     let is_hub = shared.readers.borrow().ids.iter().any(|id| **id == *from);
     let audience = if is_hub {
-        Audience::Downstream
+        Audience::Leaves
     } else {
         Audience::All
     };
@@ -100,7 +100,7 @@
         sleep(BATCH_DELAY).await;
         let recipients = [
             (Audience::All, shared.report_targets()),
-            (Audience::Downstream, shared.leaves()),
+            (Audience::Leaves, shared.leaves()),
         ];
         for (audience, boxes) in recipients {
             let Some(bytes) = encode_report(&shared, 0, audience) else {
@@ -123,14 +123,17 @@
         return None;
     }
     let from = shared.settings().id.as_str().into();
-    pack::encode(&Datagram::Losses(from, report))
+    codec::encode(&Datagram::Losses(from, report))
 }
 
 /// Reads the quarantined requests from the store, retrying until that succeeds.
-pub async fn load_held(shared: Rc<SharedState>) {
+pub async fn load_quarantined(shared: Rc<SharedState>) {
     let mut delay = MIN_RETRY_DELAY;
     loop {
-        let listed = shared.store.list::<StoredHold>(KIND, log_skipped).await;
+        let listed = shared
+            .store
+            .list::<StoredQuarantine>(KIND, log_skipped)
+            .await;
         shared.count_store_call("list", &listed);
         match listed {
             Ok(listing) => return apply_stored(&shared, listing.objects),
@@ -147,8 +150,8 @@
 /// # Errors
 ///
 /// Fails if the call to the store fails.
-pub async fn hold_revisions(shared: &SharedState) -> Result<Vec<Revision>, StoreError> {
-    let stored = shared.store.list_stale::<StoredHold>(KIND).await;
+pub async fn reread_quarantined(shared: &SharedState) -> Result<Vec<Revision>, StoreError> {
+    let stored = shared.store.list_stale::<StoredQuarantine>(KIND).await;
     shared.count_store_call("stale", &stored);
     let stored = stored?;
     let revisions = stored.iter().map(|object| object.revision).collect();
@@ -156,7 +159,7 @@
     Ok(revisions)
 }
 
-fn apply_stored(shared: &SharedState, stored: Vec<Object<StoredHold>>) {
+fn apply_stored(shared: &SharedState, stored: Vec<Object<StoredQuarantine>>) {
     let now_s = unix_time().as_secs();
     for object in stored {
         let Ok(digest) = u64::from_str_radix(&object.name, 16) else {
@@ -181,7 +184,7 @@
 
 /// Stores the quarantined requests again after each restore of the store, whose copy may
 /// lack them. It is enough that one of the readers does so; the others find them there.
-pub async fn restore_held(shared: Rc<SharedState>) {
+pub async fn restore_quarantined(shared: Rc<SharedState>) {
     let mut eras = shared.store.subscribe_era();
     // The store client lives as long as the shared state.
     while eras.changed().await.is_ok() {
@@ -218,7 +221,7 @@
     remaining: Duration,
 ) -> Result<(), StoreError> {
     let name = digest::format_digest(digest);
-    let stored = StoredHold {
+    let stored = StoredQuarantine {
         until_s: (unix_time() + remaining).as_secs(),
     };
     let created = shared.store.create(KIND, &name, &stored).await;
@@ -228,7 +231,7 @@
         other => return other,
     }
     // Another box has stored it, or it was quarantined before.
-    let current = shared.store.get::<StoredHold>(KIND, &name).await;
+    let current = shared.store.get::<StoredQuarantine>(KIND, &name).await;
     shared.count_store_call("get", &current);
     let current = current?;
     if current.value.until_s >= unix_time().as_secs() {
--- a/crates/ashgauged/src/relay/recovery.rs
+++ b/crates/ashgauged/src/relay/recovery.rs
@@ -14,7 +14,7 @@
 
 use super::log;
 use super::pick;
-use super::request::AdmittedRequest;
+use super::request::RoutedRequest;
 use super::shared_state::SharedState;
 
 /// Interval at which a stream that waits for budget tries again; a tenth of the time in
@@ -29,7 +29,7 @@
 const LOG_INTERVAL: Duration = Duration::from_secs(1);
 
 /// What it means for the caller that its request is sent elsewhere.
-fn purpose_of(request: &AdmittedRequest) -> RecoveryAction {
+fn action_of(request: &RoutedRequest) -> RecoveryAction {
     match request.record.first_event.is_some() || request.client_request.last_event.is_some() {
         true => RecoveryAction::Repair,
         false => RecoveryAction::Resend,
@@ -37,13 +37,13 @@
 }
 
 /// Takes budget to continue a stream elsewhere. Returns `false` if none is left.
-pub fn take_budget(shared: &SharedState, request: &AdmittedRequest) -> bool {
-    request.class.is_none() || take_for(shared, &request.service.name, purpose_of(request))
+pub fn take_budget(shared: &SharedState, request: &RoutedRequest) -> bool {
+    request.class.is_none() || take_for(shared, &request.service.name, action_of(request))
 }
 
 /// Whether [`take_budget`] would find budget.
-pub fn has_budget(shared: &SharedState, request: &AdmittedRequest) -> bool {
-    let (now, action) = (shared.now(), purpose_of(request));
+pub fn has_budget(shared: &SharedState, request: &RoutedRequest) -> bool {
+    let (now, action) = (shared.now(), action_of(request));
     let service = &request.service.name;
     request.class.is_none()
         || shared
@@ -53,7 +53,7 @@
 
 /// Takes budget for a stream that cannot continue where it is. Returns whether it continues
 /// elsewhere now; without budget it does so at a random moment before `until`.
-pub fn take_or_overdue(shared: &SharedState, request: &AdmittedRequest, until: Duration) -> bool {
+pub fn take_or_overdue(shared: &SharedState, request: &RoutedRequest, until: Duration) -> bool {
     if take_budget(shared, request) {
         return true;
     }
@@ -61,13 +61,13 @@
     let sample = shared.rng().random_range(0.0..1.0);
     let moves = recovery::stops_waiting(left, POLL_INTERVAL, sample);
     if moves {
-        count_use(shared, purpose_of(request), "overdue");
+        count_use(shared, action_of(request), "overdue");
     }
     moves
 }
 
 /// Waits for budget to send a request again, but not for long.
-pub async fn wait_for_budget(shared: &SharedState, request: &AdmittedRequest) {
+pub async fn wait_for_budget(shared: &SharedState, request: &RoutedRequest) {
     let until = shared.now() + MAX_RESEND_WAIT;
     while !take_or_overdue(shared, request, until) {
         sleep(POLL_INTERVAL).await;
@@ -79,7 +79,7 @@
 /// caller has to come back.
 pub fn may_resend(
     shared: &SharedState,
-    request: &AdmittedRequest,
+    request: &RoutedRequest,
     attempts: &Attempts,
     avoid: &[UpstreamId],
 ) -> bool {
@@ -88,7 +88,7 @@
     }
     let is_high = pressure(shared, request) >= HIGH_PRESSURE;
     if is_high && !pick::has_capacity(shared, request, attempts, avoid) {
-        count_use(shared, purpose_of(request), "no room");
+        count_use(shared, action_of(request), "no room");
         return false;
     }
     take_budget(shared, request) || !is_high
@@ -100,12 +100,12 @@
 }
 
 /// Whether the engines are so busy that checks which may be in vain are left out.
-pub fn is_under_pressure(shared: &SharedState, request: &AdmittedRequest) -> bool {
+pub fn is_under_pressure(shared: &SharedState, request: &RoutedRequest) -> bool {
     request.class.is_some() && pressure(shared, request) > LOW_PRESSURE
 }
 
 /// Pressure on the engines of a request's service, as last computed.
-fn pressure(shared: &SharedState, request: &AdmittedRequest) -> f64 {
+fn pressure(shared: &SharedState, request: &RoutedRequest) -> f64 {
     let now = shared.now();
     shared
         .admissions
@@ -133,7 +133,7 @@
 /// Logs that a repair has to wait, unless that was logged a moment ago.
 fn log_refused_repair(shared: &SharedState, service: &ServiceId) {
     let now = shared.now();
-    if !shared.admissions.may_log(now, LOG_INTERVAL) {
+    if !shared.admissions.take_log_slot(now, LOG_INTERVAL) {
         return;
     }
     let pressure = shared
--- a/crates/ashgauged/src/relay/request.rs
+++ b/crates/ashgauged/src/relay/request.rs
@@ -57,7 +57,7 @@
 pub type FullResponse = Response<Bytes>;
 
 /// A request with its route, service and team.
-pub struct AdmittedRequest {
+pub struct RoutedRequest {
     /// Head of the request, as the caller sent it.
     pub head: request::Parts,
     /// Fields that were parsed from the head.
@@ -80,7 +80,7 @@
     pub record: Record,
 }
 
-impl AdmittedRequest {
+impl RoutedRequest {
     /// Rank of the request: the priority of its class if the service admits requests by
     /// class, else the rank of its team, else that of its route.
     pub fn rank(&self, shared: &SharedState) -> u32 {
@@ -130,12 +130,7 @@
 }
 
 /// Records a send that brought no successful answer.
-pub fn note_outcome(
-    shared: &SharedState,
-    request: &AdmittedRequest,
-    id: &str,
-    outcome: SendOutcome,
-) {
+pub fn note_outcome(shared: &SharedState, request: &RoutedRequest, id: &str, outcome: SendOutcome) {
     let label = match outcome {
         SendOutcome::NotSent => "not sent",
         SendOutcome::NotRun => "not run",
@@ -159,7 +154,7 @@
 }
 
 /// Whether the request's key is still valid; checked at the moment of sending.
-pub fn is_authorized(shared: &SharedState, request: &AdmittedRequest) -> bool {
+pub fn is_authorized(shared: &SharedState, request: &RoutedRequest) -> bool {
     if request.team.is_none() {
         return true;
     }
@@ -169,7 +164,7 @@
 }
 
 /// Whether the request is quarantined because it crashes the upstreams that run it.
-pub fn is_quarantined(shared: &SharedState, request: &AdmittedRequest) -> bool {
+pub fn is_quarantined(shared: &SharedState, request: &RoutedRequest) -> bool {
     let quarantine = shared.quarantine.borrow();
     quarantine.time_left(shared.now(), request.digest).is_some()
 }
@@ -223,7 +218,7 @@
 /// Ends a request with the box's own response.
 pub fn finish(
     shared: &SharedState,
-    mut request: AdmittedRequest,
+    mut request: RoutedRequest,
     end: FailureKind,
 ) -> Response<Body> {
     let is_authorized = is_authorized(shared, &request);
@@ -253,7 +248,7 @@
 
 /// Refuses a request that the engines have no capacity for, and says when they may have
 /// some.
-pub fn refuse_no_capacity(shared: &SharedState, mut request: AdmittedRequest) -> Response<Body> {
+pub fn refuse_no_capacity(shared: &SharedState, mut request: RoutedRequest) -> Response<Body> {
     let retry_after = permit::retry_after(shared, &request.service);
     let retry_after =
         retry_after.unwrap_or_else(|| shared.rng().random_range(RETRY_AFTER_NO_CAPACITY));
@@ -266,7 +261,7 @@
 }
 
 /// Refuses a request that the engines have no time for, and says when they may have some.
-pub fn refuse_overload(mut request: AdmittedRequest, retry_after: Duration) -> Response<Body> {
+pub fn refuse_overload(mut request: RoutedRequest, retry_after: Duration) -> Response<Body> {
     request.record.end("overload");
     own_response(
         StatusCode::SERVICE_UNAVAILABLE,
@@ -279,7 +274,7 @@
 /// not run and when to try again.
 pub fn refuse_quarantined(
     shared: &SharedState,
-    mut request: AdmittedRequest,
+    mut request: RoutedRequest,
     may_have_run: bool,
 ) -> Response<Body> {
     request.record.end("held back");
--- a/crates/ashgauged/src/relay/retry.rs
+++ b/crates/ashgauged/src/relay/retry.rs
@@ -3,13 +3,13 @@
 use ashgauge::attempts::{Attempts, Decision, SendOutcome};
 use serde_json::json;
 
-use super::request::AdmittedRequest;
+use super::request::RoutedRequest;
 use super::shared_state::SharedState;
 
 /// Decides the next step after a send that brought no usable response.
 pub fn next_step(
     shared: &SharedState,
-    request: &AdmittedRequest,
+    request: &RoutedRequest,
     attempts: &mut Attempts,
     outcome: SendOutcome,
 ) -> Decision {
@@ -17,7 +17,7 @@
 }
 
 /// Withdraws one retry from the service's budget; returns false if none is left.
-fn take_retry(shared: &SharedState, request: &AdmittedRequest) -> bool {
+fn take_retry(shared: &SharedState, request: &RoutedRequest) -> bool {
     let (now, service) = (shared.now(), &request.service.name);
     let balance = shared
         .retry_budgets
--- a/crates/ashgauged/src/relay/shedding.rs
+++ b/crates/ashgauged/src/relay/shedding.rs
@@ -16,7 +16,7 @@
 use tokio::time::sleep;
 
 use super::levels;
-use super::request::AdmittedRequest;
+use super::request::RoutedRequest;
 use super::shared_state::SharedState;
 use super::state::ServiceAdmission;
 
@@ -44,7 +44,7 @@
 }
 
 /// Returns the priority class of a request, if its service admits streams by class.
-pub fn class_of(shared: &SharedState, request: &AdmittedRequest) -> Option<Class> {
+pub fn class_of(shared: &SharedState, request: &RoutedRequest) -> Option<Class> {
     if request.route.stream.is_none() || !sheds_streams(shared, &request.service) {
         return None;
     }
@@ -56,7 +56,7 @@
 /// the time after which its caller should retry.
 pub fn admit(
     shared: &Rc<SharedState>,
-    request: &mut AdmittedRequest,
+    request: &mut RoutedRequest,
 ) -> Result<Option<Admission>, Duration> {
     let (Some(model), Some(class)) = (request.service.model.as_ref(), request.class) else {
         return Ok(None);
@@ -89,7 +89,7 @@
 
 /// Returns the time after which the caller of a request that is refused for overload
 /// should retry.
-pub fn retry_after(shared: &SharedState, request: &AdmittedRequest) -> Duration {
+pub fn retry_after(shared: &SharedState, request: &RoutedRequest) -> Duration {
     let timeout = request
         .client_request
         .timeout
@@ -100,7 +100,7 @@
 
 fn note_demand(
     shared: &SharedState,
-    request: &AdmittedRequest,
+    request: &RoutedRequest,
     model: &Model,
     class: Class,
     team: demand::TeamKey,
@@ -165,7 +165,7 @@
             .set_pressure(now, observation.pressure.max_share());
         s.gate
             .set_level(now, AdmissionLevel::new(demands, basis.allowed_rate));
-        s.basis = Some(basis);
+        s.inputs = Some(basis);
         levels::log_change(now, &service.name, s);
     });
 }
@@ -210,7 +210,7 @@
 fn clear_level(now: Duration, service: &ServiceId, state: &mut ServiceAdmission) {
     state.gate.set_level(now, None);
     state.estimator = Estimator::default();
-    state.basis = None;
+    state.inputs = None;
     levels::log_change(now, service, state);
 }
 
--- a/crates/ashgauged/src/relay/state/gates.rs
+++ b/crates/ashgauged/src/relay/state/admissions.rs
@@ -32,9 +32,9 @@
     /// When the admission level was last computed.
     pub level_at: Option<Duration>,
     /// Inputs from which the level was computed; `None` while shedding is off.
-    pub basis: Option<LevelInputs>,
+    pub inputs: Option<LevelInputs>,
     /// Decides when changes of the level are logged.
-    pub report: ChangeReporter,
+    pub change_reporter: ChangeReporter,
     /// Requests of this box by class, since its start.
     pub counts: BTreeMap<Class, Counts>,
     /// Budget for repairs, resends and checks of stalled streams.
@@ -88,13 +88,13 @@
         let mut sorted: Vec<_> = services.iter().collect();
         sorted.sort_unstable_by_key(|(name, _)| *name);
         let with_basis = sorted.into_iter();
-        let with_basis = with_basis.filter_map(|(name, s)| Some(f(name, s, s.basis.as_ref()?)));
+        let with_basis = with_basis.filter_map(|(name, s)| Some(f(name, s, s.inputs.as_ref()?)));
         with_basis.collect()
     }
 
     /// Returns whether a refused repair may be logged, as none was within `every`; if so,
     /// records `now`.
-    pub fn may_log(&self, now: Duration, every: Duration) -> bool {
+    pub fn take_log_slot(&self, now: Duration, every: Duration) -> bool {
         let is_due = self.logged_at.get().is_none_or(|at| now >= at + every);
         if is_due {
             self.logged_at.set(Some(now));
--- a/crates/ashgauged/src/relay/state/permits.rs
+++ b/crates/ashgauged/src/relay/state/permits.rs
@@ -17,11 +17,11 @@
     /// Rate limits that upstreams announced.
     pub limits: RefCell<UpstreamLimits>,
     /// Permits that this box has issued.
-    pub grants: RefCell<PermitBuckets>,
+    pub buckets: RefCell<PermitBuckets>,
     /// When refused callers should retry.
     pub schedule: RefCell<RetrySchedule>,
     /// Boxes that did not answer permit requests.
-    pub silent_boxes: RefCell<SkippedBoxes>,
+    pub skipped_boxes: RefCell<SkippedBoxes>,
     /// Boxes that may issue permits, as all boxes know them; empty if this box has no
     /// messaging with others.
     pub issuers: RefCell<Rc<Vec<BoxId>>>,
@@ -34,7 +34,7 @@
 impl Permits {
     /// Registers the sender for the answer to a permit request; drops senders whose
     /// receivers are gone.
-    pub fn await_answer(&self, id: PermitRequestId, answer: oneshot::Sender<Verdict>) {
+    pub fn register_pending(&self, id: PermitRequestId, answer: oneshot::Sender<Verdict>) {
         let mut pending = self.pending.borrow_mut();
         pending.retain(|_, sender| !sender.is_closed());
         pending.insert(id, answer);
--- a/crates/ashgauged/src/relay/status.rs
+++ b/crates/ashgauged/src/relay/status.rs
@@ -38,7 +38,7 @@
     /// Boxes that read the store for the others.
     readers: Vec<String>,
     /// Boxes that poll this one, by data centre.
-    informs: Vec<Informed>,
+    informs: Vec<PollerStatus>,
     /// Number of other boxes whose load was reported recently.
     boxes_heard: usize,
     inflight: usize,
@@ -78,7 +78,7 @@
 
 /// Boxes of one data centre that poll this one.
 #[derive(Default, Serialize)]
-struct Informed {
+struct PollerStatus {
     data_centre: String,
     boxes: usize,
     /// Boxes that knew everything when they last polled.
@@ -135,7 +135,7 @@
 
 fn limit_statuses(shared: &SharedState) -> Vec<LimitStatus> {
     let (registry, permits) = (shared.registry.borrow(), &shared.permits);
-    let (limits, grants) = (permits.limits.borrow(), permits.grants.borrow());
+    let (limits, grants) = (permits.limits.borrow(), permits.buckets.borrow());
     let named = registry.iter().filter_map(|e| {
         let (id, key) = (&e.upstream.id, load_report::upstream_key(&e.upstream.id));
         Some(LimitStatus {
@@ -152,10 +152,10 @@
     boxes.iter().map(|id| id.to_string()).collect()
 }
 
-fn informed_boxes(shared: &SharedState) -> Vec<Informed> {
+fn poller_statuses(shared: &SharedState) -> Vec<PollerStatus> {
     let (now, covered) = (shared.now(), shared.mirror.borrow().covered());
     let (pollers, peers) = (shared.pollers.borrow(), shared.peers.borrow());
-    let mut by_data_centre: BTreeMap<&str, Informed> = BTreeMap::new();
+    let mut by_data_centre: BTreeMap<&str, PollerStatus> = BTreeMap::new();
     for (id, query) in pollers.iter() {
         let Some(peer) = peers.get(id) else {
             continue;
@@ -220,7 +220,7 @@
         boxes: shared.fleet_size(),
         role: role(shared),
         readers: to_strings(&shared.readers.borrow().ids),
-        informs: informed_boxes(shared),
+        informs: poller_statuses(shared),
         boxes_heard: fleet_load.boxes(),
         inflight: shared.inflight.get(),
         retries: retry_statuses(shared),
--- a/crates/ashgauged/src/relay/stream.rs
+++ b/crates/ashgauged/src/relay/stream.rs
@@ -17,7 +17,7 @@
 use super::pick::{PickError, pick_or_wait, pick_with_permit};
 use super::recovery;
 use super::request::{
-    AdmittedRequest, finish, note_outcome, refuse_no_capacity, refuse_overload, refuse_quarantined,
+    RoutedRequest, finish, note_outcome, refuse_no_capacity, refuse_overload, refuse_quarantined,
     upstream_response,
 };
 use super::retry;
@@ -28,7 +28,7 @@
 /// Handles a request whose answer is a stream.
 pub async fn handle_stream(
     shared: Rc<SharedState>,
-    mut request: AdmittedRequest,
+    mut request: RoutedRequest,
     mut attempts: Attempts,
     policy: StreamPolicy,
 ) -> Response<Body> {
@@ -62,7 +62,7 @@
                 return refuse_no_capacity(&shared, request);
             }
             Err(PickError::NoCapacity | PickError::AtLimit(_)) => {
-                capacity_wait.wait_for_capacity(&request);
+                capacity_wait.enqueue_for_capacity(&request);
                 continue;
             }
             Err(PickError::Quarantined) => {
@@ -104,7 +104,7 @@
             return refuse_overload(request, retry_after);
         }
         let next = retry::next_step(&shared, &request, &mut attempts, failed.outcome);
-        match (next, failed.answer) {
+        match (next, failed.error_response) {
             (Decision::Resend, _) if is_refused => {}
             (Decision::Resend, _) => recovery::wait_for_budget(&shared, &request).await,
             (Decision::Forward, Some(answer)) => {
@@ -123,7 +123,7 @@
         .first_seconds
         .observe(request.record.elapsed().as_secs_f64());
     let mut head = Response::new(());
-    let parts = response_head(&run.exchange);
+    let parts = response_head(&run.response);
     *head.status_mut() = parts.status;
     *head.headers_mut() = engine::answer_headers(&parts);
     let body = event_forwarder::start(shared, request, attempts, policy, run);
--- a/crates/ashgauged/src/relay/suspicion.rs
+++ b/crates/ashgauged/src/relay/suspicion.rs
@@ -18,7 +18,7 @@
 use super::peers::Peers;
 use super::probe::{self, ProbeResult};
 use super::shared_state::{Peer, SharedState};
-use super::{log, pack, shedding};
+use super::{codec, log, shedding};
 
 /// How long suspected engines are collected before they are reported: those that are lost
 /// together are found within milliseconds of each other.
@@ -71,7 +71,7 @@
         {
             shared.suspect_notify.notify_one();
         }
-        let has_budget = || probe::may_check_reported(shared, &reported.service, &reported.id);
+        let has_budget = || probe::reserve_reported_check(shared, &reported.service, &reported.id);
         let mut suspicions = shared.suspicions.borrow_mut();
         if reported.is_used && suspicions.begin_check(now, instance, has_budget) {
             tokio::task::spawn_local(check_reported(shared.clone(), from.clone(), reported.id));
@@ -128,7 +128,7 @@
         return;
     }
     let from = shared.settings().id.as_str().into();
-    let Some(bytes) = pack::encode(&Datagram::Suspects(from, instances)) else {
+    let Some(bytes) = codec::encode(&Datagram::Suspects(from, instances)) else {
         return;
     };
     for (_, peer) in to {
@@ -144,7 +144,7 @@
     }
     let is_hub = shared.readers.borrow().ids.contains(from);
     Some(if is_hub {
-        Audience::Downstream
+        Audience::Leaves
     } else {
         Audience::All
     })
