--- a/crates/ashgauge/src/quarantine.rs
+++ b/crates/ashgauge/src/quarantine.rs
@@ -130,7 +130,7 @@
     /// All boxes: peers that report to each other, and boxes that get reports only through
     /// this one.
     All,
-    /// Only the boxes that get the reports of others through this one.
+    /// Only the leaves: boxes that get the reports of others through this one.
     Leaves,
 }
 
--- a/crates/ashgauge/src/silence.rs
+++ b/crates/ashgauge/src/silence.rs
@@ -73,7 +73,7 @@
         self.checks = 0;
     }
 
-    /// Records that a check of the engines found no fault.
+    /// Records that the engines are being checked.
     pub fn record_check(&mut self) {
         self.checks += 1;
     }
--- a/crates/ashgauged/src/relay/capacity_wait.rs
+++ b/crates/ashgauged/src/relay/capacity_wait.rs
@@ -24,8 +24,8 @@
 /// and a request that is refused might have been admitted.
 const MIN_WAIT_SHARE: f64 = 0.5;
 
-/// Interval at which the first request of the queue checks again; about five requests end
-/// meanwhile over the users' fleets.
+/// Interval at which the first request of the queue checks again. About five requests end
+/// in that time in the users' fleets, so an engine is likely to have capacity by then.
 const POLL_INTERVAL: Duration = Duration::from_millis(20);
 
 /// A request that waits to be admitted. Dropping it removes it from the queue.
--- a/crates/ashgauged/src/relay/codec.rs
+++ b/crates/ashgauged/src/relay/codec.rs
@@ -1,4 +1,4 @@
-//! Encodes the messages between boxes.
+//! Encodes the messages between boxes, and compresses the updates in them.
 
 use std::io::{Read, Write};
 
--- a/crates/ashgauged/src/relay/event_forwarder/repair.rs
+++ b/crates/ashgauged/src/relay/event_forwarder/repair.rs
@@ -25,7 +25,8 @@
 use super::super::select::ChainCriteria;
 use super::{EventForwarder, ForwardState};
 
-/// Maximum number of repairs of one stream; each one lost an engine.
+/// Maximum number of detours around lost or stalled engines in one stream; after that it
+/// is not routed around leaving engines either.
 const MAX_REPAIRS: u32 = 6;
 
 /// Delay before a stream looks again for a way around engines that leave.
@@ -67,7 +68,8 @@
         self.resume("ended without an event", false).await
     }
 
-    /// Looks for the cause of a silence.
+    /// Looks for the cause of a silence; repairs the chain around a lost or stalled engine,
+    /// or continues an overdue stream elsewhere.
     pub(super) async fn handle_silence(&mut self) -> ForwardState {
         self.silence.record_check();
         let due_at = self.silence.last_event() + Duration::from_secs_f64(self.silence.event_gap());
@@ -138,7 +140,9 @@
         allowed
     }
 
-    /// Schedules an early check of a stream that got no budget.
+    /// Schedules the next check of a stream whose service admits by class: after
+    /// [`recovery::POLL_INTERVAL`] if it got no budget. Otherwise a check that is already
+    /// scheduled is postponed until at least [`LEAVE_RETRY_INTERVAL`] from now.
     fn schedule_recheck(&mut self, allowed: bool) {
         if self.request.class.is_none() {
             return;
@@ -324,7 +328,7 @@
         Some((stages, encoded))
     }
 
-    /// Chooses engines for the layers of a lost stage.
+    /// Chooses engines for the layers of a replaced engine.
     fn fill_range(&self, model: &Model, stage: &Stage, avoid: &[UpstreamId]) -> Option<Vec<Stage>> {
         let layers = LayerRange {
             first: stage.first,
--- a/crates/ashgauged/src/relay/follow/mod.rs
+++ b/crates/ashgauged/src/relay/follow/mod.rs
@@ -71,7 +71,8 @@
     restart: Notify,
     /// Triggers a freshness check at once.
     check_now: Notify,
-    /// Signals that a watch or an answer has brought changes.
+    /// Signals that a watch has returned, even without changes, or that the answer of a
+    /// polled box has brought some.
     changed: Notify,
 }
 
--- a/crates/ashgauged/src/relay/follow/watch.rs
+++ b/crates/ashgauged/src/relay/follow/watch.rs
@@ -67,8 +67,8 @@
         }
         self.changed.notify_waiters();
         if changed && is_first {
-            // A watch does not confirm freshness.
             self.shared.update_synced();
+            // A watch does not show that the configuration is current, so check that now.
             self.check_now.notify_one();
         }
     }
--- a/crates/ashgauged/src/relay/loss.rs
+++ b/crates/ashgauged/src/relay/loss.rs
@@ -175,8 +175,8 @@
             .registry
             .borrow_mut()
             .note_unreachable(now, &self.broken_run.upstream);
-        // Avoiding lost engines does not stop a request that crashes them: it moves on to
-        // the next one with each repeat.
+        // `note_unreachable` alone does not stop a request that crashes engines: each retry
+        // would crash another one. So the loss also counts towards its quarantine.
         if let Some(instance) = self.instance {
             let digest = self.digest;
             quarantine::record_loss(shared, InstanceLoss { digest, instance });
--- a/crates/ashgauged/src/relay/peers.rs
+++ b/crates/ashgauged/src/relay/peers.rs
@@ -157,7 +157,8 @@
         }
     }
 
-    /// Fetches an answer that is too large for a datagram.
+    /// Fetches an answer that is too large for a datagram, and passes it, or the failure, to
+    /// the polling task.
     pub async fn fetch(self: Rc<Self>, to: BoxId, query: Query, timeout: Duration) {
         let asked_at = self.shared.now();
         let message = match self.fetch_once(&to, &query, timeout).await {
@@ -368,7 +369,8 @@
         Some(update.bytes.clone())
     }
 
-    /// Returns the compressed update for a box that knows everything up to `after`.
+    /// Returns the compressed update for a box that knows everything up to `after`; `None`
+    /// if it cannot be compressed, which is logged.
     fn compress_update(&self, after: Revision) -> Option<Bytes> {
         if let Some(bytes) = self.cached_update(after) {
             return Some(bytes);
--- a/crates/ashgauged/src/relay/pick.rs
+++ b/crates/ashgauged/src/relay/pick.rs
@@ -39,8 +39,8 @@
     NoChain,
     /// No chain has the capacity.
     NoCapacity,
-    /// The engines are at their rate limits; the field is the time until they take another
-    /// request.
+    /// The engines are at their rate limits; the field is the time until one takes another
+    /// request, or zero if that is unknown.
     AtLimit(Duration),
     /// The key is no longer valid.
     Denied,
--- a/crates/ashgauged/src/relay/placer.rs
+++ b/crates/ashgauged/src/relay/placer.rs
@@ -297,8 +297,9 @@
         self.pending.add(self.shared.now(), ranges, deadline);
     }
 
-    /// Plans ranges for the engines that hold no layers and have no pending order, or for
-    /// one engine that is needed elsewhere.
+    /// Drops assignments that are no longer pending, then plans ranges for the engines that
+    /// hold no layers and have no pending order, and moves a few engines that are needed
+    /// more elsewhere.
     fn plan_ranges(&mut self, service: &Service, model: &Model) -> Vec<Assignment> {
         let now = self.shared.now();
         let registry = self.shared.registry.borrow();
--- a/crates/ashgauged/src/relay/probe.rs
+++ b/crates/ashgauged/src/relay/probe.rs
@@ -51,8 +51,9 @@
 
 /// Returns the engines of a chain that accept no connection.
 ///
-/// Under pressure, engines that were active after `since` are not probed; `since` is when
-/// the event that the request waits for was due.
+/// Engines with recent activity are not probed; under pressure that includes activity after
+/// `since`, at most [`MAX_PROBE_AGE`] ago. `since` is when the event that the request waits
+/// for was due. Engines for which there is no budget are not probed.
 pub async fn find_unreachable(
     shared: &Rc<SharedState>,
     request: &RoutedRequest,
@@ -107,8 +108,8 @@
     ids
 }
 
-/// Whether there is a result of an engine to share, or the recovery budget allows another
-/// query. The result of that query is shared with all that ask meanwhile.
+/// Takes budget for a query of an engine, unless there is a result to share. Returns whether
+/// the engine may be queried. The result of the query is shared with all that ask meanwhile.
 fn reserve_probe<T>(
     shared: &SharedState,
     service: &ServiceId,
@@ -131,8 +132,9 @@
     allowed
 }
 
-/// Whether an engine of a chain is asked for its report. Under pressure only the first one
-/// is, which names the engine that stalls the chain.
+/// Takes budget for a request for the report of an engine of a chain. Returns whether the
+/// engine is asked. Under pressure only the first one is, which names the engine that stalls
+/// the chain.
 fn reserve_query(shared: &SharedState, request: &RoutedRequest, index: usize, id: &str) -> bool {
     if request.class.is_none() {
         return true;
@@ -215,7 +217,8 @@
     }
 }
 
-/// Whether an upstream is not checked because its service has no checks left in its budget.
+/// Takes budget for the check of an upstream without recent activity, if its service admits
+/// streams by class. Returns whether there was none left.
 fn lacks_check_budget(shared: &SharedState, id: &str) -> bool {
     let registry = shared.registry.borrow();
     let Some(entry) = registry.get(id).filter(|e| !e.is_active(shared.now())) else {
@@ -246,8 +249,8 @@
     Delisted,
 }
 
-/// Whether the recovery budget of a service allows the check of an engine that another box
-/// reported. The result of the connection attempt is shared with all that ask meanwhile.
+/// Takes budget for the check of an engine that another box reported. Returns whether it may
+/// be checked. The result of the connection attempt is shared with all that ask meanwhile.
 pub fn reserve_reported_check(shared: &SharedState, service: &ServiceId, id: &str) -> bool {
     reserve_probe(
         shared,
@@ -258,8 +261,8 @@
     )
 }
 
-/// Connects to an engine that another box reported and that [`reserve_reported_check`] allowed
-/// to check.
+/// Connects to an engine that another box reported and for whose check
+/// [`reserve_reported_check`] took budget.
 ///
 /// Recent activity and earlier probes do not count, as they may be from before the other
 /// box's connection failed: streams record an engine as active up to 60 ms after such a
--- a/crates/ashgauged/src/relay/recovery.rs
+++ b/crates/ashgauged/src/relay/recovery.rs
@@ -28,7 +28,8 @@
 /// Least time between two log lines about refused repairs; streams that wait try often.
 const LOG_INTERVAL: Duration = Duration::from_secs(1);
 
-/// What it means for the caller that its request is sent elsewhere.
+/// Returns whether sending the request elsewhere repairs an answer that has begun, or
+/// resends a request whose answer has not.
 fn action_of(request: &RoutedRequest) -> RecoveryAction {
     match request.record.first_event.is_some() || request.client_request.last_event.is_some() {
         true => RecoveryAction::Repair,
--- a/crates/ashgauged/src/relay/request.rs
+++ b/crates/ashgauged/src/relay/request.rs
@@ -1,4 +1,4 @@
-//! Requests that were accepted, and what the modules that handle them share: their load on
+//! Requests with their routes, and what the modules that handle them share: their load on
 //! upstreams, the outcomes of their sends, and the box's own responses.
 
 use std::ops::Range;
--- a/crates/ashgauged/src/relay/select.rs
+++ b/crates/ashgauged/src/relay/select.rs
@@ -30,8 +30,8 @@
 /// Criteria for the choice of a chain.
 #[derive(Clone, Copy)]
 pub struct ChainCriteria {
-    /// Capacity that the request needs; `None` for a stream that continues, which does not
-    /// wait for capacity.
+    /// Capacity that the request needs; `None` to ignore capacity, as for a stream that
+    /// continues.
     pub need: Option<Requirements>,
     /// Slack of the request against its target latency.
     pub slack: Slack,
@@ -55,8 +55,9 @@
         Some((id, addr))
     }
 
-    /// Chooses a chain over a range of a model's layers. Criteria without `need` are those
-    /// of a stream that continues elsewhere, as others do at the same moment.
+    /// Chooses a chain over a range of a model's layers. With [`Slack::Streaming`], and with
+    /// [`Slack::Late`] while little of the local engines' memory is in use, it assumes that
+    /// other requests choose their chains at the same moment.
     pub fn choose_chain(
         &self,
         service: &str,
--- a/crates/ashgauged/src/relay/settings.rs
+++ b/crates/ashgauged/src/relay/settings.rs
@@ -117,8 +117,8 @@
 }
 
 impl Default for Bounds {
-    /// Returns the bounds that apply where the operators set nothing: the stricter ones
-    /// of what today's users set.
+    /// Returns the bounds for settings that the operators leave out: the stricter of the
+    /// values that users set.
     fn default() -> Self {
         Bounds {
             strict_keys: true,
--- a/crates/ashgauged/src/relay/shedding.rs
+++ b/crates/ashgauged/src/relay/shedding.rs
@@ -214,7 +214,7 @@
     levels::log_change(now, service, state);
 }
 
-/// An admitted stream; records its completion when it is dropped.
+/// An admitted stream; records its completion when it is dropped, if an engine ran it.
 pub struct Admission {
     shared: Rc<SharedState>,
     service: ServiceId,
--- a/crates/ashgauged/src/relay/state/admissions.rs
+++ b/crates/ashgauged/src/relay/state/admissions.rs
@@ -92,8 +92,8 @@
         with_basis.collect()
     }
 
-    /// Returns whether a refused repair may be logged, as none was within `every`; if so,
-    /// records `now`.
+    /// Records `now` as the time at which a refused repair was last logged, unless that was
+    /// within `every`. Returns whether it did, so that the caller may log one.
     pub fn take_log_slot(&self, now: Duration, every: Duration) -> bool {
         let is_due = self.logged_at.get().is_none_or(|at| now >= at + every);
         if is_due {
--- a/crates/ashgauged/src/relay/suspicion.rs
+++ b/crates/ashgauged/src/relay/suspicion.rs
@@ -1,5 +1,5 @@
-//! Reports engines that accept no connections to the other boxes, and checks those that
-//! they report.
+//! Reports to the other boxes which engines accept no connections, and checks engines that
+//! other boxes report.
 
 use std::collections::HashMap;
 use std::rc::Rc;
