--- a/crates/ashgauged/src/relay/event_forwarder/repair.rs
+++ b/crates/ashgauged/src/relay/event_forwarder/repair.rs
@@ -259,7 +259,7 @@
 
     /// Orders the first engine to route the stream over another chain. Returns whether it
     /// does.
-    async fn repath(&mut self, lost: &[UpstreamId], stages: Vec<Stage>, encoded: &str) -> bool {
+    async fn repath(&mut self, replaced: &[UpstreamId], stages: Vec<Stage>, encoded: &str) -> bool {
         let silent_ms = self.silent_ms();
         let (client, id) = (&self.shared.client, &self.request.client_request.id);
         let reply =
@@ -276,7 +276,7 @@
             .with_label_values(&[label])
             .inc();
         let fields = json!({
-            "lost": lost.iter().map(|l| &**l).collect::<Vec<_>>(),
+            "lost": replaced.iter().map(|l| &**l).collect::<Vec<_>>(),
             "chain": encoded,
             "reply": format!("{reply:?}"),
             "last": self.last_id,
@@ -306,16 +306,16 @@
         true
     }
 
-    /// The chain with the lost engines' layers given to other engines.
-    fn detour(&self, lost: &[UpstreamId]) -> Option<(Vec<Stage>, String)> {
+    /// The chain with the layers of the replaced engines given to others.
+    fn detour(&self, replaced: &[UpstreamId]) -> Option<(Vec<Stage>, String)> {
         let model = self.request.service.model.as_ref()?;
         let mut stages: Vec<Stage> = Vec::new();
         for stage in &self.run.stages {
-            if !lost.contains(&stage.upstream) {
+            if !replaced.contains(&stage.upstream) {
                 stages.push(stage.clone());
                 continue;
             }
-            let mut avoid = lost.to_vec();
+            let mut avoid = replaced.to_vec();
             // An engine may appear only once in a chain.
             avoid.extend(self.run.stages.iter().map(|s| s.upstream.clone()));
             avoid.extend(stages.iter().map(|s| s.upstream.clone()));
@@ -417,8 +417,8 @@
                     );
                     outcome = failed.outcome;
                     if outcome == SendOutcome::Lost {
-                        let loss = BrokenRun::before_answer(&failed.upstream, began);
-                        if loss::check_loss(&self.shared, &self.request, loss).await {
+                        let broken_run = BrokenRun::before_answer(&failed.upstream, began);
+                        if loss::check_loss(&self.shared, &self.request, broken_run).await {
                             self.attempts.record_lost();
                         }
                     }
--- a/crates/ashgauged/src/relay/forward.rs
+++ b/crates/ashgauged/src/relay/forward.rs
@@ -350,11 +350,11 @@
     id: &str,
 ) -> Result<CollectedAnswer, SendOutcome> {
     let sent = shared.now();
-    let exchange = connection
+    let response = connection
         .send(request)
         .await
         .map_err(|e| failure_outcome(&e))?;
-    let (parts, body) = exchange.response.into_parts();
+    let (parts, body) = response.response.into_parts();
     notice::apply(shared, upstream, sent, &parts);
     let load = engine::parse_load(&parts.headers);
     match engine::classify(&parts, id) {
--- a/crates/ashgauged/src/relay/levels.rs
+++ b/crates/ashgauged/src/relay/levels.rs
@@ -63,15 +63,15 @@
 }
 
 impl InputStatus {
-    fn new(basis: &LevelInputs) -> Self {
+    fn new(inputs: &LevelInputs) -> Self {
         InputStatus {
-            asked: basis.demand_rate(),
-            allowed: basis.allowed_rate,
-            ends: basis.completion_rate,
-            requests: basis.pressure.requests,
-            memory: basis.pressure.memory,
-            slots: basis.pressure.slots,
-            boxes_heard: basis.boxes,
+            asked: inputs.demand_rate(),
+            allowed: inputs.allowed_rate,
+            ends: inputs.completion_rate,
+            requests: inputs.pressure.requests,
+            memory: inputs.pressure.memory,
+            slots: inputs.pressure.slots,
+            boxes_heard: inputs.boxes,
         }
     }
 }
@@ -79,24 +79,24 @@
 /// Returns the levels of the services for which shedding is enabled.
 pub fn status(shared: &SharedState) -> Vec<LevelStatus> {
     let (now, uptime) = (shared.now(), shared.uptime());
-    shared.admissions.with_levels(|service, state, basis| {
+    shared.admissions.with_levels(|service, state, inputs| {
         let since = now.saturating_sub(state.gate.since()).min(uptime);
         LevelStatus {
             service: service.to_string(),
             class: state.class(),
             team_rate: state.gate.level().map(|l| l.team_limit),
             since_ms: since.as_millis() as u64,
-            inputs: InputStatus::new(basis),
-            classes: class_statuses(state, basis),
+            inputs: InputStatus::new(inputs),
+            classes: class_statuses(state, inputs),
         }
     })
 }
 
-fn class_statuses(state: &ServiceAdmission, basis: &LevelInputs) -> Vec<ClassStatus> {
-    let with_demand = basis.classes.iter().map(|(class, _)| *class);
+fn class_statuses(state: &ServiceAdmission, inputs: &LevelInputs) -> Vec<ClassStatus> {
+    let with_demand = inputs.classes.iter().map(|(class, _)| *class);
     let all: BTreeSet<Class> = with_demand.chain(state.counts.keys().copied()).collect();
     let class_status = |class: Class| {
-        let with_demand = basis.classes.iter().find(|(c, _)| *c == class);
+        let with_demand = inputs.classes.iter().find(|(c, _)| *c == class);
         let counts = state.counts.get(&class).copied().unwrap_or_default();
         ClassStatus {
             class,
@@ -120,11 +120,11 @@
 /// Sets the gauges to the values of the service under the highest pressure.
 pub fn set_gauges(shared: &SharedState) {
     let metrics = &shared.metrics;
-    let levels = shared.admissions.with_levels(|_, state, basis| {
+    let levels = shared.admissions.with_levels(|_, state, inputs| {
         let classes_before = state
             .class()
-            .map(|class| basis.classes_before(class) as i64);
-        (basis.pressure, classes_before.unwrap_or(ALL_ADMITTED))
+            .map(|class| inputs.classes_before(class) as i64);
+        (inputs.pressure, classes_before.unwrap_or(ALL_ADMITTED))
     });
     let highest = levels
         .into_iter()
@@ -150,7 +150,7 @@
         return;
     };
     let mut fields = match &state.inputs {
-        Some(basis) => json!(InputStatus::new(basis)),
+        Some(inputs) => json!(InputStatus::new(inputs)),
         // Shedding was disabled.
         None => json!({}),
     };
--- a/crates/ashgauged/src/relay/loss.rs
+++ b/crates/ashgauged/src/relay/loss.rs
@@ -127,15 +127,15 @@
 pub async fn check_loss(
     shared: &Rc<SharedState>,
     request: &RoutedRequest,
-    loss: BrokenRun,
+    broken_run: BrokenRun,
 ) -> bool {
     let digest = request.digest;
     // The upstream's entry may be gone after the check.
-    let instance = blamed_instance(shared, &loss);
+    let instance = blamed_instance(shared, &broken_run);
     let suspected = SuspectedLoss {
         id: request.client_request.id.clone(),
         digest,
-        broken_run: loss,
+        broken_run,
         instance,
         _check: instance
             .map(|instance| LossCheck::begin(shared, InstanceLoss { digest, instance })),
@@ -158,11 +158,11 @@
 
 /// Instance of an upstream whose loss is attributed to the request; none if the request had
 /// run safely before, or if the upstream was going to end anyway.
-fn blamed_instance(shared: &SharedState, loss: &BrokenRun) -> Option<InstanceKey> {
+fn blamed_instance(shared: &SharedState, broken_run: &BrokenRun) -> Option<InstanceKey> {
     let registry = shared.registry.borrow();
-    let state = registry.get(&loss.upstream)?;
+    let state = registry.get(&broken_run.upstream)?;
     let upstream = &state.upstream;
-    let is_attributed = !loss.proven_safe && !state.is_leaving();
+    let is_attributed = !broken_run.proven_safe && !state.is_leaving();
     is_attributed.then(|| instance_key(&upstream.id, upstream.started_ms))
 }
 
--- a/crates/ashgauged/src/relay/open.rs
+++ b/crates/ashgauged/src/relay/open.rs
@@ -30,7 +30,7 @@
 pub const MAX_SILENCE: Duration = Duration::from_millis(1300);
 
 /// Largest error response that is forwarded to the caller.
-const MAX_FAILURE_BYTES: usize = 1 << 20;
+const MAX_ERROR_RESPONSE_BYTES: usize = 1 << 20;
 
 /// A running stream, and the chain that it runs on.
 pub struct Run {
@@ -68,10 +68,10 @@
 }
 
 /// Copies the head of a response.
-pub fn response_head(exchange: &OpenResponse) -> response::Parts {
+pub fn response_head(response: &OpenResponse) -> response::Parts {
     let mut head = Response::new(());
-    *head.status_mut() = exchange.response.status();
-    *head.headers_mut() = exchange.response.headers().clone();
+    *head.status_mut() = response.response.status();
+    *head.headers_mut() = response.response.headers().clone();
     head.into_parts().0
 }
 
@@ -131,23 +131,23 @@
     let sent = shared.now();
     let sending = connection.send(outgoing);
     let wait = head_timeout(shared, estimate.as_ref());
-    let exchange = await_head(shared, request, &stages, sending, attempts, avoid, wait).await;
-    let exchange = exchange.map_err(failed)?;
-    let parts = response_head(&exchange);
+    let response = await_head(shared, request, &stages, sending, attempts, avoid, wait).await;
+    let response = response.map_err(failed)?;
+    let parts = response_head(&response);
     notice::apply(shared, &first_engine, sent, &parts);
     match engine::classify(&parts, &request.client_request.id) {
         Verdict::Answer if parts.status.is_success() => {}
         Verdict::Answer => {
             avoid.push(first_engine.clone());
-            let failure = read_error_response(exchange, parts).await;
-            let outcome = match &failure {
+            let error_response = read_error_response(response, parts).await;
+            let outcome = match &error_response {
                 Some(_) => SendOutcome::Failed,
                 None => SendOutcome::Lost,
             };
             return Err(FailedSend {
                 outcome,
                 upstream: first_engine,
-                error_response: failure,
+                error_response,
             });
         }
         verdict @ (Verdict::Full(_) | Verdict::Stale(_)) => {
@@ -159,7 +159,7 @@
     Ok(Run {
         stages,
         first_addr,
-        response: exchange,
+        response,
         head_at: shared.now(),
         event_count: 0,
         first_event: None,
@@ -221,9 +221,9 @@
             let now = shared.now();
             let mut registry = shared.registry.borrow_mut();
             return match result {
-                Ok(exchange) => {
+                Ok(response) => {
                     registry.record_latency(now, first_engine, now - sent_at);
-                    Ok(exchange)
+                    Ok(response)
                 }
                 Err(failure) => {
                     registry.record_failure(now, first_engine);
@@ -233,19 +233,19 @@
             };
         }
         let waited = shared.now() - sent_at;
-        let mut unreachable = find_unreachable(shared, request, stages, Duration::ZERO).await;
-        if unreachable.is_empty() {
-            unreachable.extend(query_engines(shared, request, stages).await);
+        let mut faulty = find_unreachable(shared, request, stages, Duration::ZERO).await;
+        if faulty.is_empty() {
+            faulty.extend(query_engines(shared, request, stages).await);
         }
         if attempts.time_left(shared.now()).is_zero() {
             return Err(SendOutcome::Lost);
         }
         let is_late = waited >= MAX_SILENCE;
-        if !unreachable.is_empty() || (is_late && recovery::has_budget(shared, request)) {
-            unreachable
+        if !faulty.is_empty() || (is_late && recovery::has_budget(shared, request)) {
+            faulty
                 .iter()
                 .for_each(|id| shared.mark_suspect(id, "holds up its chain"));
-            if unreachable.is_empty() {
+            if faulty.is_empty() {
                 let now = shared.now();
                 shared
                     .registry
@@ -253,7 +253,7 @@
                     .record_failure(now, first_engine);
                 avoid.push(first_engine.clone());
             }
-            avoid.extend(unreachable);
+            avoid.extend(faulty);
             return Err(SendOutcome::Lost);
         }
         wait = match is_late {
@@ -265,15 +265,15 @@
 
 /// Reads an engine's error response; `None` if it breaks off or is too large.
 async fn read_error_response(
-    exchange: OpenResponse,
+    response: OpenResponse,
     parts: response::Parts,
 ) -> Option<Response<Bytes>> {
-    let limited = Limited::new(exchange.response.into_body(), MAX_FAILURE_BYTES);
+    let limited = Limited::new(response.response.into_body(), MAX_ERROR_RESPONSE_BYTES);
     let body = limited.collect().await.ok()?.to_bytes();
-    let mut failure = Response::new(body);
-    *failure.status_mut() = parts.status;
-    *failure.headers_mut() = engine::answer_headers(&parts);
-    Some(failure)
+    let mut error_response = Response::new(body);
+    *error_response.status_mut() = parts.status;
+    *error_response.headers_mut() = engine::answer_headers(&parts);
+    Some(error_response)
 }
 
 /// Returns the upstream with this address.
--- a/crates/ashgauged/src/relay/permit.rs
+++ b/crates/ashgauged/src/relay/permit.rs
@@ -71,7 +71,7 @@
 }
 
 fn next_issuer(shared: &SharedState, key: UpstreamKey, unanswered: Option<&BoxId>) -> Issuer {
-    let (silent_boxes, fleet_load) = (
+    let (skipped_boxes, fleet_load) = (
         shared.permits.skipped_boxes.borrow(),
         shared.fleet_load.borrow(),
     );
@@ -82,7 +82,7 @@
         &own,
         shared.fleet_size(),
         &issuers,
-        &silent_boxes,
+        &skipped_boxes,
         unanswered,
         hears_from,
     )
@@ -106,15 +106,15 @@
     send(shared, addr, &Datagram::AskPermit(request));
     let verdict = timeout(REPLY_TIMEOUT, answer).await;
     shared.permits.pending.borrow_mut().remove(&id);
-    let mut silent_boxes = shared.permits.skipped_boxes.borrow_mut();
+    let mut skipped_boxes = shared.permits.skipped_boxes.borrow_mut();
     match verdict {
         Ok(Ok(verdict)) => {
-            silent_boxes.record_reply(to);
+            skipped_boxes.record_reply(to);
             Some(verdict)
         }
         // The sender is only dropped once it has been used.
         Ok(Err(_)) | Err(_) => {
-            silent_boxes.record_miss(shared.now(), to);
+            skipped_boxes.record_miss(shared.now(), to);
             None
         }
     }
@@ -207,8 +207,8 @@
 
 fn decide(shared: &SharedState, key: UpstreamKey, rank: IssuerRank) -> Verdict {
     let permits = &shared.permits;
-    let mut grants = permits.buckets.borrow_mut();
-    grants.decide(shared.now(), &permits.limits.borrow(), key, rank)
+    let mut buckets = permits.buckets.borrow_mut();
+    buckets.decide(shared.now(), &permits.limits.borrow(), key, rank)
 }
 
 /// Returns the rank of this box among those that may issue permits for an upstream.
--- a/crates/ashgauged/src/relay/shedding.rs
+++ b/crates/ashgauged/src/relay/shedding.rs
@@ -153,19 +153,19 @@
     shared.admissions.with(&service.name, |s| {
         let estimate = s.estimator.estimate(now, &observation);
         let (demands, pressure) = (&estimate.demands, estimate.pressure);
-        let basis = LevelInputs::new(
+        let inputs = LevelInputs::new(
             demands,
             pressure,
             estimate.completion_rate,
             observation.age,
             boxes,
         );
-        s.estimator.record_allowed_rate(now, basis.allowed_rate);
+        s.estimator.record_allowed_rate(now, inputs.allowed_rate);
         s.recovery_budget
             .set_pressure(now, observation.pressure.max_share());
         s.gate
-            .set_level(now, AdmissionLevel::new(demands, basis.allowed_rate));
-        s.inputs = Some(basis);
+            .set_level(now, AdmissionLevel::new(demands, inputs.allowed_rate));
+        s.inputs = Some(inputs);
         levels::log_change(now, &service.name, s);
     });
 }
--- a/crates/ashgauged/src/relay/state/admissions.rs
+++ b/crates/ashgauged/src/relay/state/admissions.rs
@@ -87,9 +87,9 @@
         let services = self.services.borrow();
         let mut sorted: Vec<_> = services.iter().collect();
         sorted.sort_unstable_by_key(|(name, _)| *name);
-        let with_basis = sorted.into_iter();
-        let with_basis = with_basis.filter_map(|(name, s)| Some(f(name, s, s.inputs.as_ref()?)));
-        with_basis.collect()
+        let with_inputs = sorted.into_iter();
+        let with_inputs = with_inputs.filter_map(|(name, s)| Some(f(name, s, s.inputs.as_ref()?)));
+        with_inputs.collect()
     }
 
     /// Records `now` as the time at which a refused repair was last logged, unless that was
--- a/crates/ashgauged/src/relay/status.rs
+++ b/crates/ashgauged/src/relay/status.rs
@@ -135,14 +135,14 @@
 
 fn limit_statuses(shared: &SharedState) -> Vec<LimitStatus> {
     let (registry, permits) = (shared.registry.borrow(), &shared.permits);
-    let (limits, grants) = (permits.limits.borrow(), permits.buckets.borrow());
+    let (limits, buckets) = (permits.limits.borrow(), permits.buckets.borrow());
     let named = registry.iter().filter_map(|e| {
         let (id, key) = (&e.upstream.id, load_report::upstream_key(&e.upstream.id));
         Some(LimitStatus {
             upstream: id.to_string(),
             rate: limits.rate_of(key)?,
             givers: to_strings(&issuer_order(key, &permits.issuers.borrow())),
-            given: grants.issued(key),
+            given: buckets.issued(key),
         })
     });
     named.collect()
@@ -160,12 +160,12 @@
         let Some(peer) = peers.get(id) else {
             continue;
         };
-        let informed = by_data_centre.entry(&peer.data_centre).or_default();
-        informed.data_centre = peer.data_centre.to_string();
-        informed.boxes += 1;
-        informed.current += usize::from(query.revision >= covered);
+        let status = by_data_centre.entry(&peer.data_centre).or_default();
+        status.data_centre = peer.data_centre.to_string();
+        status.boxes += 1;
+        status.current += usize::from(query.revision >= covered);
         let age = now.saturating_sub(query.asked_at).as_millis() as u64;
-        informed.oldest_ms = informed.oldest_ms.max(age);
+        status.oldest_ms = status.oldest_ms.max(age);
     }
     by_data_centre.into_values().collect()
 }
--- a/crates/ashgauged/src/relay/stream.rs
+++ b/crates/ashgauged/src/relay/stream.rs
@@ -93,8 +93,8 @@
         };
         note_outcome(&shared, &request, &failed.upstream, failed.outcome);
         if failed.outcome == SendOutcome::Lost {
-            let loss = BrokenRun::before_answer(&failed.upstream, began);
-            if loss::check_loss(&shared, &request, loss).await {
+            let broken_run = BrokenRun::before_answer(&failed.upstream, began);
+            if loss::check_loss(&shared, &request, broken_run).await {
                 attempts.record_lost();
             }
         }
@@ -107,9 +107,9 @@
         match (next, failed.error_response) {
             (Decision::Resend, _) if is_refused => {}
             (Decision::Resend, _) => recovery::wait_for_budget(&shared, &request).await,
-            (Decision::Forward, Some(answer)) => {
+            (Decision::Forward, Some(error_response)) => {
                 request.record.end("failed upstream");
-                return upstream_response(answer);
+                return upstream_response(error_response);
             }
             (Decision::Fail(end), _) => return finish(&shared, request, end),
             (Decision::Forward, None) => return finish(&shared, request, FailureKind::Unknown),
