--- a/crates/ashgauged/src/settings.rs
+++ b/crates/ashgauged/src/settings.rs
@@ -221,7 +221,7 @@
             "warn" => Level::Warn,
             "info" => Level::Info,
             "debug" => Level::Debug,
-            other => bail!("log: `{other}` is no level; use error, warn, info or debug"),
+            other => bail!("log: `{other}` is not a log level; use error, warn, info or debug"),
         };
         Ok(LevelFilter::MoreSevereEqual(level))
     }
