--- a/crates/ashgauged/src/relay/event_forwarder/repair.rs
+++ b/crates/ashgauged/src/relay/event_forwarder/repair.rs
@@ -25,7 +25,8 @@
 use super::super::select::ChainCriteria;
 use super::{EventForwarder, ForwardState};
 
-/// Maximum number of repairs of one stream; each one lost an engine.
+/// Maximum number of detours around lost or stalled engines in one stream; after that it
+/// is not routed around leaving engines either.
 const MAX_REPAIRS: u32 = 6;
 
 /// Delay before a stream looks again for a way around engines that leave.
@@ -67,7 +68,8 @@
         self.resume("ended without an event", false).await
     }
 
-    /// Looks for the cause of a silence.
+    /// Looks for the cause of a silence; repairs the chain around a lost or stalled engine,
+    /// or continues an overdue stream elsewhere.
     pub(super) async fn handle_silence(&mut self) -> ForwardState {
         self.silence.record_check();
         let due_at = self.silence.last_event() + Duration::from_secs_f64(self.silence.event_gap());
@@ -138,7 +140,9 @@
         allowed
     }
 
-    /// Schedules an early check of a stream that got no budget.
+    /// Schedules the next check of a stream whose service admits by class: after
+    /// [`recovery::POLL_INTERVAL`] if it got no budget. Otherwise a check that is already
+    /// scheduled is postponed until at least [`LEAVE_RETRY_INTERVAL`] from now.
     fn schedule_recheck(&mut self, allowed: bool) {
         if self.request.class.is_none() {
             return;
@@ -255,7 +259,7 @@
 
     /// Orders the first engine to route the stream over another chain. Returns whether it
     /// does.
-    async fn repath(&mut self, lost: &[UpstreamId], stages: Vec<Stage>, encoded: &str) -> bool {
+    async fn repath(&mut self, replaced: &[UpstreamId], stages: Vec<Stage>, encoded: &str) -> bool {
         let silent_ms = self.silent_ms();
         let (client, id) = (&self.shared.client, &self.request.client_request.id);
         let reply =
@@ -272,7 +276,7 @@
             .with_label_values(&[label])
             .inc();
         let fields = json!({
-            "lost": lost.iter().map(|l| &**l).collect::<Vec<_>>(),
+            "lost": replaced.iter().map(|l| &**l).collect::<Vec<_>>(),
             "chain": encoded,
             "reply": format!("{reply:?}"),
             "last": self.last_id,
@@ -302,16 +306,16 @@
         true
     }
 
-    /// The chain with the lost engines' layers given to other engines.
-    fn detour(&self, lost: &[UpstreamId]) -> Option<(Vec<Stage>, String)> {
+    /// The chain with the layers of the replaced engines given to others.
+    fn detour(&self, replaced: &[UpstreamId]) -> Option<(Vec<Stage>, String)> {
         let model = self.request.service.model.as_ref()?;
         let mut stages: Vec<Stage> = Vec::new();
         for stage in &self.run.stages {
-            if !lost.contains(&stage.upstream) {
+            if !replaced.contains(&stage.upstream) {
                 stages.push(stage.clone());
                 continue;
             }
-            let mut avoid = lost.to_vec();
+            let mut avoid = replaced.to_vec();
             // An engine may appear only once in a chain.
             avoid.extend(self.run.stages.iter().map(|s| s.upstream.clone()));
             avoid.extend(stages.iter().map(|s| s.upstream.clone()));
@@ -324,7 +328,7 @@
         Some((stages, encoded))
     }
 
-    /// Chooses engines for the layers of a lost stage.
+    /// Chooses engines for the layers of a replaced engine.
     fn fill_range(&self, model: &Model, stage: &Stage, avoid: &[UpstreamId]) -> Option<Vec<Stage>> {
         let layers = LayerRange {
             first: stage.first,
@@ -413,8 +417,8 @@
                     );
                     outcome = failed.outcome;
                     if outcome == SendOutcome::Lost {
-                        let loss = BrokenRun::before_answer(&failed.upstream, began);
-                        if loss::check_loss(&self.shared, &self.request, loss).await {
+                        let broken_run = BrokenRun::before_answer(&failed.upstream, began);
+                        if loss::check_loss(&self.shared, &self.request, broken_run).await {
                             self.attempts.record_lost();
                         }
                     }
--- a/crates/ashgauged/src/relay/levels.rs
+++ b/crates/ashgauged/src/relay/levels.rs
@@ -29,14 +29,14 @@
     /// Time since the class last changed, in milliseconds.
     since_ms: u64,
     #[serde(flatten)]
-    cause: LevelCause,
+    inputs: InputStatus,
     /// Classes with demand now or since the box started.
     classes: Vec<ClassStatus>,
 }
 
 /// Inputs of a level, as requests per second and as shares.
 #[derive(Serialize)]
-struct LevelCause {
+struct InputStatus {
     asked: f64,
     /// `null` if no bound is in use.
     allowed: f64,
@@ -62,16 +62,16 @@
     refused: u64,
 }
 
-impl LevelCause {
-    fn new(basis: &LevelInputs) -> Self {
-        LevelCause {
-            asked: basis.demand_rate(),
-            allowed: basis.allowed_rate,
-            ends: basis.completion_rate,
-            requests: basis.pressure.requests,
-            memory: basis.pressure.memory,
-            slots: basis.pressure.slots,
-            boxes_heard: basis.boxes,
+impl InputStatus {
+    fn new(inputs: &LevelInputs) -> Self {
+        InputStatus {
+            asked: inputs.demand_rate(),
+            allowed: inputs.allowed_rate,
+            ends: inputs.completion_rate,
+            requests: inputs.pressure.requests,
+            memory: inputs.pressure.memory,
+            slots: inputs.pressure.slots,
+            boxes_heard: inputs.boxes,
         }
     }
 }
@@ -79,24 +79,24 @@
 /// Returns the levels of the services for which shedding is enabled.
 pub fn status(shared: &SharedState) -> Vec<LevelStatus> {
     let (now, uptime) = (shared.now(), shared.uptime());
-    shared.admissions.with_levels(|service, state, basis| {
+    shared.admissions.with_levels(|service, state, inputs| {
         let since = now.saturating_sub(state.gate.since()).min(uptime);
         LevelStatus {
             service: service.to_string(),
             class: state.class(),
             team_rate: state.gate.level().map(|l| l.team_limit),
             since_ms: since.as_millis() as u64,
-            cause: LevelCause::new(basis),
-            classes: class_statuses(state, basis),
+            inputs: InputStatus::new(inputs),
+            classes: class_statuses(state, inputs),
         }
     })
 }
 
-fn class_statuses(state: &ServiceAdmission, basis: &LevelInputs) -> Vec<ClassStatus> {
-    let with_demand = basis.classes.iter().map(|(class, _)| *class);
+fn class_statuses(state: &ServiceAdmission, inputs: &LevelInputs) -> Vec<ClassStatus> {
+    let with_demand = inputs.classes.iter().map(|(class, _)| *class);
     let all: BTreeSet<Class> = with_demand.chain(state.counts.keys().copied()).collect();
     let class_status = |class: Class| {
-        let with_demand = basis.classes.iter().find(|(c, _)| *c == class);
+        let with_demand = inputs.classes.iter().find(|(c, _)| *c == class);
         let counts = state.counts.get(&class).copied().unwrap_or_default();
         ClassStatus {
             class,
@@ -120,11 +120,11 @@
 /// Sets the gauges to the values of the service under the highest pressure.
 pub fn set_gauges(shared: &SharedState) {
     let metrics = &shared.metrics;
-    let levels = shared.admissions.with_levels(|_, state, basis| {
+    let levels = shared.admissions.with_levels(|_, state, inputs| {
         let classes_before = state
             .class()
-            .map(|class| basis.classes_before(class) as i64);
-        (basis.pressure, classes_before.unwrap_or(ALL_ADMITTED))
+            .map(|class| inputs.classes_before(class) as i64);
+        (inputs.pressure, classes_before.unwrap_or(ALL_ADMITTED))
     });
     let highest = levels
         .into_iter()
@@ -146,11 +146,11 @@
 
 /// Logs a change of a service's level, once a second at most.
 pub fn log_change(now: Duration, service: &ServiceId, state: &mut ServiceAdmission) {
-    let Some(change) = state.report.change(now, state.class()) else {
+    let Some(change) = state.change_reporter.change(now, state.class()) else {
         return;
     };
-    let mut fields = match &state.basis {
-        Some(basis) => json!(LevelCause::new(basis)),
+    let mut fields = match &state.inputs {
+        Some(inputs) => json!(InputStatus::new(inputs)),
         // Shedding was disabled.
         None => json!({}),
     };
--- a/crates/ashgauged/src/relay/loss.rs
+++ b/crates/ashgauged/src/relay/loss.rs
@@ -10,7 +10,7 @@
 use spdlog::Level;
 use tokio::time::sleep;
 
-use super::request::AdmittedRequest;
+use super::request::RoutedRequest;
 use super::shared_state::SharedState;
 use super::{log, probe, quarantine};
 
@@ -61,7 +61,7 @@
 impl SuspectRun {
     /// Records that a request goes to an upstream, if others were lost under it.
     pub fn begin(shared: &Rc<SharedState>, digest: Digest, upstream: &UpstreamId) -> Option<Self> {
-        if !shared.quarantine.borrow().is_suspect(digest) {
+        if !shared.quarantine.borrow().has_losses(digest) {
             return None;
         }
         shared.suspect_runs.borrow_mut().push(upstream.clone());
@@ -86,7 +86,7 @@
     /// Id of the attempt.
     id: String,
     digest: Digest,
-    loss: BrokenRun,
+    broken_run: BrokenRun,
     /// Instance whose loss is attributed to the request, if it is.
     instance: Option<InstanceKey>,
     /// Delays other sends of the request during the check.
@@ -126,21 +126,21 @@
 /// continues.
 pub async fn check_loss(
     shared: &Rc<SharedState>,
-    request: &AdmittedRequest,
-    loss: BrokenRun,
+    request: &RoutedRequest,
+    broken_run: BrokenRun,
 ) -> bool {
     let digest = request.digest;
     // The upstream's entry may be gone after the check.
-    let instance = blamed_instance(shared, &loss);
+    let instance = blamed_instance(shared, &broken_run);
     let suspected = SuspectedLoss {
         id: request.client_request.id.clone(),
         digest,
-        loss,
+        broken_run,
         instance,
         _check: instance
             .map(|instance| LossCheck::begin(shared, InstanceLoss { digest, instance })),
     };
-    if probe::is_lost(shared, &suspected.loss.upstream).await {
+    if probe::is_lost(shared, &suspected.broken_run.upstream).await {
         suspected.confirm(shared);
         return true;
     }
@@ -148,7 +148,7 @@
     tokio::task::spawn_local(async move {
         for delay in RECHECK_DELAYS {
             sleep(delay).await;
-            if probe::is_lost(&shared, &suspected.loss.upstream).await {
+            if probe::is_lost(&shared, &suspected.broken_run.upstream).await {
                 return suspected.confirm(&shared);
             }
         }
@@ -158,11 +158,11 @@
 
 /// Instance of an upstream whose loss is attributed to the request; none if the request had
 /// run safely before, or if the upstream was going to end anyway.
-fn blamed_instance(shared: &SharedState, loss: &BrokenRun) -> Option<InstanceKey> {
+fn blamed_instance(shared: &SharedState, broken_run: &BrokenRun) -> Option<InstanceKey> {
     let registry = shared.registry.borrow();
-    let state = registry.get(&loss.upstream)?;
+    let state = registry.get(&broken_run.upstream)?;
     let upstream = &state.upstream;
-    let is_attributed = !loss.proven_safe && !state.is_leaving();
+    let is_attributed = !broken_run.proven_safe && !state.is_leaving();
     is_attributed.then(|| instance_key(&upstream.id, upstream.started_ms))
 }
 
@@ -174,15 +174,15 @@
         shared
             .registry
             .borrow_mut()
-            .note_unreachable(now, &self.loss.upstream);
-        // Avoiding lost engines does not stop a request that crashes them: it moves on to
-        // the next one with each repeat.
+            .note_unreachable(now, &self.broken_run.upstream);
+        // `note_unreachable` alone does not stop a request that crashes engines: each retry
+        // would crash another one. So the loss also counts towards its quarantine.
         if let Some(instance) = self.instance {
             let digest = self.digest;
             quarantine::record_loss(shared, InstanceLoss { digest, instance });
         }
-        let run_time = shared.now().saturating_sub(self.loss.began);
-        let events = if self.loss.event_count == 0 {
+        let run_time = shared.now().saturating_sub(self.broken_run.began);
+        let events = if self.broken_run.event_count == 0 {
             "none"
         } else {
             "some"
@@ -190,10 +190,10 @@
         shared.metrics.lost_runs.with_label_values(&[events]).inc();
         let fields = json!({
             "id": self.id,
-            "upstream": &*self.loss.upstream,
+            "upstream": &*self.broken_run.upstream,
             "digest": digest::format_digest(self.digest),
             "run_ms": run_time.as_millis() as u64,
-            "events": self.loss.event_count,
+            "events": self.broken_run.event_count,
             "counts": self.instance.is_some(),
         });
         log::event(Level::Info, "request", "upstream lost", fields);
--- a/crates/ashgauged/src/relay/open.rs
+++ b/crates/ashgauged/src/relay/open.rs
@@ -22,7 +22,7 @@
 use super::pick::ChosenChain;
 use super::probe::{find_unreachable, query_engines};
 use super::recovery;
-use super::request::{AdmittedRequest, LoadGuard, apply_refusal, failure_outcome, is_authorized};
+use super::request::{LoadGuard, RoutedRequest, apply_refusal, failure_outcome, is_authorized};
 use super::shared_state::SharedState;
 
 /// Silence after which a stream continues elsewhere though all its engines answer; its
@@ -30,7 +30,7 @@
 pub const MAX_SILENCE: Duration = Duration::from_millis(1300);
 
 /// Largest error response that is forwarded to the caller.
-const MAX_FAILURE_BYTES: usize = 1 << 20;
+const MAX_ERROR_RESPONSE_BYTES: usize = 1 << 20;
 
 /// A running stream, and the chain that it runs on.
 pub struct Run {
@@ -39,7 +39,7 @@
     /// Address of the first engine.
     pub first_addr: String,
     /// The response whose body is being received.
-    pub exchange: OpenResponse,
+    pub response: OpenResponse,
     /// When the head of the answer arrived.
     pub head_at: Duration,
     /// Number of complete events received.
@@ -64,14 +64,14 @@
     /// Engine that the request was sent to.
     pub upstream: UpstreamId,
     /// The engine's own error response, if it sent one.
-    pub answer: Option<Response<Bytes>>,
+    pub error_response: Option<Response<Bytes>>,
 }
 
 /// Copies the head of a response.
-pub fn response_head(exchange: &OpenResponse) -> response::Parts {
+pub fn response_head(response: &OpenResponse) -> response::Parts {
     let mut head = Response::new(());
-    *head.status_mut() = exchange.response.status();
-    *head.headers_mut() = exchange.response.headers().clone();
+    *head.status_mut() = response.response.status();
+    *head.headers_mut() = response.response.headers().clone();
     head.into_parts().0
 }
 
@@ -79,7 +79,7 @@
 /// continues after event `last_event`.
 pub async fn start_run(
     shared: &Rc<SharedState>,
-    request: &mut AdmittedRequest,
+    request: &mut RoutedRequest,
     attempts: &mut Attempts,
     avoid: &mut Vec<UpstreamId>,
     last_event: Option<u64>,
@@ -99,7 +99,7 @@
     let failed = |outcome| FailedSend {
         outcome,
         upstream: first_engine.clone(),
-        answer: None,
+        error_response: None,
     };
     attempts.record_send(first_engine.clone());
     request
@@ -131,23 +131,23 @@
     let sent = shared.now();
     let sending = connection.send(outgoing);
     let wait = head_timeout(shared, estimate.as_ref());
-    let exchange = await_head(shared, request, &stages, sending, attempts, avoid, wait).await;
-    let exchange = exchange.map_err(failed)?;
-    let parts = response_head(&exchange);
+    let response = await_head(shared, request, &stages, sending, attempts, avoid, wait).await;
+    let response = response.map_err(failed)?;
+    let parts = response_head(&response);
     notice::apply(shared, &first_engine, sent, &parts);
     match engine::classify(&parts, &request.client_request.id) {
         Verdict::Answer if parts.status.is_success() => {}
         Verdict::Answer => {
             avoid.push(first_engine.clone());
-            let failure = read_error_response(exchange, parts).await;
-            let outcome = match &failure {
+            let error_response = read_error_response(response, parts).await;
+            let outcome = match &error_response {
                 Some(_) => SendOutcome::Failed,
                 None => SendOutcome::Lost,
             };
             return Err(FailedSend {
                 outcome,
                 upstream: first_engine,
-                answer: failure,
+                error_response,
             });
         }
         verdict @ (Verdict::Full(_) | Verdict::Stale(_)) => {
@@ -159,7 +159,7 @@
     Ok(Run {
         stages,
         first_addr,
-        exchange,
+        response,
         head_at: shared.now(),
         event_count: 0,
         first_event: None,
@@ -171,7 +171,7 @@
 }
 
 /// Slack of a request, which continues after event `last_event` if there is one.
-fn slack_of(request: &AdmittedRequest, last_event: Option<u64>) -> Slack {
+fn slack_of(request: &RoutedRequest, last_event: Option<u64>) -> Slack {
     match last_event {
         Some(_) => Slack::Streaming,
         None => request.slack(),
@@ -179,7 +179,7 @@
 }
 
 /// Records the load that a request will put on its chain.
-fn note_expected_load(shared: &SharedState, request: &AdmittedRequest, stages: &[Stage]) {
+fn note_expected_load(shared: &SharedState, request: &RoutedRequest, stages: &[Stage]) {
     if let Some(model) = request.service.model.as_ref().filter(|m| m.layers > 0) {
         shared.note_transfers(model, stages, request.max_tokens());
         shared.note_prefill(
@@ -201,7 +201,7 @@
 /// `wait`.
 async fn await_head(
     shared: &Rc<SharedState>,
-    request: &AdmittedRequest,
+    request: &RoutedRequest,
     stages: &[Stage],
     sending: impl Future<Output = Result<OpenResponse, ::http::Failure>>,
     attempts: &Attempts,
@@ -221,9 +221,9 @@
             let now = shared.now();
             let mut registry = shared.registry.borrow_mut();
             return match result {
-                Ok(exchange) => {
+                Ok(response) => {
                     registry.record_latency(now, first_engine, now - sent_at);
-                    Ok(exchange)
+                    Ok(response)
                 }
                 Err(failure) => {
                     registry.record_failure(now, first_engine);
@@ -233,19 +233,19 @@
             };
         }
         let waited = shared.now() - sent_at;
-        let mut unreachable = find_unreachable(shared, request, stages, Duration::ZERO).await;
-        if unreachable.is_empty() {
-            unreachable.extend(query_engines(shared, request, stages).await);
+        let mut faulty = find_unreachable(shared, request, stages, Duration::ZERO).await;
+        if faulty.is_empty() {
+            faulty.extend(query_engines(shared, request, stages).await);
         }
         if attempts.time_left(shared.now()).is_zero() {
             return Err(SendOutcome::Lost);
         }
         let is_late = waited >= MAX_SILENCE;
-        if !unreachable.is_empty() || (is_late && recovery::has_budget(shared, request)) {
-            unreachable
+        if !faulty.is_empty() || (is_late && recovery::has_budget(shared, request)) {
+            faulty
                 .iter()
                 .for_each(|id| shared.mark_suspect(id, "holds up its chain"));
-            if unreachable.is_empty() {
+            if faulty.is_empty() {
                 let now = shared.now();
                 shared
                     .registry
@@ -253,7 +253,7 @@
                     .record_failure(now, first_engine);
                 avoid.push(first_engine.clone());
             }
-            avoid.extend(unreachable);
+            avoid.extend(faulty);
             return Err(SendOutcome::Lost);
         }
         wait = match is_late {
@@ -265,15 +265,15 @@
 
 /// Reads an engine's error response; `None` if it breaks off or is too large.
 async fn read_error_response(
-    exchange: OpenResponse,
+    response: OpenResponse,
     parts: response::Parts,
 ) -> Option<Response<Bytes>> {
-    let limited = Limited::new(exchange.response.into_body(), MAX_FAILURE_BYTES);
+    let limited = Limited::new(response.response.into_body(), MAX_ERROR_RESPONSE_BYTES);
     let body = limited.collect().await.ok()?.to_bytes();
-    let mut failure = Response::new(body);
-    *failure.status_mut() = parts.status;
-    *failure.headers_mut() = engine::answer_headers(&parts);
-    Some(failure)
+    let mut error_response = Response::new(body);
+    *error_response.status_mut() = parts.status;
+    *error_response.headers_mut() = engine::answer_headers(&parts);
+    Some(error_response)
 }
 
 /// Returns the upstream with this address.
