--- a/crates/ashgauge/tests/common/mod.rs
+++ b/crates/ashgauge/tests/common/mod.rs
@@ -1,13 +1,13 @@
-//! What several tests share.
+//! Helpers that several tests share.
 
-// Each test uses a part of it.
+// Each test target uses only some of the items.
 #![allow(dead_code)]
 
 use ashgauge::load_report::{LoadReport, Scope, UsageList};
 use proptest::test_runner::{Config, RngSeed};
 use rand::RngCore;
 
-/// The same cases every run.
+/// Proptest configuration with a fixed seed, so that each run tests the same cases.
 pub fn seeded(cases: u32) -> Config {
     Config {
         cases,
@@ -17,7 +17,7 @@
     }
 }
 
-/// The first word of a box, which tells its own uses of upstreams and nothing else.
+/// Builds the first load report of a box. It holds only the box's own usage of upstreams.
 pub fn word(from: &str, uses: UsageList) -> LoadReport {
     LoadReport {
         from: from.into(),
@@ -33,8 +33,8 @@
     }
 }
 
-/// Draws the same number each time, so that a choice does not depend on the order in
-/// which the engines are looked at.
+/// Random number generator that always returns the same number, so that a selection does
+/// not depend on the order in which engines are visited.
 pub struct Fixed(pub u64);
 
 impl RngCore for Fixed {
--- a/crates/ashgauge/tests/engines/mod.rs
+++ b/crates/ashgauge/tests/engines/mod.rs
@@ -1,4 +1,4 @@
-//! A model and engines of the kinds that the users run.
+//! A model and engines as in the deployments of users.
 
 #![allow(dead_code)]
 
@@ -13,7 +13,7 @@
 use ashgauge::upstream::{LayerRange, Upstream};
 use ashgauge::wan::WanUsage;
 
-/// A model of 80 layers and four kinds of accelerators.
+/// Returns a model of 80 layers with four types of accelerators.
 pub fn model() -> Model {
     let card = |memory_mb, step_factor, read_factor| Accelerator {
         memory_mb,
@@ -45,7 +45,7 @@
     }
 }
 
-/// Engines that hold nothing: `(place, kind, how many)`.
+/// Builds engines without layers from groups of `(data centre, accelerator, count)`.
 pub fn seats(groups: &[(&str, &str, usize)]) -> Vec<PlacedEngine> {
     let mut seats = Vec::new();
     for (place, card, count) in groups {
@@ -62,7 +62,7 @@
     seats
 }
 
-/// The engines of a fleet in three data centres.
+/// Returns the engines of a fleet in three data centres, without layers.
 pub fn fleet() -> Vec<PlacedEngine> {
     seats(&[
         ("a", "medium", 2),
@@ -78,7 +78,7 @@
     ])
 }
 
-/// Gives the seats what was assigned.
+/// Sets the layers of the engines as assigned.
 pub fn apply(seats: &mut [PlacedEngine], assignments: &[Assignment]) {
     for a in assignments {
         for seat in seats.iter_mut().filter(|s| s.id == a.id) {
@@ -87,7 +87,7 @@
     }
 }
 
-/// A roster of seats that hold layers, as engines of the service `model`.
+/// Builds a registry that holds these engines as upstreams of the service `model`.
 pub fn registry(seats: &[PlacedEngine]) -> UpstreamRegistry {
     let mut registry = UpstreamRegistry::default();
     for (n, seat) in seats.iter().enumerate() {
@@ -102,7 +102,7 @@
     registry
 }
 
-/// One engine.
+/// Builds one engine of the service `model`.
 pub fn upstream(id: &str, place: &str, card: &str, span: Option<LayerRange>, n: usize) -> Upstream {
     Upstream {
         id: id.into(),
@@ -118,10 +118,10 @@
     }
 }
 
-/// Boxes of a fleet in three data centres.
+/// Number of boxes in a fleet of three data centres.
 pub const BOXES: f64 = 8.0;
 
-/// What a box of data centre `place` chooses from, at second 100.
+/// Selection context of a box in data centre `place`, at second 100.
 pub fn context<'a>(
     registry: &'a UpstreamRegistry,
     pipes: &'a WanUsage,
@@ -144,7 +144,7 @@
     }
 }
 
-/// Two engines for each half of the layers, all in one data centre.
+/// Builds a registry with two engines for each half of the layers, all in one data centre.
 pub fn twins() -> UpstreamRegistry {
     let mut registry = UpstreamRegistry::default();
     for (n, (id, first)) in [("a1", 0), ("a2", 0), ("b1", 40), ("b2", 40)]
@@ -158,7 +158,7 @@
     registry
 }
 
-/// The engines of [`fleet`] as placement gives them layers.
+/// Builds a registry of the engines of [`fleet`] with the layers that placement assigns.
 pub fn placed() -> UpstreamRegistry {
     let mut seats = fleet();
     let assignments = plan(&model(), &seats);
--- a/crates/ashgauge/tests/fleet/engines.rs
+++ b/crates/ashgauge/tests/fleet/engines.rs
@@ -1,51 +1,51 @@
-//! Engines that become slower as they fill, and are late past a bound.
+//! Model of the engines: requests take longer as memory fills, and start late past a limit.
 
-/// Usual requests that the engines hold at once and still begin in time.
-pub const BOUND: f64 = 800.0;
+/// Number of typical requests that the engines hold at once and still start in time.
+pub const ON_TIME_LIMIT: f64 = 800.0;
 
-/// Multiple of the bound from which on engines refuse requests.
-const FULL: f64 = 1.5;
+/// Multiple of the limit from which on engines refuse requests.
+const REFUSAL_FACTOR: f64 = 1.5;
 
-/// Seconds that a usual request stays where there is no other.
-const STAY: f64 = 1.1;
+/// Seconds that a typical request takes on idle engines.
+const BASE_DURATION: f64 = 1.1;
 
-/// Longer stay at the bound, as a part of [`STAY`]: a pass takes 850 us, and 3.82 us more
-/// for each of 180 requests.
-pub const GROWTH: f64 = 0.81;
+/// Extra duration at the limit, as a share of [`BASE_DURATION`]: a pass takes 850 us, and
+/// 3.82 us more for each of 180 requests.
+pub const FULL_SLOWDOWN: f64 = 0.81;
 
-/// Work that begins in time each second at most, in usual requests.
-pub const CAPACITY: f64 = BOUND / (STAY * (1.0 + GROWTH));
+/// Largest throughput with starts in time, in typical requests per second.
+pub const CAPACITY: f64 = ON_TIME_LIMIT / (BASE_DURATION * (1.0 + FULL_SLOWDOWN));
 
-/// What became of a request that was sent to the engines.
-pub enum Begin {
+/// Result of sending a request to the engines.
+pub enum StartResult {
     InTime(f64),
     Late(f64),
     Refused,
 }
 
-/// All engines together.
+/// All engines of the fleet, modelled as one.
 #[derive(Default)]
 pub struct Engines {
     used: f64,
 }
 
 impl Engines {
-    /// Begins a request that holds so much memory; `InTime` and `Late` hold the seconds
-    /// that a usual one stays.
-    pub fn begin(&mut self, memory: f64) -> Begin {
-        let share = self.used / BOUND;
-        if share >= FULL {
-            return Begin::Refused;
+    /// Starts a request that takes `memory`, in typical requests. `InTime` and `Late` hold the
+    /// seconds that a typical request takes at this load.
+    pub fn start_request(&mut self, memory: f64) -> StartResult {
+        let share = self.used / ON_TIME_LIMIT;
+        if share >= REFUSAL_FACTOR {
+            return StartResult::Refused;
         }
         self.used += memory;
-        let stay = STAY * (1.0 + GROWTH * share);
+        let duration = BASE_DURATION * (1.0 + FULL_SLOWDOWN * share);
         match share <= 1.0 {
-            true => Begin::InTime(stay),
-            false => Begin::Late(stay),
+            true => StartResult::InTime(duration),
+            false => StartResult::Late(duration),
         }
     }
 
-    /// Frees the memory of a request.
+    /// Frees the memory of a request that ended.
     pub fn end(&mut self, memory: f64) {
         self.used -= memory;
     }
--- a/crates/ashgauge/tests/fleet/mod.rs
+++ b/crates/ashgauge/tests/fleet/mod.rs
@@ -1,6 +1,6 @@
-//! A fleet of boxes in virtual time that lets requests in by the level.
+//! Simulation, in virtual time, of a fleet of boxes that admit requests by the admission level.
 
-// Each test uses a part of it.
+// Each test target uses only some of the items.
 #![allow(dead_code)]
 
 pub mod engines;
@@ -23,30 +23,30 @@
 use rand::rngs::SmallRng;
 use rand::{Rng, SeedableRng};
 
-use engines::{BOUND, Begin, CAPACITY, Engines, GROWTH};
+use engines::{CAPACITY, Engines, FULL_SLOWDOWN, ON_TIME_LIMIT, StartResult};
 
-/// Seconds between two words of a box.
-const TELL: f64 = 0.1;
+/// Seconds between two load reports of a box.
+const REPORT_INTERVAL: f64 = 0.1;
 
-/// Time between two levels of a box.
-const RECKON: Duration = Duration::from_millis(50);
+/// Least time between two computations of the level of a box.
+const LEVEL_INTERVAL: Duration = Duration::from_millis(50);
 
-/// Seconds between two levels of a box to which no requests come.
-const WATCH: f64 = 0.3;
+/// Seconds between two computations of the level of a box that receives no requests.
+const IDLE_LEVEL_INTERVAL: f64 = 0.3;
 
-/// Prompt and answer of a usual request, in tokens.
-pub const USUAL: (u32, u32) = (800, 200);
+/// Prompt and answer of a typical request, in tokens.
+pub const TYPICAL: (u32, u32) = (800, 200);
 
-/// Time that callers have.
-pub const PATIENCE: Duration = Duration::from_secs(20);
+/// Deadline of the callers' requests.
+pub const REQUEST_TIMEOUT: Duration = Duration::from_secs(20);
 
-/// Name of the one upstream that stands for all engines in words.
+/// Id of the one upstream that stands for all engines in load reports.
 const ENGINES: &str = "engines";
 
-/// Name of the service.
+/// Name of the service that callers request.
 pub const SERVICE: &str = "model";
 
-/// Tokens of prompt and answer, by a number from 0 to 1 at random.
+/// Maps a random number from 0 to 1 to the tokens of prompt and answer.
 pub type Size = fn(f64) -> (u32, u32);
 
 /// Callers of one team on one route.
@@ -54,70 +54,71 @@
 pub struct Caller {
     pub team: u32,
     pub route: u32,
-    /// Work that they ask for, as a multiple of what the engines can do.
-    pub times: f64,
-    /// Boxes by which they enter.
+    /// Work that they request, as a multiple of the engines' capacity.
+    pub load_factor: f64,
+    /// Boxes that receive their requests.
     pub boxes: Range<usize>,
     pub size: Size,
-    /// Seconds at which they ask.
+    /// Seconds during which they send requests.
     pub span: Range<f64>,
 }
 
-/// What fails.
+/// Fault that a scenario injects.
 #[derive(Clone)]
 pub enum Fault {
-    /// Boxes die, with their requests.
-    Die(Range<usize>),
-    /// Boxes below this one and the others don't hear each other.
-    Part(usize),
-    /// No box hears another.
-    Mute,
-    /// All words arrive again.
+    /// Boxes crash, with their requests.
+    Crash(Range<usize>),
+    /// Network partition: boxes below this index and the others receive no reports of each
+    /// other.
+    Partition(usize),
+    /// No box receives reports of another.
+    DropReports,
+    /// All load reports arrive again.
     Heal,
-    /// A box adds this to what it tells.
-    Lie(usize, LoadSum),
+    /// A box reports these figures instead of its own.
+    Misreport(usize, LoadSum),
 }
 
-/// A fleet and its load.
+/// A fleet, its load and its faults.
 #[derive(Clone)]
-pub struct Run {
+pub struct Scenario {
     pub boxes: usize,
-    /// Age of words when the next one comes, in seconds.
+    /// Age of a load report when the next one arrives, in seconds.
     pub age: f64,
     pub callers: Vec<Caller>,
-    /// Whether refused callers come back once, as they are told.
-    pub returns: bool,
-    /// Whether the level decides; all requests are let in otherwise.
+    /// Whether refused callers retry once, after the time that the refusal names.
+    pub retries: bool,
+    /// Whether the level decides on admission. Otherwise all requests are admitted.
     pub sheds: bool,
     pub faults: Vec<(f64, Fault)>,
-    /// Seconds at which the run ends.
+    /// Second at which the simulation ends.
     pub end: f64,
     pub seed: u64,
 }
 
-/// One request.
-pub struct Seen {
+/// Record of one request.
+pub struct RequestRecord {
     pub caller: usize,
     pub at: f64,
     pub work: f64,
-    pub is_back: bool,
-    /// Whether the level let it in.
-    pub is_in: bool,
-    /// When it ended after a begin in time.
+    pub is_retry: bool,
+    /// Whether the level admitted it.
+    pub is_admitted: bool,
+    /// Second at which it ended, if it started in time.
     pub served: Option<f64>,
 }
 
 enum Event {
-    Ask(usize),
-    Return(usize, usize, (u32, u32)),
+    Send(usize),
+    Retry(usize, usize, (u32, u32)),
     End(usize, f64, usize, bool),
-    Tell,
-    Watch,
-    Hear(Rc<Round>),
+    Report,
+    UpdateLevels,
+    Deliver(Rc<Round>),
     Fault(Fault),
 }
 
-/// What all boxes told at one time.
+/// Load reports of all boxes that were sent at one time.
 struct Round {
     number: u64,
     parts: Vec<Option<LoadSum>>,
@@ -129,19 +130,19 @@
     meter: DemandMeter,
     gate: AdmissionGate,
     estimator: Estimator,
-    shares: FleetLoad,
-    reckoned: Option<Duration>,
-    heard: u64,
+    fleet_load: FleetLoad,
+    level_updated: Option<Duration>,
+    last_round: u64,
     held: f64,
     count: u32,
-    lie: Option<LoadSum>,
-    is_dead: bool,
+    false_report: Option<LoadSum>,
+    is_crashed: bool,
 }
 
-/// A fleet while it runs.
+/// State of a simulation.
 pub struct World {
-    run: Run,
-    /// Requests a second of each caller.
+    scenario: Scenario,
+    /// Requests per second of each caller.
     rates: Vec<f64>,
     nodes: Vec<Node>,
     engines: Engines,
@@ -150,41 +151,41 @@
     now: Duration,
     rounds: u64,
     round: Option<(Duration, Rc<Round>)>,
-    cut: Option<usize>,
-    mute: bool,
+    partition: Option<usize>,
+    drops_reports: bool,
     rng: SmallRng,
-    pub seen: Vec<Seen>,
+    pub records: Vec<RequestRecord>,
 }
 
 impl World {
-    /// Plays a run to its end.
-    pub fn play(run: &Run) -> World {
-        let rate = |from: &Caller| from.times * CAPACITY / mean_work(from.size);
+    /// Runs a scenario to its end.
+    pub fn run(scenario: &Scenario) -> World {
+        let rate = |from: &Caller| from.load_factor * CAPACITY / mean_work(from.size);
         let mut world = World {
-            rates: run.callers.iter().map(rate).collect(),
-            nodes: (0..run.boxes).map(|_| Node::default()).collect(),
+            rates: scenario.callers.iter().map(rate).collect(),
+            nodes: (0..scenario.boxes).map(|_| Node::default()).collect(),
             engines: Engines::default(),
             events: BTreeMap::new(),
             count: 0,
             now: Duration::ZERO,
             rounds: 0,
             round: None,
-            cut: None,
-            mute: false,
-            rng: SmallRng::seed_from_u64(run.seed),
-            seen: Vec::new(),
-            run: run.clone(),
+            partition: None,
+            drops_reports: false,
+            rng: SmallRng::seed_from_u64(scenario.seed),
+            records: Vec::new(),
+            scenario: scenario.clone(),
         };
-        world.push(0.0, Event::Tell);
-        world.push(0.0, Event::Watch);
-        for (at, fault) in run.faults.clone() {
+        world.push(0.0, Event::Report);
+        world.push(0.0, Event::UpdateLevels);
+        for (at, fault) in scenario.faults.clone() {
             world.push(at, Event::Fault(fault));
         }
-        for (n, caller) in run.callers.iter().enumerate() {
-            world.push(caller.span.start, Event::Ask(n));
+        for (n, caller) in scenario.callers.iter().enumerate() {
+            world.push(caller.span.start, Event::Send(n));
         }
         while let Some(((at, _), event)) = world.events.pop_first() {
-            if at.as_secs_f64() >= run.end {
+            if at.as_secs_f64() >= scenario.end {
                 break;
             }
             world.now = at;
@@ -201,81 +202,84 @@
 
     fn step(&mut self, event: Event) {
         match event {
-            Event::Ask(caller) => self.ask(caller),
-            Event::Return(caller, at_box, size) => self.arrive(caller, at_box, size, true),
-            Event::End(at_box, memory, seen, in_time) => self.end(at_box, memory, seen, in_time),
-            Event::Tell => self.tell(),
-            Event::Watch => self.watch(),
-            Event::Hear(round) => self.hear(round),
-            Event::Fault(fault) => self.fail(fault),
+            Event::Send(caller) => self.send_next(caller),
+            Event::Retry(caller, box_index, size) => self.receive(caller, box_index, size, true),
+            Event::End(box_index, memory, index, in_time) => {
+                self.end(box_index, memory, index, in_time)
+            }
+            Event::Report => self.send_reports(),
+            Event::UpdateLevels => self.update_levels(),
+            Event::Deliver(round) => self.deliver(round),
+            Event::Fault(fault) => self.inject(fault),
         }
     }
 
-    /// A new request, and the time of the next.
-    fn ask(&mut self, caller: usize) {
-        let from = self.run.callers[caller].clone();
+    /// Sends a new request and schedules the next one of this caller.
+    fn send_next(&mut self, caller: usize) {
+        let from = self.scenario.callers[caller].clone();
         if self.now.as_secs_f64() >= from.span.end {
             return;
         }
         let draw: f64 = self.rng.random_range(f64::EPSILON..1.0);
         let gap = -draw.ln() / self.rates[caller];
-        self.push(gap, Event::Ask(caller));
-        let at_box = self.rng.random_range(from.boxes);
+        self.push(gap, Event::Send(caller));
+        let box_index = self.rng.random_range(from.boxes);
         let size = (from.size)(self.rng.random_range(0.0..1.0));
-        self.arrive(caller, at_box, size, false);
+        self.receive(caller, box_index, size, false);
     }
 
-    fn arrive(&mut self, caller: usize, at_box: usize, size: (u32, u32), is_back: bool) {
-        if self.nodes[at_box].is_dead {
+    fn receive(&mut self, caller: usize, box_index: usize, size: (u32, u32), is_retry: bool) {
+        if self.nodes[box_index].is_crashed {
             return;
         }
-        let from = &self.run.callers[caller];
-        let class = Class::new(Some(0), from.route, is_back);
-        let (team, work) = (from.team, demand::relative_work(size, USUAL));
+        let from = &self.scenario.callers[caller];
+        let class = Class::new(Some(0), from.route, is_retry);
+        let (team, work) = (from.team, demand::relative_work(size, TYPICAL));
         let service = demand::name_key(SERVICE);
         let source = DemandSource {
             service,
             class,
             team: Some(team),
         };
-        self.nodes[at_box].meter.record(self.now, source, work);
-        self.reckon(at_box);
+        self.nodes[box_index].meter.record(self.now, source, work);
+        self.update_level(box_index);
         let start = self.rng.random_range(0.0..1.0);
-        let is_in = !self.run.sheds || self.nodes[at_box].gate.admit(class, team, start);
-        self.seen.push(Seen {
+        let is_admitted =
+            !self.scenario.sheds || self.nodes[box_index].gate.admit(class, team, start);
+        self.records.push(RequestRecord {
             caller,
             at: self.now.as_secs_f64(),
             work,
-            is_back,
-            is_in,
+            is_retry,
+            is_admitted,
             served: None,
         });
-        if is_in {
-            self.begin(at_box, size);
-        } else if self.run.returns && !is_back {
-            let after = level::retry_after(PATIENCE, self.rng.random_range(0.0..1.0));
-            self.push(after.as_secs_f64(), Event::Return(caller, at_box, size));
+        if is_admitted {
+            self.start_request(box_index, size);
+        } else if self.scenario.retries && !is_retry {
+            let after = level::retry_after(REQUEST_TIMEOUT, self.rng.random_range(0.0..1.0));
+            self.push(after.as_secs_f64(), Event::Retry(caller, box_index, size));
         }
     }
 
-    fn begin(&mut self, at_box: usize, (prompt, answer): (u32, u32)) {
+    fn start_request(&mut self, box_index: usize, (prompt, answer): (u32, u32)) {
         let held = |(prompt, answer): (u32, u32)| f64::from(prompt) + f64::from(answer) / 2.0;
-        let memory = held((prompt, answer)) / held(USUAL);
-        let (stay, in_time) = match self.engines.begin(memory) {
-            Begin::InTime(stay) => (stay, true),
-            Begin::Late(stay) => (stay, false),
-            Begin::Refused => return,
+        let memory = held((prompt, answer)) / held(TYPICAL);
+        let (duration, in_time) = match self.engines.start_request(memory) {
+            StartResult::InTime(duration) => (duration, true),
+            StartResult::Late(duration) => (duration, false),
+            StartResult::Refused => return,
         };
-        self.nodes[at_box].held += memory;
-        self.nodes[at_box].count += 1;
-        let stay = stay * f64::from(answer) / f64::from(USUAL.1);
-        let seen = self.seen.len() - 1;
-        self.push(stay, Event::End(at_box, memory, seen, in_time));
+        self.nodes[box_index].held += memory;
+        self.nodes[box_index].count += 1;
+        let duration = duration * f64::from(answer) / f64::from(TYPICAL.1);
+        let index = self.records.len() - 1;
+        self.push(duration, Event::End(box_index, memory, index, in_time));
     }
 
-    fn end(&mut self, at_box: usize, memory: f64, seen: usize, in_time: bool) {
-        let node = &mut self.nodes[at_box];
-        if node.is_dead {
+    fn end(&mut self, box_index: usize, memory: f64, index: usize, in_time: bool) {
+        let node = &mut self.nodes[box_index];
+        if node.is_crashed {
             return;
         }
         node.held -= memory;
@@ -284,91 +288,102 @@
             .record_completion(self.now, demand::name_key(SERVICE));
         self.engines.end(memory);
         if in_time {
-            self.seen[seen].served = Some(self.now.as_secs_f64());
+            self.records[index].served = Some(self.now.as_secs_f64());
         }
     }
 
-    /// What each box tells at this time arrives when it is as old as words get.
-    fn tell(&mut self) {
+    /// Collects the reports of all boxes. They arrive late enough to be `age` seconds old when
+    /// the next ones come.
+    fn send_reports(&mut self) {
         let now = self.now;
-        let parts = self.nodes.iter_mut().map(|node| node.part(now));
+        let parts = self.nodes.iter_mut().map(|node| node.own_load(now));
         let parts: Vec<Option<LoadSum>> = parts.collect();
         self.rounds += 1;
         let round = Round {
             number: self.rounds,
-            total: add(parts.iter().flatten()),
+            total: sum_loads(parts.iter().flatten()),
             parts,
         };
-        self.push((self.run.age - TELL).max(0.0), Event::Hear(Rc::new(round)));
-        self.push(TELL, Event::Tell);
+        self.push(
+            (self.scenario.age - REPORT_INTERVAL).max(0.0),
+            Event::Deliver(Rc::new(round)),
+        );
+        self.push(REPORT_INTERVAL, Event::Report);
     }
 
-    /// Levels are reckoned also while no requests arrive, as a relay does.
-    fn watch(&mut self) {
-        (0..self.nodes.len()).for_each(|n| self.reckon(n));
-        self.push(WATCH, Event::Watch);
+    /// Updates the levels of all boxes also while no requests arrive, as a relay does.
+    fn update_levels(&mut self) {
+        (0..self.nodes.len()).for_each(|n| self.update_level(n));
+        self.push(IDLE_LEVEL_INTERVAL, Event::UpdateLevels);
     }
 
-    /// Takes words in: in a small fleet each box hears each other one, in a large one
-    /// each hears the sum of the others by a hub when it needs it.
-    fn hear(&mut self, round: Rc<Round>) {
-        if self.mute {
+    /// Delivers reports. In a small fleet each box receives those of every other box. In a
+    /// large fleet each receives the sum of the others from a hub when it needs it.
+    fn deliver(&mut self, round: Rc<Round>) {
+        if self.drops_reports {
             return;
         }
-        if !hub::is_full_mesh(self.run.boxes) {
+        if !hub::is_full_mesh(self.scenario.boxes) {
             self.round = Some((self.now, round));
             return;
         }
-        let side = |n: usize| self.cut.is_some_and(|cut| n < cut);
+        let side = |n: usize| self.partition.is_some_and(|partition| n < partition);
         for (n, node) in self.nodes.iter_mut().enumerate() {
             for (from, part) in round.parts.iter().enumerate() {
                 if let Some(part) = part.as_ref().filter(|_| from != n && side(from) == side(n)) {
                     let id = format!("box-{from}").into();
-                    let word = word(id, Scope::Own, round.number, part.clone());
-                    node.shares.apply(self.now, word);
+                    let report = report(id, Scope::Own, round.number, part.clone());
+                    node.fleet_load.apply(self.now, report);
                 }
             }
         }
     }
 
-    fn reckon(&mut self, at_box: usize) {
-        let (now, node) = (self.now, &mut self.nodes[at_box]);
-        if node.reckoned.is_some_and(|at| now < at + RECKON) {
+    fn update_level(&mut self, box_index: usize) {
+        let (now, node) = (self.now, &mut self.nodes[box_index]);
+        if node
+            .level_updated
+            .is_some_and(|at| now < at + LEVEL_INTERVAL)
+        {
             return;
         }
-        node.reckoned = Some(now);
-        if let Some((at, round)) = self.round.as_ref().filter(|(_, r)| r.number > node.heard) {
-            node.heard = round.number;
-            let others = without(&round.total, round.parts[at_box].as_ref());
-            let word = word("hub".into(), Scope::Local, round.number, others.truncated());
-            node.shares.apply(*at, word);
+        node.level_updated = Some(now);
+        if let Some((at, round)) = self
+            .round
+            .as_ref()
+            .filter(|(_, r)| r.number > node.last_round)
+        {
+            node.last_round = round.number;
+            let others = subtract(&round.total, round.parts[box_index].as_ref());
+            let report = report("hub".into(), Scope::Local, round.number, others.truncated());
+            node.fleet_load.apply(*at, report);
         }
-        let lag = Duration::from_secs_f64(self.run.age);
-        node.shares.expire(now, lag);
-        let level = node.level(now, self.run.boxes, lag);
+        let report_age = Duration::from_secs_f64(self.scenario.age);
+        node.fleet_load.expire(now, report_age);
+        let level = node.level(now, self.scenario.boxes, report_age);
         node.gate.set_level(now, level);
     }
 
-    fn fail(&mut self, fault: Fault) {
+    fn inject(&mut self, fault: Fault) {
         match fault {
-            Fault::Die(boxes) => {
+            Fault::Crash(boxes) => {
                 for node in &mut self.nodes[boxes] {
-                    node.is_dead = true;
+                    node.is_crashed = true;
                     self.engines.end(node.held);
                 }
             }
-            Fault::Part(cut) => self.cut = Some(cut),
-            Fault::Mute => self.mute = true,
-            Fault::Heal => (self.cut, self.mute) = (None, false),
-            Fault::Lie(at_box, sum) => self.nodes[at_box].lie = Some(sum),
+            Fault::Partition(partition) => self.partition = Some(partition),
+            Fault::DropReports => self.drops_reports = true,
+            Fault::Heal => (self.partition, self.drops_reports) = (None, false),
+            Fault::Misreport(box_index, sum) => self.nodes[box_index].false_report = Some(sum),
         }
     }
 }
 
 impl Node {
-    /// What it tells.
-    fn part(&mut self, now: Duration) -> Option<LoadSum> {
-        if self.is_dead {
+    /// Load report of this box, or `None` if it crashed.
+    fn own_load(&mut self, now: Duration) -> Option<LoadSum> {
+        if self.is_crashed {
             return None;
         }
         let used = Usage {
@@ -384,43 +399,44 @@
             traffic: self.meter.traffic(now).truncated(),
             slow: Vec::new(),
         };
-        Some(self.lie.clone().unwrap_or(own))
+        Some(self.false_report.clone().unwrap_or(own))
     }
 
-    /// The level by what it knows; boxes that it does not hear count as those it does.
+    /// Computes the level from the known load. Boxes without reports are assumed to have the
+    /// mean load of those with reports.
     fn level(&mut self, now: Duration, boxes: usize, age: Duration) -> Option<AdmissionLevel> {
-        let heard = self.shares.boxes() as f64;
-        let unheard = self.shares.present_boxes(boxes as f64) / (heard + 1.0);
+        let known_boxes = self.fleet_load.boxes() as f64;
+        let extrapolation = self.fleet_load.present_boxes(boxes as f64) / (known_boxes + 1.0);
         let own = self.meter.traffic(now);
-        let flows = self.shares.traffic(&own);
-        let mut demands = flows.demands_of(demand::name_key(SERVICE));
+        let traffic = self.fleet_load.traffic(&own);
+        let mut demands = traffic.demands_of(demand::name_key(SERVICE));
         for (_, demand) in &mut demands {
-            *demand = demand.scaled(unheard);
+            *demand = demand.scaled(extrapolation);
         }
-        let others = self.shares.others(ENGINES);
+        let others = self.fleet_load.others(ENGINES);
         let held = self.held + f64::from(others.token_layers) / 1e3;
         let pressure = Pressure {
-            requests: (f64::from(self.count) + f64::from(others.head_requests)) * unheard,
-            memory: held * unheard / BOUND,
+            requests: (f64::from(self.count) + f64::from(others.head_requests)) * extrapolation,
+            memory: held * extrapolation / ON_TIME_LIMIT,
             slots: 0.0,
         };
-        let known = Observation {
+        let observation = Observation {
             demands,
             pressure,
-            completion_rate: flows.completion_rate(demand::name_key(SERVICE)) * unheard,
-            boxes: self.shares.present_boxes(boxes as f64),
-            age: age.mul_f64(heard / (heard + 1.0)),
-            report_interval: Duration::from_secs_f64(TELL),
-            full_slowdown: GROWTH,
+            completion_rate: traffic.completion_rate(demand::name_key(SERVICE)) * extrapolation,
+            boxes: self.fleet_load.present_boxes(boxes as f64),
+            age: age.mul_f64(known_boxes / (known_boxes + 1.0)),
+            report_interval: Duration::from_secs_f64(REPORT_INTERVAL),
+            full_slowdown: FULL_SLOWDOWN,
         };
-        let estimate = self.estimator.estimate(now, &known);
+        let estimate = self.estimator.estimate(now, &observation);
         let allowed = level::allowed_rate(&estimate.pressure, estimate.completion_rate);
         self.estimator.record_allowed_rate(now, allowed);
         AdmissionLevel::new(&estimate.demands, allowed)
     }
 }
 
-fn word(from: Arc<str>, scope: Scope, number: u64, sum: LoadSum) -> LoadReport {
+fn report(from: Arc<str>, scope: Scope, number: u64, sum: LoadSum) -> LoadReport {
     LoadReport {
         from,
         boot: 1,
@@ -435,22 +451,22 @@
     }
 }
 
-/// The number that stands for the engines in words.
+/// Key that stands for the engines in load reports.
 pub fn engines_key() -> load_report::UpstreamKey {
     load_report::upstream_key(ENGINES)
 }
 
-/// Mean work of a caller's requests.
+/// Mean work of requests of this size distribution.
 fn mean_work(size: Size) -> f64 {
     let draws = (0..1000).map(|n| (f64::from(n) + 0.5) / 1000.0);
     draws
-        .map(|draw| demand::relative_work(size(draw), USUAL))
+        .map(|draw| demand::relative_work(size(draw), TYPICAL))
         .sum::<f64>()
         / 1000.0
 }
 
-/// What some boxes have together.
-fn add<'a>(parts: impl Iterator<Item = &'a LoadSum> + Clone) -> LoadSum {
+/// Sums the loads of several boxes.
+fn sum_loads<'a>(parts: impl Iterator<Item = &'a LoadSum> + Clone) -> LoadSum {
     let mut used = Usage::default();
     parts
         .clone()
@@ -465,8 +481,8 @@
     }
 }
 
-/// A sum without what one box told of itself.
-fn without(sum: &LoadSum, part: Option<&LoadSum>) -> LoadSum {
+/// Subtracts the report of one box from a sum.
+fn subtract(sum: &LoadSum, part: Option<&LoadSum>) -> LoadSum {
     let mut rest = sum.clone();
     let Some(part) = part else {
         return rest;
--- a/crates/ashgauge/tests/fleet/result.rs
+++ b/crates/ashgauge/tests/fleet/result.rs
@@ -1,48 +1,65 @@
-//! What a fleet that was played did.
+//! Results of a simulation.
 
 use std::ops::Range;
 
 use super::engines::CAPACITY;
-use super::{Seen, World};
+use super::{RequestRecord, World};
 
 impl World {
-    /// Work that was served in time within a span, as a part of what engines can do.
+    /// Work that was served in time within `span`, as a share of the engines' capacity.
     pub fn goodput(&self, span: Range<f64>) -> f64 {
-        let served = |seen: &&Seen| seen.served.is_some_and(|at| span.contains(&at));
-        let work: f64 = self.seen.iter().filter(served).map(|s| s.work).sum();
+        let served = |record: &&RequestRecord| record.served.is_some_and(|at| span.contains(&at));
+        let work: f64 = self.records.iter().filter(served).map(|s| s.work).sum();
         work / CAPACITY / (span.end - span.start)
     }
 
-    /// Part of the requests with a property that were served in time, of those asked
-    /// within a span.
-    pub fn served(&self, span: Range<f64>, of: impl Fn(&Seen) -> bool) -> f64 {
-        let asked = self.seen.iter().filter(|s| span.contains(&s.at) && of(s));
-        let asked: Vec<&Seen> = asked.collect();
-        let served = asked.iter().filter(|s| s.served.is_some()).count();
-        served as f64 / asked.len().max(1) as f64
+    /// Share that was served in time of the requests that match `predicate` and arrived within
+    /// `span`.
+    pub fn served_share(
+        &self,
+        span: Range<f64>,
+        predicate: impl Fn(&RequestRecord) -> bool,
+    ) -> f64 {
+        let arrived = self
+            .records
+            .iter()
+            .filter(|s| span.contains(&s.at) && predicate(s));
+        let arrived: Vec<&RequestRecord> = arrived.collect();
+        let served = arrived.iter().filter(|s| s.served.is_some()).count();
+        served as f64 / arrived.len().max(1) as f64
     }
 
-    /// Work of requests with a property that were asked within a span.
-    pub fn asked(&self, span: Range<f64>, of: impl Fn(&Seen) -> bool) -> f64 {
-        let asked = self.seen.iter().filter(|s| span.contains(&s.at) && of(s));
-        asked.map(|s| s.work).sum()
+    /// Work of the requests that match `predicate` and arrived within `span`.
+    pub fn requested_work(
+        &self,
+        span: Range<f64>,
+        predicate: impl Fn(&RequestRecord) -> bool,
+    ) -> f64 {
+        let arrived = self
+            .records
+            .iter()
+            .filter(|s| span.contains(&s.at) && predicate(s));
+        arrived.map(|s| s.work).sum()
     }
 
-    /// Work of requests with a property that was served in time, of those asked within
-    /// a span.
-    pub fn work(&self, span: Range<f64>, of: impl Fn(&Seen) -> bool) -> f64 {
-        let asked = self.seen.iter().filter(|s| span.contains(&s.at) && of(s));
-        let served = asked.filter(|s| s.served.is_some());
+    /// Work that was served in time of the requests that match `predicate` and arrived within
+    /// `span`.
+    pub fn served_work(&self, span: Range<f64>, predicate: impl Fn(&RequestRecord) -> bool) -> f64 {
+        let arrived = self
+            .records
+            .iter()
+            .filter(|s| span.contains(&s.at) && predicate(s));
+        let served = arrived.filter(|s| s.served.is_some());
         served.map(|s| s.work).sum()
     }
 
-    /// The team of a request.
-    pub fn team(&self, seen: &Seen) -> u32 {
-        self.run.callers[seen.caller].team
+    /// Team of a request.
+    pub fn team(&self, record: &RequestRecord) -> u32 {
+        self.scenario.callers[record.caller].team
     }
 
-    /// The rank of a request's route.
-    pub fn route(&self, seen: &Seen) -> u32 {
-        self.run.callers[seen.caller].route
+    /// Rank of a request's route.
+    pub fn route(&self, record: &RequestRecord) -> u32 {
+        self.scenario.callers[record.caller].route
     }
 }
--- a/crates/ashgauge/tests/limited/mod.rs
+++ b/crates/ashgauge/tests/limited/mod.rs
@@ -1,4 +1,5 @@
-//! A fleet in virtual time before one upstream that names a limit, and the users' rule.
+//! Simulation, in virtual time, of a fleet before one upstream that names a rate limit, and
+//! a check of the users' rule for such limits.
 
 use std::cmp::Reverse;
 use std::collections::{BinaryHeap, HashMap};
@@ -13,30 +14,30 @@
 use rand::rngs::SmallRng;
 use rand::{Rng, SeedableRng};
 
-/// The upstream in need.
-pub const ID: &str = "e1";
+/// Id of the upstream that names a limit.
+pub const UPSTREAM_ID: &str = "e1";
 
-/// The users' window, and the time in which a limit is to be heard of.
+/// Seconds of the users' window, and seconds within which all boxes must learn of a limit.
 pub const WINDOW: f64 = 4.0;
-pub const CONTACT: f64 = 3.0;
+pub const PROPAGATION_TIME: f64 = 3.0;
 
-/// Time for which a box that was told something does not count yet.
-pub const EXCUSED: f64 = 0.5;
+/// Seconds after a box learned of a limit during which its requests are not counted.
+pub const INFORM_GRACE: f64 = 0.5;
 
-/// When the limit is first named, and when a run ends.
-pub const NAMED: f64 = 2.0;
+/// Seconds at which the limit is first named and at which the simulation ends.
+pub const LIMIT_START: f64 = 2.0;
 pub const END: f64 = 30.0;
 
-/// From a request's arrival to its answer.
-pub const ANSWER: f64 = 0.08;
+/// Seconds from a request's arrival at the upstream to its answer.
+pub const RESPONSE_TIME: f64 = 0.08;
 
-/// For the answer to an ask.
-pub const REPLY: f64 = 0.04;
+/// Seconds to wait for the reply to a permit request.
+pub const REPLY_TIMEOUT: f64 = 0.04;
 
-/// How long a box that was heard counts as there.
-pub const HEARD: f64 = 2.0;
+/// Seconds for which a box counts as reachable after its last message.
+pub const LIVENESS_TIME: f64 = 2.0;
 
-/// What befalls a box.
+/// Fault of one box.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub enum Fault {
     Kill,
@@ -44,86 +45,86 @@
     Cut,
 }
 
-/// A fault of one box, with when it begins and ends.
-pub type Trouble = (usize, Fault, f64, f64);
+/// Box, its fault, and the seconds at which the fault begins and ends.
+pub type FaultWindow = (usize, Fault, f64, f64);
 
 #[derive(Clone, Debug)]
-pub struct Run {
+pub struct Scenario {
     pub boxes: usize,
-    /// Requests a second that want to go to the upstream.
+    /// Requests per second for the upstream.
     pub demand: f64,
-    /// Part of the boxes that have such requests.
-    pub spread: f64,
-    /// Rates that the upstream names, each with when; none of it when the limit ends.
+    /// Share of the boxes that have such requests.
+    pub active_share: f64,
+    /// Rates that the upstream names, each with its time; `None` where the limit ends.
     pub rates: Vec<(f64, Option<f64>)>,
-    pub troubles: Vec<Trouble>,
-    /// Part of the datagrams that are lost.
-    pub lossy: f64,
+    pub faults: Vec<FaultWindow>,
+    /// Share of the datagrams that are lost.
+    pub loss_rate: f64,
     pub seed: u64,
 }
 
 #[derive(Default)]
 pub struct Node {
     limits: UpstreamLimits,
-    grants: PermitBuckets,
-    passed: SkippedBoxes,
-    closed: f64,
-    told: Option<f64>,
+    buckets: PermitBuckets,
+    skipped: SkippedBoxes,
+    blocked_until: f64,
+    informed_at: Option<f64>,
 }
 
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub enum Event {
-    Wanted(usize),
-    Asked {
+    NewRequest(usize),
+    PermitAsked {
         from: usize,
         to: usize,
-        ask: u64,
+        request: u64,
     },
-    Replied {
+    PermitReplied {
         to: usize,
-        ask: u64,
+        request: u64,
         verdict: Verdict,
     },
-    Late {
+    ReplyTimeout {
         by: usize,
-        giver: usize,
-        ask: u64,
-        again: bool,
+        issuer: usize,
+        request: u64,
+        may_retry: bool,
     },
     Arrived {
         from: usize,
         sent: f64,
-        knew: bool,
+        knew_limit: bool,
     },
     Answered {
         to: usize,
         sent: f64,
         rate: Option<f64>,
     },
-    Words(usize),
+    LimitReports(usize),
 }
 
-/// A request that reached the upstream.
+/// Request that reached the upstream.
 #[derive(Clone, Copy, Debug)]
 pub struct Arrival {
     pub time: f64,
     pub from: usize,
-    /// Whether its box knew of a limit when it sent it.
-    pub knew: bool,
+    /// Whether its box knew of a limit when it sent the request.
+    pub knew_limit: bool,
 }
 
 pub struct World {
-    pub run: Run,
+    pub scenario: Scenario,
     pub names: Vec<BoxId>,
     pub order: Vec<BoxId>,
     pub nodes: Vec<Node>,
     pub events: BinaryHeap<(Reverse<u64>, u64)>,
     pub payloads: Vec<Event>,
-    /// The box that each ask went to.
-    pub open: HashMap<u64, usize>,
+    /// Box that each open permit request went to.
+    pub open_requests: HashMap<u64, usize>,
     pub arrivals: Vec<Arrival>,
     pub rng: SmallRng,
-    pub asks: u64,
+    pub request_count: u64,
     pub now: f64,
 }
 
@@ -132,25 +133,27 @@
 }
 
 impl World {
-    pub fn new(run: &Run) -> Self {
-        let names: Vec<BoxId> = (0..run.boxes).map(|n| format!("b{n}").into()).collect();
-        // In a large fleet a few boxes give permits.
-        let all = if run.boxes > 40 {
+    pub fn new(scenario: &Scenario) -> Self {
+        let names: Vec<BoxId> = (0..scenario.boxes)
+            .map(|n| format!("b{n}").into())
+            .collect();
+        // In a large fleet only a few boxes issue permits.
+        let all = if scenario.boxes > 40 {
             &names[..10]
         } else {
             &names[..]
         };
         World {
-            order: issuer_order(load_report::upstream_key(ID), all),
+            order: issuer_order(load_report::upstream_key(UPSTREAM_ID), all),
             nodes: names.iter().map(|_| Node::default()).collect(),
             names,
-            run: run.clone(),
+            scenario: scenario.clone(),
             events: BinaryHeap::new(),
             payloads: Vec::new(),
-            open: Default::default(),
+            open_requests: Default::default(),
             arrivals: Vec::new(),
-            rng: SmallRng::seed_from_u64(run.seed),
-            asks: 0,
+            rng: SmallRng::seed_from_u64(scenario.seed),
+            request_count: 0,
             now: 0.0,
         }
     }
@@ -165,24 +168,25 @@
         self.rng.random_range(0.0005..0.003)
     }
 
-    fn is(&self, n: usize, fault: Fault) -> bool {
-        let mut all = self.run.troubles.iter();
+    fn has_fault(&self, n: usize, fault: Fault) -> bool {
+        let mut all = self.scenario.faults.iter();
         all.any(|(b, f, from, to)| *b == n && *f == fault && *from <= self.now && self.now < *to)
     }
 
     fn is_up(&self, n: usize) -> bool {
-        !self.is(n, Fault::Kill) && !self.is(n, Fault::Freeze)
+        !self.has_fault(n, Fault::Kill) && !self.has_fault(n, Fault::Freeze)
     }
 
-    /// Whether datagrams and requests between a box and anything else get through.
+    /// Whether datagrams and requests from and to a box get through.
     fn reaches(&self, n: usize) -> bool {
-        self.is_up(n) && !self.is(n, Fault::Cut)
+        self.is_up(n) && !self.has_fault(n, Fault::Cut)
     }
 
-    /// Whether `other` told something a short while ago: it was in reach since.
-    fn hears(&self, other: usize) -> bool {
-        let silent = |t: &&Trouble| t.0 == other && t.2 <= self.now - HEARD && self.now < t.3;
-        !self.run.troubles.iter().any(|t| silent(&t))
+    /// Whether `other` was reachable at some time within the last [`LIVENESS_TIME`].
+    fn is_reachable(&self, other: usize) -> bool {
+        let silent =
+            |t: &&FaultWindow| t.0 == other && t.2 <= self.now - LIVENESS_TIME && self.now < t.3;
+        !self.scenario.faults.iter().any(|t| silent(&t))
     }
 
     fn index(&self, id: &BoxId) -> usize {
@@ -190,35 +194,36 @@
     }
 
     fn rate(&self, time: f64) -> Option<f64> {
-        let named = self.run.rates.iter().rfind(|(from, _)| *from <= time);
+        let named = self.scenario.rates.iter().rfind(|(from, _)| *from <= time);
         named.and_then(|(_, rate)| *rate)
     }
 
-    pub fn play(mut self) -> Self {
-        let wanting = ((self.run.boxes as f64 * self.run.spread) as usize).max(1);
+    pub fn run(mut self) -> Self {
+        let active_boxes =
+            ((self.scenario.boxes as f64 * self.scenario.active_share) as usize).max(1);
         let mut time = 0.0;
         while time < END {
-            time += -(1.0 - self.rng.random::<f64>()).ln() / self.run.demand;
-            let n = self.rng.random_range(0..wanting);
-            self.push(time, Event::Wanted(n));
+            time += -(1.0 - self.rng.random::<f64>()).ln() / self.scenario.demand;
+            let n = self.rng.random_range(0..active_boxes);
+            self.push(time, Event::NewRequest(n));
         }
-        let tellers = if self.run.boxes > 40 {
+        let reporters = if self.scenario.boxes > 40 {
             1
         } else {
-            self.run.boxes
+            self.scenario.boxes
         };
-        for n in 0..tellers {
+        for n in 0..reporters {
             let first = self.rng.random_range(0.0..0.1);
-            self.push(first, Event::Words(n));
+            self.push(first, Event::LimitReports(n));
         }
-        let ends: Vec<_> = self.run.troubles.clone();
+        let ends: Vec<_> = self.scenario.faults.clone();
         while let Some((Reverse(micros), number)) = self.events.pop() {
             let before = self.now;
             self.now = micros as f64 / 1e6;
             for (n, fault, _, to) in &ends {
                 if *fault == Fault::Kill && before < *to && *to <= self.now {
                     self.nodes[*n] = Node {
-                        told: self.nodes[*n].told,
+                        informed_at: self.nodes[*n].informed_at,
                         ..Node::default()
                     };
                 }
@@ -231,63 +236,77 @@
 
     fn step(&mut self, event: Event) {
         match event {
-            Event::Wanted(n) => self.want(n),
-            Event::Asked { from, to, ask } => self.asked(from, to, ask),
-            Event::Replied { to, ask, verdict } => self.replied(to, ask, verdict),
-            Event::Late {
+            Event::NewRequest(n) => self.receive(n),
+            Event::PermitAsked { from, to, request } => self.on_permit_asked(from, to, request),
+            Event::PermitReplied {
+                to,
+                request,
+                verdict,
+            } => self.on_permit_replied(to, request, verdict),
+            Event::ReplyTimeout {
                 by,
-                giver,
-                ask,
-                again,
+                issuer,
+                request,
+                may_retry,
             } => {
-                if self.open.remove(&ask).is_some() {
-                    let (now, id) = (at(self.now), self.names[giver].clone());
-                    self.nodes[by].passed.record_miss(now, &id);
-                    match again && self.reaches(by) {
-                        true => self.ask(by, Some(giver)),
-                        false => self.close(by, None),
+                if self.open_requests.remove(&request).is_some() {
+                    let (now, id) = (at(self.now), self.names[issuer].clone());
+                    self.nodes[by].skipped.record_miss(now, &id);
+                    match may_retry && self.reaches(by) {
+                        true => self.request_permit(by, Some(issuer)),
+                        false => self.block(by, None),
                     }
                 }
             }
-            Event::Arrived { from, sent, knew } => {
+            Event::Arrived {
+                from,
+                sent,
+                knew_limit,
+            } => {
                 let time = self.now;
-                self.arrivals.push(Arrival { time, from, knew });
+                self.arrivals.push(Arrival {
+                    time,
+                    from,
+                    knew_limit,
+                });
                 let rate = self.rate(self.now);
                 let to = from;
-                self.push(self.now + ANSWER, Event::Answered { to, sent, rate });
+                self.push(self.now + RESPONSE_TIME, Event::Answered { to, sent, rate });
             }
             Event::Answered { to, sent, rate } => {
                 if !self.reaches(to) {
                     return;
                 }
                 let now = at(self.now);
-                self.nodes[to].limits.record(now, ID, at(sent), rate);
+                self.nodes[to]
+                    .limits
+                    .record(now, UPSTREAM_ID, at(sent), rate);
                 if rate.is_some() {
-                    self.nodes[to].told.get_or_insert(self.now);
+                    self.nodes[to].informed_at.get_or_insert(self.now);
                 }
             }
-            Event::Words(n) => self.tell(n),
+            Event::LimitReports(n) => self.send_reports(n),
         }
     }
 
-    fn want(&mut self, n: usize) {
-        if self.reaches(n) && self.now >= self.nodes[n].closed {
-            self.ask(n, None);
+    fn receive(&mut self, n: usize) {
+        if self.reaches(n) && self.now >= self.nodes[n].blocked_until {
+            self.request_permit(n, None);
         }
     }
 
-    /// Asks for a permit if one is needed, and not the box that was `silent`.
-    fn ask(&mut self, n: usize, silent: Option<usize>) {
-        let (now, key) = (at(self.now), load_report::upstream_key(ID));
-        let Some(told) = self.nodes[n]
+    /// Requests a permit if one is needed, but not from the box `silent`, which did not reply.
+    fn request_permit(&mut self, n: usize, silent: Option<usize>) {
+        let (now, key) = (at(self.now), load_report::upstream_key(UPSTREAM_ID));
+        let Some(report) = self.nodes[n]
             .limits
             .report_of(now, key)
             .filter(|t| t.rate.is_some())
         else {
             return self.send(n);
         };
-        let boxes = self.run.boxes as u32;
-        let hears = |id: &BoxId| self.hears(self.index(id));
+        let boxes = self.scenario.boxes as u32;
+        let is_reachable = |id: &BoxId| self.is_reachable(self.index(id));
         let node = &self.nodes[n];
         let silent = silent.map(|s| self.names[s].clone());
         match choose_issuer(
@@ -295,164 +314,187 @@
             &self.names[n],
             boxes,
             &self.order,
-            &node.passed,
+            &node.skipped,
             silent.as_ref(),
-            hears,
+            is_reachable,
         ) {
             Issuer::Local(place) => {
-                let Node { limits, grants, .. } = &mut self.nodes[n];
-                let verdict = grants.decide(now, limits, told.key, place);
-                self.judge(n, verdict);
+                let Node {
+                    limits, buckets, ..
+                } = &mut self.nodes[n];
+                let verdict = buckets.decide(now, limits, report.key, place);
+                self.apply_verdict(n, verdict);
             }
             Issuer::Remote(id) => {
                 let to = self.index(&id);
-                self.asks += 1;
-                let ask = self.asks;
-                self.open.insert(ask, to);
+                self.request_count += 1;
+                let request = self.request_count;
+                self.open_requests.insert(request, to);
                 let time = self.now + self.delay();
-                if !self.rng.random_bool(self.run.lossy) {
-                    self.push(time, Event::Asked { from: n, to, ask });
+                if !self.rng.random_bool(self.scenario.loss_rate) {
+                    self.push(
+                        time,
+                        Event::PermitAsked {
+                            from: n,
+                            to,
+                            request,
+                        },
+                    );
                 }
-                let (by, again) = (n, silent.is_none());
+                let (by, may_retry) = (n, silent.is_none());
                 self.push(
-                    self.now + REPLY,
-                    Event::Late {
+                    self.now + REPLY_TIMEOUT,
+                    Event::ReplyTimeout {
                         by,
-                        giver: to,
-                        ask,
-                        again,
+                        issuer: to,
+                        request,
+                        may_retry,
                     },
                 );
             }
         }
     }
 
-    fn asked(&mut self, from: usize, to: usize, ask: u64) {
+    fn on_permit_asked(&mut self, from: usize, to: usize, request: u64) {
         if !self.reaches(to) || !self.reaches(from) {
             return;
         }
-        let (now, key) = (at(self.now), load_report::upstream_key(ID));
-        if let Some(told) = self.nodes[from].limits.report_of(now, key) {
-            self.nodes[to].limits.merge(now, &[told]);
+        let (now, key) = (at(self.now), load_report::upstream_key(UPSTREAM_ID));
+        if let Some(report) = self.nodes[from].limits.report_of(now, key) {
+            self.nodes[to].limits.merge(now, &[report]);
         }
         let place = issuer_rank(&self.names[to], &self.order, |id| {
-            self.hears(self.index(id))
+            self.is_reachable(self.index(id))
         });
-        let Node { limits, grants, .. } = &mut self.nodes[to];
-        let verdict = grants.decide(now, limits, key, place);
-        if let Some(told) = self.nodes[to].limits.report_of(now, key) {
-            self.nodes[from].limits.merge(now, &[told]);
+        let Node {
+            limits, buckets, ..
+        } = &mut self.nodes[to];
+        let verdict = buckets.decide(now, limits, key, place);
+        if let Some(report) = self.nodes[to].limits.report_of(now, key) {
+            self.nodes[from].limits.merge(now, &[report]);
         }
         let time = self.now + self.delay();
-        if !self.rng.random_bool(self.run.lossy) {
+        if !self.rng.random_bool(self.scenario.loss_rate) {
             self.push(
                 time,
-                Event::Replied {
+                Event::PermitReplied {
                     to: from,
-                    ask,
+                    request,
                     verdict,
                 },
             );
         }
     }
 
-    fn replied(&mut self, to: usize, ask: u64, verdict: Verdict) {
+    fn on_permit_replied(&mut self, to: usize, request: u64, verdict: Verdict) {
         if !self.reaches(to) {
             return;
         }
-        let Some(giver) = self.open.remove(&ask) else {
+        let Some(issuer) = self.open_requests.remove(&request) else {
             return;
         };
-        let giver = self.names[giver].clone();
-        self.nodes[to].passed.record_reply(&giver);
-        self.judge(to, verdict);
+        let issuer = self.names[issuer].clone();
+        self.nodes[to].skipped.record_reply(&issuer);
+        self.apply_verdict(to, verdict);
     }
 
-    fn judge(&mut self, n: usize, verdict: Verdict) {
+    fn apply_verdict(&mut self, n: usize, verdict: Verdict) {
         match block_time(Some(verdict)) {
             None => self.send(n),
-            Some(_) => self.close(n, Some(verdict)),
+            Some(_) => self.block(n, Some(verdict)),
         }
     }
 
-    fn close(&mut self, n: usize, verdict: Option<Verdict>) {
+    fn block(&mut self, n: usize, verdict: Option<Verdict>) {
         let time = block_time(verdict).unwrap_or_default();
-        self.nodes[n].closed = self.now + time.as_secs_f64();
+        self.nodes[n].blocked_until = self.now + time.as_secs_f64();
     }
 
     fn send(&mut self, n: usize) {
         let (from, sent) = (n, self.now);
         let time = sent + self.delay();
         let limits = &self.nodes[n].limits;
-        let knew = limits.rate(ID).is_some();
-        self.push(time, Event::Arrived { from, sent, knew });
+        let knew_limit = limits.rate(UPSTREAM_ID).is_some();
+        self.push(
+            time,
+            Event::Arrived {
+                from,
+                sent,
+                knew_limit,
+            },
+        );
     }
 
-    /// One box's words reach all others; in a large fleet those of all, by way of hubs.
-    fn tell(&mut self, n: usize) {
-        let is_large = self.run.boxes > 40;
+    /// Sends the limit reports of one box to all others. In a large fleet it sends those of
+    /// all boxes, as hubs do.
+    fn send_reports(&mut self, n: usize) {
+        let is_large = self.scenario.boxes > 40;
         let every = if is_large { 0.7 } else { 0.1 };
         if self.now < END {
-            self.push(self.now + every, Event::Words(n));
+            self.push(self.now + every, Event::LimitReports(n));
         }
         let now = at(self.now);
         let mut hub = UpstreamLimits::default();
-        let tellers = if is_large {
-            0..self.run.boxes
+        let reporters = if is_large {
+            0..self.scenario.boxes
         } else {
             n..n + 1
         };
-        for teller in tellers.filter(|t| self.reaches(*t)) {
-            hub.merge(now, &self.nodes[teller].limits.reports(now));
+        for reporter in reporters.filter(|t| self.reaches(*t)) {
+            hub.merge(now, &self.nodes[reporter].limits.reports(now));
         }
-        let told = hub.reports(now);
-        if told.is_empty() {
+        let report = hub.reports(now);
+        if report.is_empty() {
             return;
         }
-        for other in 0..self.run.boxes {
-            if self.reaches(other) && !self.rng.random_bool(self.run.lossy) {
-                self.nodes[other].limits.merge(now, &told);
+        for other in 0..self.scenario.boxes {
+            if self.reaches(other) && !self.rng.random_bool(self.scenario.loss_rate) {
+                self.nodes[other].limits.merge(now, &report);
             }
         }
     }
 
-    /// Whether a box was out of touch when it sent, or shortly before.
-    fn is_excused(&self, n: usize, time: f64) -> bool {
-        let mut all = self.run.troubles.iter();
-        all.any(|(b, _, from, to)| *b == n && *from <= time && time < *to + CONTACT)
+    /// Whether a box had a fault when it sent a request, or shortly before.
+    fn has_recent_fault(&self, n: usize, time: f64) -> bool {
+        let mut all = self.scenario.faults.iter();
+        all.any(|(b, _, from, to)| *b == n && *from <= time && time < *to + PROPAGATION_TIME)
     }
 
-    /// The first window in which boxes that were told sent more than is allowed.
-    pub fn broken(&self) -> Option<String> {
+    /// Describes the first window in which boxes that knew the limit sent more than it allows.
+    pub fn violation(&self) -> Option<String> {
         let counted: Vec<_> = self
             .arrivals
             .iter()
-            .filter(|a| !self.is_excused(a.from, a.time))
+            .filter(|a| !self.has_recent_fault(a.from, a.time))
             .collect();
         for (last, Arrival { time: end, .. }) in counted.iter().enumerate() {
             let Some(rate) = self.rate(*end) else {
                 continue;
             };
-            let changed = self.run.rates.iter().rfind(|(from, _)| from <= end);
-            if changed.is_some_and(|(from, _)| *end < from + CONTACT) {
+            let changed = self.scenario.rates.iter().rfind(|(from, _)| from <= end);
+            if changed.is_some_and(|(from, _)| *end < from + PROPAGATION_TIME) {
                 continue;
             }
-            let was_told = |n: usize| self.nodes[n].told.is_some_and(|t| t <= end - EXCUSED);
+            let was_informed = |n: usize| {
+                self.nodes[n]
+                    .informed_at
+                    .is_some_and(|t| t <= end - INFORM_GRACE)
+            };
             let window = counted[..=last].iter().rev();
             let window = window.take_while(|a| a.time > end - WINDOW);
-            let window: Vec<_> = window.filter(|a| was_told(a.from)).collect();
-            // What came before any limit was known is in nobody's hands.
-            let knew = window.iter().any(|a| a.knew);
+            let window: Vec<_> = window.filter(|a| was_informed(a.from)).collect();
+            // Requests that were sent before any limit was known could not be held back.
+            let knew_limit = window.iter().any(|a| a.knew_limit);
             let (got, allowed) = (window.len() as f64, 1.5 * WINDOW * rate + 5.0);
-            if got > allowed && knew {
+            if got > allowed && knew_limit {
                 return Some(format!("{got} until {end:.2} s, allowed {allowed:.1}"));
             }
         }
         None
     }
 
-    /// Part of what the limit allows that was used between two moments.
-    pub fn used(&self, from: f64, to: f64) -> f64 {
+    /// Share of the allowed requests that was used between two times.
+    pub fn used_share(&self, from: f64, to: f64) -> f64 {
         let got = self
             .arrivals
             .iter()
--- a/crates/ashgauge/tests/overload_parts.rs
+++ b/crates/ashgauge/tests/overload_parts.rs
@@ -1,103 +1,108 @@
-//! Fleets in virtual time whose callers ask for more than engines can do in time, judged
-//! by the requirements of `docs/design/overload.md`:
-//! the parts of teams, and of requests of other sizes.
+//! Simulated overload with several teams, and with requests of other sizes. The bounds are
+//! the requirements of `docs/design/overload.md`.
 
 mod fleet;
 
 use std::ops::Range;
 
-use fleet::load::{BOXES, GOODPUT_LEAST, STEADY, burst, caller};
-use fleet::{Caller, Run, USUAL, World};
+use fleet::load::{BOXES, MIN_GOODPUT, STEADY, burst, caller};
+use fleet::{Caller, Scenario, TYPICAL, World};
 
-/// Least part of its fair share that a team gets.
-const TEAM_LEAST: f64 = 0.8;
+/// Least allowed share of its fair share that a team gets.
+const MIN_TEAM_SHARE: f64 = 0.8;
 
-/// Least rate at which the largest tenth is served, as a part of that of all.
-const LARGEST_LEAST: f64 = 0.8;
+/// Least allowed service rate of the largest tenth, as a share of that of all requests.
+const MIN_LARGEST_SHARE: f64 = 0.8;
 
-/// Callers of teams, each with its demand and the boxes by which they enter.
-fn teams(boxes: usize, of: &[(f64, Range<usize>)]) -> Run {
-    let mut run = burst(boxes, 0.1, 1.0);
-    let team = |(n, (times, boxes)): (usize, &(f64, Range<usize>))| Caller {
+/// Builds a burst of several teams, each with its demand and the boxes that receive it.
+fn teams(boxes: usize, of: &[(f64, Range<usize>)]) -> Scenario {
+    let mut scenario = burst(boxes, 0.1, 1.0);
+    let team = |(n, (load_factor, boxes)): (usize, &(f64, Range<usize>))| Caller {
         boxes: boxes.clone(),
-        ..caller(boxes.end, n as u32 + 1, 0, *times)
+        ..caller(boxes.end, n as u32 + 1, 0, *load_factor)
     };
-    run.callers = of.iter().enumerate().map(team).collect();
-    run
+    scenario.callers = of.iter().enumerate().map(team).collect();
+    scenario
 }
 
-/// The teams that get less than the bound of what is fair: an equal part of what was
-/// served, or all that they ask for if that is less.
-fn unfair(run: &Run, span: Range<f64>) -> Vec<String> {
-    let world = World::play(run);
-    let got = |team| world.work(span.clone(), |s| world.team(s) == team);
-    let asked = |team| world.asked(span.clone(), |s| world.team(s) == team);
-    let teams: Vec<u32> = run.callers.iter().map(|c| c.team).collect();
-    let part = teams.iter().map(|t| got(*t)).sum::<f64>() / teams.len() as f64;
-    let short = |team: &&u32| got(**team) < TEAM_LEAST * part.min(asked(**team));
+/// Lists the teams that get less than [`MIN_TEAM_SHARE`] of their fair share, which is an
+/// equal share of the served work, or all that they request if that is less.
+fn unfair(scenario: &Scenario, span: Range<f64>) -> Vec<String> {
+    let world = World::run(scenario);
+    let got = |team| world.served_work(span.clone(), |s| world.team(s) == team);
+    let asked = |team| world.requested_work(span.clone(), |s| world.team(s) == team);
+    let teams: Vec<u32> = scenario.callers.iter().map(|c| c.team).collect();
+    let fair_share = teams.iter().map(|t| got(*t)).sum::<f64>() / teams.len() as f64;
+    let short = |team: &&u32| got(**team) < MIN_TEAM_SHARE * fair_share.min(asked(**team));
     let short = teams.iter().filter(short);
     short
-        .map(|t| format!("team {t} of {}: {:.0} of {part:.0}", teams.len(), got(*t)))
+        .map(|t| {
+            format!(
+                "team {t} of {}: {:.0} of {fair_share:.0}",
+                teams.len(),
+                got(*t)
+            )
+        })
         .collect()
 }
 
-/// Load: three teams that ask for once, twice and four times what engines can do, in
+/// Load: three teams that request once, twice and four times the engines' capacity, in
 /// fleets of all sizes.
 #[test]
-fn teams_with_equal_claims_get_equal_parts() {
+fn teams_with_equal_claims_get_equal_shares() {
     for boxes in BOXES {
         let all = 0..boxes;
-        let run = teams(boxes, &[(1.0, all.clone()), (2.0, all.clone()), (4.0, all)]);
-        let unfair = unfair(&run, STEADY);
+        let scenario = teams(boxes, &[(1.0, all.clone()), (2.0, all.clone()), (4.0, all)]);
+        let unfair = unfair(&scenario, STEADY);
         assert!(unfair.is_empty(), "{boxes} boxes: {unfair:?}");
     }
 }
 
-/// Load: two teams that ask for 0.3 of what engines can do, and one that floods with 8
-/// times as much as they can do by one box or by all.
+/// Load: two teams that each request 0.3 of the engines' capacity, and one that sends 8
+/// times the capacity to one box or to all.
 #[test]
 fn team_that_floods_takes_nothing_from_others() {
     for boxes in BOXES {
         for entry in [0..1, 0..boxes] {
             let all = 0..boxes;
-            let run = teams(
+            let scenario = teams(
                 boxes,
                 &[(0.3, all.clone()), (0.3, all), (8.0, entry.clone())],
             );
-            let unfair = unfair(&run, STEADY);
+            let unfair = unfair(&scenario, STEADY);
             assert!(unfair.is_empty(), "{boxes} boxes, {entry:?}: {unfair:?}");
         }
     }
 }
 
-/// Guards against shares by requests where the requirement says work. Load: two teams
-/// that ask for twice what engines can do each, by boxes of their own, one in requests
-/// of four times the usual size.
+/// Guards against shares by number of requests where the requirement says work. Load: two
+/// teams that each request twice the engines' capacity at boxes of their own, one in
+/// requests of four times the typical size.
 #[test]
 fn teams_with_large_requests_get_no_more_work() {
-    let mut run = teams(8, &[(2.0, 0..4), (2.0, 4..8)]);
-    run.callers[0].size = |_| (2000, 400);
-    let unfair = unfair(&run, STEADY);
+    let mut scenario = teams(8, &[(2.0, 0..4), (2.0, 4..8)]);
+    scenario.callers[0].size = |_| (2000, 400);
+    let unfair = unfair(&scenario, STEADY);
     assert!(unfair.is_empty(), "{unfair:?}");
 }
 
-/// Guards against teams that do not fit into a word singly. Load: 100 teams that ask
-/// for 0.03 of what engines can do each, by 8 boxes.
+/// Guards against unequal shares where a report cannot list all teams singly. Load: 100
+/// teams that each request 0.03 of the engines' capacity, at 8 boxes.
 #[test]
-fn teams_that_are_told_together_get_equal_parts() {
+fn teams_that_are_reported_together_get_equal_shares() {
     let many: Vec<_> = (0..100).map(|_| (0.03, 0..8)).collect();
-    let mut run = teams(8, &many);
-    run.callers.iter_mut().for_each(|c| c.span.end = 30.0);
-    run.end = 36.0;
-    let unfair = unfair(&run, 6.0..30.0);
+    let mut scenario = teams(8, &many);
+    scenario.callers.iter_mut().for_each(|c| c.span.end = 30.0);
+    scenario.end = 36.0;
+    let unfair = unfair(&scenario, 6.0..30.0);
     assert!(unfair.is_empty(), "{unfair:?}");
 }
 
-/// Guards against small teams that are counted once for each box that tells them
-/// together, which leaves a team that is told singly without its part. Load: a team that
-/// asks for half of what engines can do beside 100 that ask for 0.03 each.
+/// Guards against small teams that are counted once for each box that reports them as a
+/// group, which leaves a team that is reported singly without its share. Load: a team that
+/// requests half of the engines' capacity, beside 100 that request 0.03 each.
 #[test]
-fn large_team_gets_its_part_beside_many_small_ones() {
+fn large_team_gets_its_share_beside_many_small_ones() {
     let mut short = Vec::new();
     for boxes in [8, 86] {
         let mut all: Vec<_> = (0..100).map(|_| (0.03, 0..boxes)).collect();
@@ -109,83 +114,85 @@
     assert!(short.is_empty(), "{short:?}");
 }
 
-/// Guards against engines that stay empty where some teams are told together. Load: 100
-/// teams that ask for three times what engines can do together, by 8 boxes.
+/// Guards against idle engines where some teams are reported as a group. Load: 100 teams
+/// that together request three times the engines' capacity, at 8 boxes.
 #[test]
-fn goodput_stays_with_more_teams_than_a_word_holds() {
+fn goodput_holds_with_more_teams_than_a_report_can_list() {
     let many: Vec<_> = (0..100).map(|_| (0.03, 0..8)).collect();
-    let goodput = World::play(&teams(8, &many)).goodput(STEADY);
-    assert!(goodput >= GOODPUT_LEAST, "{goodput:.3}");
+    let goodput = World::run(&teams(8, &many)).goodput(STEADY);
+    assert!(goodput >= MIN_GOODPUT, "{goodput:.3}");
 }
 
-/// Answers of which few are long: the largest are some 8 times the median.
-fn heavy(draw: f64) -> (u32, u32) {
+/// Sizes with few long answers: the largest are about 8 times the median.
+fn heavy_tailed(draw: f64) -> (u32, u32) {
     let answer = 80.0 * (1.0 - draw).powf(-0.7);
-    (USUAL.0, answer.min(1000.0) as u32)
+    (TYPICAL.0, answer.min(1000.0) as u32)
 }
 
-/// Steady seconds where answers take up to five times as long as usual ones.
+/// Seconds of the steady state where answers take up to five times as long as typical ones.
 const STEADY_LONG: Range<f64> = 16.0..30.0;
 
-/// A burst of requests of other sizes, for as long as the longest of them need.
-fn sized(boxes: usize, times: f64, size: fn(f64) -> (u32, u32)) -> Run {
-    let mut run = burst(boxes, 0.1, times);
-    for caller in &mut run.callers {
+/// Builds a burst of requests of other sizes that lasts as long as the longest of them need.
+fn burst_of_sizes(boxes: usize, load_factor: f64, size: fn(f64) -> (u32, u32)) -> Scenario {
+    let mut scenario = burst(boxes, 0.1, load_factor);
+    for caller in &mut scenario.callers {
         caller.size = size;
         caller.span.end = STEADY_LONG.end;
     }
-    run.end = STEADY_LONG.end;
-    run
+    scenario.end = STEADY_LONG.end;
+    scenario
 }
 
-/// Load: sizes with a heavy tail, 2 and 4 times what engines can do.
+/// Load: sizes with a heavy tail, 2 and 4 times the engines' capacity.
 #[test]
 fn largest_tenth_is_served_as_often_as_all() {
     for boxes in [8, 86, 985] {
-        for times in [2.0, 4.0] {
-            let world = World::play(&sized(boxes, times, heavy));
-            let mut sizes: Vec<f64> = world.seen.iter().map(|s| s.work).collect();
+        for load_factor in [2.0, 4.0] {
+            let world = World::run(&burst_of_sizes(boxes, load_factor, heavy_tailed));
+            let mut sizes: Vec<f64> = world.records.iter().map(|s| s.work).collect();
             sizes.sort_by(f64::total_cmp);
             let large = sizes[sizes.len() * 9 / 10];
             // All of these end before the run does.
             let span = 6.0..16.0;
-            let all = world.served(span.clone(), |_| true);
-            let largest = world.served(span, |s| s.work >= large);
+            let all = world.served_share(span.clone(), |_| true);
+            let largest = world.served_share(span, |s| s.work >= large);
             assert!(
-                largest >= LARGEST_LEAST * all,
-                "{boxes} boxes, {times} times: {largest:.3} of {all:.3}"
+                largest >= MIN_LARGEST_SHARE * all,
+                "{boxes} boxes, load {load_factor}: {largest:.3} of {all:.3}"
             );
         }
     }
 }
 
-/// Load: sizes with a heavy tail, 2 and 4 times what engines can do.
+/// Load: sizes with a heavy tail, 2 and 4 times the engines' capacity.
 #[test]
-fn goodput_stays_with_a_heavy_tail() {
+fn goodput_holds_with_a_heavy_tail() {
     let mut low = Vec::new();
     for boxes in BOXES {
-        for times in [2.0, 4.0] {
-            let goodput = World::play(&sized(boxes, times, heavy)).goodput(STEADY_LONG);
-            if goodput < GOODPUT_LEAST {
-                low.push(format!("{boxes} boxes, {times} times: {goodput:.3}"));
+        for load_factor in [2.0, 4.0] {
+            let goodput =
+                World::run(&burst_of_sizes(boxes, load_factor, heavy_tailed)).goodput(STEADY_LONG);
+            if goodput < MIN_GOODPUT {
+                low.push(format!("{boxes} boxes, load {load_factor}: {goodput:.3}"));
             }
         }
     }
     assert!(low.is_empty(), "{low:?}");
 }
 
-/// Guards against a usual size that the configuration tells wrong. Load: requests of 4
-/// times the usual work, twice what engines can do, in fleets of all sizes.
+/// Guards against a wrong typical size in the configuration. Load: requests of 4 times the
+/// typical work, twice the engines' capacity, in fleets of all sizes.
 #[test]
-fn goodput_stays_where_all_requests_are_large() {
+fn goodput_holds_where_all_requests_are_large() {
     let mut low = Vec::new();
     for boxes in BOXES {
-        let mut run = burst(boxes, 0.1, 2.0);
-        run.callers
+        let mut scenario = burst(boxes, 0.1, 2.0);
+        scenario
+            .callers
             .iter_mut()
             .for_each(|c| c.size = |_| (2000, 400));
-        let goodput = World::play(&run).goodput(STEADY);
-        if goodput < GOODPUT_LEAST {
+        let goodput = World::run(&scenario).goodput(STEADY);
+        if goodput < MIN_GOODPUT {
             low.push(format!("{boxes} boxes: {goodput:.3}"));
         }
     }
--- a/crates/ashgauge/tests/starter/mod.rs
+++ b/crates/ashgauge/tests/starter/mod.rs
@@ -1,9 +1,10 @@
-//! A small table for the tests of whole nodes.
+//! A small routing table for the tests that start whole nodes.
 
 use ashgauge::policy::hash_key;
 use ashgauge::table::{Cell, Table};
 
-/// One tier, the team `payroll` of key `k` and weight 3, the model `chat`.
+/// Returns a table of one tier, the team `payroll` with key `k` and weight 3, and the route
+/// `chat` of kind `model`.
 pub fn table(layers: u32) -> Table {
     let text = |s: &str| Cell::Text(s.into());
     let hash: String = hash_key("k").iter().map(|b| format!("{b:02x}")).collect();
