--- a/crates/ashgauge/tests/chain.rs
+++ b/crates/ashgauge/tests/chain.rs
@@ -1,4 +1,4 @@
-//! Chains cover every layer once, whatever ranges the engines hold.
+//! Chains cover every layer exactly once, whatever ranges the engines hold.
 
 mod common;
 
@@ -30,15 +30,15 @@
     stages.iter().map(of).sum()
 }
 
-/// The cheapest way by trying all, one layer at a time.
-fn least(first: u32, end: u32, edges: &[Edge]) -> f64 {
+/// Cost of the cheapest chain, found by trying all of them, one layer at a time.
+fn least_cost(first: u32, end: u32, edges: &[Edge]) -> f64 {
     if first == end {
         return 0.0;
     }
     let mut best = f64::INFINITY;
     for e in edges.iter().filter(|e| e.first <= first && first < e.end) {
         for to in first + 1..=e.end.min(end) {
-            let rest = least(to, end, edges);
+            let rest = least_cost(to, end, edges);
             best = best.min(e.fixed_cost + e.layer_cost * f64::from(to - first) + rest);
         }
     }
@@ -67,16 +67,16 @@
     #[test]
     fn chain_is_the_cheapest(edges in edges().prop_filter("few", |e| e.len() < 6), len in 1u32..7) {
         if let Some(stages) = cheapest_chain(2, 2 + len, &edges) {
-            let (found, best) = (cost(&stages, &edges), least(2, 2 + len, &edges));
+            let (found, best) = (cost(&stages, &edges), least_cost(2, 2 + len, &edges));
             prop_assert!((found - best).abs() < 1e-9, "{found} for {best}");
         }
     }
 }
 
-/// A slow engine around a fast one was once used on both sides of it, and the
-/// engines refuse a chain that names one twice.
+/// Guards against a chain that uses a slow engine on both sides of a fast one. Engines
+/// refuse a chain that names one of them twice.
 #[test]
-fn no_engine_is_twice_in_a_chain() {
+fn no_engine_is_in_a_chain_twice() {
     let edge = |id: &str, first, end, fixed, layer| Edge {
         upstream: id.into(),
         first,
@@ -96,10 +96,10 @@
     assert_eq!(wide, 1, "{stages:?}");
 }
 
-/// The cost of a way between two data centres was asked for again for each engine and
-/// each of its layers: 30 ms a request before 3,000 engines.
+/// Guards against computing the cost of a crossing between two data centres again for each
+/// engine and each of its layers, which took 30 ms per request with 3,000 engines.
 #[test]
-fn ways_between_places_are_weighed_once_for_all_engines() {
+fn crossing_costs_are_computed_once_for_all_engines() {
     let edge = |n: u32| Edge {
         data_centre: n as usize % 5,
         upstream: format!("engine-{n}").into(),
@@ -108,15 +108,15 @@
         fixed_cost: 0.1,
         layer_cost: 0.001,
     };
-    let asked = |engines: u32| {
+    let computed = |engines: u32| {
         let edges: Vec<Edge> = (0..engines).map(edge).collect();
-        let asked = Cell::new(0);
+        let computed = Cell::new(0);
         let chain = cheapest_crossing_chain(0, 79, &edges, |from, to| {
-            asked.set(asked.get() + 1);
+            computed.set(computed.get() + 1);
             if from == Some(to) { 0.0 } else { 0.3 }
         });
         assert!(chain.is_some());
-        asked.get()
+        computed.get()
     };
-    assert_eq!(asked(720), asked(5760));
+    assert_eq!(computed(720), computed(5760));
 }
--- a/crates/ashgauge/tests/choice.rs
+++ b/crates/ashgauge/tests/choice.rs
@@ -1,4 +1,4 @@
-//! Which chain a request goes to.
+//! Selection of the chain for a request.
 
 mod common;
 mod engines;
@@ -19,32 +19,33 @@
 use rand::SeedableRng;
 use rand::rngs::SmallRng;
 
-/// Memory of a usual request in so many layers, in tokens times layers.
-fn usual(model: &Model, layers: u64) -> u64 {
+/// Memory of a typical request in this many layers, in tokens times layers.
+fn typical_memory(model: &Model, layers: u64) -> u64 {
     u64::from(model.typical_prompt + model.typical_output) * layers
 }
 
-/// Once all boxes led their requests over the fastest engine until it threw
-/// requests out, while the others idled.
+/// Guards against boxes that all send their requests to the fastest engine until it evicts
+/// requests, while the others are idle.
 #[test]
-fn no_engine_is_asked_for_more_than_it_has_room_for() {
+fn no_engine_gets_more_requests_than_it_has_room_for() {
     let mut model = model();
     model.layers = 10;
     let all = selection::all_layers(model.layers);
     let mut registry = UpstreamRegistry::default();
     registry.put(engines::upstream("fast", "a", "large", Some(all), 1));
     registry.put(engines::upstream("slow", "a", "medium", Some(all), 2));
-    let (pipes, shares, place) = (WanUsage::default(), FleetLoad::default(), Arc::from("a"));
+    let (wan_usage, fleet_load, data_centre) =
+        (WanUsage::default(), FleetLoad::default(), Arc::from("a"));
     let mut rng = SmallRng::seed_from_u64(1);
     let neighbours = BOXES / 3.0;
-    // 107 requests over all boxes; the two have room for 98 and 33.
+    // 107 requests over all boxes; the two engines have room for 98 and 33.
     for _ in 0..40 {
         let stages = {
-            let context = context(&registry, &pipes, &shares, &place);
+            let context = context(&registry, &wan_usage, &fleet_load, &data_centre);
             selection::select_chain(&context, &model, all, &[], None, &mut rng)
         };
         for stage in stages.expect("a chain") {
-            registry.begin_request(&stage.upstream, usual(&model, 10));
+            registry.begin_request(&stage.upstream, typical_memory(&model, 10));
         }
     }
     for entry in registry.iter() {
@@ -54,14 +55,14 @@
     }
 }
 
-/// Which one it is depends on load: a chain elsewhere costs little, as long as
-/// activations do not cross.
+/// Which data centre that is depends on load: a chain in another one costs little more, as
+/// long as activations do not cross between data centres.
 #[test]
 fn chain_stays_within_one_data_centre() {
-    let (registry, pipes, shares) = (placed(), WanUsage::default(), FleetLoad::default());
+    let (registry, wan_usage, fleet_load) = (placed(), WanUsage::default(), FleetLoad::default());
     let mut rng = SmallRng::seed_from_u64(2);
-    for place in ["a", "b", "c"].map(Arc::from) {
-        let context = context(&registry, &pipes, &shares, &place);
+    for data_centre in ["a", "b", "c"].map(Arc::from) {
+        let context = context(&registry, &wan_usage, &fleet_load, &data_centre);
         let stages = selection::select_chain(
             &context,
             &model(),
@@ -71,22 +72,22 @@
             &mut rng,
         );
         let stages = stages.expect("a chain");
-        let places = stages.iter().filter_map(|s| registry.get(&s.upstream));
-        let mut places: Vec<_> = places.map(|e| &e.upstream.data_centre).collect();
-        places.dedup();
-        assert_eq!(places.len(), 1, "{places:?}");
+        let data_centres = stages.iter().filter_map(|s| registry.get(&s.upstream));
+        let mut data_centres: Vec<_> = data_centres.map(|e| &e.upstream.data_centre).collect();
+        data_centres.dedup();
+        assert_eq!(data_centres.len(), 1, "{data_centres:?}");
     }
 }
 
-/// A roster in which two like engines hold the first half, and two the second.
-fn chosen(registry: &UpstreamRegistry, seed: u64) -> Vec<String> {
-    chosen_beside(registry, &FleetLoad::default(), seed)
+/// Selects a chain in a registry as of [`twins`]; returns the ids of its engines.
+fn selected(registry: &UpstreamRegistry, seed: u64) -> Vec<String> {
+    selected_with(registry, &FleetLoad::default(), seed)
 }
 
-fn chosen_beside(registry: &UpstreamRegistry, shares: &FleetLoad, seed: u64) -> Vec<String> {
-    let (pipes, place) = (WanUsage::default(), Arc::from("a"));
+fn selected_with(registry: &UpstreamRegistry, fleet_load: &FleetLoad, seed: u64) -> Vec<String> {
+    let (wan_usage, data_centre) = (WanUsage::default(), Arc::from("a"));
     let mut rng = SmallRng::seed_from_u64(seed);
-    let context = context(registry, &pipes, shares, &place);
+    let context = context(registry, &wan_usage, fleet_load, &data_centre);
     let stages = selection::select_chain(
         &context,
         &model(),
@@ -99,40 +100,41 @@
     stages.iter().map(|s| s.upstream.to_string()).collect()
 }
 
-/// An engine that said it was well and failed all requests that were sent to
-/// it was chosen as often as before.
+/// Guards against an engine that reports itself healthy, fails all requests, and is still
+/// selected as often as before.
 #[test]
 fn first_engine_that_fails_is_avoided() {
     let mut registry = twins();
     registry.record_failure(Duration::from_secs(100), "a1");
     for seed in 0..20 {
-        assert_eq!(chosen(&registry, seed)[0], "a2");
+        assert_eq!(selected(&registry, seed)[0], "a2");
     }
 }
 
-/// Only the first engine of a chain answers for it.
+/// A failure is attributed to the first engine of a chain only, as that one answers for
+/// the whole chain.
 #[test]
 fn later_engine_is_not_blamed() {
     let mut registry = twins();
     registry.record_failure(Duration::from_secs(100), "b1");
-    assert!((0..20).any(|seed| chosen(&registry, seed)[1] == "b1"));
+    assert!((0..20).any(|seed| selected(&registry, seed)[1] == "b1"));
 }
 
-/// All boxes led their streams around a lost engine to the same holder of its
-/// range, which then read their prompts one after the other.
+/// Guards against boxes that all repair their streams on the same holder of a lost engine's
+/// range, which then processes their prompts one after the other.
 #[test]
-fn engine_with_prompts_to_read_is_avoided() {
+fn engine_with_queued_prompts_is_avoided() {
     let mut registry = twins();
     registry.note_prefill(Duration::from_secs(100), "b1", 0.4);
     for seed in 0..20 {
-        assert_eq!(chosen(&registry, seed)[1], "b2");
+        assert_eq!(selected(&registry, seed)[1], "b2");
     }
 }
 
-/// What one other box tells of its use of an engine.
-fn told(id: &str, used: Usage) -> FleetLoad {
-    let mut shares = FleetLoad::default();
-    let word = LoadReport {
+/// Load reported by one other box for one engine.
+fn reported_load(id: &str, used: Usage) -> FleetLoad {
+    let mut fleet_load = FleetLoad::default();
+    let report = LoadReport {
         from: "box-2".into(),
         boot: 1,
         sequence: 1,
@@ -144,12 +146,12 @@
         traffic: Default::default(),
         slow: Vec::new(),
     };
-    assert!(shares.apply(Duration::from_secs(100), word));
-    shares
+    assert!(fleet_load.apply(Duration::from_secs(100), report));
+    fleet_load
 }
 
-/// Each box took the others to do as it did, and all chose the engine that one
-/// of them had filled.
+/// Guards against boxes that assume the others to have the same load as themselves, and so
+/// all select the engine that one of them has filled.
 #[test]
 fn engine_that_other_boxes_fill_is_avoided() {
     let registry = twins();
@@ -158,45 +160,45 @@
         token_layers: 60 * 900 * 40,
         ..Usage::default()
     };
-    let shares = told("b1", used);
+    let fleet_load = reported_load("b1", used);
     for seed in 0..20 {
-        assert_eq!(chosen_beside(&registry, &shares, seed)[1], "b2");
+        assert_eq!(selected_with(&registry, &fleet_load, seed)[1], "b2");
     }
 }
 
-/// Requests were sent to engines that had no room for them and came back.
+/// Guards against requests that are sent to engines without room for them and are refused.
 #[test]
 fn chain_without_room_is_not_chosen() {
-    let (model, registry, pipes) = (model(), twins(), WanUsage::default());
-    let place = Arc::from("a");
-    let memory = cost::memory_capacity(&model, registry.get("b1").expect("b1"), whole_half());
-    let need = Some(Requirements {
+    let (model, registry, wan_usage) = (model(), twins(), WanUsage::default());
+    let data_centre = Arc::from("a");
+    let memory = cost::memory_capacity(&model, registry.get("b1").expect("b1"), second_half());
+    let requirements = Some(Requirements {
         tokens: 900,
         fill_limit: 1.0,
         reserved_share: 0.0,
     });
-    let chosen = |shares: &FleetLoad| {
+    let selected = |fleet_load: &FleetLoad| {
         let mut rng = SmallRng::seed_from_u64(4);
-        let context = context(&registry, &pipes, shares, &place);
+        let context = context(&registry, &wan_usage, fleet_load, &data_centre);
         selection::select_chain(
             &context,
             &model,
             selection::all_layers(80),
             &[],
-            need,
+            requirements,
             &mut rng,
         )
     };
-    assert!(chosen(&FleetLoad::default()).is_some());
+    assert!(selected(&FleetLoad::default()).is_some());
     let full = Usage {
         requests: 1,
         token_layers: memory as u32 - 1,
         ..Usage::default()
     };
-    let mut shares = told("b1", full);
-    let stages = chosen(&shares).expect("a chain over the other one");
+    let mut fleet_load = reported_load("b1", full);
+    let stages = selected(&fleet_load).expect("a chain over the other one");
     assert_eq!(&*stages[1].upstream, "b2");
-    let word = LoadReport {
+    let report = LoadReport {
         from: "box-3".into(),
         boot: 1,
         sequence: 1,
@@ -208,16 +210,16 @@
         traffic: Default::default(),
         slow: Vec::new(),
     };
-    shares.apply(Duration::from_secs(100), word);
-    assert_eq!(chosen(&shares), None);
+    fleet_load.apply(Duration::from_secs(100), report);
+    assert_eq!(selected(&fleet_load), None);
 }
 
-fn whole_half() -> LayerRange {
+fn second_half() -> LayerRange {
     LayerRange { first: 40, end: 80 }
 }
 
-/// An engine refuses what is sent to it past its slots, and all chains of a
-/// data centre began at one.
+/// Guards against chains of a data centre that all start at one engine, which refuses
+/// requests once its slots are in use.
 #[test]
 fn first_engine_without_slots_is_avoided() {
     let mut registry = twins();
@@ -226,43 +228,43 @@
         registry.begin_head("a1");
     }
     for seed in 0..20 {
-        assert_eq!(chosen(&registry, seed)[0], "a2");
+        assert_eq!(selected(&registry, seed)[0], "a2");
     }
 }
 
-/// What a box expects elsewhere is spread over the holders there; each was
-/// taken to have it all, and a data centre with two holders of each layer
-/// looked full.
+/// Guards against counting the expected load of another data centre in full for each holder
+/// of a layer there, instead of spreading it over the holders. A data centre with two holders
+/// of each layer then looked full.
 #[test]
-fn holders_elsewhere_share_their_load() {
+fn holders_in_another_data_centre_share_their_load() {
     let mut registry = UpstreamRegistry::default();
     let now = Duration::from_secs(100);
     for quarter in 0..4 {
         let (first, end) = (quarter * 20, quarter * 20 + 20);
-        let put = |registry: &mut UpstreamRegistry, place: &str, n: u32| {
-            let id = format!("{place}{quarter}-{n}");
+        let put = |registry: &mut UpstreamRegistry, data_centre: &str, n: u32| {
+            let id = format!("{data_centre}{quarter}-{n}");
             let at = (quarter * 4 + n) as usize;
             let span = Some(LayerRange { first, end });
-            registry.put(engines::upstream(&id, place, "large", span, at));
+            registry.put(engines::upstream(&id, data_centre, "large", span, at));
             id
         };
-        // The own data centre's engines have no room: 100 requests of this
-        // box, 267 with its neighbours'.
+        // The engines of the own data centre have no room: 100 requests of this
+        // box, 267 with those of its neighbours.
         let own = put(&mut registry, "a", 0);
-        (0..100).for_each(|_| registry.begin_request(&own, usual(&model(), 20)));
+        (0..100).for_each(|_| registry.begin_request(&own, typical_memory(&model(), 20)));
         registry.note_full(now, &own);
         (1..4).for_each(|n| drop(put(&mut registry, "c", n)));
     }
-    assert!(chosen(&registry, 1).iter().all(|id| id.starts_with('c')));
+    assert!(selected(&registry, 1).iter().all(|id| id.starts_with('c')));
 }
 
-/// Once chains crossed so often that the pipes were asked for twice of what
-/// they carry, and nine of ten such requests failed.
+/// Guards against chains that cross data centres so often that the links need twice their
+/// capacity, at which nine of ten such requests failed.
 #[test]
-fn used_up_pipes_are_not_used() {
+fn saturated_wan_links_are_not_used() {
     let mut registry = placed();
-    // No data centre has a whole chain: layer 40 is in `b` only, layer 10 not.
-    let gone = |place: &str, span: LayerRange| match place {
+    // No data centre has a complete chain: layer 40 is only in `b`, and layer 10 is not in `b`.
+    let gone = |data_centre: &str, span: LayerRange| match data_centre {
         "b" => span.contains(10),
         _ => span.contains(40),
     };
@@ -273,11 +275,11 @@
         .collect();
     lost.iter()
         .for_each(|id| registry.remove(Duration::ZERO, id));
-    let place: Arc<str> = "a".into();
-    let places = ["a", "b", "c"].map(Arc::from);
-    let (mut pipes, shares) = (WanUsage::default(), FleetLoad::default());
+    let data_centre: Arc<str> = "a".into();
+    let data_centres = ["a", "b", "c"].map(Arc::from);
+    let (mut wan_usage, fleet_load) = (WanUsage::default(), FleetLoad::default());
     let mut rng = SmallRng::seed_from_u64(3);
-    let unused = context(&registry, &pipes, &shares, &place);
+    let unused = context(&registry, &wan_usage, &fleet_load, &data_centre);
     let stages = selection::select_chain(
         &unused,
         &model(),
@@ -287,12 +289,12 @@
         &mut rng,
     );
     assert!(stages.is_some());
-    for (n, from) in places.iter().enumerate() {
-        for to in &places[n + 1..] {
-            pipes.record(Duration::from_secs(100), from, to, 1125.0 / BOXES);
+    for (n, from) in data_centres.iter().enumerate() {
+        for to in &data_centres[n + 1..] {
+            wan_usage.record(Duration::from_secs(100), from, to, 1125.0 / BOXES);
         }
     }
-    let used = context(&registry, &pipes, &shares, &place);
+    let used = context(&registry, &wan_usage, &fleet_load, &data_centre);
     let stages = selection::select_chain(
         &used,
         &model(),
@@ -305,20 +307,20 @@
 }
 
 #[test]
-fn pipes_fade_when_unused() {
+fn wan_usage_decays() {
     let (a, b): (Arc<str>, Arc<str>) = ("a".into(), "b".into());
-    let mut pipes = WanUsage::default();
-    pipes.record(Duration::from_secs(1), &a, &b, 100.0);
+    let mut wan_usage = WanUsage::default();
+    wan_usage.record(Duration::from_secs(1), &a, &b, 100.0);
     let now = Duration::from_secs(1);
-    assert!(pipes.rate(now, &b, &a) > 99.0);
-    assert!(pipes.rate(now + Duration::from_secs(5), &a, &b) < 1.0);
+    assert!(wan_usage.rate(now, &b, &a) > 99.0);
+    assert!(wan_usage.rate(now + Duration::from_secs(5), &a, &b) < 1.0);
 }
 
 proptest! {
     #![proptest_config(common::seeded(200))]
 
-    /// Engines with any ranges: a chain runs every layer once and in order,
-    /// over engines that hold them, none of them twice, none to be avoided.
+    /// Whatever ranges the engines hold, a chain runs every layer once and in order, on
+    /// engines that hold them. No engine is in it twice, and no avoided engine is in it.
     #[test]
     fn chains_cover_all_layers(
         spans in prop::collection::vec((0..3usize, 0..80u32, 1..40u32), 1..30),
@@ -326,16 +328,16 @@
         seed in 0..1000u64,
     ) {
         let mut registry = UpstreamRegistry::default();
-        for (n, (place, first, len)) in spans.iter().enumerate() {
+        for (n, (data_centre, first, len)) in spans.iter().enumerate() {
             let span = LayerRange { first: *first, end: (first + len).min(80) };
-            let place = ["a", "b", "c"][*place];
-            let engine = engines::upstream(&format!("e{n}"), place, "small", Some(span), n);
+            let data_centre = ["a", "b", "c"][*data_centre];
+            let engine = engines::upstream(&format!("e{n}"), data_centre, "small", Some(span), n);
             registry.put(engine);
         }
-        let (pipes, shares, place) = (WanUsage::default(), FleetLoad::default(), Arc::from("a"));
+        let (wan_usage, fleet_load, data_centre) = (WanUsage::default(), FleetLoad::default(), Arc::from("a"));
         let avoid = [Arc::from(format!("e{avoided}"))];
         let mut rng = SmallRng::seed_from_u64(seed);
-        let context = context(&registry, &pipes, &shares, &place);
+        let context = context(&registry, &wan_usage, &fleet_load, &data_centre);
         let stages = selection::select_chain(&context, &model(), selection::all_layers(80), &avoid, None, &mut rng);
         let held = |layer: u32| {
             registry.iter().any(|e| {
@@ -358,24 +360,25 @@
     }
 }
 
-/// Each box found lost engines by requests of its own that failed.
+/// Guards against boxes that each find a lost engine only by failures of their own requests.
 #[test]
 fn engine_that_another_box_found_lost_is_avoided() {
     let now = Duration::from_secs(100);
     let mut registry = twins();
-    let chosen = |registry: &UpstreamRegistry| {
-        let (pipes, shares, place) = (WanUsage::default(), FleetLoad::default(), Arc::from("a"));
-        let context = context(registry, &pipes, &shares, &place);
+    let selected = |registry: &UpstreamRegistry| {
+        let (wan_usage, fleet_load, data_centre) =
+            (WanUsage::default(), FleetLoad::default(), Arc::from("a"));
+        let context = context(registry, &wan_usage, &fleet_load, &data_centre);
         let mut rng = SmallRng::seed_from_u64(3);
-        let chain = selection::select_chain(&context, &model(), whole_half(), &[], None, &mut rng);
+        let chain = selection::select_chain(&context, &model(), second_half(), &[], None, &mut rng);
         chain.map(|stages| stages[0].upstream.to_string())
     };
     registry.note_peer_suspects(now, &[load_report::upstream_key("b1")]);
-    assert_eq!(chosen(&registry).as_deref(), Some("b2"));
-    // No verdict: with both lost by hearsay one of them is tried.
+    assert_eq!(selected(&registry).as_deref(), Some("b2"));
+    // Reports of peers are no proof: if both are only reported lost, one of them is tried.
     registry.note_peer_suspects(now, &[load_report::upstream_key("b2")]);
-    assert!(chosen(&registry).is_some());
-    // What this box hears itself counts for more.
+    assert!(selected(&registry).is_some());
+    // Activity that this box sees itself overrides reports of peers.
     let mut registry = twins();
     registry.note_peer_suspects(now, &[load_report::upstream_key("b1")]);
     registry.note_activity(now, "b1");
@@ -383,27 +386,28 @@
     assert!(!registry.get("b2").is_some_and(|e| e.is_peer_suspect(now)));
 }
 
-/// Engines turned away what their slots did not hold, though room by memory was
-/// thought to be left: requests with short prompts use slots up first.
+/// Guards against requests that engines refuse for lack of slots while they have memory
+/// left: requests with short prompts use up slots first.
 #[test]
 fn chain_has_room_only_if_its_first_engine_has_a_slot() {
     let model = model();
     let mut registry = twins();
-    let (pipes, shares, place) = (WanUsage::default(), FleetLoad::default(), Arc::from("a"));
-    let need = Some(Requirements {
+    let (wan_usage, fleet_load, data_centre) =
+        (WanUsage::default(), FleetLoad::default(), Arc::from("a"));
+    let requirements = Some(Requirements {
         tokens: 100,
         fill_limit: 1.15,
         reserved_share: 0.0,
     });
     let find = |registry: &UpstreamRegistry| {
         let mut rng = SmallRng::seed_from_u64(1);
-        let context = context(registry, &pipes, &shares, &place);
+        let context = context(registry, &wan_usage, &fleet_load, &data_centre);
         selection::select_chain(
             &context,
             &model,
             selection::all_layers(80),
             &[],
-            need,
+            requirements,
             &mut rng,
         )
     };
@@ -413,7 +417,7 @@
         (0..slots).for_each(|_| registry.begin_head(first));
     }
     assert!(find(&registry).is_none());
-    // Slots are the first engine's alone.
+    // Only the first engine of a chain uses a slot.
     for (first, later) in [("a1", "b1"), ("a2", "b2")] {
         (0..slots).for_each(|_| registry.end_head(first));
         (0..slots).for_each(|_| registry.begin_head(later));
@@ -421,8 +425,8 @@
     assert!(find(&registry).is_some());
 }
 
-/// A request whose first try failed was sent to an upstream whose entry had gone 2.2 s
-/// before, as the box was not sure that it was gone for good and knew no other.
+/// Guards against a retry that goes to an upstream whose entry vanished 2.2 s before: the
+/// box did not know yet whether it was gone for good, and preferred it to other upstreams.
 #[test]
 fn retry_does_not_go_to_an_upstream_that_vanished() {
     let now = Duration::from_secs(100);
@@ -431,22 +435,23 @@
         registry.put(engines::upstream(id, "a", "large", None, n));
     }
     registry.mark_missing(now, "gone");
-    let (pipes, shares, place) = (WanUsage::default(), FleetLoad::default(), Arc::from("a"));
+    let (wan_usage, fleet_load, data_centre) =
+        (WanUsage::default(), FleetLoad::default(), Arc::from("a"));
     let mut rng = SmallRng::seed_from_u64(1);
     let mut choose = |registry: &UpstreamRegistry, tried: &[&str]| {
-        let context = context(registry, &pipes, &shares, &place);
+        let context = context(registry, &wan_usage, &fleet_load, &data_centre);
         let tried: Vec<_> = tried.iter().map(|t| (*t).into()).collect();
         selection::select_upstream(&context, &tried, &mut rng).map(|id| id.to_string())
     };
     assert_eq!(choose(&registry, &["first"]).as_deref(), Some("second"));
-    // One that may be lost goes before one that the store no longer has.
+    // A suspect upstream is preferred to one that the store no longer lists.
     registry.mark_suspect(now, "second");
     assert_eq!(choose(&registry, &["first"]).as_deref(), Some("second"));
     assert_eq!(
         choose(&registry, &["first", "second"]).as_deref(),
         Some("first")
     );
-    // Where all entries are gone at once, an outage took them.
+    // If all entries vanish at once, the cause is an outage of the store.
     registry.mark_missing(now, "first");
     registry.mark_missing(now, "second");
     assert!(choose(&registry, &[]).is_some());
--- a/crates/ashgauge/tests/choice_closed.rs
+++ b/crates/ashgauge/tests/choice_closed.rs
@@ -1,4 +1,4 @@
-//! Engines at rest, or that take no more, in the choice of a chain.
+//! Selection of a chain while engines are backing off or blocked.
 
 mod engines;
 
@@ -13,86 +13,89 @@
 use rand::SeedableRng;
 use rand::rngs::SmallRng;
 
-/// Engines that asked for rest are in no chain, neither first nor behind, also not of a
-/// stream that goes on; where layers are left to such engines only, there is none.
+/// Engines that asked for a backoff are in no chain, neither as first engine nor later, also
+/// not for a stream that is resumed. If only such engines hold some layer, there is no chain.
 #[test]
-fn no_chain_has_an_engine_at_rest() {
-    let (pipes, shares, place) = (WanUsage::default(), FleetLoad::default(), Arc::from("a"));
-    let now = context(&placed(), &pipes, &shares, &place).now;
+fn no_chain_has_an_engine_that_backs_off() {
+    let (wan_usage, fleet_load, data_centre) =
+        (WanUsage::default(), FleetLoad::default(), Arc::from("a"));
+    let now = context(&placed(), &wan_usage, &fleet_load, &data_centre).now;
     let span = selection::all_layers(80);
     for seed in 0..20 {
         let mut registry = placed();
         let mut rng = SmallRng::seed_from_u64(seed);
-        // Chain by chain, all engines of it rest, the last ones the longest.
-        let mut rest = Duration::from_secs(10);
-        let mut chosen = Vec::new();
+        // All engines of each selected chain back off, those of the last chain the longest.
+        let mut backoff = Duration::from_secs(10);
+        let mut selected = Vec::new();
         loop {
-            let context = context(&registry, &pipes, &shares, &place);
+            let context = context(&registry, &wan_usage, &fleet_load, &data_centre);
             let Some(stages) =
                 selection::select_chain(&context, &model(), span, &[], None, &mut rng)
             else {
                 break;
             };
-            let again = stages.iter().find(|s| chosen.contains(&s.upstream));
-            assert!(again.is_none(), "{again:?} rests");
+            let repeated = stages.iter().find(|s| selected.contains(&s.upstream));
+            assert!(repeated.is_none(), "{repeated:?} rests");
             for stage in stages {
-                registry.note_backoff(now, &stage.upstream, rest);
-                chosen.push(stage.upstream);
+                registry.note_backoff(now, &stage.upstream, backoff);
+                selected.push(stage.upstream);
             }
-            rest += Duration::from_secs(1);
+            backoff += Duration::from_secs(1);
         }
-        let context = context(&registry, &pipes, &shares, &place);
+        let context = context(&registry, &wan_usage, &fleet_load, &data_centre);
         let left = selection::backoff_left(&context, Some(&model()), &mut rng);
         assert_eq!(left, Some(Duration::from_secs(10)));
     }
 }
 
-/// An engine that takes no more requests leads no chain, and goes on to be led to; where
-/// nothing else leads, it is told when it takes the next one.
+/// A blocked engine is not the first of a chain, but may still be a later one. If no other
+/// engine can be the first, the caller learns when a blocked one takes the next request.
 #[test]
-fn closed_engine_leads_no_chain() {
-    let (pipes, shares, place) = (WanUsage::default(), FleetLoad::default(), Arc::from("a"));
+fn blocked_engine_is_not_first_in_a_chain() {
+    let (wan_usage, fleet_load, data_centre) =
+        (WanUsage::default(), FleetLoad::default(), Arc::from("a"));
     let mut registry = placed();
-    let now = context(&registry, &pipes, &shares, &place).now;
+    let now = context(&registry, &wan_usage, &fleet_load, &data_centre).now;
     let (span, second) = (selection::all_layers(80), Duration::from_secs(1));
     let mut rng = SmallRng::seed_from_u64(1);
-    let leads = |e: &ashgauge::upstream_state::UpstreamState| {
+    let can_be_first = |e: &ashgauge::upstream_state::UpstreamState| {
         e.upstream.layers.is_some_and(|l| l.first == 0)
     };
     let all: Vec<_> = registry.iter().cloned().collect();
-    let behind = all
+    let later = all
         .iter()
-        .filter(|e| e.upstream.layers.is_some() && !leads(e));
-    behind.for_each(|e| registry.block(now, &e.upstream.id, second * 9));
-    let mut led = 0;
+        .filter(|e| e.upstream.layers.is_some() && !can_be_first(e));
+    later.for_each(|e| registry.block(now, &e.upstream.id, second * 9));
+    let mut chains = 0;
     loop {
-        let context = context(&registry, &pipes, &shares, &place);
+        let context = context(&registry, &wan_usage, &fleet_load, &data_centre);
         let Some(stages) = selection::select_chain(&context, &model(), span, &[], None, &mut rng)
         else {
             break;
         };
-        led += 1;
-        registry.block(now, &stages[0].upstream, second * (10 - led));
+        chains += 1;
+        registry.block(now, &stages[0].upstream, second * (10 - chains));
     }
-    assert!(led >= 2, "{led}");
-    let context = context(&registry, &pipes, &shares, &place);
+    assert!(chains >= 2, "{chains}");
+    let context = context(&registry, &wan_usage, &fleet_load, &data_centre);
     let left = selection::backoff_left(&context, Some(&model()), &mut rng);
-    assert_eq!(left, Some(second * (10 - led)));
+    assert_eq!(left, Some(second * (10 - chains)));
 }
 
-/// The time to come back is told only if rest is what stands in the way.
+/// A retry delay is given only if backoff is what prevents the selection.
 #[test]
-fn rest_is_not_told_while_there_is_a_way() {
-    let (pipes, shares, place) = (WanUsage::default(), FleetLoad::default(), Arc::from("a"));
+fn backoff_is_not_reported_while_an_upstream_is_available() {
+    let (wan_usage, fleet_load, data_centre) =
+        (WanUsage::default(), FleetLoad::default(), Arc::from("a"));
     let mut rng = SmallRng::seed_from_u64(1);
     let mut registry = UpstreamRegistry::default();
     let second = Duration::from_secs(1);
     let left = |registry: &UpstreamRegistry, rng: &mut SmallRng| {
-        let context = context(registry, &pipes, &shares, &place);
+        let context = context(registry, &wan_usage, &fleet_load, &data_centre);
         selection::backoff_left(&context, None, rng)
     };
     assert_eq!(left(&registry, &mut rng), None);
-    let now = context(&registry, &pipes, &shares, &place).now;
+    let now = context(&registry, &wan_usage, &fleet_load, &data_centre).now;
     for id in ["e1", "e2"] {
         registry.put(engines::upstream(id, "a", "small", None, 1));
     }
@@ -101,7 +104,11 @@
     registry.note_backoff(now, "e2", second * 2);
     assert_eq!(left(&registry, &mut rng), Some(second * 2));
     assert_eq!(
-        selection::select_upstream(&context(&registry, &pipes, &shares, &place), &[], &mut rng),
+        selection::select_upstream(
+            &context(&registry, &wan_usage, &fleet_load, &data_centre),
+            &[],
+            &mut rng
+        ),
         None
     );
 }
--- a/crates/ashgauge/tests/claim.rs
+++ b/crates/ashgauge/tests/claim.rs
@@ -1,4 +1,4 @@
-//! At most one claim of a key is granted, whatever is lost, late or doubled.
+//! At most one claim of a key is granted, whatever messages are lost, late or duplicated.
 
 mod common;
 
@@ -21,7 +21,7 @@
     }
 }
 
-/// A call on its way to the store.
+/// A call to the store that is in flight.
 #[derive(Clone)]
 enum Call {
     Read(usize, ShardId),
@@ -32,15 +32,15 @@
 struct World {
     store: HashMap<ShardId, (u64, StoredShard)>,
     calls: Vec<Call>,
-    /// Writes that may take effect long after their box gave up on them.
+    /// Writes that may take effect long after their box timed out on them.
     late: Vec<(ShardId, u64, StoredShard)>,
     granted: BTreeMap<String, Vec<String>>,
-    told: HashSet<String>,
+    answered: HashSet<String>,
     keys: HashMap<String, String>,
 }
 
 impl World {
-    fn take(&mut self, node: usize, steps: Vec<ClaimAction>) {
+    fn perform(&mut self, node: usize, steps: Vec<ClaimAction>) {
         for step in steps {
             match step {
                 ClaimAction::Read(shard) => self.calls.push(Call::Read(node, shard)),
@@ -48,7 +48,7 @@
                     self.calls.push(Call::Write(node, shard, version, entries));
                 }
                 ClaimAction::Respond(id, verdict) => {
-                    assert!(self.told.insert(id.clone()), "{id} was told twice");
+                    assert!(self.answered.insert(id.clone()), "{id} was answered twice");
                     if verdict == ClaimResult::Granted {
                         let key = self.keys[&id].clone();
                         self.granted.entry(key).or_default().push(id);
@@ -72,7 +72,7 @@
     #![proptest_config(common::seeded(400))]
 
     #[test]
-    fn one_grant_a_key(
+    fn one_grant_per_key(
         steps in prop::collection::vec((0u8..10, 0usize..BOXES, 0u8..4, any::<u16>()), 20..200),
     ) {
         let mut boxes: Vec<Claims> = (0..BOXES).map(|_| Claims::new(config())).collect();
@@ -86,11 +86,11 @@
                     let (key, id) = (format!("key-{key}"), format!("claim-{n}"));
                     world.keys.insert(id.clone(), key.clone());
                     let out = boxes[*node].claim(now, wall, &key, &id);
-                    world.take(*node, out);
+                    world.perform(*node, out);
                 }
                 3 => {
                     let out = boxes[*node].tick(now, wall);
-                    world.take(*node, out);
+                    world.perform(*node, out);
                 }
                 4 if !world.late.is_empty() => {
                     let n = usize::from(*pick) % world.late.len();
@@ -104,16 +104,16 @@
                             let stored = world.store.get(&shard).cloned().unwrap_or_default();
                             let answer = (*step != 5).then_some(stored);
                             let out = boxes[b].on_read(now, wall, shard, answer);
-                            world.take(b, out);
+                            world.perform(b, out);
                         }
                         Call::Write(b, shard, version, entries) => {
                             let result = match step {
-                                // Lost on the way; it may still arrive.
+                                // The request is delayed; it may still arrive.
                                 5 => {
                                     world.late.push((shard, version, entries.clone()));
                                     WriteResult::Unknown
                                 }
-                                // Took effect, and the answer was lost.
+                                // The write took effect, but the answer was lost.
                                 6 => {
                                     world.write(shard, version, &entries);
                                     WriteResult::Unknown
@@ -122,7 +122,7 @@
                                 _ => world.write(shard, version, &entries),
                             };
                             let out = boxes[b].on_written(now, wall, shard, entries, result);
-                            world.take(b, out);
+                            world.perform(b, out);
                         }
                     }
                 }
@@ -166,7 +166,7 @@
 }
 
 #[test]
-fn calm_shard_writes_at_once_and_a_busy_one_each_interval() {
+fn idle_shard_writes_at_once_and_a_busy_one_once_per_interval() {
     let mut claims = Claims::new(Config {
         write_interval: Duration::from_millis(100),
         timeout: Duration::from_secs(60),
@@ -198,7 +198,7 @@
 }
 
 #[test]
-fn silent_platform_is_not_asked_over_and_over() {
+fn silent_platform_is_not_read_in_a_busy_loop() {
     let mut claims = Claims::new(Config {
         write_interval: Duration::from_millis(100),
         shards: 1,
@@ -220,7 +220,7 @@
 }
 
 #[test]
-fn keys_with_their_time_spread_over_slices_and_others_do_not() {
+fn keys_with_timestamps_spread_over_time_slices_and_others_do_not() {
     let claims = Claims::new(Config {
         retention: Duration::from_secs(3600),
         ..config()
@@ -241,7 +241,7 @@
     assert_eq!(early, same);
     assert_eq!(early.len(), 2);
     assert!(early.is_disjoint(&later));
-    // The slice of a key that is still kept is never shared by a new one.
+    // A new key never shares a shard with the time slice of a key that is still retained.
     let last: HashSet<ShardId> = shards(1_800_003_600).map(of).collect();
     assert!(early.is_disjoint(&last));
     assert!((0..200).all(|n| claims.shard_of(&format!("team/note-{n}")) < 2));
--- a/crates/ashgauge/tests/common/mod.rs
+++ b/crates/ashgauge/tests/common/mod.rs
@@ -18,14 +18,14 @@
 }
 
 /// Builds the first load report of a box. It holds only the box's own usage of upstreams.
-pub fn word(from: &str, uses: UsageList) -> LoadReport {
+pub fn report(from: &str, usage: UsageList) -> LoadReport {
     LoadReport {
         from: from.into(),
         boot: 1,
         sequence: 1,
         scope: Scope::Own,
         boxes: 1,
-        usage: uses,
+        usage,
         suspects: Vec::new(),
         limits: Vec::new(),
         traffic: Default::default(),
--- a/crates/ashgauge/tests/cost.rs
+++ b/crates/ashgauge/tests/cost.rs
@@ -1,4 +1,4 @@
-//! What a request costs on an engine, with figures that no engine has.
+//! Cost of a request on an engine with absurd figures in the configuration.
 
 mod engines;
 
@@ -16,8 +16,8 @@
 use rand::SeedableRng;
 use rand::rngs::SmallRng;
 
-/// Times that the configuration's `per_seq_ms` may become: what is negative or no number
-/// is decoded as none, and a `Duration` holds up to 2^64 s.
+/// Values that the configuration's `per_seq_ms` may become: a value that is negative or not
+/// a number is decoded as zero, and a `Duration` holds up to 2^64 s.
 fn absurd_times() -> impl Iterator<Item = Duration> {
     [0, 1, u64::MAX / 100, u64::MAX / 2, u64::MAX]
         .into_iter()
@@ -35,21 +35,23 @@
     })
 }
 
-/// The product of a step's time and the requests in it does not fit into a `Duration`:
-/// one such figure in a configuration ended every box at its next request.
+/// Guards against a panic where the product of a step time and its number of requests
+/// overflows a `Duration`. One such figure in a configuration crashed every box at its next
+/// request.
 #[test]
-fn absurd_step_times_end_no_choice() {
+fn absurd_step_times_do_not_break_selection() {
     let mut registry = twins();
     for id in ["a1", "a2", "b1", "b2"] {
         (0..100).for_each(|_| registry.begin_request(id, 900 * 40));
     }
-    let (pipes, shares, place) = (WanUsage::default(), FleetLoad::default(), Arc::from("a"));
+    let (wan_usage, fleet_load, data_centre) =
+        (WanUsage::default(), FleetLoad::default(), Arc::from("a"));
     let mut rng = SmallRng::seed_from_u64(1);
     for model in absurd_models() {
-        for together in [false, true] {
+        for simultaneous in [false, true] {
             let context = SelectionContext {
-                simultaneous: together,
-                ..context(&registry, &pipes, &shares, &place)
+                simultaneous,
+                ..context(&registry, &wan_usage, &fleet_load, &data_centre)
             };
             let span = selection::all_layers(model.layers);
             let stages = selection::select_chain(&context, &model, span, &[], None, &mut rng);
@@ -60,9 +62,9 @@
     }
 }
 
-/// As above, where layers are planned before any request comes.
+/// As above, where placement plans layers before any request arrives.
 #[test]
-fn absurd_step_times_end_no_plan() {
+fn absurd_step_times_do_not_break_placement() {
     for model in absurd_models() {
         plan(&model, &fleet());
     }
--- a/crates/ashgauge/tests/engines/mod.rs
+++ b/crates/ashgauge/tests/engines/mod.rs
@@ -15,10 +15,10 @@
 
 /// Returns a model of 80 layers with four types of accelerators.
 pub fn model() -> Model {
-    let card = |memory_mb, step_factor, read_factor| Accelerator {
+    let accelerator = |memory_mb, step_factor, prefill_factor| Accelerator {
         memory_mb,
         step_factor,
-        prefill_factor: read_factor,
+        prefill_factor,
     };
     Model {
         layers: 80,
@@ -36,35 +36,35 @@
         activation_mb: 0.0295,
         wan_mb_s: 1125.0,
         accelerators: [
-            ("large".to_string(), card(72_000.0, 1.4, 1.0)),
-            ("medium".to_string(), card(36_000.0, 3.1, 3.2)),
-            ("small".to_string(), card(21_600.0, 16.0, 8.2)),
-            ("tiny".to_string(), card(14_400.0, 15.0, 15.0)),
+            ("large".to_string(), accelerator(72_000.0, 1.4, 1.0)),
+            ("medium".to_string(), accelerator(36_000.0, 3.1, 3.2)),
+            ("small".to_string(), accelerator(21_600.0, 16.0, 8.2)),
+            ("tiny".to_string(), accelerator(14_400.0, 15.0, 15.0)),
         ]
         .into(),
     }
 }
 
 /// Builds engines without layers from groups of `(data centre, accelerator, count)`.
-pub fn seats(groups: &[(&str, &str, usize)]) -> Vec<PlacedEngine> {
-    let mut seats = Vec::new();
-    for (place, card, count) in groups {
+pub fn empty_engines(groups: &[(&str, &str, usize)]) -> Vec<PlacedEngine> {
+    let mut engines = Vec::new();
+    for (data_centre, accelerator, count) in groups {
         for n in 0..*count {
-            seats.push(PlacedEngine {
-                id: format!("{place}-{card}-{n}").into(),
-                data_centre: Arc::from(*place),
-                accelerator: card.to_string(),
+            engines.push(PlacedEngine {
+                id: format!("{data_centre}-{accelerator}-{n}").into(),
+                data_centre: Arc::from(*data_centre),
+                accelerator: accelerator.to_string(),
                 layers: None,
                 movable: true,
             });
         }
     }
-    seats
+    engines
 }
 
 /// Returns the engines of a fleet in three data centres, without layers.
 pub fn fleet() -> Vec<PlacedEngine> {
-    seats(&[
+    empty_engines(&[
         ("a", "medium", 2),
         ("a", "small", 4),
         ("a", "tiny", 7),
@@ -79,23 +79,23 @@
 }
 
 /// Sets the layers of the engines as assigned.
-pub fn apply(seats: &mut [PlacedEngine], assignments: &[Assignment]) {
+pub fn apply(engines: &mut [PlacedEngine], assignments: &[Assignment]) {
     for a in assignments {
-        for seat in seats.iter_mut().filter(|s| s.id == a.id) {
-            seat.layers = Some(a.layers);
+        for engine in engines.iter_mut().filter(|s| s.id == a.id) {
+            engine.layers = Some(a.layers);
         }
     }
 }
 
 /// Builds a registry that holds these engines as upstreams of the service `model`.
-pub fn registry(seats: &[PlacedEngine]) -> UpstreamRegistry {
+pub fn registry(engines: &[PlacedEngine]) -> UpstreamRegistry {
     let mut registry = UpstreamRegistry::default();
-    for (n, seat) in seats.iter().enumerate() {
+    for (n, engine) in engines.iter().enumerate() {
         registry.put(upstream(
-            &seat.id,
-            &seat.data_centre,
-            &seat.accelerator,
-            seat.layers,
+            &engine.id,
+            &engine.data_centre,
+            &engine.accelerator,
+            engine.layers,
             n,
         ));
     }
@@ -103,16 +103,22 @@
 }
 
 /// Builds one engine of the service `model`.
-pub fn upstream(id: &str, place: &str, card: &str, span: Option<LayerRange>, n: usize) -> Upstream {
+pub fn upstream(
+    id: &str,
+    data_centre: &str,
+    accelerator: &str,
+    span: Option<LayerRange>,
+    n: usize,
+) -> Upstream {
     Upstream {
         id: id.into(),
         started_ms: None,
         service: "model".into(),
         addr: format!("10.0.0.{n}:80"),
-        data_centre: place.into(),
+        data_centre: data_centre.into(),
         slots: 192,
         leaving: false,
-        accelerator: Some(card.into()),
+        accelerator: Some(accelerator.into()),
         layers: span,
         models: Vec::new(),
     }
@@ -121,19 +127,19 @@
 /// Number of boxes in a fleet of three data centres.
 pub const BOXES: f64 = 8.0;
 
-/// Selection context of a box in data centre `place`, at second 100.
+/// Selection context of a box in `data_centre`, at second 100.
 pub fn context<'a>(
     registry: &'a UpstreamRegistry,
-    pipes: &'a WanUsage,
-    shares: &'a FleetLoad,
-    place: &'a Arc<str>,
+    wan_usage: &'a WanUsage,
+    fleet_load: &'a FleetLoad,
+    data_centre: &'a Arc<str>,
 ) -> SelectionContext<'a> {
     SelectionContext {
         registry,
-        wan_usage: pipes,
-        fleet_load: shares,
+        wan_usage,
+        fleet_load,
         service: "model",
-        data_centre: place,
+        data_centre,
         remote_interval: Duration::from_millis(100),
         request_duration: Duration::from_secs(2),
         boxes: BOXES,
@@ -160,8 +166,8 @@
 
 /// Builds a registry of the engines of [`fleet`] with the layers that placement assigns.
 pub fn placed() -> UpstreamRegistry {
-    let mut seats = fleet();
-    let assignments = plan(&model(), &seats);
-    apply(&mut seats, &assignments);
-    registry(&seats)
+    let mut engines = fleet();
+    let assignments = plan(&model(), &engines);
+    apply(&mut engines, &assignments);
+    registry(&engines)
 }
--- a/crates/ashgauge/tests/forecast.rs
+++ b/crates/ashgauge/tests/forecast.rs
@@ -1,4 +1,4 @@
-//! What is forecast for a chain, and what is learned from what came.
+//! Forecasts of event times for a chain, and their calibration by observed times.
 
 mod common;
 mod engines;
@@ -17,10 +17,10 @@
 use engines::{context, model, twins, upstream};
 use proptest::prelude::*;
 
-/// Time of the scene.
+/// Time at which forecasts are made.
 const NOW: Duration = Duration::from_secs(100);
 
-/// Prompt of the tests, in tokens.
+/// Length of the prompt, in tokens.
 const PROMPT: u32 = 772;
 
 fn stage(id: &str, first: u32, end: u32) -> Stage {
@@ -32,15 +32,21 @@
     }
 }
 
-/// A chain over two engines of [`twins`].
+/// A chain of two engines of [`twins`].
 fn chain() -> Vec<Stage> {
     vec![stage("a1", 0, 40), stage("b1", 40, 80)]
 }
 
-/// Forecasts as a single box that hears no others.
-fn alone(registry: &UpstreamRegistry, model: &Model, stages: &[Stage], prompt: u32) -> Forecast {
-    let (pipes, shares, place) = (WanUsage::default(), FleetLoad::default(), Arc::from("a"));
-    let context = context(registry, &pipes, &shares, &place);
+/// Forecasts as a box without peers.
+fn forecast_alone(
+    registry: &UpstreamRegistry,
+    model: &Model,
+    stages: &[Stage],
+    prompt: u32,
+) -> Forecast {
+    let (wan_usage, fleet_load, data_centre) =
+        (WanUsage::default(), FleetLoad::default(), Arc::from("a"));
+    let context = context(registry, &wan_usage, &fleet_load, &data_centre);
     let context = SelectionContext {
         boxes: 1.0,
         local_boxes: 1.0,
@@ -53,37 +59,39 @@
     (time.as_secs_f64() - seconds).abs() < 1e-6
 }
 
-/// A forecast that left out the prompt or the passes would be as long as the checks of
-/// engines are apart in any case.
+/// Guards against a forecast that leaves out the prompt or the passes. It would be no longer
+/// than the interval of engine checks.
 #[test]
-fn idle_chain_takes_its_reading_and_its_passes() {
-    let idle = alone(&twins(), &model(), &chain(), PROMPT);
+fn idle_chain_takes_prefill_and_passes() {
+    let idle = forecast_alone(&twins(), &model(), &chain(), PROMPT);
     let (read, pass) = (772.0 / 196_000.0, 0.000_85 * 1.4 * 2.0);
     assert!(is_near(idle.event_gap, 1.5 * pass), "{idle:?}");
     assert!(is_near(idle.first_event, read + 1.5 * pass), "{idle:?}");
 }
 
-/// Streams behind long prompts were checked as if their engines were lost.
+/// Guards against checks of streams that only wait behind long prompts, as if their engines
+/// were lost.
 #[test]
-fn prompts_that_are_queued_come_before() {
+fn queued_prompts_delay_the_first_event() {
     let (mut registry, model) = (twins(), model());
-    let idle = alone(&registry, &model, &chain(), PROMPT);
+    let idle = forecast_alone(&registry, &model, &chain(), PROMPT);
     registry.note_prefill(NOW, "a1", 0.4);
     registry.note_prefill(NOW, "b1", 0.3);
     registry.note_prefill(NOW, "a2", 9.0);
-    let busy = alone(&registry, &model, &chain(), PROMPT);
+    let busy = forecast_alone(&registry, &model, &chain(), PROMPT);
     let more = (busy.first_event - idle.first_event).as_secs_f64();
     assert!((more - 0.7).abs() < 2e-3, "{more}");
     assert_eq!(busy.event_gap, idle.event_gap);
 }
 
-/// Near their limit engines take a few times as long for a pass, in which the requests
-/// of all boxes take part.
+/// Near their limit, engines take several times as long for a pass, which serves the requests
+/// of all boxes.
 #[test]
 fn requests_of_all_boxes_make_passes_longer() {
     let (registry, model) = (twins(), model());
-    let (pipes, mut shares, place) = (WanUsage::default(), FleetLoad::default(), Arc::from("a"));
-    let uses = ["a1", "b1"].map(|id| {
+    let (wan_usage, mut fleet_load, data_centre) =
+        (WanUsage::default(), FleetLoad::default(), Arc::from("a"));
+    let usage = ["a1", "b1"].map(|id| {
         let used = Usage {
             requests: 1000,
             prefill_ms: 250,
@@ -91,8 +99,8 @@
         };
         (upstream_key(id), used)
     });
-    assert!(shares.apply(NOW, common::word("box-2", uses.into())));
-    let context = context(&registry, &pipes, &shares, &place);
+    assert!(fleet_load.apply(NOW, common::report("box-2", usage.into())));
+    let context = context(&registry, &wan_usage, &fleet_load, &data_centre);
     let context = SelectionContext {
         boxes: 2.0,
         local_boxes: 2.0,
@@ -108,28 +116,28 @@
     );
 }
 
-/// The types of accelerators differ more in reading than in writing, or less.
+/// Types of accelerators differ in prefill speed by other factors than in step time.
 #[test]
-fn kinds_of_engines_read_and_write_at_their_own_rates() {
+fn types_of_accelerators_have_their_own_rates() {
     let mut registry = twins();
     let held = LayerRange { first: 0, end: 40 };
     registry.put(upstream("slow", "a", "small", Some(held), 7));
     let stages = [stage("slow", 0, 40), stage("b1", 40, 80)];
-    let slow = alone(&registry, &model(), &stages, PROMPT);
+    let slow = forecast_alone(&registry, &model(), &stages, PROMPT);
     let pass = 0.000_85 * 2.0 * (16.0 + 1.4) / 2.0;
     let read = 772.0 / 196_000.0 * (8.2 + 1.0) / 2.0;
     assert!(is_near(slow.event_gap, 1.5 * pass), "{slow:?}");
     assert!(is_near(slow.first_event, read + 1.5 * pass), "{slow:?}");
 }
 
-/// An engine that says that it is slow was checked again and again.
+/// Guards against repeated checks of an engine that reports itself slow.
 #[test]
-fn engine_that_says_it_is_slow_takes_longer() {
+fn engine_that_reports_itself_slow_takes_longer() {
     let (mut registry, model) = (twins(), model());
-    let idle = alone(&registry, &model, &chain(), PROMPT);
+    let idle = forecast_alone(&registry, &model, &chain(), PROMPT);
     registry.note_slow(NOW, "a1", 5.0);
     registry.note_slow(NOW, "b1", 5.0);
-    let slow = alone(&registry, &model, &chain(), PROMPT);
+    let slow = forecast_alone(&registry, &model, &chain(), PROMPT);
     assert!(is_near(
         slow.first_event,
         idle.first_event.as_secs_f64() * 5.0
@@ -137,37 +145,36 @@
     assert!(is_near(slow.event_gap, idle.event_gap.as_secs_f64() * 5.0));
 }
 
-/// A caller that does not say how long its prompt is sends no empty one.
+/// A prompt of unknown length is not empty.
 #[test]
-fn unknown_prompt_counts_as_the_usual() {
+fn unknown_prompt_counts_as_typical() {
     let (registry, model) = (twins(), model());
-    let unknown = alone(&registry, &model, &chain(), 0);
+    let unknown = forecast_alone(&registry, &model, &chain(), 0);
     assert_eq!(
         unknown,
-        alone(&registry, &model, &chain(), model.typical_prompt)
+        forecast_alone(&registry, &model, &chain(), model.typical_prompt)
     );
 }
 
-/// A caller that names an absurd prompt would have its engines checked in an hour.
+/// Guards against an absurd prompt length, which would delay the check of engines by an hour.
 #[test]
 fn absurd_prompt_gives_the_longest_forecast() {
-    let absurd = alone(&twins(), &model(), &chain(), 1_000_000_000);
+    let absurd = forecast_alone(&twins(), &model(), &chain(), 1_000_000_000);
     assert_eq!(absurd.first_event, MAX_FORECAST);
     assert!(absurd.event_gap < Duration::from_millis(10));
     assert_eq!(absurd.ratio(Duration::from_secs(1)), None);
 }
 
-/// An engine may have left while a permit for it was asked for.
+/// An engine may have left while a permit for it was requested.
 #[test]
 fn engines_that_are_gone_add_nothing() {
     let (registry, model) = (twins(), model());
-    let gone = alone(&registry, &model, &[stage("gone", 0, 80)], PROMPT);
+    let gone = forecast_alone(&registry, &model, &[stage("gone", 0, 80)], PROMPT);
     assert_eq!(gone, Forecast::default());
     assert_eq!(gone.ratio(Duration::from_secs(1)), None);
 }
 
-/// An engine that works on far more than it tells makes events late by the same factor
-/// each time.
+/// An engine with far more load than it reports delays events by the same factor each time.
 #[test]
 fn calibration_learns_how_late_events_come() {
     let forecast = Forecast {
@@ -189,8 +196,8 @@
     assert!(is_near(calibrated, 0.1 * factor), "{calibrated:?}");
 }
 
-/// One stream that hung for a minute must not make all others wait twice as long before
-/// their engines are checked.
+/// Guards against one stream that hangs for a minute and doubles the time after which the
+/// engines of all other streams are checked.
 #[test]
 fn one_late_event_changes_little() {
     let mut calibration = Calibration::default();
@@ -199,10 +206,10 @@
     assert!((1.05..1.1).contains(&factor), "{factor}");
 }
 
-/// Twice as late and twice as early are errors of one size: on a linear scale the late
-/// ones would count for more, and forecasts grow.
+/// Twice as late and twice as early are errors of the same size. On a linear scale late events
+/// would count for more, and forecasts would grow.
 #[test]
-fn late_and_early_events_weigh_alike() {
+fn late_and_early_events_have_the_same_weight() {
     let mut calibration = Calibration::default();
     for _ in 0..200 {
         calibration.record(2.0);
@@ -212,8 +219,8 @@
     assert!((factor - 1.0).abs() < 0.05, "{factor}");
 }
 
-/// Engines that report nothing true would switch the checks off, or check each stream
-/// at once.
+/// Guards against engines with false reports, by which streams would never be checked, or at
+/// once.
 #[test]
 fn calibration_is_bounded() {
     let (mut late, mut early) = (Calibration::default(), Calibration::default());
@@ -226,10 +233,10 @@
     assert_eq!(late.apply(MAX_FORECAST), MAX_FORECAST);
 }
 
-/// Whoever uses a forecast must be able to tell one that was never compared with
-/// anything, or that is as often wrong as right, from a good one.
+/// The error factor must distinguish a good forecast from one that was never compared with
+/// observed times, or that is as often wrong as right.
 #[test]
-fn spread_tells_how_sure_a_forecast_is() {
+fn error_factor_shows_the_quality_of_forecasts() {
     let (mut even, mut uneven) = (Calibration::default(), Calibration::default());
     assert!((even.error_factor() - 4.0).abs() < 1e-6);
     for n in 0..400 {
@@ -244,19 +251,19 @@
     );
 }
 
-/// Engines that told of a minute of work were never looked at, and their streams waited
-/// for that minute.
+/// Guards against engines that report a minute of work, and whose streams wait for that
+/// minute without a check.
 #[test]
 fn long_forecasts_do_not_put_checks_off_for_good() {
     let ms = Duration::from_millis;
     assert_eq!(check_delay(MAX_FORECAST, ms(250), ms(1300)), ms(1300));
     assert_eq!(check_delay(Duration::MAX, ms(250), ms(1300)), ms(1300));
-    // A box that is set to wait for longer does so.
+    // A longer configured wait is kept.
     assert_eq!(check_delay(MAX_FORECAST, ms(3000), ms(1300)), ms(3000));
     assert_eq!(check_delay(Duration::ZERO, ms(250), ms(1300)), ms(250));
 }
 
-/// Any figure at all, the absurd ones often.
+/// Any number, with absurd ones more often than by chance.
 fn figure() -> impl Strategy<Value = f64> {
     prop_oneof![
         any::<f64>(),
@@ -288,10 +295,10 @@
         (step, step_request) in (time(), time()),
         (event_tokens, prompt) in (count(), count()),
         read_rate in figure(),
-        (step_factor, read_factor) in (figure(), figure()),
+        (step_factor, prefill_factor) in (figure(), figure()),
     ) -> Model {
-        let card = Accelerator { memory_mb: 1.0, step_factor, prefill_factor: read_factor };
-        let cards = [("large".to_string(), card)].into();
+        let accelerator = Accelerator { memory_mb: 1.0, step_factor, prefill_factor };
+        let accelerators = [("large".to_string(), accelerator)].into();
         Model {
             layers,
             step_time: step,
@@ -299,14 +306,15 @@
             event_tokens,
             typical_prompt: prompt,
             prefill_rate: read_rate,
-            accelerators: cards,
+            accelerators,
             ..model()
         }
     }
 }
 
 proptest! {
-    /// A figure that is missing or absurd ends the box, or its silence is never noticed.
+    /// Guards against missing or absurd figures, which could crash the box, or delay the check
+    /// of a silent engine for ever.
     #[test]
     fn forecasts_are_bounded(
         model in any_model(),
@@ -319,11 +327,11 @@
         let mut registry = twins();
         registry.note_prefill(NOW, "a1", reading);
         registry.note_slow(NOW, "a2", slowness);
-        let (pipes, mut shares, place) = (WanUsage::default(), FleetLoad::default(), Arc::from("a"));
+        let (wan_usage, mut fleet_load, data_centre) = (WanUsage::default(), FleetLoad::default(), Arc::from("a"));
         let (requests, reading) = used;
-        let uses = vec![(upstream_key("a1"), Usage { requests, prefill_ms: reading, ..Usage::default() })];
-        shares.apply(NOW, common::word("box-2", uses));
-        let context = context(&registry, &pipes, &shares, &place);
+        let usage = vec![(upstream_key("a1"), Usage { requests, prefill_ms: reading, ..Usage::default() })];
+        fleet_load.apply(NOW, common::report("box-2", usage));
+        let context = context(&registry, &wan_usage, &fleet_load, &data_centre);
         let context = SelectionContext { boxes, local_boxes: neighbours, ..context };
         let stages: Vec<_> = spans.iter().map(|(id, from, to)| stage(id, *from, *to)).collect();
         let bounded = forecast(&context, &model, &stages, prompt);
@@ -334,7 +342,7 @@
         }
     }
 
-    /// Nothing that was noted once leaves the calibration without a bound for good.
+    /// No recorded ratio leaves the calibration outside of its bounds.
     #[test]
     fn calibrations_are_bounded(
         ratios in prop::collection::vec(figure(), 0..200),
--- a/crates/ashgauge/tests/golden.rs
+++ b/crates/ashgauge/tests/golden.rs
@@ -1,7 +1,7 @@
-//! Whole sessions, event by event and action by action, against golden files.
+//! Compares complete sessions, event by event and action by action, with golden files.
 //!
-//! `GOLDEN_WRITE=1 cargo test -p ashgauge --test golden` writes the files anew;
-//! read their change before committing it.
+//! `GOLDEN_WRITE=1 cargo test -p ashgauge --test golden` rewrites the files. Review the
+//! diff before committing it.
 
 mod starter;
 
@@ -22,13 +22,13 @@
 
 const STEP: Duration = Duration::from_millis(1);
 
-/// Some boxes, a store, and engines that answer at once.
+/// Several boxes, a store, and engines that answer at once.
 struct World {
     nodes: Vec<Node>,
     now: Duration,
     store: (Version, Arc<Table>),
     events: VecDeque<(usize, Event)>,
-    dead: Option<&'static str>,
+    lost_engine: Option<&'static str>,
     log: String,
 }
 
@@ -73,7 +73,7 @@
             now: Duration::from_millis(1),
             store: (1, Arc::new(table(4))),
             events: VecDeque::new(),
-            dead: None,
+            lost_engine: None,
             log: String::new(),
         };
         for n in 0..boxes {
@@ -91,7 +91,7 @@
         world
     }
 
-    /// Handles events until none is left, one a millisecond.
+    /// Handles events until none is left, one per millisecond.
     fn run(&mut self) {
         while !self.events.is_empty() {
             self.run_one();
@@ -107,7 +107,7 @@
         self.write(&format!("{} box-{n} <- ", self.now.as_millis()), &event);
         for action in self.nodes[n].handle(self.now, event) {
             self.write(&format!("      box-{n} -> "), &action);
-            self.act(n, action);
+            self.perform(n, action);
         }
     }
 
@@ -118,7 +118,7 @@
         self.log.push('\n');
     }
 
-    fn act(&mut self, n: usize, action: Action) {
+    fn perform(&mut self, n: usize, action: Action) {
         let event = match action {
             Action::Run(run) => self.engine(run),
             Action::Read(ObjectKey::Table) => {
@@ -140,7 +140,7 @@
     }
 
     fn engine(&self, run: StageRun) -> Event {
-        if self.dead == Some(&*run.upstream) {
+        if self.lost_engine == Some(&*run.upstream) {
             let fault = UpstreamError::Lost("connection reset".into());
             return Event::StageFailed(run.id, run.session, run.start, fault);
         }
@@ -161,20 +161,20 @@
         })
     }
 
-    fn arrive(&mut self, id: u64, most: u32) {
-        let order = IncomingRequest {
+    fn send_request(&mut self, id: u64, max_tokens: u32) {
+        let request = IncomingRequest {
             id,
             key_hash: hash_key("k"),
             work: Work::Generate {
                 model: "chat".into(),
                 prompt: vec![7, 8],
-                max_tokens: most,
+                max_tokens,
             },
             idempotency_key: None,
             repeatable: true,
             timeout: None,
         };
-        self.events.push_back((0, Event::RequestArrived(order)));
+        self.events.push_back((0, Event::RequestArrived(request)));
     }
 }
 
@@ -184,8 +184,8 @@
         std::fs::write(&path, log).unwrap();
     }
     let golden = std::fs::read_to_string(&path).unwrap();
-    for (n, (is, wanted)) in log.lines().zip(golden.lines()).enumerate() {
-        assert_eq!(is, wanted, "{name}.txt, line {}", n + 1);
+    for (n, (line, wanted)) in log.lines().zip(golden.lines()).enumerate() {
+        assert_eq!(line, wanted, "{name}.txt, line {}", n + 1);
     }
     assert_eq!(log.lines().count(), golden.lines().count(), "{name}.txt");
 }
@@ -193,20 +193,20 @@
 #[test]
 fn plain_session() {
     let mut world = World::new(1);
-    world.arrive(1, 3);
+    world.send_request(1, 3);
     world.run();
     check("plain", &world.log);
 }
 
 #[test]
-fn death_of_a_stage() {
+fn loss_of_a_stage() {
     let mut world = World::new(1);
-    world.arrive(1, 4);
-    // The engine of the last layers dies after the second token.
+    world.send_request(1, 4);
+    // The engine of the last layers is lost after the second token.
     while world.log.matches("\"Token\"").count() < 2 {
         world.run_one();
     }
-    world.dead = Some("b");
+    world.lost_engine = Some("b");
     world.run();
     assert!(world.log.contains("\"replaced\""));
     check("death", &world.log);
@@ -231,7 +231,7 @@
         world.events.push_back((n, Event::Edit(1, edit)));
     }
     world.run();
-    // Nothing but time makes the loser read again.
+    // The operator who lost the race reads again only after some time.
     for _ in 0..20 {
         world.events.push_back((1, Event::Tick));
         world.run();
--- a/crates/ashgauge/tests/handoff.rs
+++ b/crates/ashgauge/tests/handoff.rs
@@ -1,4 +1,4 @@
-//! A request that is handed on whole, over all orders of outcomes.
+//! Attempts of a request that is forwarded unchanged, over all orders of outcomes.
 
 mod common;
 
@@ -21,22 +21,22 @@
 proptest! {
     #![proptest_config(common::seeded(200))]
 
-    /// What is told as not run has not run; what may not be repeated runs once
-    /// at most; no more upstreams run it than are allowed.
+    /// A request that is reported as not run has not run. One that may not be repeated runs
+    /// at most once. No more upstreams run it than are allowed.
     #[test]
-    fn promises_hold(outcomes in outcomes(), attempts in 1..4u32, repeat: bool) {
-        let mut handoff = Attempts::new(Duration::from_secs(1), attempts, repeat);
+    fn outcomes_are_reported_truthfully(outcomes in outcomes(), attempts in 1..4u32, repeat: bool) {
+        let mut tracker = Attempts::new(Duration::from_secs(1), attempts, repeat);
         let mut now = Duration::ZERO;
         let mut may_have_run = 0;
         for (n, (outcome, ms)) in outcomes.into_iter().enumerate() {
-            handoff.record_send(format!("u{n}").into());
+            tracker.record_send(format!("u{n}").into());
             now += Duration::from_millis(ms);
             if matches!(outcome, SendOutcome::Failed | SendOutcome::Lost) {
                 may_have_run += 1;
             }
             prop_assert!(may_have_run <= attempts);
             prop_assert!(repeat || may_have_run <= 1);
-            match handoff.decide(now, outcome, || true) {
+            match tracker.decide(now, outcome, || true) {
                 Decision::Resend => prop_assert!(now < Duration::from_secs(1)),
                 Decision::Forward => {
                     prop_assert_eq!(outcome, SendOutcome::Failed);
@@ -54,7 +54,7 @@
         }
     }
 
-    /// However requests fall on boxes, the fleet keeps its allowance in every
+    /// However requests are spread over boxes, the fleet keeps its retry allowance in every
     /// window.
     #[test]
     fn boxes_together_keep_the_allowance(
@@ -82,7 +82,7 @@
             let within = |times: &[Duration], from: Duration| {
                 times.iter().filter(|t| **t >= from && *t <= end).count() as f64
             };
-            // First tries of the window or of the one before count.
+            // First tries of this window and of the one before count.
             let earned = within(&firsts, from.saturating_sub(window));
             let most = allowance.ratio * earned + allowance.extra;
             prop_assert!(within(&retries, from) <= most);
@@ -91,18 +91,18 @@
 }
 
 #[test]
-fn exhausted_budget_ends_the_request() {
-    let mut handoff = Attempts::new(Duration::from_secs(1), 2, true);
-    handoff.record_send("u1".into());
-    let next = handoff.decide(Duration::ZERO, SendOutcome::NotRun, || false);
+fn exhausted_budget_fails_the_request() {
+    let mut tracker = Attempts::new(Duration::from_secs(1), 2, true);
+    tracker.record_send("u1".into());
+    let next = tracker.decide(Duration::ZERO, SendOutcome::NotRun, || false);
     assert_eq!(next, Decision::Fail(FailureKind::NotRun));
 }
 
 #[test]
-fn end_of_the_time_is_told() {
-    let mut handoff = Attempts::new(Duration::from_secs(1), 2, true);
-    handoff.record_send("u1".into());
+fn deadline_is_reported() {
+    let mut tracker = Attempts::new(Duration::from_secs(1), 2, true);
+    tracker.record_send("u1".into());
     let late = Duration::from_secs(1);
-    let next = handoff.decide(late, SendOutcome::Lost, || true);
+    let next = tracker.decide(late, SendOutcome::Lost, || true);
     assert_eq!(next, Decision::Fail(FailureKind::DeadlineExceeded));
 }
--- a/crates/ashgauge/tests/hub.rs
+++ b/crates/ashgauge/tests/hub.rs
@@ -1,4 +1,4 @@
-//! Hubs hand on what all boxes of a large fleet have.
+//! Hubs forward the load of all boxes in a large fleet.
 
 mod common;
 
@@ -16,11 +16,11 @@
 
 const NOW: Duration = Duration::from_secs(60);
 
-/// Of so many boxes of a hub one hears what it hands on.
-const LEAVES_EACH: usize = 40;
+/// One in this many leaves of a hub receives what the hub forwards, to save time.
+const LEAF_STEP: usize = 40;
 
-/// Largest datagram that a socket takes.
-const DATAGRAM_MOST: usize = 65_000;
+/// Largest datagram that a socket accepts, in bytes.
+const MAX_DATAGRAM_BYTES: usize = 65_000;
 
 fn members(boxes: usize) -> Vec<Member> {
     let member = |n: usize| Member {
@@ -31,7 +31,7 @@
     (0..boxes).map(member).collect()
 }
 
-fn see(me: &Member, members: &[Member]) -> Readers {
+fn choose_readers(me: &Member, members: &[Member]) -> Readers {
     let fleet = Fleet {
         candidates: members.to_vec(),
         box_count: members.len(),
@@ -40,9 +40,9 @@
     reader::choose(me, &fleet, &Backoffs::default(), NOW)
 }
 
-/// A few upstreams, each with some requests.
-fn uses(rng: &mut SmallRng, upstreams: u32) -> UsageList {
-    let mut uses: UsageList = (0..7)
+/// Usage of a few upstreams, each with some requests.
+fn usage(rng: &mut SmallRng, upstreams: u32) -> UsageList {
+    let mut usage: UsageList = (0..7)
         .map(|_| {
             let requests = rng.random_range(1..9);
             let used = Usage {
@@ -54,109 +54,113 @@
             (rng.random_range(0..upstreams), used)
         })
         .collect();
-    uses.sort_unstable_by_key(|(key, _)| *key);
-    uses.dedup_by_key(|(key, _)| *key);
-    uses
+    usage.sort_unstable_by_key(|(key, _)| *key);
+    usage.dedup_by_key(|(key, _)| *key);
+    usage
 }
 
-fn own(uses: &UsageList) -> LoadSum {
+fn own(usage: &UsageList) -> LoadSum {
     LoadSum {
         boxes: 1,
-        usage: uses.clone(),
+        usage: usage.clone(),
         suspects: Vec::new(),
         traffic: Default::default(),
         slow: Vec::new(),
     }
 }
 
-fn word(from: &BoxId, scope: Scope, sum: LoadSum) -> LoadReport {
+fn report(from: &BoxId, scope: Scope, sum: LoadSum) -> LoadReport {
     LoadReport {
         scope,
         boxes: sum.boxes,
         suspects: sum.suspects,
-        ..common::word(from, sum.usage)
+        ..common::report(from, sum.usage)
     }
 }
 
-/// A fleet in which each box has told once what it has.
-struct Fleets {
+/// A fleet in which each box has reported its load once.
+struct SimulatedFleet {
     members: Vec<Member>,
-    uses: HashMap<BoxId, UsageList>,
-    shares: HashMap<BoxId, FleetLoad>,
+    usage: HashMap<BoxId, UsageList>,
+    fleet_load: HashMap<BoxId, FleetLoad>,
     hubs: Vec<BoxId>,
-    /// Largest word.
+    /// Size of the largest report, in bytes.
     largest: usize,
 }
 
-impl Fleets {
-    /// Lets boxes tell their hubs, hubs each other, and hubs their boxes.
-    fn tell(boxes: usize, upstreams: u32) -> Self {
+impl SimulatedFleet {
+    /// Sends reports from leaves to their hubs, between hubs, and from hubs to their leaves.
+    fn exchange_reports(boxes: usize, upstreams: u32) -> Self {
         let mut rng = SmallRng::seed_from_u64(7);
         let members = members(boxes);
-        let all = see(&members[0], &members).ids;
-        let mut fleet = Fleets {
-            uses: HashMap::new(),
-            shares: HashMap::new(),
+        let all = choose_readers(&members[0], &members).ids;
+        let mut fleet = SimulatedFleet {
+            usage: HashMap::new(),
+            fleet_load: HashMap::new(),
             hubs: all,
             largest: 0,
             members,
         };
         for member in fleet.members.clone() {
             fleet
-                .uses
-                .insert(member.id.clone(), uses(&mut rng, upstreams));
-            fleet.shares.insert(member.id, FleetLoad::default());
+                .usage
+                .insert(member.id.clone(), usage(&mut rng, upstreams));
+            fleet.fleet_load.insert(member.id, FleetLoad::default());
         }
         let mut leaves: HashMap<BoxId, Vec<BoxId>> = HashMap::new();
-        let hubs_at = |place: &str| {
-            let hubs = fleet.members.iter().filter(|m| &*m.data_centre == place);
+        let hubs_at = |data_centre: &str| {
+            let hubs = fleet
+                .members
+                .iter()
+                .filter(|m| &*m.data_centre == data_centre);
             let hubs = hubs.filter(|m| fleet.hubs.contains(&m.id));
             hubs.map(|m| m.id.clone()).collect::<Vec<_>>()
         };
-        let places: Vec<Vec<BoxId>> = (0..5).map(|n| hubs_at(&format!("place-{n}"))).collect();
+        let data_centres: Vec<Vec<BoxId>> =
+            (0..5).map(|n| hubs_at(&format!("place-{n}"))).collect();
         for (n, member) in fleet.members.clone().into_iter().enumerate() {
             if fleet.hubs.contains(&member.id) {
                 continue;
             }
-            let near = &places[n % 5];
-            let hub = near[n / 5 % near.len()].clone();
-            let told = word(&member.id, Scope::Own, own(&fleet.uses[&member.id]));
-            fleet.hear(&hub, told);
+            let local = &data_centres[n % 5];
+            let hub = local[n / 5 % local.len()].clone();
+            let own_report = report(&member.id, Scope::Own, own(&fleet.usage[&member.id]));
+            fleet.deliver(&hub, own_report);
             leaves.entry(hub).or_default().push(member.id);
         }
         for hub in fleet.hubs.clone() {
             let is_hub = |id: &str| fleet.hubs.iter().any(|h| **h == *id);
-            let below = fleet.shares[&hub].subtree_sum(own(&fleet.uses[&hub]), is_hub);
+            let subtree = fleet.fleet_load[&hub].subtree_sum(own(&fleet.usage[&hub]), is_hub);
             for other in fleet.hubs.clone().iter().filter(|other| **other != hub) {
-                fleet.hear(other, word(&hub, Scope::Own, below.clone().truncated()));
+                fleet.deliver(other, report(&hub, Scope::Own, subtree.clone().truncated()));
             }
         }
         for hub in fleet.hubs.clone() {
-            let whole = fleet.shares[&hub].fleet_sum(own(&fleet.uses[&hub]));
+            let fleet_sum = fleet.fleet_load[&hub].fleet_sum(own(&fleet.usage[&hub]));
             let leaves = leaves.remove(&hub).unwrap_or_default();
-            for leaf in leaves.into_iter().step_by(LEAVES_EACH) {
+            for leaf in leaves.into_iter().step_by(LEAF_STEP) {
                 for scope in hub::leaf_scopes() {
-                    let part = whole.filtered(|key| hub::is_in_scope(scope, key, key % 5 == 0));
-                    let part = fleet.shares[&hub].without(&part, &leaf);
-                    fleet.hear(&leaf, word(&hub, scope, part.truncated()));
+                    let part = fleet_sum.filtered(|key| hub::is_in_scope(scope, key, key % 5 == 0));
+                    let part = fleet.fleet_load[&hub].without(&part, &leaf);
+                    fleet.deliver(&leaf, report(&hub, scope, part.truncated()));
                 }
             }
         }
         fleet
     }
 
-    fn hear(&mut self, to: &BoxId, word: LoadReport) {
-        let bytes = postcard::to_allocvec(&Datagram::Load(word.clone())).expect("a datagram");
+    fn deliver(&mut self, to: &BoxId, report: LoadReport) {
+        let bytes = postcard::to_allocvec(&Datagram::Load(report.clone())).expect("a datagram");
         self.largest = self.largest.max(bytes.len());
-        let shares = self.shares.get_mut(to).expect("a box");
-        assert!(shares.apply(NOW, word));
+        let fleet_load = self.fleet_load.get_mut(to).expect("a box");
+        assert!(fleet_load.apply(NOW, report));
     }
 
-    /// What all boxes but one have on each upstream.
-    fn truth(&self, but: &BoxId) -> HashMap<u32, Usage> {
+    /// Usage of each upstream by all boxes but one.
+    fn expected(&self, but: &BoxId) -> HashMap<u32, Usage> {
         let mut sums: HashMap<u32, Usage> = HashMap::new();
-        for (_, uses) in self.uses.iter().filter(|(id, _)| *id != but) {
-            for (key, used) in uses {
+        for (_, usage) in self.usage.iter().filter(|(id, _)| *id != but) {
+            for (key, used) in usage {
                 sums.entry(*key).or_default().add(used);
             }
         }
@@ -164,62 +168,69 @@
     }
 }
 
-/// Each box once kept a word of every other one, and told each.
+/// Guards against boxes that each keep a report of every other box, and send theirs to each.
 #[test]
-fn boxes_of_a_large_fleet_know_what_all_have() {
-    let fleet = Fleets::tell(2000, 6000);
+fn boxes_of_a_large_fleet_know_the_load_of_all() {
+    let fleet = SimulatedFleet::exchange_reports(2000, 6000);
     let informed = fleet
-        .shares
+        .fleet_load
         .iter()
-        .filter(|(_, shares)| shares.boxes() == 1999);
+        .filter(|(_, fleet_load)| fleet_load.boxes() == 1999);
     let mut count = 0;
-    for (id, shares) in informed {
-        let known: HashMap<u32, Usage> = shares
+    for (id, fleet_load) in informed {
+        let known: HashMap<u32, Usage> = fleet_load
             .fleet_sum(LoadSum::default())
             .usage
             .into_iter()
             .collect();
-        assert_eq!(known, fleet.truth(id), "{id}");
+        assert_eq!(known, fleet.expected(id), "{id}");
         count += 1;
     }
-    assert!(count >= 2000 / LEAVES_EACH, "{count} boxes");
-    assert!(fleet.largest < DATAGRAM_MOST, "{} bytes", fleet.largest);
+    assert!(count >= 2000 / LEAF_STEP, "{count} boxes");
+    assert!(
+        fleet.largest < MAX_DATAGRAM_BYTES,
+        "{} bytes",
+        fleet.largest
+    );
 }
 
 #[test]
-fn what_a_box_keeps_does_not_grow_with_the_fleet() {
+fn state_of_a_box_does_not_grow_with_the_fleet() {
     for boxes in [200, 2000] {
-        let fleet = Fleets::tell(boxes, 500);
+        let fleet = SimulatedFleet::exchange_reports(boxes, 500);
         let leaves = fleet.members.iter().filter(|m| !fleet.hubs.contains(&m.id));
         for leaf in leaves {
-            assert_eq!(fleet.shares[&leaf.id].senders().count(), 0);
+            assert_eq!(fleet.fleet_load[&leaf.id].senders().count(), 0);
         }
         let most = fleet
             .hubs
             .iter()
-            .map(|hub| fleet.shares[hub].senders().count());
+            .map(|hub| fleet.fleet_load[hub].senders().count());
         assert!(most.max() <= Some(2 * reader::MAX_READER_BOXES + fleet.hubs.len()));
     }
 }
 
-/// A word near is under half a second old wherever it goes.
+/// Within a data centre a report is at most half a second old when it arrives.
 #[test]
-fn words_are_as_fresh_in_a_fleet_of_any_size() {
+fn reports_are_fresh_in_fleets_of_any_size() {
     for boxes in [7, 40, 41, 985, 2000] {
         let members = members(boxes);
-        let readers = see(&members[0], &members);
-        let near = |ids: &[BoxId]| {
-            let near = members
+        let readers = choose_readers(&members[0], &members);
+        let local = |ids: &[BoxId]| {
+            let local = members
                 .iter()
                 .filter(|m| ids.contains(&m.id) && m.data_centre == members[0].data_centre);
-            near.count()
+            local.count()
         };
         let all: Vec<BoxId> = members.iter().map(|m| m.id.clone()).collect();
         let age = match hub::role(boxes, &readers) {
-            Role::Peer => Role::Peer.intervals(near(&all), boxes).0,
+            Role::Peer => Role::Peer.intervals(local(&all), boxes).0,
             _ => {
                 let up = Role::Leaf(all[0].clone()).intervals(1, 1).0;
-                up + Role::Hub.intervals(near(&readers.ids), readers.ids.len()).0 + LOCAL_INTERVAL
+                up + Role::Hub
+                    .intervals(local(&readers.ids), readers.ids.len())
+                    .0
+                    + LOCAL_INTERVAL
             }
         };
         assert!(
@@ -230,10 +241,10 @@
     assert!(Role::Leaf("hub".into()).remote_interval(1) <= REMOTE_INTERVAL);
 }
 
-/// Whoever goes over to another hub does not count what both told.
+/// Guards against a box that changes hubs and counts the sums of both.
 #[test]
 fn sums_of_two_hubs_are_not_added() {
-    let mut shares = FleetLoad::default();
+    let mut fleet_load = FleetLoad::default();
     let used = vec![(
         1,
         Usage {
@@ -248,40 +259,40 @@
         traffic: Default::default(),
         slow: Vec::new(),
     };
-    shares.apply(NOW, word(&"first".into(), Scope::Local, sum(90)));
-    shares.apply(NOW, word(&"first".into(), Scope::Remote(0), sum(90)));
-    shares.apply(NOW, word(&"second".into(), Scope::Local, sum(95)));
-    assert_eq!(shares.boxes(), 95);
-    let known = shares.fleet_sum(LoadSum::default());
+    fleet_load.apply(NOW, report(&"first".into(), Scope::Local, sum(90)));
+    fleet_load.apply(NOW, report(&"first".into(), Scope::Remote(0), sum(90)));
+    fleet_load.apply(NOW, report(&"second".into(), Scope::Local, sum(95)));
+    assert_eq!(fleet_load.boxes(), 95);
+    let known = fleet_load.fleet_sum(LoadSum::default());
     assert_eq!(known.usage[0].1.requests, 8);
-    // The box has become a hub itself, which the second tells its own part only.
-    shares.apply(NOW, word(&"second".into(), Scope::Own, sum(40)));
-    let known = shares.fleet_sum(LoadSum::default());
+    // The box has become a hub itself, to which the second hub reports only its own part.
+    fleet_load.apply(NOW, report(&"second".into(), Scope::Own, sum(40)));
+    let known = fleet_load.fleet_sum(LoadSum::default());
     assert_eq!(known.usage[0].1.requests, 8);
-    assert_eq!(shares.boxes(), 40);
+    assert_eq!(fleet_load.boxes(), 40);
 }
 
 proptest! {
     #![proptest_config(common::seeded(100))]
 
-    /// What is told to a box holds nothing of its own.
+    /// The sum that a hub sends to a box does not contain that box's own load.
     #[test]
-    fn sum_without_a_box_is_that_of_the_others(seed in any::<u64>(), boxes in 1usize..12) {
+    fn sum_without_a_box_is_the_sum_of_the_others(seed in any::<u64>(), boxes in 1usize..12) {
         let mut rng = SmallRng::seed_from_u64(seed);
-        let told: Vec<(BoxId, UsageList)> = (0..boxes)
-            .map(|n| (BoxId::from(format!("box-{n}")), uses(&mut rng, 12)))
+        let reported: Vec<(BoxId, UsageList)> = (0..boxes)
+            .map(|n| (BoxId::from(format!("box-{n}")), usage(&mut rng, 12)))
             .collect();
         let mut hub = FleetLoad::default();
-        for (id, uses) in &told {
-            hub.apply(NOW, word(id, Scope::Own, own(uses)));
+        for (id, usage) in &reported {
+            hub.apply(NOW, report(id, Scope::Own, own(usage)));
         }
-        let whole = hub.fleet_sum(LoadSum::default());
-        for (id, _) in &told {
+        let fleet_sum = hub.fleet_sum(LoadSum::default());
+        for (id, _) in &reported {
             let mut others = FleetLoad::default();
-            for (other, uses) in told.iter().filter(|(other, _)| other != id) {
-                others.apply(NOW, word(other, Scope::Own, own(uses)));
+            for (other, usage) in reported.iter().filter(|(other, _)| other != id) {
+                others.apply(NOW, report(other, Scope::Own, own(usage)));
             }
-            prop_assert_eq!(hub.without(&whole, id), others.fleet_sum(LoadSum::default()));
+            prop_assert_eq!(hub.without(&fleet_sum, id), others.fleet_sum(LoadSum::default()));
         }
     }
 }
--- a/crates/ashgauge/tests/reserve.rs
+++ b/crates/ashgauge/tests/reserve.rs
@@ -27,23 +27,23 @@
 const CHOSEN_BEFORE: u64 = 9118701065628053531;
 
 /// The engines of a fleet, filled to different shares as a box of data centre `place` sees them.
-fn filled(place: &str, rng: &mut SmallRng) -> UpstreamRegistry {
+fn filled(data_centre: &str, rng: &mut SmallRng) -> UpstreamRegistry {
     let model = model();
-    let mut seats = fleet();
-    let assignments = plan(&model, &seats);
-    apply(&mut seats, &assignments);
-    let mut registry = registry(&seats);
-    for seat in &seats {
-        let Some(held) = seat.layers else {
+    let mut engines = fleet();
+    let assignments = plan(&model, &engines);
+    apply(&mut engines, &assignments);
+    let mut registry = registry(&engines);
+    for engine in &engines {
+        let Some(held) = engine.layers else {
             continue;
         };
-        let entry = registry.get(&seat.id).expect("an engine");
-        let boxes = match *seat.data_centre == *place {
+        let entry = registry.get(&engine.id).expect("an engine");
+        let boxes = match *engine.data_centre == *data_centre {
             true => BOXES / 3.0,
             false => BOXES,
         };
         let room = cost::memory_capacity(&model, entry, held) / boxes;
-        registry.begin_request(&seat.id, (room * rng.random_range(0.5..1.1)) as u64);
+        registry.begin_request(&engine.id, (room * rng.random_range(0.5..1.1)) as u64);
     }
     registry
 }
@@ -60,10 +60,10 @@
     let (mut chains, mut found, mut changed) = (String::new(), 0, 0);
     for seed in 0..400 {
         let mut rng = SmallRng::seed_from_u64(seed);
-        let place = Arc::from(["a", "b", "c"][seed as usize % 3]);
-        let registry = filled(&place, &mut rng);
-        let (pipes, shares) = (WanUsage::default(), FleetLoad::default());
-        let context = context(&registry, &pipes, &shares, &place);
+        let data_centre = Arc::from(["a", "b", "c"][seed as usize % 3]);
+        let registry = filled(&data_centre, &mut rng);
+        let (wan_usage, fleet_load) = (WanUsage::default(), FleetLoad::default());
+        let context = context(&registry, &wan_usage, &fleet_load, &data_centre);
         let draw = rng.random();
         let choose = |reserved| {
             let need = Some(Requirements {
@@ -112,18 +112,24 @@
     };
     model.accelerators.insert("slow".into(), slow);
     let mut registry = UpstreamRegistry::default();
-    for (n, (place, card)) in THREE.into_iter().enumerate() {
+    for (n, (data_centre, accelerator)) in THREE.into_iter().enumerate() {
         let all = Some(selection::all_layers(model.layers));
-        registry.put(engines::upstream(place, place, card, all, n));
+        registry.put(engines::upstream(
+            data_centre,
+            data_centre,
+            accelerator,
+            all,
+            n,
+        ));
     }
     (model, registry)
 }
 
 /// What a box tells of its use of the engines at a time.
-fn word(from: &str, now: Duration, uses: UsageList) -> LoadReport {
+fn report(from: &str, now: Duration, usage: UsageList) -> LoadReport {
     LoadReport {
         sequence: now.as_millis() as u64,
-        ..common::word(from, uses)
+        ..common::report(from, usage)
     }
 }
 
@@ -134,10 +140,10 @@
 }
 
 /// The engine that a box of data centre `place` chooses in each of 20 draws.
-fn chosen(place: &str, filled: &Filled, reserved: f64) -> Option<String> {
+fn chosen(data_centre: &str, filled: &Filled, reserved: f64) -> Option<String> {
     let (model, registry) = three();
-    let mut shares = FleetLoad::default();
-    let uses = THREE.iter().enumerate().map(|(n, (id, _))| {
+    let mut fleet_load = FleetLoad::default();
+    let usage = THREE.iter().enumerate().map(|(n, (id, _))| {
         let entry = registry.get(id).expect("an engine");
         let room = cost::memory_capacity(&model, entry, selection::all_layers(model.layers));
         let used = Usage {
@@ -149,12 +155,12 @@
         (load_report::upstream_key(id), used)
     });
     let now = Duration::from_secs(100);
-    assert!(shares.apply(now, word("box-2", now, uses.collect())));
-    let (pipes, place) = (WanUsage::default(), Arc::from(place));
+    assert!(fleet_load.apply(now, report("box-2", now, usage.collect())));
+    let (wan_usage, data_centre) = (WanUsage::default(), Arc::from(data_centre));
     let context = SelectionContext {
         boxes: 2.0,
         local_boxes: 1.0,
-        ..context(&registry, &pipes, &shares, &place)
+        ..context(&registry, &wan_usage, &fleet_load, &data_centre)
     };
     let need = Some(Requirements {
         tokens: 10,
@@ -277,12 +283,12 @@
                 registry.put(upstream);
             }
         }
-        let places = THREE.map(|(place, _)| Arc::from(place));
+        let data_centres = THREE.map(|(data_centre, _)| Arc::from(data_centre));
         World {
             model,
             reserved,
-            boxes: places
-                .map(|place| (place, registry.clone(), FleetLoad::default()))
+            boxes: data_centres
+                .map(|data_centre| (data_centre, registry.clone(), FleetLoad::default()))
                 .into(),
             words: VecDeque::new(),
             ends: VecDeque::new(),
@@ -313,10 +319,10 @@
             self.boxes[at].1.end_head(&id);
         }
         while self.words.front().is_some_and(|(at, ..)| *at <= self.now) {
-            let (_, from, word) = self.words.pop_front().expect("a word");
-            for (at, (_, _, shares)) in self.boxes.iter_mut().enumerate() {
+            let (_, from, report) = self.words.pop_front().expect("a word");
+            for (at, (_, _, fleet_load)) in self.boxes.iter_mut().enumerate() {
                 if at != from {
-                    shares.apply(self.now, word.clone());
+                    fleet_load.apply(self.now, report.clone());
                 }
             }
         }
@@ -324,26 +330,26 @@
 
     /// Lets all boxes tell what they have.
     fn tell(&mut self) {
-        for (n, (place, registry, _)) in self.boxes.iter().enumerate() {
-            let uses = registry
+        for (n, (data_centre, registry, _)) in self.boxes.iter().enumerate() {
+            let usage = registry
                 .iter()
                 .map(|e| (load_report::upstream_key(&e.upstream.id), e.usage(self.now)));
-            let word = word(place, self.now, uses.collect());
-            self.words.push_back((self.now + AGE, n, word));
+            let report = report(data_centre, self.now, usage.collect());
+            self.words.push_back((self.now + AGE, n, report));
         }
     }
 
     /// Lets a request arrive at a box.
     fn arrive(&mut self, at: usize, served: &mut Served) {
         let tokens = self.tokens();
-        let (place, registry, shares) = &mut self.boxes[at];
-        let pipes = WanUsage::default();
+        let (data_centre, registry, fleet_load) = &mut self.boxes[at];
+        let wan_usage = WanUsage::default();
         let context = SelectionContext {
             boxes: 3.0,
             local_boxes: 1.0,
             remote_interval: AGE,
             now: self.now,
-            ..context(registry, &pipes, shares, place)
+            ..context(registry, &wan_usage, fleet_load, data_centre)
         };
         let need = Some(Requirements {
             tokens: self.model.typical_prompt + self.model.typical_output / 2,
@@ -359,7 +365,7 @@
         let id = chain[0].upstream.clone();
         match registry
             .get(&id)
-            .is_some_and(|e| e.upstream.data_centre == *place)
+            .is_some_and(|e| e.upstream.data_centre == *data_centre)
         {
             true => served.near += 1,
             false => served.away += 1,
--- a/crates/ashgauge/tests/shape.rs
+++ b/crates/ashgauge/tests/shape.rs
@@ -30,18 +30,18 @@
 /// The engines of a fleet, each with its own load, some of them lost.
 fn loaded(rng: &mut SmallRng) -> UpstreamRegistry {
     let now = Duration::from_secs(100);
-    let mut seats = fleet();
-    let assignments = plan(&model(), &seats);
-    apply(&mut seats, &assignments);
-    let mut registry = registry(&seats);
-    for seat in &seats {
+    let mut engines = fleet();
+    let assignments = plan(&model(), &engines);
+    apply(&mut engines, &assignments);
+    let mut registry = registry(&engines);
+    for engine in &engines {
         for _ in 0..rng.random_range(1..8) {
-            registry.begin_request(&seat.id, rng.random_range(1..20_000));
+            registry.begin_request(&engine.id, rng.random_range(1..20_000));
         }
-        registry.note_prefill(now, &seat.id, rng.random_range(0.0..0.05));
+        registry.note_prefill(now, &engine.id, rng.random_range(0.0..0.05));
         match rng.random_range(0..10) {
-            0 => registry.remove(now, &seat.id),
-            1 => registry.begin_head(&seat.id),
+            0 => registry.remove(now, &engine.id),
+            1 => registry.begin_head(&engine.id),
             _ => {}
         }
     }
@@ -51,26 +51,27 @@
 /// Pipes between three data centres, of which some are used.
 fn used_pipes(rng: &mut SmallRng) -> WanUsage {
     let now = Duration::from_secs(100);
-    let places = ["a", "b", "c"].map(Arc::from);
-    let mut pipes = WanUsage::default();
-    for (n, from) in places.iter().enumerate() {
-        for to in &places[n + 1..] {
-            pipes.record(now, from, to, rng.random_range(0.0..150.0 / BOXES));
+    let data_centres = ["a", "b", "c"].map(Arc::from);
+    let mut wan_usage = WanUsage::default();
+    for (n, from) in data_centres.iter().enumerate() {
+        for to in &data_centres[n + 1..] {
+            wan_usage.record(now, from, to, rng.random_range(0.0..150.0 / BOXES));
         }
     }
-    pipes
+    wan_usage
 }
 
 /// One of many choices, each with other engines, loads and used pipes, for a request that
 /// begins or a stream that goes on.
 fn choose(seed: u64, together: bool, shape: Option<RequestSize>) -> Option<Vec<Stage>> {
     let mut rng = SmallRng::seed_from_u64(seed);
-    let (registry, pipes, shares) = (loaded(&mut rng), used_pipes(&mut rng), FleetLoad::default());
-    let place = ["a", "b", "c"][seed as usize % 3].into();
+    let (registry, wan_usage, fleet_load) =
+        (loaded(&mut rng), used_pipes(&mut rng), FleetLoad::default());
+    let data_centre = ["a", "b", "c"][seed as usize % 3].into();
     let context = SelectionContext {
         simultaneous: together,
         size: shape,
-        ..context(&registry, &pipes, &shares, &place)
+        ..context(&registry, &wan_usage, &fleet_load, &data_centre)
     };
     let mut draws = Fixed(rng.random());
     selection::select_chain(
@@ -130,13 +131,13 @@
     model.prefill_rate = 40_000.0;
     let mut registry = UpstreamRegistry::default();
     let kinds = [("reader", 2.4, 1.0), ("writer", 1.0, 4.0)];
-    for (n, (name, step_factor, read_factor)) in kinds.into_iter().enumerate() {
-        let card = Accelerator {
+    for (n, (name, step_factor, prefill_factor)) in kinds.into_iter().enumerate() {
+        let accelerator = Accelerator {
             memory_mb: 72_000.0,
             step_factor,
-            prefill_factor: read_factor,
+            prefill_factor,
         };
-        model.accelerators.insert(name.into(), card);
+        model.accelerators.insert(name.into(), accelerator);
         let all = Some(selection::all_layers(model.layers));
         registry.put(engines::upstream(name, "a", name, all, n));
     }
@@ -154,14 +155,15 @@
 /// Asserts that long prompts go to the reader and long answers to the writer, where
 /// requests stay for 8 s.
 fn assert_apart(model: &Model, registry: &UpstreamRegistry) {
-    let (pipes, shares, place) = (WanUsage::default(), FleetLoad::default(), Arc::from("a"));
+    let (wan_usage, fleet_load, data_centre) =
+        (WanUsage::default(), FleetLoad::default(), Arc::from("a"));
     let prompt = RequestSize::clamped(model.typical_prompt * 8, model.typical_output, model);
     let answer = RequestSize::clamped(model.typical_prompt, model.typical_output * 8, model);
     for (shape, wanted) in [(prompt, "reader"), (answer, "writer")] {
         let context = SelectionContext {
             size: Some(shape),
             request_duration: Duration::from_secs(8),
-            ..context(registry, &pipes, &shares, &place)
+            ..context(registry, &wan_usage, &fleet_load, &data_centre)
         };
         for seed in 0..20 {
             assert_eq!(&*first(&context, model, seed), wanted);
@@ -198,7 +200,8 @@
 fn stream_with_much_to_read_anew_goes_on_over_a_reader() {
     let (model, mut registry) = reader_and_writer();
     registry.note_prefill(Duration::from_secs(100), "reader", 0.12);
-    let (pipes, shares, place) = (WanUsage::default(), FleetLoad::default(), Arc::from("a"));
+    let (wan_usage, fleet_load, data_centre) =
+        (WanUsage::default(), FleetLoad::default(), Arc::from("a"));
     let begun = RequestSize::clamped(model.typical_prompt * 8, model.typical_output * 8, &model);
     let rest = begun.after_tokens(model.typical_output * 7, &model);
     for (shape, wanted) in [(Some(rest), "reader"), (None, "writer")] {
@@ -207,7 +210,7 @@
             size: shape,
             // No other box leads streams here at the same moment.
             local_boxes: 0.0,
-            ..context(&registry, &pipes, &shares, &place)
+            ..context(&registry, &wan_usage, &fleet_load, &data_centre)
         };
         for seed in 0..20 {
             assert_eq!(&*first(&context, &model, seed), wanted);
@@ -260,17 +263,18 @@
         LayerRange { first: 5, end: 10 },
     );
     let mut registry = UpstreamRegistry::default();
-    for (n, (id, place, span)) in [("a1", "a", head), ("a2", "a", tail), ("b2", "b", tail)]
+    for (n, (id, data_centre, span)) in [("a1", "a", head), ("a2", "a", tail), ("b2", "b", tail)]
         .into_iter()
         .enumerate()
     {
-        registry.put(engines::upstream(id, place, "large", Some(span), n));
+        registry.put(engines::upstream(id, data_centre, "large", Some(span), n));
     }
     registry.note_full(Duration::from_secs(100), "a2");
-    let (pipes, shares, place) = (WanUsage::default(), FleetLoad::default(), Arc::from("a"));
+    let (wan_usage, fleet_load, data_centre) =
+        (WanUsage::default(), FleetLoad::default(), Arc::from("a"));
     let context = SelectionContext {
         size: Some(RequestSize::clamped(prompt, model.typical_output, &model)),
-        ..context(&registry, &pipes, &shares, &place)
+        ..context(&registry, &wan_usage, &fleet_load, &data_centre)
     };
     let mut rng = SmallRng::seed_from_u64(seed);
     let chain = selection::select_chain(
@@ -295,12 +299,13 @@
 
 /// Asserts that there is a chain for a request of this shape.
 fn assert_found(model: &Model, registry: &UpstreamRegistry, shape: RequestSize) {
-    let (pipes, shares, place) = (WanUsage::default(), FleetLoad::default(), Arc::from("a"));
+    let (wan_usage, fleet_load, data_centre) =
+        (WanUsage::default(), FleetLoad::default(), Arc::from("a"));
     for together in [false, true] {
         let context = SelectionContext {
             simultaneous: together,
             size: Some(shape),
-            ..context(registry, &pipes, &shares, &place)
+            ..context(registry, &wan_usage, &fleet_load, &data_centre)
         };
         first(&context, model, 1);
     }
--- a/crates/ashgauge/tests/shape_spread.rs
+++ b/crates/ashgauge/tests/shape_spread.rs
@@ -59,15 +59,15 @@
 
 impl World {
     /// Boxes before engines of these kinds, each of which holds the whole model.
-    fn new(cards: &[&str], seed: u64) -> Self {
+    fn new(accelerators: &[&str], seed: u64) -> Self {
         let mut model = model();
         model.layers = 10;
         // Memory is not what spreads them.
         model.token_mb = 0.02;
         let mut registry = UpstreamRegistry::default();
-        for (n, card) in cards.iter().enumerate() {
+        for (n, accelerator) in accelerators.iter().enumerate() {
             let all = Some(selection::all_layers(model.layers));
-            registry.put(engines::upstream(&n.to_string(), "a", card, all, n));
+            registry.put(engines::upstream(&n.to_string(), "a", accelerator, all, n));
         }
         World {
             shape: RequestSize::clamped(model.typical_prompt * 8, model.typical_output, &model),
@@ -77,9 +77,9 @@
                 .collect(),
             words: VecDeque::new(),
             ends: VecDeque::new(),
-            queues: vec![0.0; cards.len()],
-            taken: vec![0; cards.len()],
-            given: vec![0.0; cards.len()],
+            queues: vec![0.0; accelerators.len()],
+            taken: vec![0; accelerators.len()],
+            given: vec![0.0; accelerators.len()],
             rng: SmallRng::seed_from_u64(seed),
             now: Duration::from_secs(100),
         }
@@ -93,15 +93,15 @@
     /// Lets a box choose for a request that arrives there.
     fn arrive(&mut self, at: usize) {
         let tokens = self.tokens();
-        let (registry, shares) = &mut self.boxes[at];
-        let (pipes, place) = (WanUsage::default(), Arc::from("a"));
+        let (registry, fleet_load) = &mut self.boxes[at];
+        let (wan_usage, data_centre) = (WanUsage::default(), Arc::from("a"));
         let context = SelectionContext {
             remote_interval: AGE,
             boxes: HERD as f64,
             local_boxes: HERD as f64,
             size: Some(self.shape),
             now: self.now,
-            ..context(registry, &pipes, shares, &place)
+            ..context(registry, &wan_usage, fleet_load, &data_centre)
         };
         let (model, all) = (&self.model, selection::all_layers(self.model.layers));
         let chain = selection::select_chain(&context, model, all, &[], None, &mut self.rng);
@@ -128,8 +128,8 @@
         }
         for (from, word) in take_due(&mut self.words, now) {
             let others = self.boxes.iter_mut().enumerate();
-            for (_, (_, shares)) in others.filter(|(at, _)| *at != from) {
-                shares.apply(now, word.clone());
+            for (_, (_, fleet_load)) in others.filter(|(at, _)| *at != from) {
+                fleet_load.apply(now, word.clone());
             }
         }
     }
@@ -184,8 +184,8 @@
     fn rate(&self, part: f64) -> f64 {
         let registry = &self.boxes[0].0;
         let factor = |e: &UpstreamState| {
-            let card = e.upstream.accelerator.as_deref().expect("a card");
-            1.0 / self.model.accelerators[card].prefill_factor
+            let accelerator = e.upstream.accelerator.as_deref().expect("a card");
+            1.0 / self.model.accelerators[accelerator].prefill_factor
         };
         let rate: f64 = registry.iter().map(factor).sum();
         part * rate * self.model.prefill_rate / f64::from(self.shape.prompt)
--- a/crates/ashgauge/tests/share.rs
+++ b/crates/ashgauge/tests/share.rs
@@ -10,7 +10,7 @@
 
 const SECOND: Duration = Duration::from_secs(1);
 
-fn word(from: u32, boot: u64, number: u64, requests: u32) -> LoadReport {
+fn report(from: u32, boot: u64, number: u64, requests: u32) -> LoadReport {
     let used = Usage {
         requests,
         head_requests: requests / 2,
@@ -20,7 +20,7 @@
     LoadReport {
         boot,
         sequence: number,
-        ..common::word(
+        ..common::report(
             &format!("box-{from}"),
             vec![(load_report::upstream_key("e1"), used)],
         )
@@ -35,8 +35,8 @@
 #[test]
 fn later_word_replaces_the_one_before() {
     let mut shares = FleetLoad::default();
-    assert!(shares.apply(SECOND, word(1, 7, 1, 10)));
-    assert!(shares.apply(SECOND, word(1, 7, 2, 4)));
+    assert!(shares.apply(SECOND, report(1, 7, 1, 10)));
+    assert!(shares.apply(SECOND, report(1, 7, 2, 4)));
     assert_eq!(shares.others("e1").requests, 4);
     assert_eq!(shares.others("e2"), Usage::default());
 }
@@ -45,9 +45,9 @@
 #[test]
 fn word_that_comes_late_is_dropped() {
     let mut shares = FleetLoad::default();
-    assert!(shares.apply(SECOND, word(1, 7, 2, 4)));
-    assert!(!shares.apply(SECOND, word(1, 7, 1, 10)));
-    assert!(!shares.apply(SECOND, word(1, 7, 2, 10)));
+    assert!(shares.apply(SECOND, report(1, 7, 2, 4)));
+    assert!(!shares.apply(SECOND, report(1, 7, 1, 10)));
+    assert!(!shares.apply(SECOND, report(1, 7, 2, 10)));
     assert_eq!(shares.others("e1").requests, 4);
 }
 
@@ -55,16 +55,16 @@
 #[test]
 fn words_of_a_new_start_are_heard() {
     let mut shares = FleetLoad::default();
-    assert!(shares.apply(SECOND, word(1, 7, 900, 10)));
-    assert!(shares.apply(SECOND, word(1, 8, 1, 2)));
+    assert!(shares.apply(SECOND, report(1, 7, 900, 10)));
+    assert!(shares.apply(SECOND, report(1, 8, 1, 2)));
     assert_eq!(shares.others("e1").requests, 2);
 }
 
 #[test]
 fn box_that_falls_silent_is_forgotten() {
     let mut shares = FleetLoad::default();
-    shares.apply(SECOND, word(1, 7, 1, 10));
-    shares.apply(SECOND * 3, word(2, 7, 1, 5));
+    shares.apply(SECOND, report(1, 7, 1, 10));
+    shares.apply(SECOND * 3, report(2, 7, 1, 5));
     shares.expire(SECOND * 4, lag(2));
     assert_eq!(shares.boxes(), 1);
     assert_eq!(shares.others("e1").requests, 5);
@@ -86,7 +86,7 @@
 #[test]
 fn seldom_words_are_kept_for_longer() {
     let mut shares = FleetLoad::default();
-    shares.apply(SECOND, word(1, 7, 1, 10));
+    shares.apply(SECOND, report(1, 7, 1, 10));
     shares.expire(SECOND * 8, lag(339));
     assert_eq!(shares.boxes(), 1);
     shares.expire(SECOND * 8, lag(5));
@@ -104,7 +104,7 @@
         let mut shares = FleetLoad::default();
         let mut last: HashMap<u32, (u64, u32)> = HashMap::new();
         for (from, number, requests) in words {
-            shares.apply(SECOND, word(from, 1, number, requests));
+            shares.apply(SECOND, report(from, 1, number, requests));
             let known = last.entry(from).or_insert((number, requests));
             if number > known.0 {
                 *known = (number, requests);
@@ -124,9 +124,9 @@
 fn absurd_numbers_of_boxes_do_not_overflow() {
     let mut shares = FleetLoad::default();
     for from in 0..2 {
-        let mut word = word(from, 7, 1, 10);
-        word.boxes = u32::MAX;
-        shares.apply(SECOND, word);
+        let mut report = report(from, 7, 1, 10);
+        report.boxes = u32::MAX;
+        shares.apply(SECOND, report);
     }
     let sum = shares.fleet_sum(load_report::LoadSum::default());
     assert_eq!(sum.boxes, u32::MAX);
@@ -137,19 +137,19 @@
 #[test]
 fn largest_figures_of_one_box_leave_the_others_as_they_are() {
     let mut shares = FleetLoad::default();
-    shares.apply(SECOND, word(1, 7, 1, 10));
-    shares.apply(SECOND, word(2, 7, 1, 20));
+    shares.apply(SECOND, report(1, 7, 1, 10));
+    shares.apply(SECOND, report(2, 7, 1, 20));
     let most = Usage {
         requests: u32::MAX,
         head_requests: u32::MAX,
         token_layers: u32::MAX,
         prefill_ms: u32::MAX,
     };
-    let mut absurd = word(3, 7, 1, 0);
+    let mut absurd = report(3, 7, 1, 0);
     absurd.usage[0].1 = most;
     shares.apply(SECOND, absurd);
     assert_eq!(shares.others("e1"), most);
-    shares.apply(SECOND, word(3, 7, 2, 5));
+    shares.apply(SECOND, report(3, 7, 2, 5));
     let others = shares.others("e1");
     assert_eq!((others.requests, others.token_layers), (35, 35 * 900));
 }
--- a/crates/ashgauge/tests/slow.rs
+++ b/crates/ashgauge/tests/slow.rs
@@ -39,14 +39,14 @@
 /// Two boxes asked the same engine at different moments.
 #[test]
 fn larger_factor_counts_in_a_sum() {
-    let mut shares = FleetLoad::default();
+    let mut fleet_load = FleetLoad::default();
     let key = load_report::upstream_key("a1");
     for (n, factor) in [30, 120].into_iter().enumerate() {
-        let word = LoadReport {
+        let report = LoadReport {
             slow: vec![(key, factor)],
-            ..common::word(&format!("box-{n}"), Vec::new())
+            ..common::report(&format!("box-{n}"), Vec::new())
         };
-        assert!(shares.apply(SECOND, word));
+        assert!(fleet_load.apply(SECOND, report));
     }
-    assert_eq!(shares.fleet_sum(LoadSum::default()).slow, [(key, 120)]);
+    assert_eq!(fleet_load.fleet_sum(LoadSum::default()).slow, [(key, 120)]);
 }
--- a/crates/ashgauge/tests/worst_load.rs
+++ b/crates/ashgauge/tests/worst_load.rs
@@ -25,12 +25,12 @@
 /// Words of 72 other boxes from before the loss, when these engines had nothing
 /// to read.
 fn heard_before() -> FleetLoad {
-    let mut shares = FleetLoad::default();
+    let mut fleet_load = FleetLoad::default();
     for n in 0..72 {
-        let word = common::word(&format!("box-{n}"), Vec::new());
-        assert!(shares.apply(Duration::from_secs(100), word));
+        let report = common::report(&format!("box-{n}"), Vec::new());
+        assert!(fleet_load.apply(Duration::from_secs(100), report));
     }
-    shares
+    fleet_load
 }
 
 /// Fleets over which a part is averaged. Engines are looked at in a random order, so that
@@ -61,24 +61,30 @@
     model.layers = 10;
     // The fastest kind by steps is not the fastest by reading.
     let kinds = [("writer", 2.4, 3.2), ("reader", 5.6, 2.7)];
-    for (name, step_factor, read_factor) in kinds {
+    for (name, step_factor, prefill_factor) in kinds {
         let memory_mb = 72_000.0;
-        let card = Accelerator {
+        let accelerator = Accelerator {
             memory_mb,
             step_factor,
-            prefill_factor: read_factor,
+            prefill_factor,
         };
-        model.accelerators.insert(name.into(), card);
+        model.accelerators.insert(name.into(), accelerator);
     }
     let all = selection::all_layers(model.layers);
-    let place: Arc<str> = "a".into();
-    let (pipes, shares) = (WanUsage::default(), heard_before());
+    let data_centre: Arc<str> = "a".into();
+    let (wan_usage, fleet_load) = (WanUsage::default(), heard_before());
     let mut taken = [0.0; 4];
     for seed in seeds {
         let mut rng = SmallRng::seed_from_u64(seed);
         let mut registry = UpstreamRegistry::default();
-        for (n, (place, card)) in engines.iter().enumerate() {
-            registry.put(engines::upstream(&n.to_string(), place, card, Some(all), n));
+        for (n, (data_centre, accelerator)) in engines.iter().enumerate() {
+            registry.put(engines::upstream(
+                &n.to_string(),
+                data_centre,
+                accelerator,
+                Some(all),
+                n,
+            ));
         }
         for _ in 0..streams {
             let context = SelectionContext {
@@ -86,7 +92,7 @@
                 remote_interval: Duration::from_secs(1),
                 boxes: 73.0,
                 local_boxes: 24.0,
-                ..context(&registry, &pipes, &shares, &place)
+                ..context(&registry, &wan_usage, &fleet_load, &data_centre)
             };
             let chain =
                 selection::select_chain(&context, &model, all, &[], None, &mut rng).unwrap();
@@ -149,11 +155,12 @@
         let id = format!("other-{n}");
         registry.put(engines::upstream(&id, "a", "medium", Some(all), 2 + n));
     }
-    let (pipes, shares, place) = (WanUsage::default(), FleetLoad::default(), Arc::from("a"));
+    let (wan_usage, fleet_load, data_centre) =
+        (WanUsage::default(), FleetLoad::default(), Arc::from("a"));
     let mut rng = SmallRng::seed_from_u64(1);
     let neighbours = BOXES / 3.0;
     for _ in 0..(180.0 / neighbours) as usize {
-        let context = context(&registry, &pipes, &shares, &place);
+        let context = context(&registry, &wan_usage, &fleet_load, &data_centre);
         let stages =
             selection::select_chain(&context, &model, all, &[], None, &mut rng).expect("a chain");
         registry.begin_request(&stages[0].upstream, 100 * 10);
@@ -181,12 +188,13 @@
     );
     let mut registry = UpstreamRegistry::default();
     let engines = [("a1", "a", first), ("a2", "a", rest), ("b2", "b", rest)];
-    for (n, (id, place, span)) in engines.into_iter().enumerate() {
-        registry.put(engines::upstream(id, place, "large", Some(span), n));
+    for (n, (id, data_centre, span)) in engines.into_iter().enumerate() {
+        registry.put(engines::upstream(id, data_centre, "large", Some(span), n));
     }
     (0..40).for_each(|_| registry.begin_request("a2", 100));
-    let (pipes, shares, place) = (WanUsage::default(), FleetLoad::default(), Arc::from("a"));
-    let context = context(&registry, &pipes, &shares, &place);
+    let (wan_usage, fleet_load, data_centre) =
+        (WanUsage::default(), FleetLoad::default(), Arc::from("a"));
+    let context = context(&registry, &wan_usage, &fleet_load, &data_centre);
     let all = selection::all_layers(model.layers);
     for seed in 0..20 {
         let mut rng = SmallRng::seed_from_u64(seed);
@@ -216,8 +224,9 @@
     let fast = registry.get("fast").expect("an engine");
     let used = cost::memory_capacity(&model, fast, first) * 0.8 / neighbours;
     registry.begin_request("fast", used as u64);
-    let (pipes, shares, place) = (WanUsage::default(), FleetLoad::default(), Arc::from("a"));
-    let context = context(&registry, &pipes, &shares, &place);
+    let (wan_usage, fleet_load, data_centre) =
+        (WanUsage::default(), FleetLoad::default(), Arc::from("a"));
+    let context = context(&registry, &wan_usage, &fleet_load, &data_centre);
     let mut rng = SmallRng::seed_from_u64(seed);
     let all = selection::all_layers(model.layers);
     let chain = selection::select_chain(&context, &model, all, &[], None, &mut rng);
@@ -243,9 +252,10 @@
     let held = Some(LayerRange { first: 0, end: 40 });
     registry.put(engines::upstream("far", "b", "large", held, 4));
     registry.begin_request("far", 1_000_000);
-    let (pipes, shares, place) = (WanUsage::default(), FleetLoad::default(), Arc::from("a"));
+    let (wan_usage, fleet_load, data_centre) =
+        (WanUsage::default(), FleetLoad::default(), Arc::from("a"));
     let filled = |registry: &UpstreamRegistry| {
-        let context = context(registry, &pipes, &shares, &place);
+        let context = context(registry, &wan_usage, &fleet_load, &data_centre);
         selection::local_utilization(&context, &model)
     };
     assert_eq!(filled(&registry), 0.0);
