--- a/crates/ashgauge/tests/knowledge.rs
+++ b/crates/ashgauge/tests/knowledge.rs
@@ -1,4 +1,4 @@
-//! What a box knows: routes, upstreams, how fresh it is, and whole events.
+//! State of a box: routes, upstreams, the age of its data, and complete stream events.
 
 mod common;
 mod engines;
@@ -116,35 +116,35 @@
     assert!(usable(&registry, SECOND * 6));
 }
 
-fn born(id: &str, born: u64) -> Upstream {
+fn started_engine(id: &str, started_engine: u64) -> Upstream {
     Upstream {
-        started_ms: Some(born),
+        started_ms: Some(started_engine),
         ..upstream(id, "a", "small", None, 1)
     }
 }
 
-/// An engine that starts again under its id knows nothing of before: it was left out,
-/// and taken to be slow and full, for what its last start had done.
+/// Guards against a restarted engine that is avoided, or counted as slow and full, for what
+/// its previous process had done. The id stays the same across a restart.
 #[test]
-fn new_start_under_an_id_begins_anew() {
+fn restarted_engine_has_no_history() {
     let mut registry = UpstreamRegistry::default();
-    registry.put(born("e1", 1));
+    registry.put(started_engine("e1", 1));
     registry.begin_request("e1", 700);
     registry.mark_suspect(SECOND, "e1");
     registry.note_full(SECOND, "e1");
     registry.note_slow(SECOND, "e1", 4.0);
     registry.record_failure(SECOND, "e1");
-    registry.put(born("e1", 1));
+    registry.put(started_engine("e1", 1));
     let entry = registry.get("e1").expect("an entry");
     assert!(!entry.is_usable(SECOND), "it is the same start");
-    registry.put(born("e1", 2));
+    registry.put(started_engine("e1", 2));
     let entry = registry.get("e1").expect("an entry");
     assert!(entry.is_usable(SECOND) && !entry.is_full(SECOND));
     assert_eq!(
         (entry.slowness(SECOND), entry.failure_rate(SECOND)),
         (1.0, 0.0)
     );
-    // Requests that ran on the start before it end as they were counted.
+    // Requests that ran on the previous process are still subtracted when they end.
     assert_eq!(entry.inflight, 1);
     registry.end_request("e1", 700);
     assert_eq!(
@@ -153,34 +153,36 @@
     );
 }
 
-/// A box learns of upstreams by lists, changes of one entry and their end; the store
-/// forgets entries in an outage. None of it ends a rest, which the upstream counts on.
+/// Guards against a backoff that ends with the entry of its upstream. A box learns of
+/// upstreams by lists and by changes and removals of single entries, and the store loses
+/// entries in an outage. None of these ends a backoff, on which the upstream relies.
 #[test]
-fn rest_holds_whatever_becomes_of_the_entry() {
+fn backoff_holds_whatever_happens_to_the_entry() {
     let mut registry = UpstreamRegistry::default();
-    let upstreams = [born("e1", 1), born("e2", 1)];
-    let rest = |registry: &UpstreamRegistry, now| registry.get("e1").and_then(|e| e.backoff(now));
+    let upstreams = [started_engine("e1", 1), started_engine("e2", 1)];
+    let backoff =
+        |registry: &UpstreamRegistry, now| registry.get("e1").and_then(|e| e.backoff(now));
     registry.replace(SECOND, upstreams.to_vec(), true);
     registry.note_backoff(SECOND, "e1", SECOND * 30);
     registry.note_backoff(SECOND, "e1", SECOND);
-    assert_eq!(rest(&registry, SECOND * 11), Some(SECOND * 20));
+    assert_eq!(backoff(&registry, SECOND * 11), Some(SECOND * 20));
     registry.put(Upstream {
         slots: 7,
-        ..born("e1", 1)
+        ..started_engine("e1", 1)
     });
-    assert_eq!(rest(&registry, SECOND * 11), Some(SECOND * 20));
-    registry.replace(SECOND, vec![born("e2", 1)], false);
+    assert_eq!(backoff(&registry, SECOND * 11), Some(SECOND * 20));
+    registry.replace(SECOND, vec![started_engine("e2", 1)], false);
     registry.expire(SECOND * 5);
     assert!(registry.get("e1").is_none());
     registry.replace(SECOND * 6, upstreams.to_vec(), true);
-    assert_eq!(rest(&registry, SECOND * 11), Some(SECOND * 20));
+    assert_eq!(backoff(&registry, SECOND * 11), Some(SECOND * 20));
     registry.remove(SECOND * 7, "e1");
-    registry.put(born("e1", 1));
-    assert_eq!(rest(&registry, SECOND * 11), Some(SECOND * 20));
-    // Entries come later than answers, so the answer may be of the new start.
-    registry.put(born("e1", 2));
-    assert_eq!(rest(&registry, SECOND * 11), Some(SECOND * 20));
-    assert_eq!(rest(&registry, SECOND * 31), None);
+    registry.put(started_engine("e1", 1));
+    assert_eq!(backoff(&registry, SECOND * 11), Some(SECOND * 20));
+    // Entries arrive later than answers, so the answer may be from the new process.
+    registry.put(started_engine("e1", 2));
+    assert_eq!(backoff(&registry, SECOND * 11), Some(SECOND * 20));
+    assert_eq!(backoff(&registry, SECOND * 31), None);
     assert!(
         registry
             .get("e2")
@@ -188,43 +190,45 @@
     );
 }
 
-/// Its entry may lapse while a request is on its way, and come back.
+/// Guards against a lost backoff where the entry expires while a request is in flight, and
+/// comes back.
 #[test]
-fn rest_holds_though_the_entry_was_gone_as_it_was_asked_for() {
+fn backoff_holds_though_the_entry_was_gone_when_it_was_requested() {
     let mut registry = UpstreamRegistry::default();
     registry.note_backoff(SECOND, "e1", SECOND * 30);
-    registry.put(born("e1", 1));
+    registry.put(started_engine("e1", 1));
     let entry = registry.get("e1").expect("an entry");
     assert_eq!(entry.backoff(SECOND * 11), Some(SECOND * 20));
     assert!(entry.is_usable(SECOND) && !entry.accepts_requests(SECOND));
 }
 
-/// An upstream says in its answers that it leaves before its entry does, or while the
-/// store is away; an entry that calls it ready is older. A new start stays.
+/// An upstream announces in its answers that it leaves before its entry does so, or while
+/// the store is unavailable; an entry that lists it as ready is older. A new process does
+/// not leave.
 #[test]
-fn leaving_holds_until_a_new_start() {
+fn leaving_holds_until_a_restart() {
     let mut registry = UpstreamRegistry::default();
-    registry.put(born("e1", 1));
+    registry.put(started_engine("e1", 1));
     assert!(registry.note_leaving(SECOND, "e1"));
     assert!(!registry.note_leaving(SECOND, "e1"));
     let leaving = |registry: &UpstreamRegistry| registry.get("e1").map(|e| e.is_leaving());
-    registry.put(born("e1", 1));
+    registry.put(started_engine("e1", 1));
     assert_eq!(leaving(&registry), Some(true));
     registry.remove(SECOND, "e1");
-    registry.put(born("e1", 1));
+    registry.put(started_engine("e1", 1));
     assert_eq!(leaving(&registry), Some(true));
     registry.remove(SECOND, "e1");
-    registry.put(born("e1", 2));
+    registry.put(started_engine("e1", 2));
     assert_eq!(leaving(&registry), Some(false));
     registry.note_leaving(SECOND, "e1");
-    registry.put(born("e1", 3));
+    registry.put(started_engine("e1", 3));
     assert_eq!(leaving(&registry), Some(false));
 }
 
 proptest! {
-    /// However many upstreams come and go, what is kept of those that are gone ends.
+    /// However many upstreams come and go, notices of removed ones expire.
     #[test]
-    fn notices_of_upstreams_that_are_gone_end(steps in prop::collection::vec((0u8..8, 0u16..900), 1..200)) {
+    fn notices_of_removed_upstreams_expire(steps in prop::collection::vec((0u8..8, 0u16..900), 1..200)) {
         let mut absent = AbsentNotices::default();
         let (mut now, mut last) = (Duration::ZERO, [None; 8]);
         for (id, pause) in steps {
@@ -238,11 +242,11 @@
     }
 }
 
-/// A rest of any length is no end of the box.
+/// Guards against a crash of the box by a backoff of absurd length.
 #[test]
-fn longest_rest_is_counted() {
+fn longest_backoff_is_kept() {
     let mut registry = UpstreamRegistry::default();
-    registry.put(born("e1", 1));
+    registry.put(started_engine("e1", 1));
     registry.note_backoff(SECOND, "e1", Duration::MAX);
     assert!(
         registry
@@ -251,10 +255,10 @@
     );
 }
 
-/// An upstream that gets no requests for its failures could never show that it
-/// is well again.
+/// Guards against an upstream that is avoided for its failures for ever, as without
+/// requests it cannot show that it has recovered.
 #[test]
-fn failures_fade_while_an_upstream_is_avoided() {
+fn failure_rate_decays_while_an_upstream_is_avoided() {
     let mut registry = UpstreamRegistry::default();
     registry.put(upstream("e1", "a", "small", None, 1));
     for _ in 0..10 {
@@ -266,7 +270,7 @@
 }
 
 #[test]
-fn reading_under_way_is_over_in_its_time() {
+fn prefill_backlog_shrinks_with_time() {
     let mut registry = UpstreamRegistry::default();
     registry.put(upstream("e1", "a", "small", None, 1));
     registry.note_prefill(SECOND, "e1", 1.0);
@@ -288,17 +292,18 @@
 proptest! {
     #![proptest_config(common::seeded(200))]
 
-    /// A box frozen at any point acts on no knowledge older than its bound.
+    /// A box that is frozen at any point does not use data that is older than the limit. Age
+    /// counts from the query, not from the answer.
     #[test]
-    fn knowledge_ages_from_the_question(
-        asks in prop::collection::vec((0..3000u64, 0..3000u64), 1..20),
+    fn data_ages_from_the_query(
+        queries in prop::collection::vec((0..3000u64, 0..3000u64), 1..20),
         frozen in 0..20_000u64,
     ) {
         let most = Duration::from_millis(3500);
         let mut fresh = Freshness::new(most);
         let mut now = Duration::ZERO;
         let mut latest = None;
-        for (pause, answer) in asks {
+        for (pause, answer) in queries {
             let asked = now + Duration::from_millis(pause);
             now = asked + Duration::from_millis(answer);
             fresh.confirm(asked);
@@ -309,24 +314,24 @@
         prop_assert_eq!(fresh.is_fresh(now), age <= most);
     }
 
-    /// A revision counts as covered only if every change up to it was read.
+    /// A revision is covered only if every change up to it was read.
     #[test]
-    fn ledger_covers_only_what_was_read(
+    fn tracker_covers_only_what_was_read(
         read in prop::collection::vec(1..60u64, 0..80),
         base in 0..20u64,
         asked in 0..60u64,
     ) {
-        let mut ledger = RevisionTracker::default();
-        ledger.mark_read_to(base);
-        read.iter().for_each(|r| ledger.mark_read(*r));
+        let mut tracker = RevisionTracker::default();
+        tracker.mark_read_to(base);
+        read.iter().for_each(|r| tracker.mark_read(*r));
         let all = (base + 1..=asked).all(|r| read.contains(&r));
-        prop_assert_eq!(ledger.covers(asked), all);
+        prop_assert_eq!(tracker.covers(asked), all);
     }
 
-    /// However the bytes are cut up, whole events come out in order, and half
-    /// ones stay behind.
+    /// However the bytes are split, complete events come out in order, and incomplete
+    /// ones stay in the buffer.
     #[test]
-    fn events_come_out_whole(
+    fn events_come_out_complete(
         lens in prop::collection::vec(0..30usize, 0..12),
         pieces in prop::collection::vec(1..20usize, 1..40),
         cut_off in 0..40usize,
@@ -342,25 +347,25 @@
             let end = (at + piece).min(kept.len());
             buffer.extend_from_slice(&kept[at..end]);
             at = end;
-            let whole = scan_complete(&buffer);
-            if whole.count > 0 {
-                prop_assert_eq!(whole.first_id, Some(last + 1));
-                last = whole.last_id.expect("an id");
+            let complete = scan_complete(&buffer);
+            if complete.count > 0 {
+                prop_assert_eq!(complete.first_id, Some(last + 1));
+                last = complete.last_id.expect("an id");
             }
-            out.extend(buffer.drain(..whole.len));
+            out.extend(buffer.drain(..complete.len));
         }
         let expected = stream(&lens[..last as usize]);
         prop_assert_eq!(out, expected);
     }
 }
 
-/// A keep-alive is passed on, and is no sign that the request runs.
+/// A keep-alive comment is forwarded, but does not show that the request runs.
 #[test]
 fn comments_are_no_events() {
     let bytes = b": waiting\n\n:\r\n\r\n: first\nid: 1\ndata: a\n\n: ";
-    let whole = scan_complete(bytes);
-    assert_eq!((whole.count, whole.last_id), (1, Some(1)));
-    assert_eq!(whole.len, bytes.len() - 2);
+    let complete = scan_complete(bytes);
+    assert_eq!((complete.count, complete.last_id), (1, Some(1)));
+    assert_eq!(complete.len, bytes.len() - 2);
     assert_eq!(
         scan_complete(&bytes[..11]),
         CompleteEvents {
@@ -370,24 +375,24 @@
     );
 }
 
-/// Streams that fell silent opened a connection to every engine of their chain,
-/// though most of them had just served other streams.
+/// Guards against silent streams that open a probe connection to every engine of their
+/// chain, although most of these have just served other streams.
 #[test]
-fn upstream_that_was_just_heard_needs_no_probe() {
+fn active_upstream_needs_no_probe() {
     let mut registry = UpstreamRegistry::default();
     registry.put(upstream("e1", "a", "small", None, 1));
-    let heard =
+    let is_active =
         |registry: &UpstreamRegistry, now| registry.get("e1").is_some_and(|e| e.is_active(now));
-    assert!(!heard(&registry, SECOND));
+    assert!(!is_active(&registry, SECOND));
     registry.note_activity(SECOND, "e1");
-    assert!(heard(&registry, SECOND + Duration::from_millis(50)));
-    assert!(!heard(&registry, SECOND + Duration::from_millis(70)));
+    assert!(is_active(&registry, SECOND + Duration::from_millis(50)));
+    assert!(!is_active(&registry, SECOND + Duration::from_millis(70)));
 }
 
-/// An engine whose connection breaks and that takes no other one got the next tries as
-/// well, where other streams had heard it a moment ago; those streams may go on.
+/// Guards against new requests to an engine whose connection broke and that accepts no new
+/// one, because other streams had activity from it a moment ago. Those streams may continue.
 #[test]
-fn upstream_that_takes_no_connection_gets_nothing_new_and_keeps_what_it_has() {
+fn unreachable_upstream_gets_no_new_requests_and_keeps_its_streams() {
     let mut registry = UpstreamRegistry::default();
     registry.put(upstream("e1", "a", "large", None, 1));
     registry.note_activity(SECOND, "e1");
@@ -396,11 +401,11 @@
     assert!(!entry.accepts_requests(SECOND));
     assert!(entry.is_usable(SECOND) && !entry.is_suspect(SECOND));
     assert!(entry.accepts_requests(SECOND * 2));
-    // A new start is another engine.
+    // A new process counts as another engine.
     registry.note_unreachable(SECOND * 3, "e1");
-    let mut born = upstream("e1", "a", "large", None, 1);
-    born.started_ms = Some(7);
-    registry.put(born);
+    let mut started_engine = upstream("e1", "a", "large", None, 1);
+    started_engine.started_ms = Some(7);
+    registry.put(started_engine);
     assert!(
         registry
             .get("e1")
--- a/crates/ashgauge/tests/lease.rs
+++ b/crates/ashgauge/tests/lease.rs
@@ -1,4 +1,4 @@
-//! No two boxes hold a lease at one time, and no two spans share a term.
+//! At most one box holds a lease at a time, and no two holders share a term.
 
 mod common;
 
@@ -14,7 +14,7 @@
 enum Call {
     Read(usize),
     Write(usize, u64, StoredLease),
-    /// A write's answer, on its way back since the write took effect.
+    /// The result of a write that already took effect, still in flight.
     Answer(usize, WriteResult),
 }
 
@@ -30,7 +30,7 @@
     #![proptest_config(common::seeded(300))]
 
     #[test]
-    fn one_holder_at_a_time_and_terms_of_its_own(
+    fn one_holder_at_a_time_with_its_own_terms(
         steps in prop::collection::vec((0usize..3, 0u8..8, 0u16..200, any::<u16>()), 50..400),
     ) {
         let mut store = (0, StoredLease::default());
@@ -39,19 +39,19 @@
         let mut calls: Vec<Call> = Vec::new();
         let mut terms: HashMap<u64, usize> = HashMap::new();
         let mut now = Duration::ZERO;
-        for (node, luck, wait, pick) in steps {
+        for (node, outcome, wait, pick) in steps {
             now += Duration::from_millis(u64::from(wait));
             match boxes[node].tick(now) {
                 Some(LeaseAction::Read) => calls.push(Call::Read(node)),
                 Some(LeaseAction::Write(version, next)) => calls.push(Call::Write(node, version, next)),
                 None => {}
             }
-            // A box may be paused for long between asking and the answer.
-            if !calls.is_empty() && luck > 0 {
+            // A box may be paused for a long time between a call and its answer.
+            if !calls.is_empty() && outcome > 0 {
                 match calls.swap_remove(usize::from(pick) % calls.len()) {
-                    Call::Read(b) => boxes[b].on_read(now, (luck > 1).then(|| store.clone())),
+                    Call::Read(b) => boxes[b].on_read(now, (outcome > 1).then(|| store.clone())),
                     Call::Write(b, version, next) => {
-                        let result = match luck {
+                        let result = match outcome {
                             1 => WriteResult::Unknown,
                             2 => {
                                 write(&mut store, version, &next);
--- a/crates/ashgauge/tests/limit.rs
+++ b/crates/ashgauge/tests/limit.rs
@@ -1,4 +1,4 @@
-//! What the boxes may spend never sums to more than the limit.
+//! The rates that boxes may spend never sum to more than the team's limit.
 
 mod common;
 
@@ -27,38 +27,38 @@
 proptest! {
     #![proptest_config(common::seeded(300))]
 
-    /// Loans arrive late, in any order, or never; demand moves about.
+    /// Loans arrive late, in any order, or never, and demand shifts between boxes.
     #[test]
-    fn boxes_together_never_pass_the_limit(
+    fn boxes_together_never_exceed_the_limit(
         steps in prop::collection::vec((0..BOXES, 0..BOXES, 1u32..2000, 0u16..300, 0u8..10), 10..200),
     ) {
         let team: TeamId = "team".into();
         let mut now = Duration::from_secs(10);
         let mut boxes = fleet(now, &team);
-        let mut flying: Vec<(usize, usize, f64, Duration)> = Vec::new();
-        for (asker, lender, want, wait, luck) in steps {
+        let mut in_flight: Vec<(usize, usize, f64, Duration)> = Vec::new();
+        for (borrower, lender, wanted, wait, outcome) in steps {
             now += Duration::from_millis(u64::from(wait));
-            boxes[asker].record_demand(now, &team, f64::from(want));
+            boxes[borrower].record_demand(now, &team, f64::from(wanted));
             let asked = now;
-            now += Duration::from_millis(u64::from(luck) * 10);
-            if asker != lender {
-                let rate = boxes[lender].lend(now, &team, &id(asker), f64::from(want));
-                flying.push((asker, lender, rate, asked));
+            now += Duration::from_millis(u64::from(outcome) * 10);
+            if borrower != lender {
+                let rate = boxes[lender].lend(now, &team, &id(borrower), f64::from(wanted));
+                in_flight.push((borrower, lender, rate, asked));
             }
-            // Some grant on its way arrives, or all are lost.
-            if luck % 3 != 2 && !flying.is_empty() {
-                let n = usize::from(wait) % flying.len();
-                let (asker, lender, rate, asked) = flying.swap_remove(n);
-                boxes[asker].record_loan(now, &team, &id(lender), rate, asked);
-            } else if luck == 8 {
-                flying.clear();
+            // One of the loans in flight arrives, or all are lost.
+            if outcome % 3 != 2 && !in_flight.is_empty() {
+                let n = usize::from(wait) % in_flight.len();
+                let (borrower, lender, rate, asked) = in_flight.swap_remove(n);
+                boxes[borrower].record_loan(now, &team, &id(lender), rate, asked);
+            } else if outcome == 8 {
+                in_flight.clear();
             }
             let sum: f64 = boxes.iter().map(|b| b.rate(now, &team)).sum();
             prop_assert!(sum <= LIMIT * 1.000_001, "{sum} at {now:?}");
         }
     }
 
-    /// What a box lets through over any time is at most its rate's sum plus
+    /// What a box admits over any time is at most its rate times that time, plus
     /// the burst and one request.
     #[test]
     fn spending_follows_the_rate(costs in prop::collection::vec(1u32..200, 50..200)) {
@@ -72,14 +72,14 @@
                 limits.spend(now, &team, f64::from(cost));
                 spent += f64::from(cost);
             }
-            let most = LIMIT * (now.as_secs_f64() + 0.25) + 200.0;
-            prop_assert!(spent <= most, "{spent} of {most}");
+            let allowed = LIMIT * (now.as_secs_f64() + 0.25) + 200.0;
+            prop_assert!(spent <= allowed, "{spent} of {allowed}");
         }
     }
 }
 
 #[test]
-fn skewed_demand_gathers_most_of_the_limit() {
+fn skewed_demand_borrows_most_of_the_limit() {
     let team: TeamId = "team".into();
     let mut now = Duration::from_secs(1);
     let mut boxes = fleet(now, &team);
@@ -90,14 +90,14 @@
             continue;
         }
         for lender in 1..BOXES {
-            let want = boxes[0].wanted_rate(now, &team, &id(lender), BOXES - 1);
-            let rate = boxes[lender].lend(now, &team, &id(0), want);
+            let wanted = boxes[0].wanted_rate(now, &team, &id(lender), BOXES - 1);
+            let rate = boxes[lender].lend(now, &team, &id(0), wanted);
             boxes[0].record_loan(now, &team, &id(lender), rate, now);
         }
     }
     let rate = boxes[0].rate(now, &team);
     assert!(rate > 0.95 * LIMIT, "{rate}");
-    // Once the demand moves, the loans run out and the shares are back.
+    // Once the demand shifts, the loans expire and the shares return.
     now += Duration::from_secs(3);
     assert_eq!(boxes[1].rate(now, &team), LIMIT / BOXES as f64);
 }
--- a/crates/ashgauge/tests/merge.rs
+++ b/crates/ashgauge/tests/merge.rs
@@ -1,4 +1,4 @@
-//! Merge of edits: order of edits to other cells does not matter, and no edit
+//! Merging of edits: the order of edits to different cells does not matter, and no edit
 //! overwrites a value that its operator did not see.
 
 mod common;
@@ -9,7 +9,7 @@
 const ROWS: [&str; 3] = ["tier/a", "tier/b", "tier/c"];
 const COLUMNS: [&str; 2] = ["rank", "floor"];
 
-fn start() -> Table {
+fn base_table() -> Table {
     let mut table = Table::default();
     for row in ROWS {
         let cells = COLUMNS.map(|c| (c.to_string(), Cell::Number(0.0)));
@@ -40,7 +40,7 @@
     fn edits_of_one_base_merge_or_conflict(
         edits in prop::collection::vec((0usize..3, 0usize..2, 1u32..5), 1..12),
     ) {
-        let base = start();
+        let base = base_table();
         let mut table = base.clone();
         let mut taken = std::collections::HashMap::new();
         for (id, (row, column, value)) in edits.iter().enumerate() {
@@ -49,7 +49,7 @@
                 Ok(next) => {
                     prop_assert!(taken.insert((*row, *column), *value).is_none());
                     table = next;
-                    // The same edit again changes nothing.
+                    // Applying the same edit again changes nothing.
                     prop_assert_eq!(&table.apply(&e).unwrap(), &table);
                 }
                 Err(error) => {
@@ -67,8 +67,8 @@
     }
 
     #[test]
-    fn order_of_edits_to_other_cells_does_not_matter(swap in any::<bool>(), a in 1u32..9, b in 1u32..9) {
-        let base = start();
+    fn order_of_edits_to_different_cells_does_not_matter(swap in any::<bool>(), a in 1u32..9, b in 1u32..9) {
+        let base = base_table();
         let (one, two) = (edit(1, &base, 0, 0, a), edit(2, &base, 1, 1, b));
         let (first, second) = if swap { (&two, &one) } else { (&one, &two) };
         let merged = base.apply(first).unwrap().apply(second).unwrap();
@@ -79,7 +79,7 @@
 
 #[test]
 fn history_is_bounded_and_keeps_the_newest() {
-    let mut table = start();
+    let mut table = base_table();
     for n in 0..MAX_EDITS + 10 {
         table = table.apply(&edit(n, &table, 0, 0, n as u32 + 1)).unwrap();
     }
@@ -90,7 +90,7 @@
 }
 
 #[test]
-fn bad_tables_are_named_by_place() {
+fn errors_name_the_bad_cell() {
     let cases = [
         (
             "tier/a",
@@ -118,8 +118,8 @@
             "no column `colour`",
         ),
     ];
-    for (row, column, value, words) in cases {
-        let table = start();
+    for (row, column, value, message) in cases {
+        let table = base_table();
         let change = Change {
             row: row.into(),
             column: column.into(),
@@ -133,6 +133,6 @@
             changes: vec![change],
         };
         let error = table.apply(&edit).unwrap_err();
-        assert!(error.to_string().contains(words), "{error}");
+        assert!(error.to_string().contains(message), "{error}");
     }
 }
--- a/crates/ashgauge/tests/mirror.rs
+++ b/crates/ashgauge/tests/mirror.rs
@@ -1,4 +1,5 @@
-//! Content that boxes hand to each other, whatever is lost, late or repeated.
+//! Copies of the store that boxes update from each other, whatever messages are lost, late
+//! or repeated.
 
 mod common;
 mod engines;
@@ -10,15 +11,15 @@
 use engines::upstream;
 use proptest::prelude::*;
 
-/// The store's history: what each revision changed.
+/// History of the store: what each revision changed.
 #[derive(Default)]
 struct Store {
     history: Vec<ChangeKind>,
 }
 
 impl Store {
-    fn change(&mut self, what: ChangeKind) -> Revision {
-        self.history.push(what);
+    fn change(&mut self, kind: ChangeKind) -> Revision {
+        self.history.push(kind);
         self.at()
     }
 
@@ -29,9 +30,9 @@
     /// Entries as of a revision, with the revision of their last change.
     fn entries(&self, at: Revision) -> BTreeMap<String, (Revision, Option<Upstream>)> {
         let mut entries = BTreeMap::new();
-        for (n, what) in self.history.iter().take(at as usize).enumerate() {
+        for (n, kind) in self.history.iter().take(at as usize).enumerate() {
             let revision = n as Revision + 1;
-            match what {
+            match kind {
                 ChangeKind::Put(u) => entries.insert(u.id.to_string(), (revision, Some(u.clone()))),
                 ChangeKind::Removed(id) => entries.insert(id.to_string(), (revision, None)),
                 ChangeKind::Config(_) => None,
@@ -46,19 +47,19 @@
     }
 }
 
-/// Reads everything, as a box does that begins to read; the configuration was
-/// read some revisions before the list.
-fn read_whole(mirror: &mut Mirror, store: &Store, before: u64) {
+/// Reads everything, as a box does that starts to read the store. The configuration was
+/// read `before` revisions before the list.
+fn read_all(mirror: &mut Mirror, store: &Store, before: u64) {
     mirror.replace_all(store.at(), store.list());
     mirror.mark_read_to(store.at().saturating_sub(before));
 }
 
-/// Takes what a watch brings.
+/// Applies the changes of a watch.
 fn watch(mirror: &mut Mirror, store: &Store) {
     let from = mirror.covered();
-    for (n, what) in store.history.iter().enumerate().skip(from as usize) {
+    for (n, kind) in store.history.iter().enumerate().skip(from as usize) {
         let revision = n as Revision + 1;
-        match what.clone() {
+        match kind.clone() {
             ChangeKind::Put(u) => mirror.put(revision, u),
             ChangeKind::Removed(id) => mirror.remove(revision, &id),
             ChangeKind::Config(bytes) => mirror.set_config(revision, bytes),
@@ -66,12 +67,12 @@
     }
 }
 
-/// Whether a copy holds everything up to the revision that it says it covers.
-fn is_whole(mirror: &Mirror, store: &Store) -> Result<(), TestCaseError> {
+/// Checks that a copy holds everything up to the revision that it claims to cover.
+fn check_complete(mirror: &Mirror, store: &Store) -> Result<(), TestCaseError> {
     let held: BTreeMap<&str, &Upstream> = mirror.upstreams().map(|u| (&*u.id, u)).collect();
     let now = store.entries(store.at());
     for (id, (revision, known)) in store.entries(mirror.covered()) {
-        // What changed later may be known already.
+        // Later changes may be known already.
         if now[&id].0 > revision {
             continue;
         }
@@ -86,16 +87,16 @@
 #[derive(Clone, Debug)]
 enum Step {
     Put(u8, u32),
-    Gone(u8),
-    /// A box that reads hears of everything.
+    Remove(u8),
+    /// A box that reads the store receives all changes.
     Watch(usize),
-    /// Its history is gone, so it lists.
+    /// The store has dropped the history, so the box lists.
     List(usize, u64),
-    /// A box asks another; the answer is kept.
-    Ask(usize, usize),
-    /// An answer that was kept arrives, again perhaps.
+    /// A box queries another; the answer stays in flight.
+    Query(usize, usize),
+    /// An answer in flight arrives, perhaps for a second time.
     Arrive(usize, usize),
-    /// A box starts anew.
+    /// A box restarts.
     Restart(usize),
 }
 
@@ -104,10 +105,10 @@
 fn step() -> impl Strategy<Value = Step> {
     prop_oneof![
         (0..6u8, 0..4u32).prop_map(|(id, slots)| Step::Put(id, slots)),
-        (0..6u8).prop_map(Step::Gone),
+        (0..6u8).prop_map(Step::Remove),
         (0..2usize).prop_map(Step::Watch),
         (0..2usize, 0..6u64).prop_map(|(n, before)| Step::List(n, before)),
-        (0..BOXES, 0..BOXES).prop_map(|(a, b)| Step::Ask(a, b)),
+        (0..BOXES, 0..BOXES).prop_map(|(a, b)| Step::Query(a, b)),
         (0..BOXES, 0..64usize).prop_map(|(a, n)| Step::Arrive(a, n)),
         (0..BOXES).prop_map(Step::Restart),
     ]
@@ -116,9 +117,9 @@
 proptest! {
     #![proptest_config(common::seeded(256))]
 
-    /// Two boxes read, all ask each other; answers come late, twice or never.
+    /// Two boxes read the store, all query each other; answers arrive late, twice or never.
     #[test]
-    fn covered_means_known(steps in proptest::collection::vec(step(), 1..120)) {
+    fn covered_revisions_are_known(steps in proptest::collection::vec(step(), 1..120)) {
         let mut store = Store::default();
         let mut boxes: Vec<Mirror> = (0..BOXES).map(|_| Mirror::default()).collect();
         let mut answers: Vec<Vec<Update>> = vec![Vec::new(); BOXES];
@@ -129,17 +130,17 @@
                     entry.slots = slots;
                     store.change(ChangeKind::Put(entry));
                 }
-                Step::Gone(id) => {
+                Step::Remove(id) => {
                     store.change(ChangeKind::Removed(format!("e{id}").as_str().into()));
                 }
                 Step::Watch(n) if boxes[n].covered() > 0 => watch(&mut boxes[n], &store),
-                Step::Watch(n) => read_whole(&mut boxes[n], &store, 0),
-                Step::List(n, before) => read_whole(&mut boxes[n], &store, before),
-                Step::Ask(a, b) if a != b && boxes[b].covered() > 0 => {
+                Step::Watch(n) => read_all(&mut boxes[n], &store, 0),
+                Step::List(n, before) => read_all(&mut boxes[n], &store, before),
+                Step::Query(a, b) if a != b && boxes[b].covered() > 0 => {
                     let update = boxes[b].update(boxes[a].covered(), true);
                     answers[a].push(update);
                 }
-                Step::Ask(..) => {}
+                Step::Query(..) => {}
                 Step::Arrive(a, n) => {
                     if let Some(update) = answers[a].get(n % answers[a].len().max(1)).cloned() {
                         boxes[a].apply(update);
@@ -147,19 +148,19 @@
                 }
                 Step::Restart(n) => {
                     boxes[n] = Mirror::default();
-                    // Its questions ended with it.
+                    // Its queries ended with its process.
                     answers[n].clear();
                 }
             }
             for mirror in &boxes {
-                is_whole(mirror, &store)?;
+                check_complete(mirror, &store)?;
             }
         }
     }
 }
 
 #[test]
-fn old_copy_takes_nothing_away() {
+fn old_copy_removes_nothing() {
     let mut reader = Mirror::default();
     let entry = |id: &str| upstream(id, "a", "small", None, 1);
     reader.replace_all(4, vec![(3, entry("e1"))]);
@@ -176,7 +177,7 @@
 }
 
 #[test]
-fn what_is_gone_is_told_once() {
+fn removal_is_reported_once() {
     let mut reader = Mirror::default();
     reader.replace_all(2, vec![(1, upstream("e1", "a", "small", None, 1))]);
     reader.mark_read_to(2);
@@ -193,9 +194,9 @@
     assert!(other.apply(update).is_empty());
 }
 
-/// The memory of removals is bounded; a box that missed more gets all.
+/// The list of past removals is bounded; a box that missed more gets everything.
 #[test]
-fn too_many_removals_are_replaced_by_the_whole() {
+fn too_many_removals_cause_a_full_update() {
     let mut reader = Mirror::default();
     reader.replace_all(1, Vec::new());
     reader.mark_read_to(1);
@@ -209,10 +210,10 @@
     assert!(reader.update(1, true).changes.is_empty());
 }
 
-/// A box that learned from a list which was newer than what it covers does not
-/// know what was removed before the list.
+/// Guards against a box that passes on removals incompletely: one that learned from a list
+/// newer than the revision that it covers does not know what was removed before the list.
 #[test]
-fn removals_before_a_list_are_not_passed_over() {
+fn removals_before_a_list_are_not_skipped() {
     let entry = |id: &str| upstream(id, "a", "small", None, 1);
     let mut reader = Mirror::default();
     reader.replace_all(10, vec![(2, entry("e1"))]);
@@ -222,7 +223,7 @@
     reader.mark_read_to(12);
     between.apply(reader.update(between.covered(), true));
     assert_eq!(between.covered(), 12);
-    // `e2` was removed at 7.
+    // `e2` was removed at revision 7.
     let mut late = Mirror::default();
     late.replace_all(5, vec![(2, entry("e1")), (4, entry("e2"))]);
     late.mark_read_to(5);
@@ -231,16 +232,16 @@
     assert_eq!(late.upstreams().map(|u| &*u.id).collect::<Vec<_>>(), ["e1"]);
 }
 
-/// What is packed once is handed to several boxes. A change that comes before
-/// those ahead of it leaves what is covered as it was, and must be handed on all
-/// the same: it may say that an upstream leaves.
+/// Guards against a cached update that lacks a change. An update is encoded once for several
+/// boxes. A change that arrives before earlier ones leaves the covered revision as it was, but
+/// must be passed on all the same: it may say that an upstream leaves.
 #[test]
-fn edition_changes_with_what_is_handed_on() {
+fn generation_changes_with_the_update() {
     let mut mirror = Mirror::default();
     mirror.replace_all(1, vec![(1, upstream("a", "p", "large", None, 1))]);
     mirror.mark_read_to(1);
     let (covered, before) = (mirror.covered(), mirror.update(0, true));
-    let edition = mirror.generation();
+    let generation = mirror.generation();
     let leaving = Upstream {
         leaving: true,
         ..upstream("a", "p", "large", None, 1)
@@ -248,13 +249,13 @@
     assert!(mirror.put(5, leaving.clone()));
     assert_eq!(mirror.covered(), covered);
     assert_ne!(mirror.update(0, true), before);
-    assert_ne!(mirror.generation(), edition);
-    let edition = mirror.generation();
+    assert_ne!(mirror.generation(), generation);
+    let generation = mirror.generation();
     assert!(!mirror.put(5, leaving), "no news");
-    assert_eq!(mirror.generation(), edition);
+    assert_eq!(mirror.generation(), generation);
     assert!(mirror.remove(7, &"a".into()));
-    assert_ne!(mirror.generation(), edition);
-    let edition = mirror.generation();
+    assert_ne!(mirror.generation(), generation);
+    let generation = mirror.generation();
     assert!(mirror.set_config(9, b"routes".to_vec()));
-    assert_ne!(mirror.generation(), edition);
+    assert_ne!(mirror.generation(), generation);
 }
--- a/crates/ashgauge/tests/node.rs
+++ b/crates/ashgauge/tests/node.rs
@@ -1,5 +1,5 @@
-//! One node under random faults: every request gets one final answer that is
-//! true, every token comes from each layer once, and nothing is held on to.
+//! One node under random faults: every request gets one final answer, which is
+//! true, every layer runs once for each token, and no resource stays in use.
 
 mod common;
 mod starter;
@@ -29,8 +29,8 @@
     (a ^ b.rotate_left(23)).wrapping_mul(0x9e37_79b9_7f4a_7c15)
 }
 
-/// Runs a value through layers whose states it changes.
-fn through(states: &mut [u64], first: u32, input: StageValue) -> StageValue {
+/// Runs a value through layers and updates their states.
+fn run_layers(states: &mut [u64], first: u32, input: StageValue) -> StageValue {
     let layers = states.iter_mut().zip(first..);
     layers.fold(input, |x, (state, layer)| {
         *state = mix(*state, x);
@@ -42,12 +42,12 @@
     let mut states = [0; LAYERS as usize];
     let mut last = 0;
     for x in prompt {
-        last = through(&mut states, 0, *x);
+        last = run_layers(&mut states, 0, *x);
     }
     let mut tokens = Vec::new();
     for _ in 0..TOKENS {
         tokens.push(last);
-        last = through(&mut states, 0, last);
+        last = run_layers(&mut states, 0, last);
     }
     tokens
 }
@@ -61,7 +61,7 @@
 #[derive(Default)]
 struct Engines {
     sessions: HashMap<(String, u64, u32), Session>,
-    /// How often a layer ran for a position of a request, rebuilds left out.
+    /// How often a layer ran for a position of a request, without rebuilds.
     ran: BTreeMap<(u64, u32, u32), u32>,
 }
 
@@ -95,7 +95,7 @@
                 session.next = run.start + run.inputs.len() as u32;
                 let inputs = run.inputs.iter();
                 inputs
-                    .map(|x| through(&mut session.states, run.first, *x))
+                    .map(|x| run_layers(&mut session.states, run.first, *x))
                     .collect()
             }
         };
@@ -137,7 +137,7 @@
     runs: Vec<StageRun>,
     late: Vec<Event>,
     callers: BTreeMap<u64, Caller>,
-    /// Messages to other boxes.
+    /// Messages sent to other boxes.
     sent: Vec<Envelope>,
 }
 
@@ -146,7 +146,7 @@
         World::with(&RANGES)
     }
 
-    /// A node before engines that hold these ranges.
+    /// Creates a node with engines that hold these ranges.
     fn with(ranges: &[(u32, u32)]) -> Self {
         let mut world = World {
             node: Node::new(Config::new("box-0", 1)),
@@ -158,12 +158,12 @@
             sent: Vec::new(),
         };
         let content = ObjectValue::Table(Arc::new(table(LAYERS)));
-        world.feed(Event::Read(ObjectKey::Table, Some((1, Some(content)))));
-        world.feed(Event::Listed(listing(ranges)));
+        world.handle_event(Event::Read(ObjectKey::Table, Some((1, Some(content)))));
+        world.handle_event(Event::Listed(listing(ranges)));
         world
     }
 
-    fn feed(&mut self, event: Event) {
+    fn handle_event(&mut self, event: Event) {
         for action in self.node.handle(self.now, event) {
             match action {
                 Action::Run(run) => self.runs.push(run),
@@ -183,18 +183,18 @@
         }
     }
 
-    fn arrive(&mut self, id: u64, repeatable: bool) {
-        self.arrive_with(id, repeatable, vec![id, id + 1]);
+    fn send_request(&mut self, id: u64, repeatable: bool) {
+        self.send_prompt(id, repeatable, vec![id, id + 1]);
     }
 
-    fn arrive_with(&mut self, id: u64, repeatable: bool, prompt: Vec<StageValue>) {
+    fn send_prompt(&mut self, id: u64, repeatable: bool, prompt: Vec<StageValue>) {
         let caller = Caller {
             repeatable,
             prompt: prompt.clone(),
             ..Caller::default()
         };
         self.callers.insert(id, caller);
-        self.feed(Event::RequestArrived(IncomingRequest {
+        self.handle_event(Event::RequestArrived(IncomingRequest {
             id,
             key_hash: hash_key("k"),
             work: Work::Generate {
@@ -208,11 +208,11 @@
         }));
     }
 
-    /// Lets the same request arrive, and loses each engine that runs it: its connection
-    /// breaks, and no other one comes up. Returns the engines.
-    fn lose_all(&mut self, id: u64) -> BTreeSet<UpstreamId> {
+    /// Sends the same request, and loses each engine that runs it: its connection breaks, and
+    /// a new one cannot be opened. Returns the engines.
+    fn lose_every_engine(&mut self, id: u64) -> BTreeSet<UpstreamId> {
         let mut lost = BTreeSet::new();
-        self.arrive_with(id, true, vec![7, 8]);
+        self.send_prompt(id, true, vec![7, 8]);
         while let Some(run) = self.runs.pop() {
             lost.insert(run.upstream.clone());
             self.deliver(run, 3);
@@ -224,42 +224,42 @@
         lost
     }
 
-    /// What becomes of one order on its way, by `luck`.
-    fn deliver(&mut self, run: StageRun, luck: u8) {
-        let failed = |fault| Event::StageFailed(run.id, run.session, run.start, fault);
-        let event = match luck {
+    /// Delivers one stage run with the fault that `fault` selects.
+    fn deliver(&mut self, run: StageRun, fault: u8) {
+        let failed = |error| Event::StageFailed(run.id, run.session, run.start, error);
+        let event = match fault {
             0 => failed(UpstreamError::NotSent("refused".into())),
             1 => failed(refused(RefusalReason::Busy)),
             2 => {
-                // It ran, and the answer was lost.
-                self.touch(&run);
+                // The stage ran, and the answer was lost.
+                self.mark_touched(&run);
                 let _ = self.engines.run(&run);
                 failed(UpstreamError::Lost("reset".into()))
             }
             3 => {
-                self.touch(&run);
+                self.mark_touched(&run);
                 failed(UpstreamError::Lost("reset".into()))
             }
             4 => {
-                // The answer comes much later, or is what somebody else got.
-                self.touch(&run);
+                // The answer arrives much later, or not at all.
+                self.mark_touched(&run);
                 if let Ok(ran) = self.engines.run(&run) {
                     self.late.push(Event::StageDone(ran));
                 }
                 return;
             }
             _ => {
-                self.touch(&run);
+                self.mark_touched(&run);
                 match self.engines.run(&run) {
                     Ok(ran) => Event::StageDone(ran),
                     Err(reason) => failed(refused(reason)),
                 }
             }
         };
-        self.feed(event);
+        self.handle_event(event);
     }
 
-    fn touch(&mut self, run: &StageRun) {
+    fn mark_touched(&mut self, run: &StageRun) {
         self.callers.get_mut(&run.id).unwrap().touched = true;
     }
 
@@ -327,13 +327,14 @@
     }
 }
 
-/// A route goes, or leads to a service now, while requests wait for it.
+/// Guards against requests that keep waiting for a route that is removed, or changed to a
+/// service.
 #[test]
-fn requests_that_wait_for_a_changed_route_are_answered_at_once() {
+fn requests_for_a_changed_route_are_answered_at_once() {
     for kind in [None, Some("service")] {
         let mut world = World::new();
         for id in 1..=30 {
-            world.arrive(id, true);
+            world.send_request(id, true);
         }
         let waiting = world.node.status(world.now).waiting["chat"];
         assert!(waiting > 0);
@@ -346,22 +347,23 @@
             None => drop(next.rows.remove("route/chat")),
         }
         let content = ObjectValue::Table(Arc::new(next));
-        world.feed(Event::Read(ObjectKey::Table, Some((2, Some(content)))));
-        let told = world.callers.values().filter(|c| match &c.last {
+        world.handle_event(Event::Read(ObjectKey::Table, Some((2, Some(content)))));
+        let refused = world.callers.values().filter(|c| match &c.last {
             Some(ReplyPart::Refused(r)) => r.outcome == Outcome::NotRun && r.retry_after.is_some(),
             _ => false,
         });
-        assert_eq!(told.count(), waiting, "{kind:?}");
+        assert_eq!(refused.count(), waiting, "{kind:?}");
     }
 }
 
-/// A lost stage of a request was replaced up to 16 times so, and again with each repeat.
+/// Guards against a request that crashes one engine after the other: its lost stage was
+/// replaced up to 16 times, and again with each repeat of the request.
 #[test]
-fn request_that_ends_engines_is_held_back() {
+fn request_that_crashes_engines_is_quarantined() {
     let mut world = World::with(&[(0, LAYERS); 12]);
     let mut ended = BTreeSet::new();
     for id in 1..=4 {
-        ended.extend(world.lose_all(id));
+        ended.extend(world.lose_every_engine(id));
     }
     assert_eq!(ended.len(), 3, "{ended:?}");
     for (id, caller) in &world.callers {
@@ -375,16 +377,16 @@
         };
         assert_eq!(refusal.outcome, outcome, "{id}");
     }
-    // A box that heard of it refuses it at once.
+    // A box that got the report refuses the request at once.
     world.now += Duration::from_secs(5);
-    world.feed(Event::Tick);
+    world.handle_event(Event::Tick);
     let mut other = World::with(&[(0, LAYERS); 12]);
     for envelope in std::mem::take(&mut world.sent) {
-        other.feed(Event::MessageReceived(envelope));
+        other.handle_event(Event::MessageReceived(envelope));
     }
-    assert!(other.lose_all(1).is_empty());
-    // Another one is served.
-    world.arrive(5, true);
+    assert!(other.lose_every_engine(1).is_empty());
+    // Other requests are served.
+    world.send_request(5, true);
     while let Some(run) = world.runs.pop() {
         world.deliver(run, 9);
     }
@@ -403,40 +405,40 @@
     ) {
         let mut world = World::new();
         let mut next = 0;
-        for (luck, pick, flag) in steps {
+        for (fault, pick, flag) in steps {
             world.now += Duration::from_millis(u64::from(pick % 50));
-            if luck == 20 && next < 12 {
+            if fault == 20 && next < 12 {
                 next += 1;
-                world.arrive(next * 100, flag);
-            } else if luck == 21 && next > 0 {
+                world.send_request(next * 100, flag);
+            } else if fault == 21 && next > 0 {
                 let id = 100 * (1 + u64::from(pick) % next);
                 if world.callers.get(&id).is_some_and(|c| c.last.is_none()) {
-                    // The caller goes; what it would be told counts as told.
-                    world.feed(Event::CallerGone(id));
+                    // The caller disconnects, so its answer is not checked.
+                    world.handle_event(Event::CallerGone(id));
                     world.callers.remove(&id);
                     world.runs.retain(|r| r.id != id);
                     world.late.clear();
                 }
-            } else if luck == 22 {
+            } else if fault == 22 {
                 world.now += Duration::from_secs(4);
-                world.feed(Event::Tick);
-            } else if luck == 23 && !world.late.is_empty() {
+                world.handle_event(Event::Tick);
+            } else if fault == 23 && !world.late.is_empty() {
                 let n = usize::from(pick) % world.late.len();
                 let event = world.late.swap_remove(n);
-                world.feed(event);
+                world.handle_event(event);
             } else if !world.runs.is_empty() {
                 let n = usize::from(pick) % world.runs.len();
                 let run = world.runs.swap_remove(n);
-                world.deliver(run, luck);
+                world.deliver(run, fault);
             }
         }
-        // All faults are over; what can end does, the rest meets its deadline.
+        // The faults have ended: requests complete, or reach their deadline.
         for _ in 0..4000 {
             match world.runs.pop() {
                 Some(run) => world.deliver(run, 9),
                 None => {
                     world.now += Duration::from_millis(100);
-                    world.feed(Event::Tick);
+                    world.handle_event(Event::Tick);
                 }
             }
             if world.callers.values().all(|c| c.last.is_some()) {
--- a/crates/ashgauge/tests/overload.rs
+++ b/crates/ashgauge/tests/overload.rs
@@ -141,7 +141,8 @@
     }
 }
 
-/// Three ranks with the same demand, together `load_factor` times the engines' capacity.
+/// Three ranks with the same demand, together `load_factor` times the engines' capacity
+/// (1.2 to 10).
 fn three_ranks(boxes: usize, load_factor: f64) -> Scenario {
     let mut scenario = burst(boxes, 0.1, load_factor);
     let rank = |route| caller(boxes, 1, route, load_factor / 3.0);
--- a/crates/ashgauge/tests/overload_faults.rs
+++ b/crates/ashgauge/tests/overload_faults.rs
@@ -101,7 +101,7 @@
     }
 }
 
-/// One of 8 boxes reports no demand and no completions while its requests run. Load: twice
+/// One of 8 boxes reports no demand and 0 completions while its requests run. Load: twice
 /// the engines' capacity.
 #[test]
 fn goodput_holds_where_a_box_reports_nothing() {
--- a/crates/ashgauge/tests/pending.rs
+++ b/crates/ashgauge/tests/pending.rs
@@ -1,4 +1,4 @@
-//! Ranges that were ordered and do not show yet.
+//! Layer ranges that were assigned to engines but are not listed yet.
 
 use std::time::Duration;
 
@@ -15,17 +15,17 @@
     }
 }
 
-/// Each round gave the ranges of earlier ones their whole time anew. While
-/// rounds followed each other, an engine that was lost over its order, or
-/// forgot it, was never given another.
+/// Guards against rounds that extend the expiry of ranges of earlier rounds. While rounds
+/// followed each other, an engine that was lost with its order, or had forgotten it, never
+/// got another one.
 #[test]
-fn range_that_is_told_on_and_on_lapses_in_its_time() {
+fn range_that_is_passed_on_expires_in_time() {
     let mut boxes = [PendingAssignments::default(), PendingAssignments::default()];
     boxes[0].add(Duration::ZERO, &[range("e1", 0, 4)], SECOND * 5);
     for second in 1..5 {
         let now = SECOND * second;
-        let told = boxes[(second as usize + 1) % 2].snapshot(now);
-        boxes[second as usize % 2].merge(now, &told);
+        let snapshot = boxes[(second as usize + 1) % 2].snapshot(now);
+        boxes[second as usize % 2].merge(now, &snapshot);
         boxes.iter_mut().for_each(|b| b.expire(now));
     }
     assert!(boxes.iter().all(|b| b.layers("e1").is_some()));
@@ -34,7 +34,7 @@
 }
 
 #[test]
-fn own_order_goes_before_what_others_tell() {
+fn own_order_overrides_those_of_others() {
     let mut old = PendingAssignments::default();
     old.add(Duration::ZERO, &[range("e1", 0, 4)], SECOND * 5);
     let mut own = PendingAssignments::default();
@@ -44,7 +44,7 @@
 }
 
 #[test]
-fn range_that_shows_is_no_longer_waited_for() {
+fn listed_range_is_no_longer_pending() {
     let mut pending = PendingAssignments::default();
     pending.add(
         Duration::ZERO,
--- a/crates/ashgauge/tests/placement.rs
+++ b/crates/ashgauge/tests/placement.rs
@@ -1,4 +1,4 @@
-//! Which engine holds which layers.
+//! Assignment of layers to engines.
 
 mod common;
 mod engines;
@@ -9,10 +9,10 @@
 use engines::{apply, empty_engines, fleet, model};
 use proptest::prelude::*;
 
-/// Largest share of memory that any plan gives to weights.
-const FILL_MOST: f64 = 0.78;
+/// Largest share of memory that a plan uses for weights.
+const MAX_WEIGHT_SHARE: f64 = 0.78;
 
-fn settle(model: &Model, engines: &mut [PlacedEngine]) -> usize {
+fn converge(model: &Model, engines: &mut [PlacedEngine]) -> usize {
     for round in 0..200 {
         let assignments = plan(model, engines);
         if assignments.is_empty() {
@@ -20,7 +20,7 @@
         }
         apply(engines, &assignments);
     }
-    panic!("the plan never comes to rest");
+    panic!("the plan does not converge");
 }
 
 #[test]
@@ -29,17 +29,20 @@
     let assignments = plan(&model(), &engines);
     apply(&mut engines, &assignments);
     for data_centre in ["a", "b", "c"] {
-        let cover = layer_coverage(&model(), &engines, Some(data_centre));
-        assert!(cover.iter().all(|c| *c > 0.0), "{data_centre}: {cover:?}");
+        let coverage = layer_coverage(&model(), &engines, Some(data_centre));
+        assert!(
+            coverage.iter().all(|c| *c > 0.0),
+            "{data_centre}: {coverage:?}"
+        );
     }
 }
 
-/// Moves were once judged with a bonus that the present range did not get, and
-/// every box ordered the same engine to the range that it held already.
+/// Guards against moves that are rated with a bonus that the current range does not get, by
+/// which every box ordered the same engine to the range that it already held.
 #[test]
-fn fleet_at_rest_is_left_alone() {
+fn converged_fleet_is_not_changed() {
     let mut engines = fleet();
-    let rounds = settle(&model(), &mut engines);
+    let rounds = converge(&model(), &mut engines);
     assert!(rounds <= 3, "{rounds} rounds");
     assert!(plan(&model(), &engines).is_empty());
 }
@@ -47,21 +50,21 @@
 #[test]
 fn layers_that_lost_their_holders_get_new_ones() {
     let mut engines = fleet();
-    settle(&model(), &mut engines);
-    // All holders of one layer are lost at once.
+    converge(&model(), &mut engines);
+    // All holders of layer 40 are lost at once.
     engines.retain(|s| !s.layers.is_some_and(|span| span.contains(40)));
     assert!(layer_coverage(&model(), &engines, None)[40] == 0.0);
-    settle(&model(), &mut engines);
-    let cover = layer_coverage(&model(), &engines, None);
-    assert!(cover.iter().all(|c| *c > 0.5), "{cover:?}");
+    converge(&model(), &mut engines);
+    let coverage = layer_coverage(&model(), &engines, None);
+    assert!(coverage.iter().all(|c| *c > 0.5), "{coverage:?}");
 }
 
-/// During a release orders are under way all the time; moves once waited for
-/// none to be, and layers stayed without a holder in a data centre for seconds.
+/// Guards against moves that wait until no order is under way. During a release there always
+/// is one, and layers had no holder in a data centre for seconds.
 #[test]
 fn few_engines_move_at_a_time() {
     let mut engines = fleet();
-    settle(&model(), &mut engines);
+    converge(&model(), &mut engines);
     engines.retain(|s| !s.layers.is_some_and(|span| span.contains(40)));
     for under_way in 0..6 {
         let mut engines = engines.clone();
@@ -77,24 +80,25 @@
     }
 }
 
-/// With a share of 0.6 for weights a rich data centre held 1.9 copies, and most
-/// losses of two engines left some layer there without a holder.
+/// Guards against too few copies in a data centre with much memory. With a share of 0.6 for
+/// weights it held 1.9 copies, and most losses of two engines left some layer without a
+/// holder there.
 #[test]
-fn rich_data_centre_survives_the_loss_of_any_engine() {
+fn data_centre_with_much_memory_survives_the_loss_of_any_engine() {
     let groups = [("a", "medium", 3), ("a", "small", 9), ("a", "tiny", 13)];
     let mut engines = empty_engines(&groups);
-    settle(&model(), &mut engines);
+    converge(&model(), &mut engines);
     for lost in 0..engines.len() {
         let mut left = engines.clone();
         left.remove(lost);
-        let cover = layer_coverage(&model(), &left, Some("a"));
-        assert!(cover.iter().all(|c| *c > 0.0), "{lost}: {cover:?}");
+        let coverage = layer_coverage(&model(), &left, Some("a"));
+        assert!(coverage.iter().all(|c| *c > 0.0), "{lost}: {coverage:?}");
     }
 }
 
-/// A model whose slowest cards take seven times as long as its fastest, and the
+/// A model whose slowest accelerators take seven times as long as its fastest, and the
 /// engines of one data centre for it.
-fn mixed() -> (Model, Vec<PlacedEngine>) {
+fn mixed_speeds() -> (Model, Vec<PlacedEngine>) {
     let mut model = model();
     let fast = model.accelerators["large"];
     let accelerator = |memory_mb, step_factor, prefill_factor| Accelerator {
@@ -112,11 +116,12 @@
     (model, empty_engines(&groups))
 }
 
-/// The slow cards, which have more memory, were placed first and held layers of
-/// every chain, so requests held memory of fast ones for the slow ones' time.
+/// Guards against slow accelerators that are placed first because they have more memory. They
+/// held layers of every chain, so requests held memory of fast ones for as long as the slow
+/// ones took.
 #[test]
 fn fast_engines_hold_a_chain_of_their_own() {
-    let (model, mut engines) = mixed();
+    let (model, mut engines) = mixed_speeds();
     let assignments = plan(&model, &engines);
     apply(&mut engines, &assignments);
     let fast: Vec<_> = engines
@@ -137,29 +142,32 @@
     );
 }
 
-/// At a share of 0.60 small cards held 4 layers and left 0.51 of their memory
-/// unused by weights, at 0.61 they hold 5.
+/// Guards against a share of memory that wastes space: at 0.60 small accelerators held 4 layers
+/// and left 0.51 of their memory unused by weights; at 0.61 they hold 5.
 #[test]
 fn share_of_memory_fits_whole_layers() {
-    let (model, mut engines) = mixed();
-    settle(&model, &mut engines);
+    let (model, mut engines) = mixed_speeds();
+    converge(&model, &mut engines);
     let tiny = engines.iter().filter(|s| s.accelerator == "tiny");
     let lens: Vec<u32> = tiny.filter_map(|s| s.layers).map(|s| s.len()).collect();
     assert!(lens.iter().all(|len| *len == 5), "{lens:?}");
 }
 
 #[test]
-fn slow_parts_lower_what_a_chain_carries() {
-    let (model, _) = mixed();
+fn slow_parts_lower_the_throughput_of_a_chain() {
+    let (model, _) = mixed_speeds();
     let chain = |tiny: usize, small: usize| {
         let mut parts = vec![("large", 30)];
         parts.extend(vec![("tiny", 5); tiny]);
         parts.extend(vec![("small", 5); small]);
         chain_throughput(&model, &parts)
     };
-    let (fast, mixed) = (chain(10, 0), chain(6, 4));
-    assert!(fast > mixed && mixed > 0.0, "{fast} {mixed}");
-    // A kind that the configuration does not tell carries nothing.
+    let (fast, mixed_speeds) = (chain(10, 0), chain(6, 4));
+    assert!(
+        fast > mixed_speeds && mixed_speeds > 0.0,
+        "{fast} {mixed_speeds}"
+    );
+    // A type that the configuration does not define has no throughput.
     assert_eq!(chain_throughput(&model, &[("unknown", 80)]), 0.0);
 }
 
@@ -181,37 +189,37 @@
     #[test]
     fn no_engine_gets_more_than_its_memory_holds(mut engines in any_engines()) {
         let model = model();
-        settle(&model, &mut engines);
+        converge(&model, &mut engines);
         for engine in &engines {
             let held = engine.layers.map_or(0, |s| s.len());
-            prop_assert!(held <= layer_capacity(&model, &engine.accelerator, FILL_MOST));
+            prop_assert!(held <= layer_capacity(&model, &engine.accelerator, MAX_WEIGHT_SHARE));
             prop_assert!(engine.layers.is_none_or(|s| s.end <= model.layers));
         }
     }
 
     #[test]
-    fn order_of_the_engines_does_not_matter(engines in any_engines(), turn in 0..50usize) {
-        let mut turned = engines.clone();
-        let by = turn % engines.len().max(1);
-        turned.rotate_left(by);
-        prop_assert_eq!(plan(&model(), &engines), plan(&model(), &turned));
+    fn order_of_the_engines_does_not_matter(engines in any_engines(), rotation in 0..50usize) {
+        let mut rotated = engines.clone();
+        let count = rotation % engines.len().max(1);
+        rotated.rotate_left(count);
+        prop_assert_eq!(plan(&model(), &engines), plan(&model(), &rotated));
     }
 
     #[test]
-    fn all_layers_are_held_if_twice_the_memory_is_there(mut engines in any_engines()) {
+    fn all_layers_are_held_if_there_is_twice_the_memory(mut engines in any_engines()) {
         let model = model();
         let most: u32 = engines.iter().map(|s| layer_capacity(&model, &s.accelerator, 0.6)).sum();
         prop_assume!(most >= 2 * model.layers);
-        settle(&model, &mut engines);
-        let cover = layer_coverage(&model, &engines, None);
-        prop_assert!(cover.iter().all(|c| *c > 0.0), "{:?}", cover);
+        converge(&model, &mut engines);
+        let coverage = layer_coverage(&model, &engines, None);
+        prop_assert!(coverage.iter().all(|c| *c > 0.0), "{:?}", coverage);
     }
 }
 
-/// Engines of a fleet where one was lost and an empty one ordered to hold the
-/// range of another, which it does not show yet; the second is that other.
-fn fleet_with_an_order(settled: &[PlacedEngine], lost: usize, other: usize) -> Vec<PlacedEngine> {
-    let mut engines = settled.to_vec();
+/// Builds a fleet that has lost the engine `lost`, and in which a new engine was ordered to
+/// hold the range of the engine `other` but does not list it yet.
+fn fleet_with_an_order(converged: &[PlacedEngine], lost: usize, other: usize) -> Vec<PlacedEngine> {
+    let mut engines = converged.to_vec();
     let mut ordered = engines[other].clone();
     ordered.id = "ordered".into();
     ordered.movable = false;
@@ -220,41 +228,38 @@
     engines
 }
 
-/// Whether another engine of the data centre shows a layer, or two elsewhere.
-fn is_shown_without(engines: &[PlacedEngine], gone: &PlacedEngine, layer: u32) -> bool {
-    let others = engines.iter().filter(|s| s.id != gone.id && s.movable);
+/// Whether another engine of the data centre lists a layer, or two in other data centres.
+fn is_listed_without(engines: &[PlacedEngine], leaving: &PlacedEngine, layer: u32) -> bool {
+    let others = engines.iter().filter(|s| s.id != leaving.id && s.movable);
     let holders = others.filter(|s| s.layers.is_some_and(|h| h.contains(layer)));
     let data_centres: Vec<_> = holders.map(|s| &s.data_centre).collect();
-    data_centres.contains(&&gone.data_centre) || data_centres.len() > 1
+    data_centres.contains(&&leaving.data_centre) || data_centres.len() > 1
 }
 
-/// While engines were replaced one after the other, moves counted on ranges that
-/// did not show yet, and a fleet was without a whole chain for eight seconds.
+/// Guards against moves that rely on ranges that are not listed yet. While engines were
+/// replaced one after the other, a fleet had no complete chain for eight seconds.
 #[test]
-fn moves_leave_holders_that_show() {
+fn moves_leave_listed_holders() {
     let model = model();
-    let mut settled = fleet();
-    settle(&model, &mut settled);
-    let (mut moves, mut bare) = (0, Vec::new());
-    for lost in 0..settled.len() {
-        for other in 0..settled.len() {
-            let engines = fleet_with_an_order(&settled, lost, other);
+    let mut converged = fleet();
+    converge(&model, &mut converged);
+    let (mut moves, mut uncovered) = (0, Vec::new());
+    for lost in 0..converged.len() {
+        for other in 0..converged.len() {
+            let engines = fleet_with_an_order(&converged, lost, other);
             let orders = plan(&model, &engines);
             for order in &orders {
                 let engine = engines.iter().find(|s| s.id == order.id).expect("a seat");
                 let Some(old) = engine.layers else { continue };
                 moves += 1;
                 let given_up = (old.first..old.end).filter(|l| !order.layers.contains(*l));
-                bare.extend(given_up.filter(|l| !is_shown_without(&engines, engine, *l)));
+                uncovered.extend(given_up.filter(|l| !is_listed_without(&engines, engine, *l)));
             }
         }
     }
+    assert!(moves > 0, "nothing moved, so the rule was not tested");
     assert!(
-        moves > 0,
-        "nothing moved; the load is not what the rule is for"
-    );
-    assert!(
-        bare.is_empty(),
-        "layers without a holder that shows: {bare:?}"
+        uncovered.is_empty(),
+        "layers without a listed holder: {uncovered:?}"
     );
 }
--- a/crates/ashgauge/tests/progress.rs
+++ b/crates/ashgauge/tests/progress.rs
@@ -1,17 +1,17 @@
-//! Which streams stay on engines that leave or give up their part.
+//! Which streams stay on engines that leave or drop their layers.
 
 use std::time::Duration;
 
 use ashgauge::progress::Progress;
 use proptest::prelude::*;
 
-/// Time that engines serve on after they said that they leave.
+/// Time for which engines still serve after they announced that they leave.
 const DRAIN: Duration = Duration::from_secs(3);
 
-/// The usual answers of a bureau's streams, in tokens, at five an event and
-/// 25 ms between events: all end within 1.5 s.
+/// Typical answers of streams, in tokens, at five tokens per event and 25 ms between events:
+/// all end within 1.5 s.
 #[test]
-fn usual_streams_stay_until_their_end() {
+fn typical_streams_stay_until_their_end() {
     for answer in [172, 280, 285] {
         let progress = Progress {
             answer_tokens: answer,
@@ -23,7 +23,7 @@
 }
 
 #[test]
-fn long_or_slow_streams_are_led_away() {
+fn long_or_slow_streams_are_moved() {
     let long = Progress {
         answer_tokens: 2000,
         events: 10,
@@ -39,8 +39,7 @@
 }
 
 proptest! {
-    /// Each event brings the end nearer, and more tokens an event never put it
-    /// off.
+    /// Each event brings the end nearer, and more tokens per event never delay it.
     #[test]
     fn time_left_only_shrinks(
         answer in 0u32..5000,
--- a/crates/ashgauge/tests/question.rs
+++ b/crates/ashgauge/tests/question.rs
@@ -1,4 +1,4 @@
-//! Proofs that boxes take from each other never say more than what was so.
+//! The age of the data that boxes take over from each other is never too low.
 
 mod common;
 
@@ -10,17 +10,17 @@
 
 const BOXES: usize = 4;
 
-/// One step of a fleet; times are true milliseconds that pass before it.
+/// One step of a fleet. It comes with the real milliseconds that pass before it.
 #[derive(Clone, Debug)]
 enum Step {
     /// The operator changes the configuration.
     Change,
-    /// A box asks the store; the answer shows the state `.1` ms later and
+    /// A box reads the store; the answer shows the state `.1` ms later and
     /// arrives `.2` ms after that.
     Read(usize, u64, u64),
-    /// A box asks another, which answers `.2` ms later; the answer arrives
+    /// A box queries another, which answers `.2` ms later; the answer arrives
     /// `.3` ms after that.
-    Ask(usize, usize, u64, u64),
+    Query(usize, usize, u64, u64),
 }
 
 fn step() -> impl Strategy<Value = (u64, Step)> {
@@ -28,47 +28,47 @@
     let step = prop_oneof![
         Just(Step::Change),
         (0..2usize, delay(), delay()).prop_map(|(b, a, c)| Step::Read(b, a, c)),
-        (0..BOXES, 0..BOXES, delay(), delay()).prop_map(|(a, b, c, d)| Step::Ask(a, b, c, d)),
+        (0..BOXES, 0..BOXES, delay(), delay()).prop_map(|(a, b, c, d)| Step::Query(a, b, c, d)),
     ];
     (0..700u64, step)
 }
 
-/// What happens at a moment.
+/// Event of the simulation.
 #[derive(Clone, Debug)]
 enum Event {
     Change,
-    Show {
+    StoreRead {
         who: usize,
-        asked: u64,
+        asked_at: u64,
         lag: u64,
     },
     Proof {
         who: usize,
-        asked: u64,
+        asked_at: u64,
         version: usize,
     },
     Answer {
         who: usize,
         by: usize,
-        asked: u64,
+        asked_at: u64,
         lag: u64,
     },
-    Learn {
+    Update {
         who: usize,
-        asked: u64,
+        asked_at: u64,
         age: Duration,
         version: usize,
     },
 }
 
-/// A box: its clock runs from another start than the true time.
-struct Seat {
+/// A box whose clock has an offset from the real time.
+struct SimulatedBox {
     offset: Duration,
     fresh: Freshness,
     version: usize,
 }
 
-impl Seat {
+impl SimulatedBox {
     fn clock(&self, at: u64) -> Duration {
         Duration::from_millis(at) + self.offset
     }
@@ -77,15 +77,14 @@
 proptest! {
     #![proptest_config(common::seeded(512))]
 
-    /// Whenever a box holds its knowledge for as old as `age`, it knows every
-    /// change that was made longer ago than that; slow, frozen and repeated
-    /// ways in between change nothing about it.
+    /// Whenever a box takes its data to be `age` old, it knows every change that was made longer
+    /// ago than that, whatever is delayed, paused or repeated in between.
     #[test]
-    fn age_is_never_less_than_true(
+    fn age_is_never_less_than_the_real_one(
         steps in proptest::collection::vec(step(), 1..60),
         offsets in proptest::array::uniform4(0..100_000u64),
     ) {
-        let mut seats = offsets.map(|ms| Seat {
+        let mut boxes = offsets.map(|ms| SimulatedBox {
             offset: Duration::from_millis(60_000 + ms),
             fresh: Freshness::new(Duration::MAX),
             version: 0,
@@ -96,8 +95,8 @@
             at += pause;
             let event = match step {
                 Step::Change => (at, Event::Change),
-                Step::Read(who, to, lag) => (at + to, Event::Show { who, asked: at, lag }),
-                Step::Ask(who, by, to, lag) => (at + to, Event::Answer { who, by, asked: at, lag }),
+                Step::Read(who, to, lag) => (at + to, Event::StoreRead { who, asked_at: at, lag }),
+                Step::Query(who, by, to, lag) => (at + to, Event::Answer { who, by, asked_at: at, lag }),
             };
             queue.push(event);
         }
@@ -107,41 +106,41 @@
             let (now, event) = queue.remove(next);
             match event {
                 Event::Change => changes.push(now),
-                Event::Show { who, asked, lag } => {
+                Event::StoreRead { who, asked_at, lag } => {
                     let version = changes.len();
-                    queue.push((now + lag, Event::Proof { who, asked, version }));
+                    queue.push((now + lag, Event::Proof { who, asked_at, version }));
                 }
-                Event::Proof { who, asked, version } => {
-                    let seat = &mut seats[who];
-                    seat.version = seat.version.max(version);
-                    let asked = seat.clock(asked);
-                    seat.fresh.confirm(asked);
+                Event::Proof { who, asked_at, version } => {
+                    let node = &mut boxes[who];
+                    node.version = node.version.max(version);
+                    let asked_at = node.clock(asked_at);
+                    node.fresh.confirm(asked_at);
                 }
-                Event::Answer { who, by, asked, lag } => {
-                    let seat = &seats[by];
-                    if let Some(age) = seat.fresh.age(seat.clock(now)) {
-                        let version = seat.version;
-                        let learn = Event::Learn { who, asked, age, version };
+                Event::Answer { who, by, asked_at, lag } => {
+                    let node = &boxes[by];
+                    if let Some(age) = node.fresh.age(node.clock(now)) {
+                        let version = node.version;
+                        let learn = Event::Update { who, asked_at, age, version };
                         queue.push((now + lag, learn.clone()));
-                        // It comes twice.
+                        // The answer arrives twice.
                         queue.push((now + 2 * lag + 1, learn));
                     }
                 }
-                Event::Learn { who, asked, age, version } => {
-                    let seat = &mut seats[who];
-                    seat.version = seat.version.max(version);
-                    if let Some(moment) = proven_at(seat.clock(asked), age) {
-                        seat.fresh.confirm(moment);
+                Event::Update { who, asked_at, age, version } => {
+                    let node = &mut boxes[who];
+                    node.version = node.version.max(version);
+                    if let Some(moment) = proven_at(node.clock(asked_at), age) {
+                        node.fresh.confirm(moment);
                     }
                 }
             }
-            for seat in &seats {
-                let Some(age) = seat.fresh.age(seat.clock(now)) else {
+            for node in &boxes {
+                let Some(age) = node.fresh.age(node.clock(now)) else {
                     continue;
                 };
                 let as_of = now.saturating_sub(age.as_millis() as u64);
                 let made = changes.iter().filter(|c| **c < as_of).count();
-                prop_assert!(seat.version >= made, "{} of {} at {}", seat.version, made, now);
+                prop_assert!(node.version >= made, "{} of {} at {}", node.version, made, now);
             }
         }
     }
--- a/crates/ashgauge/tests/queue.rs
+++ b/crates/ashgauge/tests/queue.rs
@@ -1,4 +1,4 @@
-//! Order of the queue: tiers, weights, floors, nothing lost and nothing twice.
+//! Order of the queue: tiers, weights and floors; no request is lost or returned twice.
 
 mod common;
 
@@ -22,7 +22,7 @@
 proptest! {
     #![proptest_config(common::seeded(64))]
 
-    /// Under saturation each team gets its weight's share, give or take one
+    /// Under saturation each team gets a share by its weight, give or take one
     /// request.
     #[test]
     fn shares_follow_weights(
@@ -47,22 +47,23 @@
             let team: usize = next.team["team-".len()..].parse().unwrap();
             push(&mut queue, team);
         }
-        // Bound of start-time fair queueing: two requests of the largest cost.
-        let normal: Vec<f64> = weights
+        // Fairness bound of start-time fair queueing: two requests of the largest cost, one for
+        // each of the two teams.
+        let normalized: Vec<f64> = weights
             .iter()
             .enumerate()
             .map(|(t, w)| served[&format!("team-{t}")] / f64::from(*w))
             .collect();
-        for a in 0..normal.len() {
-            for b in 0..normal.len() {
+        for a in 0..normalized.len() {
+            for b in 0..normalized.len() {
                 let bound = 100.0 / f64::from(weights[a]) + 100.0 / f64::from(weights[b]);
-                prop_assert!((normal[a] - normal[b]).abs() <= bound, "{normal:?}");
+                prop_assert!((normalized[a] - normalized[b]).abs() <= bound, "{normalized:?}");
             }
         }
     }
 
     /// Whatever the order of pushes, pops, removals and expiries, every
-    /// request leaves the queue once.
+    /// request leaves the queue exactly once.
     #[test]
     fn every_request_leaves_once(steps in prop::collection::vec((0u8..6, 0usize..4, 0u32..3), 1..300)) {
         let mut queue = Queue::default();
@@ -101,10 +102,10 @@
         prop_assert_eq!(pushed, left);
     }
 
-    /// Without floors a higher tier always goes first; a floor gives the lower
-    /// tier its share and no more.
+    /// Without floors a higher tier always goes first. A floor gives the lower tier its share
+    /// and no more.
     #[test]
-    fn tiers_are_strict_but_for_floors(floor in 0.0f64..0.5) {
+    fn tiers_are_strict_except_for_floors(floor in 0.0f64..0.5) {
         let mut queue = Queue::default();
         for id in 0..4000 {
             queue.push(job(id, 0, 0, 1.0, 10.0));
