--- a/crates/ashgauge/tests/choice.rs
+++ b/crates/ashgauge/tests/choice.rs
@@ -168,7 +168,7 @@
 
 /// Guards against requests that are sent to engines without room for them and are refused.
 #[test]
-fn chain_without_room_is_not_chosen() {
+fn chain_without_room_is_not_selected() {
     let (model, registry, wan_usage) = (model(), twins(), WanUsage::default());
     let data_centre = Arc::from("a");
     let memory = cost::memory_capacity(&model, registry.get("b1").expect("b1"), second_half());
--- a/crates/ashgauge/tests/choice_closed.rs
+++ b/crates/ashgauge/tests/choice_closed.rs
@@ -35,7 +35,7 @@
                 break;
             };
             let repeated = stages.iter().find(|s| selected.contains(&s.upstream));
-            assert!(repeated.is_none(), "{repeated:?} rests");
+            assert!(repeated.is_none(), "{repeated:?} backs off");
             for stage in stages {
                 registry.note_backoff(now, &stage.upstream, backoff);
                 selected.push(stage.upstream);
--- a/crates/ashgauge/tests/fleet/load.rs
+++ b/crates/ashgauge/tests/fleet/load.rs
@@ -29,6 +29,7 @@
     (TYPICAL.0, answer as u32)
 }
 
+/// Callers of one team on one route, at all boxes, during the overload.
 pub fn caller(boxes: usize, team: u32, route: u32, load_factor: f64) -> Caller {
     Caller {
         team,
@@ -40,7 +41,8 @@
     }
 }
 
-/// Half of the engines' capacity throughout, and `load_factor` times the capacity during the overload.
+/// Half of the engines' capacity throughout, and `load_factor` times the capacity during the
+/// overload.
 pub fn burst(boxes: usize, age: f64, load_factor: f64) -> Scenario {
     let mut before = caller(boxes, 1, 0, 0.5);
     before.span = 0.0..END + 6.0;
--- a/crates/ashgauge/tests/knowledge.rs
+++ b/crates/ashgauge/tests/knowledge.rs
@@ -102,7 +102,7 @@
 }
 
 #[test]
-fn suspect_is_left_out_for_a_while() {
+fn suspect_is_avoided_for_a_while() {
     let mut registry = UpstreamRegistry::default();
     registry.put(upstream("e1", "a", "small", None, 1));
     assert!(registry.mark_suspect(SECOND, "e1"));
@@ -136,7 +136,7 @@
     registry.record_failure(SECOND, "e1");
     registry.put(started_engine("e1", 1));
     let entry = registry.get("e1").expect("an entry");
-    assert!(!entry.is_usable(SECOND), "it is the same start");
+    assert!(!entry.is_usable(SECOND), "it is the same process");
     registry.put(started_engine("e1", 2));
     let entry = registry.get("e1").expect("an entry");
     assert!(entry.is_usable(SECOND) && !entry.is_full(SECOND));
--- a/crates/ashgauge/tests/mirror.rs
+++ b/crates/ashgauge/tests/mirror.rs
@@ -251,7 +251,7 @@
     assert_ne!(mirror.update(0, true), before);
     assert_ne!(mirror.generation(), generation);
     let generation = mirror.generation();
-    assert!(!mirror.put(5, leaving), "no news");
+    assert!(!mirror.put(5, leaving), "no change");
     assert_eq!(mirror.generation(), generation);
     assert!(mirror.remove(7, &"a".into()));
     assert_ne!(mirror.generation(), generation);
--- a/crates/ashgauge/tests/overload.rs
+++ b/crates/ashgauge/tests/overload.rs
@@ -204,7 +204,7 @@
 /// Guards against a retry delay past the caller's timeout, at which it would retry earlier.
 /// No load.
 #[test]
-fn refused_callers_are_told_a_time_within_their_timeout() {
+fn retry_delay_is_within_the_timeout_of_the_caller() {
     for ms in [0, 1, 62, 500, 1000, 20_000, 600_000] {
         let timeout = std::time::Duration::from_millis(ms);
         for draw in [-1.0, 0.0, 0.5, 1.0, 2.0] {
--- a/crates/ashgauge/tests/placement.rs
+++ b/crates/ashgauge/tests/placement.rs
@@ -249,7 +249,10 @@
             let engines = fleet_with_an_order(&converged, lost, other);
             let orders = plan(&model, &engines);
             for order in &orders {
-                let engine = engines.iter().find(|s| s.id == order.id).expect("a seat");
+                let engine = engines
+                    .iter()
+                    .find(|s| s.id == order.id)
+                    .expect("an engine");
                 let Some(old) = engine.layers else { continue };
                 moves += 1;
                 let given_up = (old.first..old.end).filter(|l| !order.layers.contains(*l));
--- a/crates/ashgauge/tests/question.rs
+++ b/crates/ashgauge/tests/question.rs
@@ -38,23 +38,23 @@
 enum Event {
     Change,
     StoreRead {
-        who: usize,
+        box_index: usize,
         asked_at: u64,
-        lag: u64,
+        delay: u64,
     },
-    Proof {
-        who: usize,
+    ReadDone {
+        box_index: usize,
         asked_at: u64,
         version: usize,
     },
     Answer {
-        who: usize,
-        by: usize,
+        box_index: usize,
+        source: usize,
         asked_at: u64,
-        lag: u64,
+        delay: u64,
     },
     Update {
-        who: usize,
+        box_index: usize,
         asked_at: u64,
         age: Duration,
         version: usize,
@@ -95,8 +95,8 @@
             at += pause;
             let event = match step {
                 Step::Change => (at, Event::Change),
-                Step::Read(who, to, lag) => (at + to, Event::StoreRead { who, asked_at: at, lag }),
-                Step::Query(who, by, to, lag) => (at + to, Event::Answer { who, by, asked_at: at, lag }),
+                Step::Read(box_index, outbound, delay) => (at + outbound, Event::StoreRead { box_index, asked_at: at, delay }),
+                Step::Query(box_index, source, outbound, delay) => (at + outbound, Event::Answer { box_index, source, asked_at: at, delay }),
             };
             queue.push(event);
         }
@@ -106,31 +106,31 @@
             let (now, event) = queue.remove(next);
             match event {
                 Event::Change => changes.push(now),
-                Event::StoreRead { who, asked_at, lag } => {
+                Event::StoreRead { box_index, asked_at, delay } => {
                     let version = changes.len();
-                    queue.push((now + lag, Event::Proof { who, asked_at, version }));
+                    queue.push((now + delay, Event::ReadDone { box_index, asked_at, version }));
                 }
-                Event::Proof { who, asked_at, version } => {
-                    let node = &mut boxes[who];
+                Event::ReadDone { box_index, asked_at, version } => {
+                    let node = &mut boxes[box_index];
                     node.version = node.version.max(version);
                     let asked_at = node.clock(asked_at);
                     node.fresh.confirm(asked_at);
                 }
-                Event::Answer { who, by, asked_at, lag } => {
-                    let node = &boxes[by];
+                Event::Answer { box_index, source, asked_at, delay } => {
+                    let node = &boxes[source];
                     if let Some(age) = node.fresh.age(node.clock(now)) {
                         let version = node.version;
-                        let learn = Event::Update { who, asked_at, age, version };
-                        queue.push((now + lag, learn.clone()));
+                        let update = Event::Update { box_index, asked_at, age, version };
+                        queue.push((now + delay, update.clone()));
                         // The answer arrives twice.
-                        queue.push((now + 2 * lag + 1, learn));
+                        queue.push((now + 2 * delay + 1, update));
                     }
                 }
-                Event::Update { who, asked_at, age, version } => {
-                    let node = &mut boxes[who];
+                Event::Update { box_index, asked_at, age, version } => {
+                    let node = &mut boxes[box_index];
                     node.version = node.version.max(version);
-                    if let Some(moment) = proven_at(node.clock(asked_at), age) {
-                        node.fresh.confirm(moment);
+                    if let Some(time) = proven_at(node.clock(asked_at), age) {
+                        node.fresh.confirm(time);
                     }
                 }
             }
--- a/crates/ashgauge/tests/reader.rs
+++ b/crates/ashgauge/tests/reader.rs
@@ -247,7 +247,7 @@
     assert!(matches!(step, PollAction::Query { to, .. } if &*to == "b2"));
 }
 
-/// Guards against readers with slow links. After a restart of all boxes such a reader took
+/// Guards against readers with slow links. After the loss of all boxes such a reader took
 /// seconds to inform the others, while boxes with ten times its bandwidth queried it.
 #[test]
 fn boxes_with_fast_links_are_preferred_as_readers() {
--- a/crates/ashgauge/tests/recovery.rs
+++ b/crates/ashgauge/tests/recovery.rs
@@ -1,4 +1,4 @@
-//! What a box does for streams that are held up, while engines have too much to do.
+//! The budget of a box for the recovery of delayed streams while engines are overloaded.
 
 use std::time::Duration;
 
@@ -7,17 +7,17 @@
 use rand::rngs::SmallRng;
 use rand::{Rng, SeedableRng};
 
-const USES: [RecoveryAction; 3] = [
+const ACTIONS: [RecoveryAction; 3] = [
     RecoveryAction::Repair,
     RecoveryAction::Resend,
     RecoveryAction::Check,
 ];
 
-/// Time between two reckonings of the pressure.
-const RECKON: Duration = Duration::from_millis(50);
+/// Time between two updates of the pressure.
+const PRESSURE_INTERVAL: Duration = Duration::from_millis(50);
 
-/// Time between two looks of a stream that waits.
-const LOOK: Duration = Duration::from_millis(50);
+/// Time between two attempts of a waiting stream to withdraw from the budget.
+const RETRY_INTERVAL: Duration = Duration::from_millis(50);
 
 fn ms(n: u64) -> Duration {
     Duration::from_millis(n)
@@ -27,45 +27,45 @@
     ms(60_000 + n)
 }
 
-/// An account that has been under this pressure for two seconds, with so many requests
-/// a second.
-fn pressed(pressure: f64, requests: u64) -> RecoveryBudget {
-    let mut account = RecoveryBudget::default();
-    drive(&mut account, 0..2000, pressure, requests);
-    account
+/// Returns a budget that has been under this pressure for two seconds, with this many requests
+/// per second.
+fn budget_under_pressure(pressure: f64, requests: u64) -> RecoveryBudget {
+    let mut budget = RecoveryBudget::default();
+    drive(&mut budget, 0..2000, pressure, requests);
+    budget
 }
 
-/// Lets requests in and reckons the pressure for some milliseconds.
-fn drive(account: &mut RecoveryBudget, span: std::ops::Range<u64>, pressure: f64, requests: u64) {
+/// Records requests and updates the pressure for some milliseconds.
+fn drive(budget: &mut RecoveryBudget, span: std::ops::Range<u64>, pressure: f64, requests: u64) {
     for n in span {
         if n % 50 == 0 {
-            account.set_pressure(at(n), pressure);
+            budget.set_pressure(at(n), pressure);
         }
         if requests > 0 && n % (1000 / requests) == 0 {
-            account.record_request(at(n));
+            budget.record_request(at(n));
         }
     }
 }
 
-/// Takes as often as there is something; returns how often.
-fn drain(account: &mut RecoveryBudget, now: Duration, what: RecoveryAction) -> usize {
+/// Withdraws until the budget is empty; returns the number of withdrawals.
+fn drain(budget: &mut RecoveryBudget, now: Duration, action: RecoveryAction) -> usize {
     (0..10_000)
-        .take_while(|_| account.withdraw(now, what))
+        .take_while(|_| budget.withdraw(now, action))
         .count()
 }
 
-/// At 2.2 times the load 32,000 checks were made for 18,400 requests; at most one for
-/// five requests may be.
+/// Guards against checks that overload engines further. At 2.2 times the load there were 32,000
+/// checks for 18,400 requests; at most one for five requests is allowed.
 #[test]
-fn checks_at_full_pressure_are_few_for_each_request() {
+fn checks_at_full_pressure_are_limited_per_request() {
     for requests in [5, 10, 50, 200] {
-        let mut account = pressed(1.0, requests);
+        let mut budget = budget_under_pressure(1.0, requests);
         let mut checks = 0;
         for n in (2000..12_000).step_by(10) {
-            drive(&mut account, n..n + 10, 1.0, requests);
-            checks += drain(&mut account, at(n + 9), RecoveryAction::Check);
+            drive(&mut budget, n..n + 10, 1.0, requests);
+            checks += drain(&mut budget, at(n + 9), RecoveryAction::Check);
         }
-        // One pool may have been full before.
+        // One burst may have been saved before.
         let most = 0.2 * (requests * 10) as f64 * 1.05 + 1.0;
         assert!(checks as f64 <= most, "{checks} of {most}, {requests}/s");
         assert!(
@@ -75,68 +75,71 @@
     }
 }
 
-/// Where engines have time, a lost engine must be found as fast as without a budget: a
-/// box of 9 requests a second has some 36 streams over 7 engines each.
+/// Without pressure a lost engine must be found as fast as without a budget: a box with 9
+/// requests per second has about 36 streams on 7 engines each.
 #[test]
 fn checks_without_pressure_find_a_lost_engine_at_once() {
     for pressure in [0.0, 0.3, 0.6] {
-        let mut account = pressed(pressure, 10);
+        let mut budget = budget_under_pressure(pressure, 10);
         assert!(
-            drain(&mut account, at(2000), RecoveryAction::Check) >= 7,
+            drain(&mut budget, at(2000), RecoveryAction::Check) >= 7,
             "{pressure}"
         );
     }
 }
 
-/// 1,000 streams of one box lose the same engine while all engines are full: as many as
-/// before would ask engines to read their prompts anew in the same moment.
+/// Guards against simultaneous repairs. If 1,000 streams of one box lose the same engine while
+/// all engines are full, that many prompts would be processed again at the same time.
 #[test]
-fn thousand_streams_of_a_lost_engine_are_repaired_one_after_the_other() {
-    let mut account = pressed(1.0, 100);
+fn repairs_of_a_thousand_streams_are_spread_over_time() {
+    let mut budget = budget_under_pressure(1.0, 100);
     let mut rng = SmallRng::seed_from_u64(1);
     let until = at(2000 + 1200);
     let mut waiting: Vec<u32> = (0..1000).collect();
-    let mut in_looks = Vec::new();
-    for n in (2000..=3200).step_by(LOOK.as_millis() as usize) {
-        drive(&mut account, n..n + 50, 1.0, 100);
+    let mut per_interval = Vec::new();
+    for n in (2000..=3200).step_by(RETRY_INTERVAL.as_millis() as usize) {
+        drive(&mut budget, n..n + 50, 1.0, 100);
         let before = waiting.len();
         let left = until.saturating_sub(at(n));
         waiting.retain(|_| {
-            let goes = account.withdraw(at(n), RecoveryAction::Repair);
-            !(goes || stops_waiting(left, LOOK, rng.random_range(0.0..1.0)))
+            let is_repaired = budget.withdraw(at(n), RecoveryAction::Repair);
+            !(is_repaired || stops_waiting(left, RETRY_INTERVAL, rng.random_range(0.0..1.0)))
         });
-        in_looks.push(before - waiting.len());
+        per_interval.push(before - waiting.len());
     }
     assert!(waiting.is_empty(), "{} given up", waiting.len());
-    let most = in_looks.iter().max();
-    assert!(most < Some(&150), "{in_looks:?}");
+    let most = per_interval.iter().max();
+    assert!(most < Some(&150), "{per_interval:?}");
 }
 
-/// A stream that waits for others is still led elsewhere before its caller leaves.
+/// A stream that waits for the budget is still repaired before its caller's time runs out.
 #[test]
-fn no_stream_waits_longer_than_it_may() {
-    assert!(stops_waiting(Duration::ZERO, LOOK, 0.999_999));
-    assert!(stops_waiting(LOOK, LOOK, 0.999_999));
-    assert!(!stops_waiting(ms(1000), LOOK, 0.5));
-    assert!(stops_waiting(ms(1000), LOOK, 0.04));
+fn no_stream_waits_past_its_deadline() {
+    assert!(stops_waiting(Duration::ZERO, RETRY_INTERVAL, 0.999_999));
+    assert!(stops_waiting(RETRY_INTERVAL, RETRY_INTERVAL, 0.999_999));
+    assert!(!stops_waiting(ms(1000), RETRY_INTERVAL, 0.5));
+    assert!(stops_waiting(ms(1000), RETRY_INTERVAL, 0.04));
 }
 
-/// Streams that are silent as engines are slow once took what streams needed of which the
-/// caller had a part.
+/// Guards against checks and resends, for streams that are silent because engines are slow, that
+/// use up the budget for repairs of streams of which the caller already has a part.
 #[test]
-fn less_useful_work_leaves_enough_for_repairs() {
-    let mut account = pressed(1.0, 10);
-    drain(&mut account, at(2000), RecoveryAction::Check);
-    drain(&mut account, at(2000), RecoveryAction::Resend);
-    assert!(!account.withdraw(at(2000), RecoveryAction::Check));
-    assert!(!account.withdraw(at(2000), RecoveryAction::Resend));
-    assert!(account.withdraw(at(2000), RecoveryAction::Repair));
+fn checks_and_resends_leave_credits_for_repairs() {
+    let mut budget = budget_under_pressure(1.0, 10);
+    drain(&mut budget, at(2000), RecoveryAction::Check);
+    drain(&mut budget, at(2000), RecoveryAction::Resend);
+    assert!(!budget.withdraw(at(2000), RecoveryAction::Check));
+    assert!(!budget.withdraw(at(2000), RecoveryAction::Resend));
+    assert!(budget.withdraw(at(2000), RecoveryAction::Repair));
 }
 
-/// A box whose streams only have parts uses all that there is for them.
+/// A box that needs only repairs may use the whole budget for them.
 #[test]
-fn repairs_use_what_others_leave() {
-    let (mut all, mut checks) = (pressed(0.0, 50), pressed(0.0, 50));
+fn repairs_may_use_the_whole_budget() {
+    let (mut all, mut checks) = (
+        budget_under_pressure(0.0, 50),
+        budget_under_pressure(0.0, 50),
+    );
     let repairs = drain(&mut all, at(2000), RecoveryAction::Repair);
     let checks = drain(&mut checks, at(2000), RecoveryAction::Check);
     assert!(
@@ -146,134 +149,144 @@
     assert!(!all.withdraw(at(2000), RecoveryAction::Check));
 }
 
-/// The storm must not outlive the load: with the pressure gone all is there within a
-/// second.
+/// Guards against limits on recovery that outlive the overload: the budget must be full again
+/// within a second after the pressure has fallen.
 #[test]
-fn account_is_full_a_second_after_the_pressure_fell() {
-    let mut account = pressed(1.0, 100);
-    USES.iter()
-        .for_each(|u| _ = drain(&mut account, at(2000), *u));
-    drive(&mut account, 2000..3000, 0.2, 100);
-    let mut fresh = pressed(0.2, 100);
-    for what in USES.iter().rev() {
-        let (now, there) = (
-            drain(&mut account, at(3000), *what),
-            drain(&mut fresh, at(2000), *what),
+fn budget_is_full_a_second_after_the_pressure_fell() {
+    let mut budget = budget_under_pressure(1.0, 100);
+    ACTIONS
+        .iter()
+        .for_each(|u| _ = drain(&mut budget, at(2000), *u));
+    drive(&mut budget, 2000..3000, 0.2, 100);
+    let mut fresh = budget_under_pressure(0.2, 100);
+    for action in ACTIONS.iter().rev() {
+        let (now, expected) = (
+            drain(&mut budget, at(3000), *action),
+            drain(&mut fresh, at(2000), *action),
         );
-        assert!(now + 1 >= there, "{what:?}: {now} of {there}");
+        assert!(now + 1 >= expected, "{action:?}: {now} of {expected}");
     }
 }
 
-/// With the load all requests may be gone, and nobody reckons the pressure any more.
+/// Guards against a stale pressure: after the load has ended there may be no requests, and so
+/// no more updates of the pressure.
 #[test]
-fn pressure_that_nobody_reckons_is_forgotten() {
-    let mut account = pressed(1.0, 5);
-    USES.iter()
-        .for_each(|u| _ = drain(&mut account, at(2000), *u));
-    assert!(account.pressure(at(2000)) > 0.9);
-    assert_eq!(account.pressure(at(3000)), 0.0);
-    let there = drain(
+fn pressure_without_updates_expires() {
+    let mut budget = budget_under_pressure(1.0, 5);
+    ACTIONS
+        .iter()
+        .for_each(|u| _ = drain(&mut budget, at(2000), *u));
+    assert!(budget.pressure(at(2000)) > 0.9);
+    assert_eq!(budget.pressure(at(3000)), 0.0);
+    let expected = drain(
         &mut RecoveryBudget::default(),
         at(0),
         RecoveryAction::Repair,
     );
-    assert_eq!(drain(&mut account, at(3000), RecoveryAction::Repair), there);
+    assert_eq!(
+        drain(&mut budget, at(3000), RecoveryAction::Repair),
+        expected
+    );
 }
 
-/// An account into which no request ever pays must still let a box repair a stream.
+/// A budget without deposits by requests must still allow repairs.
 #[test]
-fn account_without_requests_allows_a_repair_each_second() {
-    let mut account = pressed(1.0, 0);
+fn budget_without_requests_allows_a_repair_each_second() {
+    let mut budget = budget_under_pressure(1.0, 0);
     let mut now = 2000;
     for _ in 0..100 {
-        USES.iter()
-            .for_each(|u| _ = drain(&mut account, at(now), *u));
-        assert!(!account.withdraw(at(now), RecoveryAction::Repair));
-        drive(&mut account, now..now + 1001, 1.0, 0);
+        ACTIONS
+            .iter()
+            .for_each(|u| _ = drain(&mut budget, at(now), *u));
+        assert!(!budget.withdraw(at(now), RecoveryAction::Repair));
+        drive(&mut budget, now..now + 1001, 1.0, 0);
         now += 1000;
-        assert!(account.withdraw(at(now), RecoveryAction::Repair), "{now}");
+        assert!(budget.withdraw(at(now), RecoveryAction::Repair), "{now}");
     }
 }
 
-/// Engines that report absurd figures give a pressure that is none, or endless.
+/// Engines that report absurd figures may give a pressure that is infinite or not a number.
 #[test]
-fn absurd_pressure_counts_as_the_nearest_that_can_be() {
-    for (absurd, like) in [
+fn absurd_pressure_is_clamped() {
+    for (absurd, equivalent) in [
         (f64::NAN, 1.0),
         (f64::INFINITY, 1.0),
         (1e300, 1.0),
         (-3.0, 0.0),
         (f64::NEG_INFINITY, 0.0),
     ] {
-        let (mut one, mut other) = (pressed(absurd, 50), pressed(like, 50));
+        let (mut one, mut other) = (
+            budget_under_pressure(absurd, 50),
+            budget_under_pressure(equivalent, 50),
+        );
         assert!(one.pressure(at(2000)).is_finite());
-        for what in USES.iter().rev() {
-            let is = drain(&mut one, at(2000), *what);
-            assert_eq!(is, drain(&mut other, at(2000), *what), "{absurd}");
+        for action in ACTIONS.iter().rev() {
+            let count = drain(&mut one, at(2000), *action);
+            assert_eq!(count, drain(&mut other, at(2000), *action), "{absurd}");
         }
     }
 }
 
-/// A clock that is read out of order must not pay anything in twice.
+/// Guards against credits that are deposited twice where times arrive out of order.
 #[test]
-fn time_that_goes_back_pays_nothing() {
-    let mut account = pressed(1.0, 10);
-    drain(&mut account, at(2000), RecoveryAction::Repair);
+fn time_that_goes_back_earns_nothing() {
+    let mut budget = budget_under_pressure(1.0, 10);
+    drain(&mut budget, at(2000), RecoveryAction::Repair);
     for n in 0..1000 {
-        account.set_pressure(at(1000 + n % 2), 1.0);
-        assert!(!account.withdraw(at(1000 + n % 2), RecoveryAction::Repair));
+        budget.set_pressure(at(1000 + n % 2), 1.0);
+        assert!(!budget.withdraw(at(1000 + n % 2), RecoveryAction::Repair));
     }
 }
 
-/// What happens to an account.
+/// Operation on a budget.
 #[derive(Clone, Copy, Debug)]
 enum Step {
     Wait(u64),
-    Press(f64),
+    SetPressure(f64),
     Request,
-    Take(RecoveryAction),
+    Withdraw(RecoveryAction),
 }
 
 fn step() -> impl Strategy<Value = Step> {
     prop_oneof![
         (0u64..120).prop_map(Step::Wait),
-        (-0.5f64..3.0).prop_map(Step::Press),
+        (-0.5f64..3.0).prop_map(Step::SetPressure),
         Just(Step::Request),
-        prop::sample::select(USES.to_vec()).prop_map(Step::Take),
-        prop::sample::select(USES.to_vec()).prop_map(Step::Take),
+        prop::sample::select(ACTIONS.to_vec()).prop_map(Step::Withdraw),
+        prop::sample::select(ACTIONS.to_vec()).prop_map(Step::Withdraw),
     ]
 }
 
 proptest! {
-    /// Whatever happens: what a use may take any more useful one may; what is taken is
-    /// bounded by the requests and the time; and a second of rest brings one repair.
+    /// Whatever the operations: if an action may withdraw, each more useful one may as well; the
+    /// withdrawals are bounded by requests and time; and after an idle second a repair is allowed.
     #[test]
-    fn account_is_bounded_and_orders_uses(steps in prop::collection::vec(step(), 1..400)) {
-        let mut account = RecoveryBudget::default();
-        let (mut now, mut requests, mut taken) = (0, 0u32, 0u32);
+    fn budget_is_bounded_and_orders_actions(steps in prop::collection::vec(step(), 1..400)) {
+        let mut budget = RecoveryBudget::default();
+        let (mut now, mut requests, mut withdrawn) = (0, 0u32, 0u32);
         for step in steps {
             match step {
                 Step::Wait(n) => now += n,
-                Step::Press(pressure) => account.set_pressure(at(now), pressure),
+                Step::SetPressure(pressure) => budget.set_pressure(at(now), pressure),
                 Step::Request => {
                     requests += 1;
-                    account.record_request(at(now));
+                    budget.record_request(at(now));
                 }
-                Step::Take(what) => {
-                    let may = USES.map(|u| account.has_credit(at(now), u));
+                Step::Withdraw(action) => {
+                    let may = ACTIONS.map(|u| budget.has_credit(at(now), u));
                     prop_assert!(may[0] >= may[1] && may[1] >= may[2]);
-                    let is_taken = account.withdraw(at(now), what);
-                    prop_assert_eq!(is_taken, may[what as usize]);
-                    taken += u32::from(is_taken);
+                    let is_withdrawn = budget.withdraw(at(now), action);
+                    prop_assert_eq!(is_withdrawn, may[action as usize]);
+                    withdrawn += u32::from(is_withdrawn);
                 }
             }
         }
-        // Eight for each request, and forty a second and one pool of them besides.
+        // Eight for each request, plus forty per second and one saved burst of those.
         let most = 8.0 * f64::from(requests) + 40.0 * (now as f64 / 1000.0 + 1.0);
-        prop_assert!(f64::from(taken) <= most, "{} of {}", taken, most);
-        account.set_pressure(at(now), 1.0);
-        let rest = (now..=now + 1000).step_by(RECKON.as_millis() as usize);
-        rest.for_each(|n| account.set_pressure(at(n), 1.0));
-        prop_assert!(account.withdraw(at(now + 1000), RecoveryAction::Repair));
+        prop_assert!(f64::from(withdrawn) <= most, "{} of {}", withdrawn, most);
+        budget.set_pressure(at(now), 1.0);
+        let rest = (now..=now + 1000).step_by(PRESSURE_INTERVAL.as_millis() as usize);
+        rest.for_each(|n| budget.set_pressure(at(n), 1.0));
+        prop_assert!(budget.withdraw(at(now + 1000), RecoveryAction::Repair));
     }
 }
--- a/crates/ashgauge/tests/reserve.rs
+++ b/crates/ashgauge/tests/reserve.rs
@@ -1,4 +1,4 @@
-//! Room that a data centre's engines keep for the callers of its own boxes.
+//! Capacity that the engines of a data centre reserve for the callers of its own boxes.
 
 mod common;
 mod engines;
@@ -23,10 +23,10 @@
 use rand::{Rng, SeedableRng};
 use xxhash_rust::xxh3::xxh3_64;
 
-/// Digest of the chains that were chosen before there was a reserve.
-const CHOSEN_BEFORE: u64 = 9118701065628053531;
+/// Digest of the chains that were selected before the reserve was introduced.
+const DIGEST_BEFORE: u64 = 9118701065628053531;
 
-/// The engines of a fleet, filled to different shares as a box of data centre `place` sees them.
+/// The engines of a fleet, filled to different shares, as a box of `data_centre` sees them.
 fn filled(data_centre: &str, rng: &mut SmallRng) -> UpstreamRegistry {
     let model = model();
     let mut engines = fleet();
@@ -48,11 +48,11 @@
     registry
 }
 
-/// Guards against another choice where the overload components are disabled: without a
-/// reserve requests go where they went before there was one.
+/// Guards against a changed selection where the overload components are disabled: without a
+/// reserve, chains are the same as before it was introduced.
 #[test]
-fn choice_without_a_reserve_is_as_before() {
-    let need = Requirements {
+fn selection_without_a_reserve_is_as_before() {
+    let requirements = Requirements {
         tokens: 900,
         fill_limit: 0.9,
         reserved_share: 0.0,
@@ -65,10 +65,10 @@
         let (wan_usage, fleet_load) = (WanUsage::default(), FleetLoad::default());
         let context = context(&registry, &wan_usage, &fleet_load, &data_centre);
         let draw = rng.random();
-        let choose = |reserved| {
-            let need = Some(Requirements {
+        let select = |reserved| {
+            let requirements = Some(Requirements {
                 reserved_share: reserved,
-                ..need
+                ..requirements
             });
             let mut draws = Fixed(draw);
             selection::select_chain(
@@ -76,33 +76,33 @@
                 &model(),
                 selection::all_layers(80),
                 &[],
-                need,
+                requirements,
                 &mut draws,
             )
         };
-        let chain = choose(0.0);
+        let chain = select(0.0);
         found += usize::from(chain.is_some());
-        changed += usize::from(choose(RESERVED_SHARE) != chain);
+        changed += usize::from(select(RESERVED_SHARE) != chain);
         let stages = chain.into_iter().flatten();
         let stages = stages.map(|s| format!("{} {}..{}, ", s.upstream, s.first, s.end));
         chains.extend(stages);
         chains += "\n";
     }
     assert!((100..400).contains(&found), "{found} of 400");
-    assert_eq!(xxh3_64(chains.as_bytes()), CHOSEN_BEFORE);
-    // The digest would say nothing of chains that no reserve changes.
+    assert_eq!(xxh3_64(chains.as_bytes()), DIGEST_BEFORE);
+    // The digest proves nothing if a reserve changes none of the chains.
     assert!(changed >= 20, "{changed} of 400");
 }
 
-/// Data centre and kind of the engines of [`three`]; that of `b` is so much faster that it is
-/// chosen also where it is nearly full.
-const THREE: [(&str, &str); 3] = [("b", "large"), ("c", "slow"), ("a", "slow")];
+/// Data centre and accelerator of the engines of [`three_engines`]. The engine of `b` is so much
+/// faster that it is selected even if it is nearly full.
+const ENGINES: [(&str, &str); 3] = [("b", "large"), ("c", "slow"), ("a", "slow")];
 
-/// Share of their memory and slots up to which engines are filled.
+/// Share of memory and slots up to which engines are filled.
 const LIMIT: f64 = 0.92;
 
-/// A model of ten layers, and one engine for all of them in each of three data centres.
-fn three() -> (Model, UpstreamRegistry) {
+/// Builds a model of ten layers, and one engine for all of them in each of three data centres.
+fn three_engines() -> (Model, UpstreamRegistry) {
     let mut model = model();
     model.layers = 10;
     let slow = Accelerator {
@@ -112,7 +112,7 @@
     };
     model.accelerators.insert("slow".into(), slow);
     let mut registry = UpstreamRegistry::default();
-    for (n, (data_centre, accelerator)) in THREE.into_iter().enumerate() {
+    for (n, (data_centre, accelerator)) in ENGINES.into_iter().enumerate() {
         let all = Some(selection::all_layers(model.layers));
         registry.put(engines::upstream(
             data_centre,
@@ -125,7 +125,7 @@
     (model, registry)
 }
 
-/// What a box tells of its use of the engines at a time.
+/// Builds the load report of a box at `now`.
 fn report(from: &str, now: Duration, usage: UsageList) -> LoadReport {
     LoadReport {
         sequence: now.as_millis() as u64,
@@ -133,17 +133,17 @@
     }
 }
 
-/// What is used of the three engines, as shares of their limits.
+/// Usage of the three engines, as shares of their limits.
 struct Filled {
     memory: [f64; 3],
     slots: [f64; 3],
 }
 
-/// The engine that a box of data centre `place` chooses in each of 20 draws.
-fn chosen(data_centre: &str, filled: &Filled, reserved: f64) -> Option<String> {
-    let (model, registry) = three();
+/// The engine that a box of `data_centre` selects, the same in each of 20 draws.
+fn selected(data_centre: &str, filled: &Filled, reserved: f64) -> Option<String> {
+    let (model, registry) = three_engines();
     let mut fleet_load = FleetLoad::default();
-    let usage = THREE.iter().enumerate().map(|(n, (id, _))| {
+    let usage = ENGINES.iter().enumerate().map(|(n, (id, _))| {
         let entry = registry.get(id).expect("an engine");
         let room = cost::memory_capacity(&model, entry, selection::all_layers(model.layers));
         let used = Usage {
@@ -162,7 +162,7 @@
         local_boxes: 1.0,
         ..context(&registry, &wan_usage, &fleet_load, &data_centre)
     };
-    let need = Some(Requirements {
+    let requirements = Some(Requirements {
         tokens: 10,
         fill_limit: LIMIT,
         reserved_share: reserved,
@@ -174,7 +174,7 @@
             &model,
             selection::all_layers(10),
             &[],
-            need,
+            requirements,
             &mut rng,
         )
     };
@@ -196,10 +196,10 @@
         slots: [0.9, 0.0, 1.0],
     };
     for filled in [by_memory, by_slots] {
-        assert_eq!(chosen("a", &filled, 0.0).as_deref(), Some("b"));
-        assert_eq!(chosen("a", &filled, RESERVED_SHARE).as_deref(), Some("c"));
-        // Its own callers use what is reserved for them.
-        assert_eq!(chosen("b", &filled, RESERVED_SHARE).as_deref(), Some("b"));
+        assert_eq!(selected("a", &filled, 0.0).as_deref(), Some("b"));
+        assert_eq!(selected("a", &filled, RESERVED_SHARE).as_deref(), Some("c"));
+        // The callers of its own data centre may use the reserve.
+        assert_eq!(selected("b", &filled, RESERVED_SHARE).as_deref(), Some("b"));
     }
 }
 
@@ -215,16 +215,16 @@
         slots: [0.9, 1.0, 1.0],
     };
     for filled in [by_memory, by_slots] {
-        assert_eq!(chosen("a", &filled, RESERVED_SHARE).as_deref(), Some("b"));
+        assert_eq!(selected("a", &filled, RESERVED_SHARE).as_deref(), Some("b"));
     }
     let full = Filled {
         memory: [1.0; 3],
         slots: [0.0; 3],
     };
-    assert_eq!(chosen("a", &full, RESERVED_SHARE), None);
+    assert_eq!(selected("a", &full, RESERVED_SHARE), None);
 }
 
-/// The reserve is an eighth of the limit: at less than 7/8 of it a remote engine is used.
+/// The reserve is an eighth of the limit: a remote engine below 7/8 of the limit is used.
 #[test]
 fn remote_engine_below_seven_eighths_is_used() {
     for (share, wanted) in [(0.87, "b"), (0.88, "c")] {
@@ -233,76 +233,76 @@
             slots: [0.0; 3],
         };
         assert_eq!(
-            chosen("a", &filled, RESERVED_SHARE).as_deref(),
+            selected("a", &filled, RESERVED_SHARE).as_deref(),
             Some(wanted)
         );
     }
 }
 
-/// Step of the virtual time; boxes tell each other what they have at each tenth one.
+/// Step of the virtual time. Boxes send load reports at each tenth step.
 const TICK: Duration = Duration::from_millis(10);
 
-/// Age of the words that boxes have of each other.
+/// Delay of the load reports between boxes.
 const AGE: Duration = Duration::from_millis(400);
 
-/// Time that a request stays on its engine.
-const STAY: Duration = Duration::from_secs(2);
+/// Duration of a request on its engine.
+const DURATION: Duration = Duration::from_secs(2);
 
-/// Engines of each data centre.
-const EACH: usize = 3;
+/// Number of engines in each data centre.
+const ENGINES_EACH: usize = 3;
 
-/// What became of the callers of one data centre.
+/// Number of requests of one data centre by result.
 #[derive(Clone, Copy, Debug, Default)]
 struct Served {
-    near: usize,
-    away: usize,
+    local: usize,
+    remote: usize,
     refused: usize,
 }
 
-/// Three data centres with a box each, in virtual time.
+/// Simulation, in virtual time, of three data centres with one box each.
 struct World {
     model: Model,
     reserved: f64,
     boxes: Vec<(Arc<str>, UpstreamRegistry, FleetLoad)>,
-    /// Words on their way: when they arrive, from which box.
-    words: VecDeque<(Duration, usize, LoadReport)>,
-    /// Requests under way: when they end, of which box, on which engine.
-    ends: VecDeque<(Duration, usize, UpstreamId)>,
+    /// Load reports in flight: arrival time, sending box, report.
+    reports: VecDeque<(Duration, usize, LoadReport)>,
+    /// Running requests: end time, box, engine.
+    running: VecDeque<(Duration, usize, UpstreamId)>,
     rng: SmallRng,
     now: Duration,
 }
 
 impl World {
     fn new(reserved: f64, seed: u64) -> Self {
-        let (model, single) = three();
+        let (model, single) = three_engines();
         let mut registry = UpstreamRegistry::default();
         for entry in single.iter() {
-            for n in 0..EACH {
+            for n in 0..ENGINES_EACH {
                 let mut upstream = entry.upstream.clone();
                 upstream.id = format!("{}{n}", upstream.id).into();
                 registry.put(upstream);
             }
         }
-        let data_centres = THREE.map(|(data_centre, _)| Arc::from(data_centre));
+        let data_centres = ENGINES.map(|(data_centre, _)| Arc::from(data_centre));
         World {
             model,
             reserved,
             boxes: data_centres
                 .map(|data_centre| (data_centre, registry.clone(), FleetLoad::default()))
                 .into(),
-            words: VecDeque::new(),
-            ends: VecDeque::new(),
+            reports: VecDeque::new(),
+            running: VecDeque::new(),
             rng: SmallRng::seed_from_u64(seed),
             now: Duration::from_secs(100),
         }
     }
 
-    /// Requests each second that fill the engines of a data centre up to the limit.
+    /// Requests per second that fill the engines of a data centre up to the limit.
     fn rate(&self) -> f64 {
         let entry = self.boxes[0].1.iter().next().expect("an engine");
         let room =
             cost::memory_capacity(&self.model, entry, selection::all_layers(self.model.layers));
-        LIMIT * room * EACH as f64 / self.tokens() as f64 / STAY.as_secs_f64()
+        LIMIT * room * ENGINES_EACH as f64 / self.tokens() as f64 / DURATION.as_secs_f64()
     }
 
     /// Memory of a request, in tokens times layers.
@@ -310,16 +310,16 @@
         u64::from((self.model.typical_prompt + self.model.typical_output / 2) * self.model.layers)
     }
 
-    /// Lets what is due happen: requests end, and words arrive.
-    fn settle(&mut self) {
+    /// Handles due events: requests end, and reports arrive.
+    fn handle_due(&mut self) {
         let tokens = self.tokens();
-        while self.ends.front().is_some_and(|(at, ..)| *at <= self.now) {
-            let (_, at, id) = self.ends.pop_front().expect("an end");
+        while self.running.front().is_some_and(|(at, ..)| *at <= self.now) {
+            let (_, at, id) = self.running.pop_front().expect("an end");
             self.boxes[at].1.end_request(&id, tokens);
             self.boxes[at].1.end_head(&id);
         }
-        while self.words.front().is_some_and(|(at, ..)| *at <= self.now) {
-            let (_, from, report) = self.words.pop_front().expect("a word");
+        while self.reports.front().is_some_and(|(at, ..)| *at <= self.now) {
+            let (_, from, report) = self.reports.pop_front().expect("a report");
             for (at, (_, _, fleet_load)) in self.boxes.iter_mut().enumerate() {
                 if at != from {
                     fleet_load.apply(self.now, report.clone());
@@ -328,19 +328,19 @@
         }
     }
 
-    /// Lets all boxes tell what they have.
-    fn tell(&mut self) {
+    /// Sends the load reports of all boxes.
+    fn send_reports(&mut self) {
         for (n, (data_centre, registry, _)) in self.boxes.iter().enumerate() {
             let usage = registry
                 .iter()
                 .map(|e| (load_report::upstream_key(&e.upstream.id), e.usage(self.now)));
             let report = report(data_centre, self.now, usage.collect());
-            self.words.push_back((self.now + AGE, n, report));
+            self.reports.push_back((self.now + AGE, n, report));
         }
     }
 
-    /// Lets a request arrive at a box.
-    fn arrive(&mut self, at: usize, served: &mut Served) {
+    /// Handles a request that arrives at a box.
+    fn receive(&mut self, at: usize, served: &mut Served) {
         let tokens = self.tokens();
         let (data_centre, registry, fleet_load) = &mut self.boxes[at];
         let wan_usage = WanUsage::default();
@@ -351,13 +351,14 @@
             now: self.now,
             ..context(registry, &wan_usage, fleet_load, data_centre)
         };
-        let need = Some(Requirements {
+        let requirements = Some(Requirements {
             tokens: self.model.typical_prompt + self.model.typical_output / 2,
             fill_limit: LIMIT,
             reserved_share: self.reserved,
         });
         let (model, all) = (&self.model, selection::all_layers(self.model.layers));
-        let Some(chain) = selection::select_chain(&context, model, all, &[], need, &mut self.rng)
+        let Some(chain) =
+            selection::select_chain(&context, model, all, &[], requirements, &mut self.rng)
         else {
             served.refused += 1;
             return;
@@ -367,23 +368,23 @@
             .get(&id)
             .is_some_and(|e| e.upstream.data_centre == *data_centre)
         {
-            true => served.near += 1,
-            false => served.away += 1,
+            true => served.local += 1,
+            false => served.remote += 1,
         }
         registry.begin_request(&id, tokens);
         registry.begin_head(&id);
-        self.ends.push_back((self.now + STAY, at, id));
+        self.running.push_back((self.now + DURATION, at, id));
     }
 
-    /// Plays a load of each box for 15 s, as a multiple of what its data centre's engines
-    /// take; the first 5 s are not counted.
-    fn play(&mut self, loads: [f64; 3]) -> [Served; 3] {
+    /// Simulates 15 s with a load for each box, as a multiple of the capacity of its data centre's
+    /// engines. The first 5 s are not counted.
+    fn simulate(&mut self, loads: [f64; 3]) -> [Served; 3] {
         let mut served = [Served::default(); 3];
         let each = loads.map(|load| load * self.rate() * TICK.as_secs_f64());
         for tick in 0..1500 {
-            self.settle();
+            self.handle_due();
             if tick % 10 == 0 {
-                self.tell();
+                self.send_reports();
             }
             if tick == 500 {
                 served = Default::default();
@@ -391,7 +392,7 @@
             for (at, due) in each.into_iter().enumerate() {
                 let mut left = due;
                 while self.rng.random_range(0.0..1.0) < left {
-                    self.arrive(at, &mut served[at]);
+                    self.receive(at, &mut served[at]);
                     left -= 1.0;
                 }
             }
@@ -401,31 +402,32 @@
     }
 }
 
-/// Sums what became of the callers over five runs, by the data centres of [`THREE`].
+/// Sums the results of five runs, by the data centres of [`ENGINES`].
 fn sums(reserved: f64, loads: [f64; 3]) -> [Served; 3] {
     let mut sums = [Served::default(); 3];
     for seed in 0..5 {
-        let run = World::new(reserved, seed).play(loads);
+        let run = World::new(reserved, seed).simulate(loads);
         for (sum, served) in sums.iter_mut().zip(run) {
-            sum.near += served.near;
-            sum.away += served.away;
+            sum.local += served.local;
+            sum.remote += served.remote;
             sum.refused += served.refused;
         }
     }
     sums
 }
 
-/// Guards against a burst in one data centre that pushes the callers of another, with faster
-/// engines, out of them: boxes with words 0.4 s old served half of those callers elsewhere.
+/// Guards against a burst in one data centre that displaces the callers of another one from
+/// their faster engines: with reports 0.4 s old, half of those callers were served elsewhere.
 ///
-/// The load is 0.8 times what the fast engines take, and 0.3 and 1.5 times in the others.
+/// The load is 0.8 times the capacity of the fast engines, and 0.3 and 1.5 times that of the
+/// others.
 #[test]
-fn burst_elsewhere_leaves_engines_to_their_own_callers() {
-    let near = |served: &Served| served.near as f64 / (served.near + served.away) as f64;
+fn burst_elsewhere_does_not_displace_local_callers() {
+    let local = |served: &Served| served.local as f64 / (served.local + served.remote) as f64;
     let loads = [0.8, 0.3, 1.5];
     let (without, with) = (sums(0.0, loads), sums(RESERVED_SHARE, loads));
     println!("without a reserve {without:?}, with it {with:?}");
-    let (before, after) = (near(&without[0]), near(&with[0]));
+    let (before, after) = (local(&without[0]), local(&with[0]));
     assert!(before <= 0.56, "{before} without a reserve");
     assert!(after >= 0.62, "{after} with a reserve");
     assert!(with.iter().all(|served| served.refused == 0), "{with:?}");
--- a/crates/ashgauge/tests/retry.rs
+++ b/crates/ashgauge/tests/retry.rs
@@ -1,4 +1,4 @@
-//! The fleet's retry allowance, over processes that are killed and started again.
+//! The retry allowance of a fleet while its processes are killed and restarted.
 
 mod common;
 
@@ -12,13 +12,13 @@
 /// Window of the allowance.
 const WINDOW: Duration = Duration::from_secs(10);
 
-/// Time between two steps of a fleet's life.
+/// Time between two steps of a simulation.
 const STEP: Duration = Duration::from_millis(100);
 
-/// Steps of a window.
-const STEPS: usize = 100;
+/// Number of steps in a window.
+const WINDOW_STEPS: usize = 100;
 
-/// Boxes of fleets, and what these may take besides.
+/// Number of boxes of each fleet, and its extra retries per window.
 const SIZES: [(u32, f64); 4] = [(1, 20.0), (7, 200.0), (73, 330.0), (985, 1040.0)];
 
 /// A fleet whose boxes share one allowance.
@@ -33,7 +33,7 @@
     retries: Vec<f64>,
 }
 
-/// Starts the process of a box, which has counted all.
+/// Starts the process of a box that already knows the number of boxes.
 fn start(allowance: Allowance, boxes: u32, now: Duration, rounding: f64) -> SlidingBudget {
     let mut window = SlidingBudget::new(allowance, now, rounding);
     window.set_boxes(boxes);
@@ -59,7 +59,7 @@
         }
     }
 
-    /// Kills a box and starts it again.
+    /// Kills and restarts a box.
     fn restart(&mut self, node: usize) {
         let boxes = self.boxes.len() as u32;
         let rounding = self.rng.random();
@@ -70,8 +70,7 @@
         (0..self.boxes.len()).for_each(|node| self.restart(node));
     }
 
-    /// Lets `requests` arrive at any boxes; each of them that fails asks for
-    /// one retry.
+    /// Sends `requests` to random boxes. If they fail, each of them tries to withdraw one retry.
     fn step(&mut self, requests: usize, fails: bool) {
         self.now += STEP;
         let mut retries = 0;
@@ -85,33 +84,34 @@
         self.retries.push(retries as f64);
     }
 
-    /// Asserts that no window of any moment holds more retries than the fleet allows
-    /// for the first tries in it, in the one before or in the one half a window before.
-    fn assert_kept(&self) {
+    /// Asserts that no window, whenever it ends, holds more retries than the fleet allows for the
+    /// first tries in it, in the window before, or in the one half a window before.
+    fn assert_within_allowance(&self) {
         let sum = |steps: &[f64], end: usize| -> f64 {
-            steps[end.saturating_sub(STEPS)..end].iter().sum()
+            steps[end.saturating_sub(WINDOW_STEPS)..end].iter().sum()
         };
         for end in 1..=self.retries.len() {
-            let before = [0, STEPS / 2, STEPS].map(|s| sum(&self.firsts, end.saturating_sub(s)));
+            let before = [0, WINDOW_STEPS / 2, WINDOW_STEPS]
+                .map(|s| sum(&self.firsts, end.saturating_sub(s)));
             let firsts = before.into_iter().fold(0.0, f64::max);
-            let most = self.allowance.ratio * firsts + self.allowance.extra;
+            let allowed = self.allowance.ratio * firsts + self.allowance.extra;
             let retries = sum(&self.retries, end);
             assert!(
-                retries <= most,
-                "{retries} retries in step {end}, allowed {most}"
+                retries <= allowed,
+                "{retries} retries in step {end}, allowed {allowed}"
             );
         }
     }
 }
 
-/// A window of calm, then all requests fail while all boxes are killed after these
-/// steps.
-fn fail_with_kills(boxes: u32, extra: f64, kills: &[usize]) -> Fleet {
+/// Simulates two windows without failures, then two in which all requests fail and all boxes
+/// are restarted at these steps.
+fn fail_with_restarts(boxes: u32, extra: f64, restarts: &[usize]) -> Fleet {
     let mut fleet = Fleet::start(boxes, extra);
     let requests = boxes as usize / 2 + 10;
-    (0..2 * STEPS).for_each(|_| fleet.step(requests, false));
-    for step in 0..2 * STEPS {
-        if kills.contains(&step) {
+    (0..2 * WINDOW_STEPS).for_each(|_| fleet.step(requests, false));
+    for step in 0..2 * WINDOW_STEPS {
+        if restarts.contains(&step) {
             fleet.restart_all();
         }
         fleet.step(requests, true);
@@ -120,68 +120,69 @@
 }
 
 #[test]
-fn one_loss_of_all_boxes_grants_nothing_anew() {
+fn restart_of_all_boxes_grants_no_new_retries() {
     for (boxes, extra) in SIZES {
-        fail_with_kills(boxes, extra, &[20]).assert_kept();
+        fail_with_restarts(boxes, extra, &[20]).assert_within_allowance();
     }
 }
 
 #[test]
-fn losses_in_series_grant_nothing_anew() {
+fn repeated_restarts_grant_no_new_retries() {
     for (boxes, extra) in SIZES {
-        fail_with_kills(boxes, extra, &[10, 40, 70]).assert_kept();
+        fail_with_restarts(boxes, extra, &[10, 40, 70]).assert_within_allowance();
     }
 }
 
-/// What was saved before counts as spent, also where the fleet allows nothing besides.
+/// After a restart, credits that were saved before count as spent, also for a fleet without
+/// extra retries.
 #[test]
-fn a_loss_grants_nothing_anew_for_requests() {
+fn restart_grants_no_new_retries_for_past_requests() {
     for (boxes, _) in SIZES {
-        fail_with_kills(boxes, 0.0, &[30]).assert_kept();
+        fail_with_restarts(boxes, 0.0, &[30]).assert_within_allowance();
     }
 }
 
-/// Boxes that nobody restarts use nearly all of what they may.
+/// Boxes that are not restarted can use nearly all of their allowance.
 #[test]
-fn what_is_allowed_can_be_used() {
-    let fleet = fail_with_kills(7, 350.0, &[]);
-    let calm = 2 * STEPS;
-    let spent: f64 = fleet.retries[calm..calm + STEPS].iter().sum();
-    let earned: f64 = fleet.firsts[calm..calm + STEPS].iter().sum();
-    let most = fleet.allowance.ratio * earned + fleet.allowance.extra;
-    assert!(spent >= 0.8 * most, "{spent} of {most}");
-    fleet.assert_kept();
+fn allowance_can_be_used() {
+    let fleet = fail_with_restarts(7, 350.0, &[]);
+    let start = 2 * WINDOW_STEPS;
+    let spent: f64 = fleet.retries[start..start + WINDOW_STEPS].iter().sum();
+    let earned: f64 = fleet.firsts[start..start + WINDOW_STEPS].iter().sum();
+    let allowed = fleet.allowance.ratio * earned + fleet.allowance.extra;
+    assert!(spent >= 0.8 * allowed, "{spent} of {allowed}");
+    fleet.assert_within_allowance();
 }
 
-/// Where each box has a part of less than a retry, the fleet uses a good part all the
-/// same, and no more than it may.
+/// If the share of each box is less than one retry, the fleet still uses much of its
+/// allowance, and no more than that.
 #[test]
-fn parts_of_a_retry_are_used() {
+fn fractions_of_a_retry_are_used() {
     let mut fleet = Fleet::start(985, 1040.0);
-    (0..2 * STEPS).for_each(|_| fleet.step(19, false));
-    (0..STEPS).for_each(|_| fleet.step(19, true));
-    let spent: f64 = fleet.retries[2 * STEPS..].iter().sum();
-    let most = fleet.allowance.ratio * 1900.0 + fleet.allowance.extra;
-    assert!(spent >= 0.5 * most, "{spent} of {most}");
-    fleet.assert_kept();
+    (0..2 * WINDOW_STEPS).for_each(|_| fleet.step(19, false));
+    (0..WINDOW_STEPS).for_each(|_| fleet.step(19, true));
+    let spent: f64 = fleet.retries[2 * WINDOW_STEPS..].iter().sum();
+    let allowed = fleet.allowance.ratio * 1900.0 + fleet.allowance.extra;
+    assert!(spent >= 0.5 * allowed, "{spent} of {allowed}");
+    fleet.assert_within_allowance();
 }
 
-/// After a loss of all boxes they do so again within two windows.
+/// After a restart of all boxes the fleet can use its allowance again within two windows.
 #[test]
-fn what_is_allowed_can_be_used_again_after_a_loss() {
-    let mut fleet = fail_with_kills(7, 350.0, &[0]);
-    (0..STEPS).for_each(|_| fleet.step(13, true));
-    let last = &fleet.retries[fleet.retries.len() - STEPS..];
-    let most = fleet.allowance.ratio * 13.0 * STEPS as f64 + fleet.allowance.extra;
+fn allowance_can_be_used_again_after_a_restart() {
+    let mut fleet = fail_with_restarts(7, 350.0, &[0]);
+    (0..WINDOW_STEPS).for_each(|_| fleet.step(13, true));
+    let last = &fleet.retries[fleet.retries.len() - WINDOW_STEPS..];
+    let allowed = fleet.allowance.ratio * 13.0 * WINDOW_STEPS as f64 + fleet.allowance.extra;
     let spent: f64 = last.iter().sum();
-    assert!(spent >= 0.8 * most, "{spent} of {most}");
-    fleet.assert_kept();
+    assert!(spent >= 0.8 * allowed, "{spent} of {allowed}");
+    fleet.assert_within_allowance();
 }
 
-/// A box that has not counted the others has no part of what is allowed besides, and
-/// all of it since its start once it has.
+/// A box that does not know the number of boxes has no share of the extra retries. Once it
+/// knows, it gets its share for the time since its start.
 #[test]
-fn a_box_that_has_not_counted_takes_nothing_besides() {
+fn box_without_a_box_count_takes_no_extra_retries() {
     let allowance = Allowance {
         window: WINDOW,
         ratio: 0.0,
@@ -194,9 +195,9 @@
     assert_eq!(taken, 4);
 }
 
-/// Other settings do not bring back what was spent.
+/// A change of the settings does not return spent retries.
 #[test]
-fn a_window_of_another_length_grants_nothing_anew() {
+fn window_of_another_length_grants_no_new_retries() {
     let mut allowance = Allowance {
         window: WINDOW,
         ratio: 0.0,
@@ -214,20 +215,20 @@
 proptest! {
     #![proptest_config(common::seeded(256))]
 
-    /// Whichever boxes are killed and when, the fleet keeps its allowance.
+    /// Whichever boxes are restarted and when, the fleet keeps its allowance.
     #[test]
-    fn restarts_of_any_boxes_grant_nothing_anew(
+    fn restarts_of_any_boxes_grant_no_new_retries(
         steps in prop::collection::vec((0..40usize, any::<bool>(), any::<u8>()), 1..400),
         extra in 0.0..100.0f64,
     ) {
         let mut fleet = Fleet::start(5, extra);
-        for (requests, fails, killed) in steps {
-            // One step in eight kills some of the boxes.
-            if killed < 32 {
-                (0..5).filter(|n| killed >> n & 1 == 1).for_each(|n| fleet.restart(n));
+        for (requests, fails, restarted) in steps {
+            // One step in eight restarts some of the boxes.
+            if restarted < 32 {
+                (0..5).filter(|n| restarted >> n & 1 == 1).for_each(|n| fleet.restart(n));
             }
             fleet.step(requests, fails);
         }
-        fleet.assert_kept();
+        fleet.assert_within_allowance();
     }
 }
--- a/crates/ashgauge/tests/returns.rs
+++ b/crates/ashgauge/tests/returns.rs
@@ -1,5 +1,5 @@
-//! A store that comes back from copies of earlier states, boxes that read it and boxes that
-//! ask them: nobody goes back, and all know what is written then.
+//! A store that is restored from backups of earlier states, boxes that read it, and boxes that
+//! query those: no box reverts to an older state, and all learn what is written afterwards.
 
 use std::collections::{BTreeMap, HashMap};
 use std::sync::Arc;
@@ -10,10 +10,10 @@
 use ashgauge::upstream::{LayerRange, Upstream};
 use proptest::prelude::*;
 
-/// Upstreams of a run.
+/// Number of upstreams.
 const UPSTREAMS: usize = 4;
 
-/// Boxes that read the store, and boxes that ask those.
+/// Number of boxes that read the store, and of all boxes; the others query the readers.
 const READERS: usize = 2;
 const BOXES: usize = 5;
 
@@ -32,7 +32,7 @@
     }
 }
 
-/// What the store holds: each entry with the count of its last change.
+/// Entries of the store, each with the count of its last change.
 type Entries = BTreeMap<UpstreamId, (u64, Upstream)>;
 
 #[derive(Clone, Default)]
@@ -48,8 +48,8 @@
     }
 
     fn put(&mut self, upstream: Upstream) {
-        let known = self.entries.get(&upstream.id);
-        if known.is_some_and(|(_, known)| *known == upstream) {
+        let known_upstreams = self.entries.get(&upstream.id);
+        if known_upstreams.is_some_and(|(_, known_upstreams)| *known_upstreams == upstream) {
             return;
         }
         self.count += 1;
@@ -73,38 +73,38 @@
 
 #[derive(Clone, Debug)]
 enum Step {
-    /// An upstream begins to leave, takes layers, or goes.
+    /// An upstream starts to leave, gets layers, or is removed.
     Leave(usize),
-    Place(usize, u32),
-    Go(usize),
-    /// The store keeps a copy, or comes back from it.
-    Copy,
-    Return,
-    /// What upstreams say is written again.
-    Again,
-    /// A box that reads does so; another asks one of them.
+    SetLayers(usize, u32),
+    Remove(usize),
+    /// The store is backed up, or restored from the backup.
+    Backup,
+    Restore,
+    /// All upstreams write their state to the store again.
+    Rewrite,
+    /// A reader reads the store, or another box queries a reader.
     Read(usize),
-    Ask(usize, usize),
+    Query(usize, usize),
 }
 
 fn step() -> impl Strategy<Value = Step> {
     prop_oneof![
         (0..UPSTREAMS).prop_map(Step::Leave),
-        (0..UPSTREAMS, 1u32..9).prop_map(|(n, end)| Step::Place(n, end)),
-        (0..UPSTREAMS).prop_map(Step::Go),
-        Just(Step::Copy),
-        Just(Step::Return),
-        Just(Step::Again),
+        (0..UPSTREAMS, 1u32..9).prop_map(|(n, end)| Step::SetLayers(n, end)),
+        (0..UPSTREAMS).prop_map(Step::Remove),
+        Just(Step::Backup),
+        Just(Step::Restore),
+        Just(Step::Rewrite),
         (0..READERS).prop_map(Step::Read),
-        (READERS..BOXES, 0..READERS).prop_map(|(n, of)| Step::Ask(n, of)),
+        (READERS..BOXES, 0..READERS).prop_map(|(n, of)| Step::Query(n, of)),
     ]
 }
 
 struct World {
     store: Store,
-    copy: Store,
-    /// What each upstream says of itself, while it is there.
-    truth: HashMap<UpstreamId, Upstream>,
+    backup: Store,
+    /// Actual state of each present upstream.
+    actual: HashMap<UpstreamId, Upstream>,
     boxes: Vec<Mirror>,
 }
 
@@ -112,29 +112,29 @@
     fn new() -> Self {
         let mut world = World {
             store: Store::default(),
-            copy: Store::default(),
-            truth: HashMap::new(),
+            backup: Store::default(),
+            actual: HashMap::new(),
             boxes: vec![Mirror::default(); BOXES],
         };
         for n in 0..UPSTREAMS {
-            world.say(upstream(&format!("u{n}"), false, None));
+            world.publish(upstream(&format!("u{n}"), false, None));
         }
-        world.copy = world.store.clone();
+        world.backup = world.store.clone();
         (0..READERS).for_each(|n| world.read(n));
-        (READERS..BOXES).for_each(|n| world.ask(n, 0));
+        (READERS..BOXES).for_each(|n| world.query(n, 0));
         world
     }
 
-    fn say(&mut self, upstream: Upstream) {
-        self.truth.insert(upstream.id.clone(), upstream.clone());
+    fn publish(&mut self, upstream: Upstream) {
+        self.actual.insert(upstream.id.clone(), upstream.clone());
         self.store.put(upstream);
     }
 
     fn change(&mut self, n: usize, change: impl FnOnce(&mut Upstream)) {
         let id: UpstreamId = format!("u{n}").into();
-        if let Some(mut upstream) = self.truth.get(&id).cloned() {
+        if let Some(mut upstream) = self.actual.get(&id).cloned() {
             change(&mut upstream);
-            self.say(upstream);
+            self.publish(upstream);
         }
     }
 
@@ -144,79 +144,79 @@
         self.boxes[n].mark_read_to(at);
     }
 
-    fn ask(&mut self, n: usize, of: usize) {
+    fn query(&mut self, n: usize, of: usize) {
         let after = self.boxes[n].covered();
         let update = self.boxes[of].update(after, true);
-        // What a box knows from before is no news to one that knows of the return.
+        // A box that knows of the restore ignores data from before it.
         if era(update.up_to) >= era(after) {
             self.boxes[n].apply(update);
         }
     }
 
-    fn play(&mut self, step: &Step) {
+    fn apply_step(&mut self, step: &Step) {
         match step {
             Step::Leave(n) => self.change(*n, |u| u.leaving = true),
-            Step::Place(n, end) => self.change(*n, |u| {
+            Step::SetLayers(n, end) => self.change(*n, |u| {
                 u.layers = Some(LayerRange {
                     first: 0,
                     end: *end,
                 });
             }),
-            Step::Go(n) => {
+            Step::Remove(n) => {
                 let id: UpstreamId = format!("u{n}").into();
-                self.truth.remove(&id);
+                self.actual.remove(&id);
                 self.store.remove(&id);
             }
-            Step::Copy => self.copy = self.store.clone(),
-            Step::Return => {
+            Step::Backup => self.backup = self.store.clone(),
+            Step::Restore => {
                 let era = self.store.era + 1;
                 self.store = Store {
                     era,
-                    ..self.copy.clone()
+                    ..self.backup.clone()
                 };
             }
-            Step::Again => self.write_again(),
+            Step::Rewrite => self.rewrite_all(),
             Step::Read(n) => self.read(*n),
-            Step::Ask(n, of) => self.ask(*n, *of),
+            Step::Query(n, of) => self.query(*n, *of),
         }
     }
 
-    fn write_again(&mut self) {
+    fn rewrite_all(&mut self) {
         let gone: Vec<_> = self.store.entries.keys().cloned().collect();
-        for id in gone.iter().filter(|id| !self.truth.contains_key(*id)) {
+        for id in gone.iter().filter(|id| !self.actual.contains_key(*id)) {
             self.store.remove(id);
         }
-        for upstream in self.truth.values() {
+        for upstream in self.actual.values() {
             self.store.put(upstream.clone());
         }
     }
 }
 
-/// What a box knows of each upstream.
-fn known(mirror: &Mirror) -> BTreeMap<UpstreamId, Upstream> {
+/// Upstreams as a box knows them.
+fn known_upstreams(mirror: &Mirror) -> BTreeMap<UpstreamId, Upstream> {
     let all = mirror.upstreams();
     all.map(|u| (u.id.clone(), u.clone())).collect()
 }
 
 proptest! {
     #[test]
-    fn nobody_goes_back(steps in prop::collection::vec(step(), 1..60)) {
+    fn no_box_reverts_to_an_older_state(steps in prop::collection::vec(step(), 1..60)) {
         let mut world = World::new();
         for step in &steps {
-            let before: Vec<_> = world.boxes.iter().map(known).collect();
-            world.play(step);
+            let before: Vec<_> = world.boxes.iter().map(known_upstreams).collect();
+            world.apply_step(step);
             for (mirror, before) in world.boxes.iter().zip(&before) {
-                let now = known(mirror);
+                let now = known_upstreams(mirror);
                 for (id, upstream) in &now {
                     match before.get(id) {
                         Some(old) => {
-                            prop_assert!(upstream.leaving || !old.leaving, "{id} leaves no more");
+                            prop_assert!(upstream.leaving || !old.leaving, "{id} no longer leaves");
                             let emptied = upstream.layers.is_none() && old.layers.is_some();
-                            prop_assert!(!emptied, "{id} holds nothing any more");
+                            prop_assert!(!emptied, "{id} lost its layers");
                         }
                         None => prop_assert!(
-                            world.truth.contains_key(id) || mirror.covered() == 0 || !was_known(&steps, id),
-                            "{id} is back"
+                            world.actual.contains_key(id) || mirror.covered() == 0 || !is_removed(&steps, id),
+                            "{id} reappeared"
                         ),
                     }
                 }
@@ -225,45 +225,45 @@
     }
 
     #[test]
-    fn all_know_what_is_written_then(steps in prop::collection::vec(step(), 1..60)) {
+    fn all_boxes_learn_what_is_written_after_a_restore(steps in prop::collection::vec(step(), 1..60)) {
         let mut world = World::new();
-        steps.iter().for_each(|step| world.play(step));
-        world.write_again();
+        steps.iter().for_each(|step| world.apply_step(step));
+        world.rewrite_all();
         (0..READERS).for_each(|n| world.read(n));
-        // Everybody has had the time to write again.
+        // All upstreams have had the time to write again.
         for mirror in &mut world.boxes {
             mirror.accept_restored();
         }
         (0..READERS).for_each(|n| world.read(n));
         for n in READERS..BOXES {
-            world.ask(n, n % READERS);
-            let truth: BTreeMap<_, _> = world.truth.clone().into_iter().collect();
-            prop_assert_eq!(known(&world.boxes[n]), truth);
+            world.query(n, n % READERS);
+            let actual: BTreeMap<_, _> = world.actual.clone().into_iter().collect();
+            prop_assert_eq!(known_upstreams(&world.boxes[n]), actual);
         }
     }
 }
 
-/// Whether the steps remove an upstream, so that it must not come back.
-fn was_known(steps: &[Step], id: &str) -> bool {
-    let goes = |step: &Step| matches!(step, Step::Go(n) if *id == *format!("u{n}"));
-    steps.iter().any(goes)
+/// Whether the steps remove an upstream, after which it must not reappear.
+fn is_removed(steps: &[Step], id: &str) -> bool {
+    let removes = |step: &Step| matches!(step, Step::Remove(n) if *id == *format!("u{n}"));
+    steps.iter().any(removes)
 }
 
 #[test]
-fn later_era_goes_before_a_larger_count() {
+fn later_era_precedes_a_larger_count() {
     let mut reader = Mirror::default();
     reader.replace_all(97, vec![(90, upstream("u1", false, None))]);
     reader.mark_read_to(97);
-    let mut asker = Mirror::default();
-    asker.apply(reader.update(0, true));
-    // The store is back at 93, and u1 begins to leave.
+    let mut poller = Mirror::default();
+    poller.apply(reader.update(0, true));
+    // The store is restored to count 93, and u1 starts to leave.
     let (at, leaves) = (from_parts(1, 93), from_parts(1, 94));
     reader.replace_all(at, vec![(from_parts(1, 90), upstream("u1", false, None))]);
     reader.mark_read_to(at);
-    assert!(!asker.covers(at));
+    assert!(!poller.covers(at));
     reader.put(leaves, upstream("u1", true, None));
-    let news = asker.apply(reader.update(asker.covered(), true));
-    assert!(!news.is_empty());
-    assert!(asker.upstream("u1").unwrap().leaving);
-    assert!(asker.covers(leaves));
+    let changes = poller.apply(reader.update(poller.covered(), true));
+    assert!(!changes.is_empty());
+    assert!(poller.upstream("u1").unwrap().leaving);
+    assert!(poller.covers(leaves));
 }
--- a/crates/ashgauge/tests/shape.rs
+++ b/crates/ashgauge/tests/shape.rs
@@ -1,4 +1,4 @@
-//! Which chain a request goes to by its own prompt and answer.
+//! Selection of a chain by the size of the request's own prompt and answer.
 
 mod common;
 mod engines;
@@ -24,10 +24,11 @@
 use rand::{Rng, SeedableRng};
 use xxhash_rust::xxh3::xxh3_64;
 
-/// Digest of the chains that were chosen for usual requests before requests had shapes.
-const CHOSEN_BEFORE: u64 = 14884158596742459701;
+/// Digest of the chains that were selected for typical requests before request sizes were
+/// introduced.
+const DIGEST_BEFORE: u64 = 14884158596742459701;
 
-/// The engines of a fleet, each with its own load, some of them lost.
+/// Builds the engines of a fleet, each with its own load, some of them lost.
 fn loaded(rng: &mut SmallRng) -> UpstreamRegistry {
     let now = Duration::from_secs(100);
     let mut engines = fleet();
@@ -48,8 +49,8 @@
     registry
 }
 
-/// Pipes between three data centres, of which some are used.
-fn used_pipes(rng: &mut SmallRng) -> WanUsage {
+/// Random usage of the links between three data centres.
+fn random_wan_usage(rng: &mut SmallRng) -> WanUsage {
     let now = Duration::from_secs(100);
     let data_centres = ["a", "b", "c"].map(Arc::from);
     let mut wan_usage = WanUsage::default();
@@ -61,16 +62,19 @@
     wan_usage
 }
 
-/// One of many choices, each with other engines, loads and used pipes, for a request that
-/// begins or a stream that goes on.
-fn choose(seed: u64, together: bool, shape: Option<RequestSize>) -> Option<Vec<Stage>> {
+/// Selects a chain with engines, loads and link usage by `seed`, for a new request or for a
+/// resumed stream (`simultaneous`).
+fn select(seed: u64, simultaneous: bool, size: Option<RequestSize>) -> Option<Vec<Stage>> {
     let mut rng = SmallRng::seed_from_u64(seed);
-    let (registry, wan_usage, fleet_load) =
-        (loaded(&mut rng), used_pipes(&mut rng), FleetLoad::default());
+    let (registry, wan_usage, fleet_load) = (
+        loaded(&mut rng),
+        random_wan_usage(&mut rng),
+        FleetLoad::default(),
+    );
     let data_centre = ["a", "b", "c"][seed as usize % 3].into();
     let context = SelectionContext {
-        simultaneous: together,
-        size: shape,
+        simultaneous,
+        size,
         ..context(&registry, &wan_usage, &fleet_load, &data_centre)
     };
     let mut draws = Fixed(rng.random());
@@ -84,47 +88,50 @@
     )
 }
 
-/// A chain by its engines and cuts.
-fn text(chain: Option<Vec<Stage>>) -> String {
+/// Formats a chain by its engines and layer ranges.
+fn format_chain(chain: Option<Vec<Stage>>) -> String {
     let stages = chain.into_iter().flatten();
     let stages = stages.map(|s| format!("{} {}..{}", s.upstream, s.first, s.end));
     stages.collect::<Vec<_>>().join(", ")
 }
 
-/// Guards against another choice where shedding is off: usual requests go where they went
-/// before requests had shapes, whether the usual shape is given or none.
+/// Guards against a changed selection where shedding is off: typical requests get the same
+/// chains as before request sizes were introduced, whether the typical size is given or none.
 #[test]
-fn usual_request_goes_where_it_went_before_shapes() {
+fn typical_request_gets_the_same_chain_as_before() {
     let model = model();
-    let usual = RequestSize::typical(&model);
+    let typical = RequestSize::typical(&model);
     assert_eq!(
         RequestSize::clamped(model.typical_prompt, model.typical_output, &model),
-        usual
+        typical
     );
     let mut chains = String::new();
     for seed in 0..400 {
-        for together in [false, true] {
-            let chain = text(choose(seed, together, None));
-            assert_eq!(text(choose(seed, together, Some(usual))), chain);
+        for simultaneous in [false, true] {
+            let chain = format_chain(select(seed, simultaneous, None));
+            assert_eq!(
+                format_chain(select(seed, simultaneous, Some(typical))),
+                chain
+            );
             chains += &chain;
             chains += "\n";
         }
     }
-    assert_eq!(xxh3_64(chains.as_bytes()), CHOSEN_BEFORE);
+    assert_eq!(xxh3_64(chains.as_bytes()), DIGEST_BEFORE);
 }
 
-/// Guards against the test above comparing chains that no shape changes.
+/// Guards against a test above that proves nothing because no size changes a chain.
 #[test]
-fn other_shapes_change_many_choices() {
+fn other_sizes_change_many_selections() {
     let model = model();
     let long = RequestSize::clamped(model.typical_prompt * 8, model.typical_output / 8, &model);
-    let differs = |seed: &u64| choose(*seed, false, Some(long)) != choose(*seed, false, None);
+    let differs = |seed: &u64| select(*seed, false, Some(long)) != select(*seed, false, None);
     let changed = (0..100).filter(differs).count();
     assert!(changed >= 20, "{changed} of 100");
 }
 
-/// A model of ten layers, and two kinds of engines of which one reads four times as fast
-/// and the other writes 2.4 times as fast.
+/// Builds a model of ten layers and two engines: `reader` has four times the prefill speed,
+/// `writer` has 2.4 times the decode speed.
 fn reader_and_writer() -> (Model, UpstreamRegistry) {
     let mut model = model();
     model.layers = 10;
@@ -144,44 +151,44 @@
     (model, registry)
 }
 
-/// The first engine that is chosen.
-fn first(context: &SelectionContext, model: &Model, seed: u64) -> UpstreamId {
+/// Returns the first engine of the selected chain.
+fn first_engine(context: &SelectionContext, model: &Model, seed: u64) -> UpstreamId {
     let mut rng = SmallRng::seed_from_u64(seed);
     let all = selection::all_layers(model.layers);
     let chain = selection::select_chain(context, model, all, &[], None, &mut rng);
     chain.expect("a chain")[0].upstream.clone()
 }
 
-/// Asserts that long prompts go to the reader and long answers to the writer, where
-/// requests stay for 8 s.
-fn assert_apart(model: &Model, registry: &UpstreamRegistry) {
+/// Asserts that long prompts go to `reader` and long answers to `writer`, with requests that
+/// take 8 s.
+fn assert_split_by_size(model: &Model, registry: &UpstreamRegistry) {
     let (wan_usage, fleet_load, data_centre) =
         (WanUsage::default(), FleetLoad::default(), Arc::from("a"));
     let prompt = RequestSize::clamped(model.typical_prompt * 8, model.typical_output, model);
     let answer = RequestSize::clamped(model.typical_prompt, model.typical_output * 8, model);
-    for (shape, wanted) in [(prompt, "reader"), (answer, "writer")] {
+    for (size, wanted) in [(prompt, "reader"), (answer, "writer")] {
         let context = SelectionContext {
-            size: Some(shape),
+            size: Some(size),
             request_duration: Duration::from_secs(8),
             ..context(registry, &wan_usage, &fleet_load, &data_centre)
         };
         for seed in 0..20 {
-            assert_eq!(&*first(&context, model, seed), wanted);
+            assert_eq!(&*first_engine(&context, model, seed), wanted);
         }
     }
 }
 
-/// Guards against choosing by a typical request on idle engines: a long prompt held up an
-/// engine that reads slowly, a long answer took its time on one that writes slowly.
+/// Guards against selection by a typical request only, on idle engines: a long prompt blocked
+/// an engine with slow prefill, and a long answer took long on one with slow decoding.
 #[test]
 fn long_prompts_go_to_readers_and_long_answers_to_writers() {
     let (model, registry) = reader_and_writer();
-    assert_apart(&model, &registry);
+    assert_split_by_size(&model, &registry);
 }
 
-/// The same on engines that are half full, with a dozen requests and prompts to read.
+/// The same on engines that are half full, with a dozen requests and queued prompts.
 #[test]
-fn shapes_count_under_load() {
+fn sizes_count_under_load() {
     let (model, mut registry) = reader_and_writer();
     let all = selection::all_layers(model.layers);
     for id in ["reader", "writer"] {
@@ -191,69 +198,72 @@
         (0..requests).for_each(|_| registry.begin_request(id, each as u64));
         registry.note_prefill(Duration::from_secs(100), id, 0.05);
     }
-    assert_apart(&model, &registry);
+    assert_split_by_size(&model, &registry);
 }
 
-/// Guards against a stream of a lost engine with much to read anew that goes on over an
-/// engine that reads slowly, as one with little to read does, and pauses for as long.
+/// Guards against a stream with a long prefill that is resumed on an engine with slow prefill
+/// after the loss of its engine, as a stream with a short one is, and pauses for that long.
 #[test]
-fn stream_with_much_to_read_anew_goes_on_over_a_reader() {
+fn stream_with_a_long_prefill_resumes_on_the_reader() {
     let (model, mut registry) = reader_and_writer();
     registry.note_prefill(Duration::from_secs(100), "reader", 0.12);
     let (wan_usage, fleet_load, data_centre) =
         (WanUsage::default(), FleetLoad::default(), Arc::from("a"));
-    let begun = RequestSize::clamped(model.typical_prompt * 8, model.typical_output * 8, &model);
-    let rest = begun.after_tokens(model.typical_output * 7, &model);
-    for (shape, wanted) in [(Some(rest), "reader"), (None, "writer")] {
+    let started = RequestSize::clamped(model.typical_prompt * 8, model.typical_output * 8, &model);
+    let rest = started.after_tokens(model.typical_output * 7, &model);
+    for (size, wanted) in [(Some(rest), "reader"), (None, "writer")] {
         let context = SelectionContext {
             simultaneous: true,
-            size: shape,
-            // No other box leads streams here at the same moment.
+            size,
+            // No other box resumes streams here at the same time.
             local_boxes: 0.0,
             ..context(&registry, &wan_usage, &fleet_load, &data_centre)
         };
         for seed in 0..20 {
-            assert_eq!(&*first(&context, &model, seed), wanted);
+            assert_eq!(&*first_engine(&context, &model, seed), wanted);
         }
     }
 }
 
-/// What a stream that goes on has to read and to write.
+/// Prompt and output that remain for a resumed stream.
 #[test]
-fn rest_of_a_stream_is_read_and_written() {
+fn remaining_size_of_a_stream_follows_from_its_tokens() {
     let model = model();
-    let begun = RequestSize::clamped(1000, 400, &model);
-    let rest = begun.after_tokens(300, &model);
+    let started = RequestSize::clamped(1000, 400, &model);
+    let rest = started.after_tokens(300, &model);
     assert_eq!((rest.prompt, rest.output), (1300, 100));
-    let unbegun = begun.after_tokens(0, &model);
-    assert_eq!((unbegun.prompt, unbegun.output), (1000, 400));
+    let not_started = started.after_tokens(0, &model);
+    assert_eq!((not_started.prompt, not_started.output), (1000, 400));
 }
 
-/// Guards against streams that go on being taken to be in the middle of their answer, against
-/// events that are taken for one token each, and against an absurd id of the last event.
+/// Guards against resumed streams that are always assumed to be in the middle of their answer,
+/// against events that count as one token each, and against an absurd id of the last event.
 #[test]
-fn rest_of_a_stream_follows_from_its_last_event() {
+fn remaining_size_of_a_stream_follows_from_its_last_event() {
     let mut model = model();
     model.event_tokens = 5;
-    let begun = RequestSize::clamped(1000, 400, &model);
-    assert_eq!(begun.after_events(0, &model), begun.after_tokens(0, &model));
+    let started = RequestSize::clamped(1000, 400, &model);
+    assert_eq!(
+        started.after_events(0, &model),
+        started.after_tokens(0, &model)
+    );
     assert_eq!(
-        begun.after_events(3, &model),
-        begun.after_tokens(15, &model)
+        started.after_events(3, &model),
+        started.after_tokens(15, &model)
     );
     assert_eq!(
-        begun.after_events(60, &model),
-        begun.after_tokens(300, &model)
+        started.after_events(60, &model),
+        started.after_tokens(300, &model)
     );
     for events in [1_000_000_000, u64::from(u32::MAX) + 1, u64::MAX] {
-        let rest = begun.after_events(events, &model);
+        let rest = started.after_events(events, &model);
         assert_eq!(rest.prompt, 1000 + model.typical_output * 8, "{events}");
         assert_eq!(rest.output, model.typical_output / 8, "{events}");
     }
 }
 
-/// The engine of the second half of the layers for a prompt of so many tokens, where that
-/// of the own data centre is full and the pipe to the other one is narrow.
+/// Selects the engine of the second half of the layers for a prompt of this many tokens, if
+/// that of the own data centre is full and the link to the other one is narrow.
 fn second_half(prompt: u32, seed: u64) -> UpstreamId {
     let mut model = model();
     model.layers = 10;
@@ -288,47 +298,47 @@
     chain.expect("a chain")[1].upstream.clone()
 }
 
-/// Guards against long prompts whose activations fill a narrow pipe between data centres.
+/// Guards against long prompts whose activations saturate a narrow link between data centres.
 #[test]
-fn long_prompts_do_not_cross_narrow_pipes() {
+fn long_prompts_do_not_cross_narrow_links() {
     for seed in 0..20 {
         assert_eq!(&*second_half(700, seed), "b2");
         assert_eq!(&*second_half(6000, seed), "a2");
     }
 }
 
-/// Asserts that there is a chain for a request of this shape.
-fn assert_found(model: &Model, registry: &UpstreamRegistry, shape: RequestSize) {
+/// Asserts that there is a chain for a request of this size.
+fn assert_found(model: &Model, registry: &UpstreamRegistry, size: RequestSize) {
     let (wan_usage, fleet_load, data_centre) =
         (WanUsage::default(), FleetLoad::default(), Arc::from("a"));
-    for together in [false, true] {
+    for simultaneous in [false, true] {
         let context = SelectionContext {
-            simultaneous: together,
-            size: Some(shape),
+            simultaneous,
+            size: Some(size),
             ..context(registry, &wan_usage, &fleet_load, &data_centre)
         };
-        first(&context, model, 1);
+        first_engine(&context, model, 1);
     }
 }
 
-/// Guards against callers' figures that are absurd, zero or missing, and models without
-/// usual ones: they give a bounded shape, and a chain.
+/// Guards against absurd, zero or missing sizes from callers, and models without typical ones:
+/// all of them give a bounded size and a chain.
 #[test]
-fn bad_figures_give_a_bounded_guess() {
+fn bad_figures_give_a_bounded_size() {
     let (mut model, mut registry) = reader_and_writer();
     let all = Some(selection::all_layers(model.layers));
     registry.put(engines::upstream("unknown", "a", "no such card", all, 3));
-    let usual = RequestSize::typical(&model);
-    assert_eq!(RequestSize::clamped(0, 0, &model), usual);
-    let bounds = |usual: u32| usual / 8..=usual * 8;
+    let typical = RequestSize::typical(&model);
+    assert_eq!(RequestSize::clamped(0, 0, &model), typical);
+    let bounds = |typical: u32| typical / 8..=typical * 8;
     let figures = [0, 1, 500, 1_000_000_000, u32::MAX];
     for (prompt, answer) in figures.iter().flat_map(|p| figures.map(|a| (*p, a))) {
-        let shape = RequestSize::clamped(prompt, answer, &model);
-        assert!(bounds(usual.prompt).contains(&shape.prompt), "{shape:?}");
-        assert!(bounds(usual.output).contains(&shape.output), "{shape:?}");
-        let rest = shape.after_tokens(answer, &model);
-        assert!(rest.prompt <= shape.prompt + usual.output * 8, "{rest:?}");
-        assert!(bounds(usual.output).contains(&rest.output), "{rest:?}");
+        let size = RequestSize::clamped(prompt, answer, &model);
+        assert!(bounds(typical.prompt).contains(&size.prompt), "{size:?}");
+        assert!(bounds(typical.output).contains(&size.output), "{size:?}");
+        let rest = size.after_tokens(answer, &model);
+        assert!(rest.prompt <= size.prompt + typical.output * 8, "{rest:?}");
+        assert!(bounds(typical.output).contains(&rest.output), "{rest:?}");
         assert_found(&model, &registry, rest);
     }
     (
@@ -336,10 +346,10 @@
         model.typical_output,
         model.prefill_rate,
     ) = (0, 0, 0.0);
-    let shape = RequestSize::clamped(u32::MAX, u32::MAX, &model).after_tokens(u32::MAX, &model);
-    assert_eq!((shape.prompt, shape.output), (0, 0));
-    assert_found(&model, &registry, shape);
+    let size = RequestSize::clamped(u32::MAX, u32::MAX, &model).after_tokens(u32::MAX, &model);
+    assert_eq!((size.prompt, size.output), (0, 0));
+    assert_found(&model, &registry, size);
     (model.typical_prompt, model.typical_output) = (u32::MAX, u32::MAX);
-    let shape = RequestSize::clamped(1, 1, &model).after_tokens(u32::MAX, &model);
-    assert_eq!(shape.prompt, u32::MAX);
+    let size = RequestSize::clamped(1, 1, &model).after_tokens(u32::MAX, &model);
+    assert_eq!(size.prompt, u32::MAX);
 }
--- a/crates/ashgauge/tests/shape_spread.rs
+++ b/crates/ashgauge/tests/shape_spread.rs
@@ -1,4 +1,4 @@
-//! Long prompts of many boxes, in virtual time.
+//! Distribution of long prompts of many boxes over engines, simulated in virtual time.
 
 mod engines;
 
@@ -20,49 +20,49 @@
 use rand::rngs::SmallRng;
 use rand::{Rng, SeedableRng};
 
-/// Boxes of a data centre.
-const HERD: usize = 24;
+/// Number of boxes in the data centre.
+const BOXES: usize = 24;
 
-/// Age of the words that they have of each other.
+/// Delay of the load reports between boxes.
 const AGE: Duration = Duration::from_millis(500);
 
-/// Step of the virtual time; boxes tell each other what they have at each tenth one.
+/// Step of the virtual time. Boxes send load reports at each tenth step.
 const TICK: Duration = Duration::from_millis(10);
 
-/// Virtual time of a test.
-const RUN: Duration = Duration::from_secs(20);
+/// Duration of a simulation.
+const SIMULATED_TIME: Duration = Duration::from_secs(20);
 
-/// A data centre whose boxes choose engines for long prompts.
+/// A data centre whose boxes select engines for long prompts.
 struct World {
     model: Model,
-    shape: RequestSize,
+    request_size: RequestSize,
     boxes: Vec<(UpstreamRegistry, FleetLoad)>,
-    /// Words on their way: when they arrive, from which box.
-    words: VecDeque<(Duration, (usize, LoadReport))>,
-    /// When requests end, of which box, on which engine.
-    ends: VecDeque<(Duration, (usize, UpstreamId))>,
-    /// Seconds for which each engine has prompts to read.
+    /// Load reports in flight: arrival time, sending box, report.
+    reports: VecDeque<(Duration, (usize, LoadReport))>,
+    /// Running requests: end time, box, engine.
+    running: VecDeque<(Duration, (usize, UpstreamId))>,
+    /// Seconds of prefill in each engine's queue.
     queues: Vec<f64>,
-    /// Requests that each engine got.
-    taken: Vec<usize>,
-    /// Seconds of reading that each engine got.
-    given: Vec<f64>,
+    /// Requests that each engine received.
+    request_counts: Vec<usize>,
+    /// Seconds of prefill that each engine received.
+    prefill_seconds: Vec<f64>,
     rng: SmallRng,
     now: Duration,
 }
 
-/// What is due of a queue in the order of time.
+/// Takes the due items of a queue that is ordered by time.
 fn take_due<T>(queue: &mut VecDeque<(Duration, T)>, now: Duration) -> Vec<T> {
     let due = queue.partition_point(|(at, _)| *at <= now);
     queue.drain(..due).map(|(_, item)| item).collect()
 }
 
 impl World {
-    /// Boxes before engines of these kinds, each of which holds the whole model.
+    /// Creates boxes and engines with these accelerators; each engine holds the whole model.
     fn new(accelerators: &[&str], seed: u64) -> Self {
         let mut model = model();
         model.layers = 10;
-        // Memory is not what spreads them.
+        // Memory is plentiful, so that it does not influence the selection.
         model.token_mb = 0.02;
         let mut registry = UpstreamRegistry::default();
         for (n, accelerator) in accelerators.iter().enumerate() {
@@ -70,36 +70,40 @@
             registry.put(engines::upstream(&n.to_string(), "a", accelerator, all, n));
         }
         World {
-            shape: RequestSize::clamped(model.typical_prompt * 8, model.typical_output, &model),
+            request_size: RequestSize::clamped(
+                model.typical_prompt * 8,
+                model.typical_output,
+                &model,
+            ),
             model,
-            boxes: (0..HERD)
+            boxes: (0..BOXES)
                 .map(|_| (registry.clone(), FleetLoad::default()))
                 .collect(),
-            words: VecDeque::new(),
-            ends: VecDeque::new(),
+            reports: VecDeque::new(),
+            running: VecDeque::new(),
             queues: vec![0.0; accelerators.len()],
-            taken: vec![0; accelerators.len()],
-            given: vec![0.0; accelerators.len()],
+            request_counts: vec![0; accelerators.len()],
+            prefill_seconds: vec![0.0; accelerators.len()],
             rng: SmallRng::seed_from_u64(seed),
             now: Duration::from_secs(100),
         }
     }
 
-    /// Memory that a request holds.
+    /// Memory of a request, in tokens times layers.
     fn tokens(&self) -> u64 {
-        u64::from((self.shape.prompt + self.shape.output / 2) * self.model.layers)
+        u64::from((self.request_size.prompt + self.request_size.output / 2) * self.model.layers)
     }
 
-    /// Lets a box choose for a request that arrives there.
-    fn arrive(&mut self, at: usize) {
+    /// Lets a box select an engine for a request that arrives there.
+    fn receive(&mut self, at: usize) {
         let tokens = self.tokens();
         let (registry, fleet_load) = &mut self.boxes[at];
         let (wan_usage, data_centre) = (WanUsage::default(), Arc::from("a"));
         let context = SelectionContext {
             remote_interval: AGE,
-            boxes: HERD as f64,
-            local_boxes: HERD as f64,
-            size: Some(self.shape),
+            boxes: BOXES as f64,
+            local_boxes: BOXES as f64,
+            size: Some(self.request_size),
             now: self.now,
             ..context(registry, &wan_usage, fleet_load, &data_centre)
         };
@@ -107,39 +111,40 @@
         let chain = selection::select_chain(&context, model, all, &[], None, &mut self.rng);
         let id = chain.expect("a chain")[0].upstream.clone();
         let engine = registry.get(&id).expect("an engine");
-        let read = cost::prefill_seconds(&context, model, engine, all.len(), self.shape.prompt);
-        registry.note_prefill(self.now, &id, read);
+        let prefill =
+            cost::prefill_seconds(&context, model, engine, all.len(), self.request_size.prompt);
+        registry.note_prefill(self.now, &id, prefill);
         registry.begin_request(&id, tokens);
         registry.begin_head(&id);
         let n: usize = id.parse().expect("a number");
-        self.queues[n] += read;
-        self.given[n] += read;
-        self.taken[n] += 1;
+        self.queues[n] += prefill;
+        self.prefill_seconds[n] += prefill;
+        self.request_counts[n] += 1;
         let end = self.now + Duration::from_secs(2);
-        self.ends.push_back((end, (at, id)));
+        self.running.push_back((end, (at, id)));
     }
 
-    /// Lets what is due happen: requests end, and words arrive.
-    fn settle(&mut self) {
+    /// Handles due events: requests end, and reports arrive.
+    fn handle_due(&mut self) {
         let (now, tokens) = (self.now, self.tokens());
-        for (at, id) in take_due(&mut self.ends, now) {
+        for (at, id) in take_due(&mut self.running, now) {
             self.boxes[at].0.end_request(&id, tokens);
             self.boxes[at].0.end_head(&id);
         }
-        for (from, word) in take_due(&mut self.words, now) {
+        for (from, report) in take_due(&mut self.reports, now) {
             let others = self.boxes.iter_mut().enumerate();
             for (_, (_, fleet_load)) in others.filter(|(at, _)| *at != from) {
-                fleet_load.apply(now, word.clone());
+                fleet_load.apply(now, report.clone());
             }
         }
     }
 
-    /// Lets all boxes tell what they have.
-    fn tell(&mut self) {
+    /// Sends the load reports of all boxes.
+    fn send_reports(&mut self) {
         for (n, (registry, _)) in self.boxes.iter().enumerate() {
             let used =
                 |e: &UpstreamState| (load_report::upstream_key(&e.upstream.id), e.usage(self.now));
-            let word = LoadReport {
+            let report = LoadReport {
                 from: format!("box-{n}").into(),
                 boot: 1,
                 sequence: self.now.as_millis() as u64,
@@ -151,25 +156,25 @@
                 traffic: Default::default(),
                 slow: Vec::new(),
             };
-            self.words.push_back((self.now + AGE, (n, word)));
+            self.reports.push_back((self.now + AGE, (n, report)));
         }
     }
 
-    /// Plays `rate` long prompts a second at boxes drawn at random; returns the longest
-    /// time that an engine had to read for.
-    fn play(&mut self, rate: f64) -> f64 {
+    /// Simulates `rate` long prompts per second at random boxes. Returns the longest prefill queue
+    /// of an engine, in seconds.
+    fn simulate(&mut self, rate: f64) -> f64 {
         let (mut due, mut longest) = (0.0, 0.0f64);
-        let ticks = (RUN.as_millis() / TICK.as_millis()) as usize;
+        let ticks = (SIMULATED_TIME.as_millis() / TICK.as_millis()) as usize;
         for tick in 0..ticks {
-            self.settle();
+            self.handle_due();
             due += rate * TICK.as_secs_f64();
             while due >= 1.0 {
                 due -= 1.0;
-                let at = self.rng.random_range(0..HERD);
-                self.arrive(at);
+                let at = self.rng.random_range(0..BOXES);
+                self.receive(at);
             }
             if tick % 10 == 0 {
-                self.tell();
+                self.send_reports();
             }
             for queue in &mut self.queues {
                 longest = longest.max(*queue);
@@ -180,56 +185,66 @@
         longest
     }
 
-    /// Long prompts a second that keep the engines reading for this part of their time.
-    fn rate(&self, part: f64) -> f64 {
+    /// Long prompts per second that keep the engines busy with prefill for this share of their
+    /// time.
+    fn rate(&self, share: f64) -> f64 {
         let registry = &self.boxes[0].0;
         let factor = |e: &UpstreamState| {
             let accelerator = e.upstream.accelerator.as_deref().expect("a card");
             1.0 / self.model.accelerators[accelerator].prefill_factor
         };
         let rate: f64 = registry.iter().map(factor).sum();
-        part * rate * self.model.prefill_rate / f64::from(self.shape.prompt)
+        share * rate * self.model.prefill_rate / f64::from(self.request_size.prompt)
     }
 
-    /// Part of the requests that the busiest engine got.
+    /// Share of the requests that the busiest engine received.
     fn busiest(&self) -> f64 {
-        let most = self.taken.iter().max().copied().unwrap_or(0);
-        most as f64 / self.taken.iter().sum::<usize>() as f64
+        let most = self.request_counts.iter().max().copied().unwrap_or(0);
+        most as f64 / self.request_counts.iter().sum::<usize>() as f64
     }
 }
 
-/// Guards against a herd: 24 boxes with words of 0.5 s age all send long prompts to one
-/// of the engines that read fastest, until they hear of it.
+/// Guards against herding: 24 boxes with load reports 0.5 s old all send long prompts to the
+/// same one of the engines with the fastest prefill, until reports show its load.
 #[test]
 fn long_prompts_of_many_boxes_spread() {
     for seed in 0..3 {
         let mut world = World::new(&["large"; 4], seed);
-        let longest = world.play(world.rate(0.5));
+        let longest = world.simulate(world.rate(0.5));
         let busiest = world.busiest();
-        assert!(busiest <= 0.35, "{busiest} of them on one of four alike");
-        assert!(longest <= 1.5, "{longest} s to read");
+        assert!(
+            busiest <= 0.35,
+            "{busiest} of them on one of four equal engines"
+        );
+        assert!(longest <= 1.5, "{longest} s of prefill queued");
     }
 }
 
-/// The same where one engine reads fastest, and 1.55 times as much comes as it can read:
-/// without a factor for reading it alone got nearly all.
+/// The same with one engine that has the fastest prefill, and 1.55 times the prompts that it
+/// can process. Without a prefill factor it got nearly all of them.
 #[test]
-fn long_prompts_of_many_boxes_leave_the_fastest_reader() {
+fn long_prompts_of_many_boxes_do_not_overload_the_fastest_engine() {
     for seed in 0..3 {
         let mut world = World::new(&["large", "medium", "medium", "medium"], seed);
-        let longest = world.play(world.rate(0.8));
-        let reads = world.given[0] / RUN.as_secs_f64();
-        assert!(reads <= 1.25, "{reads} of its time to read");
-        assert!(longest <= 3.5, "{longest} s to read");
+        let longest = world.simulate(world.rate(0.8));
+        let prefill_share = world.prefill_seconds[0] / SIMULATED_TIME.as_secs_f64();
+        assert!(
+            prefill_share <= 1.25,
+            "{prefill_share} of its time in prefill"
+        );
+        assert!(longest <= 3.5, "{longest} s of prefill queued");
     }
 }
 
-/// Guards against a burst that no word tells of yet: one long prompt at each of 24 boxes
-/// at once is spread over like engines by the jitter alone.
+/// Guards against a burst that no report shows yet: one long prompt at each of 24 boxes at
+/// once is spread over equal engines by the cost jitter alone.
 #[test]
-fn burst_of_long_prompts_spreads_over_like_engines() {
+fn burst_of_long_prompts_spreads_over_equal_engines() {
     let mut world = World::new(&["large"; 4], 1);
-    (0..HERD).for_each(|at| world.arrive(at));
+    (0..BOXES).for_each(|at| world.receive(at));
     let busiest = world.busiest();
-    assert!(busiest <= 0.6, "{busiest} of them on one of four alike");
+    assert!(
+        busiest <= 0.6,
+        "{busiest} of them on one of four equal engines"
+    );
 }
--- a/crates/ashgauge/tests/share.rs
+++ b/crates/ashgauge/tests/share.rs
@@ -1,4 +1,4 @@
-//! What boxes tell each other of their loads.
+//! Load reports that boxes send to each other.
 
 mod common;
 
@@ -27,129 +27,132 @@
     }
 }
 
-/// Time between two words where a box tells so many others.
-fn lag(others: usize) -> Duration {
+/// Time between two reports to remote boxes, for this many peers.
+fn remote_interval(others: usize) -> Duration {
     report_intervals(0, others).1
 }
 
 #[test]
-fn later_word_replaces_the_one_before() {
-    let mut shares = FleetLoad::default();
-    assert!(shares.apply(SECOND, report(1, 7, 1, 10)));
-    assert!(shares.apply(SECOND, report(1, 7, 2, 4)));
-    assert_eq!(shares.others("e1").requests, 4);
-    assert_eq!(shares.others("e2"), Usage::default());
+fn later_report_replaces_the_one_before() {
+    let mut fleet_load = FleetLoad::default();
+    assert!(fleet_load.apply(SECOND, report(1, 7, 1, 10)));
+    assert!(fleet_load.apply(SECOND, report(1, 7, 2, 4)));
+    assert_eq!(fleet_load.others("e1").requests, 4);
+    assert_eq!(fleet_load.others("e2"), Usage::default());
 }
 
-/// Datagrams overtake each other.
+/// Datagrams may arrive out of order.
 #[test]
-fn word_that_comes_late_is_dropped() {
-    let mut shares = FleetLoad::default();
-    assert!(shares.apply(SECOND, report(1, 7, 2, 4)));
-    assert!(!shares.apply(SECOND, report(1, 7, 1, 10)));
-    assert!(!shares.apply(SECOND, report(1, 7, 2, 10)));
-    assert_eq!(shares.others("e1").requests, 4);
+fn late_report_is_dropped() {
+    let mut fleet_load = FleetLoad::default();
+    assert!(fleet_load.apply(SECOND, report(1, 7, 2, 4)));
+    assert!(!fleet_load.apply(SECOND, report(1, 7, 1, 10)));
+    assert!(!fleet_load.apply(SECOND, report(1, 7, 2, 10)));
+    assert_eq!(fleet_load.others("e1").requests, 4);
 }
 
-/// A process that starts again counts its words from one.
+/// A restarted process numbers its reports from one again.
 #[test]
-fn words_of_a_new_start_are_heard() {
-    let mut shares = FleetLoad::default();
-    assert!(shares.apply(SECOND, report(1, 7, 900, 10)));
-    assert!(shares.apply(SECOND, report(1, 8, 1, 2)));
-    assert_eq!(shares.others("e1").requests, 2);
+fn reports_after_a_restart_are_accepted() {
+    let mut fleet_load = FleetLoad::default();
+    assert!(fleet_load.apply(SECOND, report(1, 7, 900, 10)));
+    assert!(fleet_load.apply(SECOND, report(1, 8, 1, 2)));
+    assert_eq!(fleet_load.others("e1").requests, 2);
 }
 
 #[test]
-fn box_that_falls_silent_is_forgotten() {
-    let mut shares = FleetLoad::default();
-    shares.apply(SECOND, report(1, 7, 1, 10));
-    shares.apply(SECOND * 3, report(2, 7, 1, 5));
-    shares.expire(SECOND * 4, lag(2));
-    assert_eq!(shares.boxes(), 1);
-    assert_eq!(shares.others("e1").requests, 5);
+fn silent_box_expires() {
+    let mut fleet_load = FleetLoad::default();
+    fleet_load.apply(SECOND, report(1, 7, 1, 10));
+    fleet_load.apply(SECOND * 3, report(2, 7, 1, 5));
+    fleet_load.expire(SECOND * 4, remote_interval(2));
+    assert_eq!(fleet_load.boxes(), 1);
+    assert_eq!(fleet_load.others("e1").requests, 5);
 }
 
-/// What a box sends does not grow with the fleet.
+/// Guards against traffic of a box that grows with the size of the fleet.
 #[test]
-fn words_are_fewer_in_large_fleets() {
+fn reports_are_rarer_in_large_fleets() {
     for others in [1, 5, 58, 339, 2000] {
-        let (near, far) = report_intervals(others / 3, others);
-        let sent = (others / 3) as f64 / near.as_secs_f64();
-        let away = others as f64 / far.as_secs_f64();
+        let (local, remote) = report_intervals(others / 3, others);
+        let sent = (others / 3) as f64 / local.as_secs_f64();
+        let sent_remotely = others as f64 / remote.as_secs_f64();
         assert!(sent <= 251.0, "{sent} datagrams a second to {others}");
-        assert!(away <= 67.0, "{away} datagrams a second away of {others}");
+        assert!(
+            sent_remotely <= 67.0,
+            "{sent_remotely} datagrams a second away of {others}"
+        );
     }
 }
 
-/// In a large fleet words come seldom, and one that is late is no silence.
+/// In a large fleet reports are rare, and a late one does not make a box silent.
 #[test]
-fn seldom_words_are_kept_for_longer() {
-    let mut shares = FleetLoad::default();
-    shares.apply(SECOND, report(1, 7, 1, 10));
-    shares.expire(SECOND * 8, lag(339));
-    assert_eq!(shares.boxes(), 1);
-    shares.expire(SECOND * 8, lag(5));
-    assert_eq!(shares.boxes(), 0);
+fn rare_reports_are_kept_longer() {
+    let mut fleet_load = FleetLoad::default();
+    fleet_load.apply(SECOND, report(1, 7, 1, 10));
+    fleet_load.expire(SECOND * 8, remote_interval(339));
+    assert_eq!(fleet_load.boxes(), 1);
+    fleet_load.expire(SECOND * 8, remote_interval(5));
+    assert_eq!(fleet_load.boxes(), 0);
 }
 
 proptest! {
     #![proptest_config(common::seeded(200))]
 
-    /// Words in any order: the sum is that of each box's last one.
+    /// With reports in any order, the sum is that of each box's last one.
     #[test]
-    fn sum_is_that_of_the_last_words(
-        words in prop::collection::vec((0..5u32, 0..40u64, 0..100u32), 0..60),
+    fn sum_is_that_of_the_last_reports(
+        reports in prop::collection::vec((0..5u32, 0..40u64, 0..100u32), 0..60),
     ) {
-        let mut shares = FleetLoad::default();
+        let mut fleet_load = FleetLoad::default();
         let mut last: HashMap<u32, (u64, u32)> = HashMap::new();
-        for (from, number, requests) in words {
-            shares.apply(SECOND, report(from, 1, number, requests));
+        for (from, number, requests) in reports {
+            fleet_load.apply(SECOND, report(from, 1, number, requests));
             let known = last.entry(from).or_insert((number, requests));
             if number > known.0 {
                 *known = (number, requests);
             }
         }
         let sum: u32 = last.values().map(|(_, requests)| requests).sum();
-        prop_assert_eq!(shares.others("e1").requests, sum);
-        prop_assert_eq!(shares.others("e1").token_layers, sum * 900);
-        prop_assert_eq!(shares.boxes(), last.len());
-        shares.expire(SECOND * 9, lag(5));
-        prop_assert_eq!(shares.others("e1"), Usage::default());
+        prop_assert_eq!(fleet_load.others("e1").requests, sum);
+        prop_assert_eq!(fleet_load.others("e1").token_layers, sum * 900);
+        prop_assert_eq!(fleet_load.boxes(), last.len());
+        fleet_load.expire(SECOND * 9, remote_interval(5));
+        prop_assert_eq!(fleet_load.others("e1"), Usage::default());
     }
 }
 
-/// A hub adds up how many boxes others tell for; two large figures made it overflow.
+/// Guards against an overflow where a hub sums the numbers of boxes that two reports stand for.
 #[test]
 fn absurd_numbers_of_boxes_do_not_overflow() {
-    let mut shares = FleetLoad::default();
+    let mut fleet_load = FleetLoad::default();
     for from in 0..2 {
         let mut report = report(from, 7, 1, 10);
         report.boxes = u32::MAX;
-        shares.apply(SECOND, report);
+        fleet_load.apply(SECOND, report);
     }
-    let sum = shares.fleet_sum(load_report::LoadSum::default());
+    let sum = fleet_load.fleet_sum(load_report::LoadSum::default());
     assert_eq!(sum.boxes, u32::MAX);
 }
 
-/// Guards against sums that overflowed: once a box that told absurd figures was forgotten,
-/// the sums lacked what all others had told.
+/// Guards against sums that overflow: once a box with absurd figures expired, the sums lacked
+/// the load of all other boxes.
 #[test]
 fn largest_figures_of_one_box_leave_the_others_as_they_are() {
-    let mut shares = FleetLoad::default();
-    shares.apply(SECOND, report(1, 7, 1, 10));
-    shares.apply(SECOND, report(2, 7, 1, 20));
-    let most = Usage {
+    let mut fleet_load = FleetLoad::default();
+    fleet_load.apply(SECOND, report(1, 7, 1, 10));
+    fleet_load.apply(SECOND, report(2, 7, 1, 20));
+    let largest = Usage {
         requests: u32::MAX,
         head_requests: u32::MAX,
         token_layers: u32::MAX,
         prefill_ms: u32::MAX,
     };
-    let mut absurd = report(3, 7, 1, 0);
-    absurd.usage[0].1 = most;
-    shares.apply(SECOND, absurd);
-    assert_eq!(shares.others("e1"), most);
-    shares.apply(SECOND, report(3, 7, 2, 5));
-    let others = shares.others("e1");
+    let mut absurd_report = report(3, 7, 1, 0);
+    absurd_report.usage[0].1 = largest;
+    fleet_load.apply(SECOND, absurd_report);
+    assert_eq!(fleet_load.others("e1"), largest);
+    fleet_load.apply(SECOND, report(3, 7, 2, 5));
+    let others = fleet_load.others("e1");
     assert_eq!((others.requests, others.token_layers), (35, 35 * 900));
 }
--- a/crates/ashgauge/tests/silence.rs
+++ b/crates/ashgauge/tests/silence.rs
@@ -1,82 +1,85 @@
-//! When a silence is looked into.
+//! Times at which a silent upstream is checked.
 
 use std::time::Duration;
 
 use ashgauge::silence::{SilenceTimer, next_wait};
 use proptest::prelude::*;
 
-const MOST: Duration = Duration::from_millis(1300);
+const MAX_SILENCE: Duration = Duration::from_millis(1300);
 
-/// Time after which a send is given up whose first look comes after `first`, if
-/// each look takes `look`.
-fn given_up_after(first: Duration, look: Duration) -> Duration {
+/// Time after which a send times out whose first check is due after `first`, if each check
+/// takes `check_time`.
+fn times_out_after(first: Duration, check_time: Duration) -> Duration {
     let (mut waited, mut wait) = (Duration::ZERO, first);
     loop {
         waited += wait;
-        if waited >= MOST {
+        if waited >= MAX_SILENCE {
             return waited;
         }
-        waited += look;
-        wait = next_wait(wait, waited, MOST);
+        waited += check_time;
+        wait = next_wait(wait, waited, MAX_SILENCE);
     }
 }
 
-/// Silences after which a stream is checked of which nothing comes.
-fn checked_after(first: Duration, checks: usize) -> Vec<Duration> {
+/// Durations of silence at which a stream without events is checked.
+fn check_times(first: Duration, checks: usize) -> Vec<Duration> {
     let mut silence = SilenceTimer::new(Duration::ZERO);
     let due = (0..checks).map(|_| {
-        let due = silence.next_check_within(first, Duration::from_millis(100), MOST);
+        let due = silence.next_check_within(first, Duration::from_millis(100), MAX_SILENCE);
         silence.record_check();
         due
     });
     due.collect()
 }
 
-/// A stream whose engines were busy, and then lost, was left after 2 s, as its next check
-/// came twice as late as the long first one.
+/// Guards against a late check of a stream whose engines were busy first and then lost. It was
+/// moved after 2 s, as the second check was due twice as late as the already long first one.
 #[test]
-fn stream_that_was_waited_for_is_left_in_time() {
+fn stream_with_a_long_first_wait_is_checked_in_time() {
     let ms = Duration::from_millis;
-    assert_eq!(checked_after(ms(1000), 3), [ms(1000), MOST, ms(4000)]);
-    assert_eq!(checked_after(MOST, 2), [MOST, ms(2600)]);
-    let usual = checked_after(ms(250), 4);
-    assert_eq!(usual, [ms(250), ms(500), ms(1000), MOST]);
+    assert_eq!(check_times(ms(1000), 3), [ms(1000), MAX_SILENCE, ms(4000)]);
+    assert_eq!(check_times(MAX_SILENCE, 2), [MAX_SILENCE, ms(2600)]);
+    let typical = check_times(ms(250), 4);
+    assert_eq!(typical, [ms(250), ms(500), ms(1000), MAX_SILENCE]);
 }
 
-/// A stream of which something had come would be checked less often than before.
+/// Guards against rarer checks of a stream that already had events.
 #[test]
-fn checks_between_events_stay_as_they_are() {
+fn checks_between_events_are_unchanged() {
     let ms = Duration::from_millis;
     let mut silence = SilenceTimer::new(ms(0));
     silence.record_event(ms(90));
     silence.record_event(ms(190));
     let due = silence.next_check(ms(900), ms(100));
-    assert_eq!(silence.next_check_within(ms(900), ms(100), MOST), due);
+    assert_eq!(
+        silence.next_check_within(ms(900), ms(100), MAX_SILENCE),
+        due
+    );
 }
 
-/// An answer that was lost is waited for as long as is meant, not for as long as
-/// the doubled waits add up to.
+/// Guards against waiting for a lost answer for the sum of the doubled waits instead of the
+/// configured time.
 #[test]
-fn answer_that_is_lost_is_given_up_in_time() {
+fn lost_answer_times_out_in_time() {
     let ms = Duration::from_millis;
-    assert_eq!(given_up_after(ms(250), Duration::ZERO), MOST);
+    assert_eq!(times_out_after(ms(250), Duration::ZERO), MAX_SILENCE);
 }
 
 proptest! {
-    /// A check that is due at once after the one before would be made without end, and one
-    /// that is skipped leaves a lost stream waiting.
+    /// Guards against a check that is due immediately after the previous one, which would repeat
+    /// without end, and against a skipped one, which would leave a lost stream waiting.
     #[test]
-    fn one_check_comes_after_the_most(first in 1u64..=1300) {
-        let checks = checked_after(Duration::from_millis(first), 6);
+    fn one_check_is_due_at_the_maximum(first in 1u64..=1300) {
+        let checks = check_times(Duration::from_millis(first), 6);
         prop_assert!(checks.is_sorted_by(|a, b| a < b), "{checks:?}");
         let is_late = first * 32 < 1300;
-        prop_assert!(is_late || checks.contains(&MOST), "{checks:?}");
+        prop_assert!(is_late || checks.contains(&MAX_SILENCE), "{checks:?}");
     }
 
     #[test]
-    fn waits_never_pass_the_most(first in 1u64..1300, look in 0u64..150) {
-        let look = Duration::from_millis(look);
-        let after = given_up_after(Duration::from_millis(first), look);
-        prop_assert!(after <= MOST + look, "{after:?}");
+    fn waits_never_exceed_the_maximum(first in 1u64..1300, check_time in 0u64..150) {
+        let check_time = Duration::from_millis(check_time);
+        let after = times_out_after(Duration::from_millis(first), check_time);
+        prop_assert!(after <= MAX_SILENCE + check_time, "{after:?}");
     }
 }
--- a/crates/ashgauge/tests/slow.rs
+++ b/crates/ashgauge/tests/slow.rs
@@ -1,4 +1,4 @@
-//! Engines that say that they are slow, as boxes tell each other.
+//! Slowness of engines as boxes report it to each other.
 
 mod common;
 mod engines;
@@ -9,8 +9,8 @@
 
 const SECOND: Duration = Duration::from_secs(1);
 
-/// With two fifths of the engines twelve times as slow each box once found out by its own
-/// late streams, engine by engine.
+/// Guards against boxes that each learn of slow engines only by late streams of their own. With
+/// two fifths of the engines twelve times as slow, each box found them one by one.
 #[test]
 fn slow_engine_is_known_to_boxes_that_did_not_use_it() {
     let mut found = engines::twins();
@@ -20,7 +20,7 @@
     others.note_peer_slow(SECOND, &slow);
     assert_eq!(others.get("a1").expect("an engine").slowness(SECOND), 12.0);
     assert_eq!(others.get("a2").expect("an engine").slowness(SECOND), 1.0);
-    // What was only heard is not told again, or it would never end.
+    // Slowness known only from reports is not reported again, or it would never expire.
     assert!(others.slow_upstreams(SECOND, |_| true).is_empty());
     assert_eq!(
         others.get("a1").expect("an engine").slowness(SECOND * 3),
@@ -28,17 +28,17 @@
     );
 }
 
-/// Deployments that do not ask for it tell nothing.
+/// Services that do not enable this report nothing.
 #[test]
-fn engines_of_other_services_are_not_told() {
+fn engines_of_other_services_are_not_reported() {
     let mut found = engines::twins();
     found.note_slow(SECOND, "a1", 12.0);
     assert!(found.slow_upstreams(SECOND, |_| false).is_empty());
 }
 
-/// Two boxes asked the same engine at different moments.
+/// Two boxes may have queried the same engine at different times.
 #[test]
-fn larger_factor_counts_in_a_sum() {
+fn sum_keeps_the_larger_factor() {
     let mut fleet_load = FleetLoad::default();
     let key = load_report::upstream_key("a1");
     for (n, factor) in [30, 120].into_iter().enumerate() {
--- a/crates/ashgauge/tests/suspicion.rs
+++ b/crates/ashgauge/tests/suspicion.rs
@@ -1,4 +1,4 @@
-//! What boxes tell each other of engines that accept no connections.
+//! Notifications between boxes about engines that accept no connections.
 
 use std::time::Duration;
 
@@ -16,10 +16,10 @@
     instance_key(&format!("e{n}"), None)
 }
 
-/// The streams of one box find a lost engine one after the other; each must not send a
-/// notification to all boxes.
+/// Guards against one notification to all boxes for each stream: the streams of one box detect
+/// a lost engine one after the other.
 #[test]
-fn engine_is_told_of_once_in_half_a_second() {
+fn engine_is_reported_once_in_half_a_second() {
     let mut own = SuspectReports::default();
     assert!(own.record_found(SECOND, engine(1)));
     assert!(!own.record_found(SECOND, engine(1)));
@@ -32,20 +32,20 @@
     assert_eq!(own.take_pending(later), [(engine(1), Audience::All)]);
 }
 
-/// Nine engines that are lost together must not cost nine datagrams to each box.
+/// Guards against nine datagrams to each box for nine engines that are lost together.
 #[test]
-fn engines_found_together_are_told_of_together() {
+fn engines_found_together_are_reported_together() {
     let mut own = SuspectReports::default();
     let found: Vec<_> = (0..9).map(engine).collect();
-    for (n, start) in found.iter().enumerate() {
-        assert!(own.record_found(SECOND + MS * (9 - n as u32), *start));
+    for (n, instance) in found.iter().enumerate() {
+        assert!(own.record_found(SECOND + MS * (9 - n as u32), *instance));
     }
-    let told = own.take_pending(SECOND + MS * 10);
+    let pending = own.take_pending(SECOND + MS * 10);
     let oldest: Vec<_> = found.iter().rev().map(|s| (*s, Audience::All)).collect();
-    assert_eq!(told, oldest);
+    assert_eq!(pending, oldest);
 }
 
-/// The datagrams of a box that finds many engines must not grow with their number.
+/// Guards against datagrams that grow with the number of engines that a box finds lost.
 #[test]
 fn one_notification_is_bounded() {
     let mut own = SuspectReports::default();
@@ -57,10 +57,10 @@
     assert_eq!(own.take_pending(SECOND), []);
 }
 
-/// A box must not tell again what all were told: 86 boxes would send 7,310 datagrams for one
-/// engine.
+/// Guards against notifications about an engine that all boxes were already notified of: 86
+/// boxes would send 7,310 datagrams for one engine.
 #[test]
-fn engine_told_of_by_another_box_is_not_told_of_again() {
+fn engine_reported_by_another_box_is_not_reported_again() {
     let mut own = SuspectReports::default();
     assert!(!own.record_report(SECOND, engine(1), None));
     assert!(!own.record_found(SECOND + MS, engine(1)));
@@ -68,58 +68,58 @@
     assert!(own.record_found(SECOND + MIN_REPEAT_INTERVAL, engine(1)));
 }
 
-/// Several leaves report one engine; a hub must not forward each report.
+/// Guards against a hub that forwards each of several reports of one engine by its leaves.
 #[test]
 fn notification_is_forwarded_once() {
     let mut own = SuspectReports::default();
-    let below = Some(Audience::Downstream);
-    assert!(own.record_report(SECOND, engine(1), below));
+    let leaves = Some(Audience::Downstream);
+    assert!(own.record_report(SECOND, engine(1), leaves));
     assert!(!own.record_report(SECOND, engine(1), Some(Audience::All)));
     assert_eq!(
         own.take_pending(SECOND),
         [(engine(1), Audience::Downstream)]
     );
     for ms in 1..MIN_REPEAT_INTERVAL.as_millis() as u32 {
-        assert!(!own.record_report(SECOND + MS * ms, engine(1), below));
+        assert!(!own.record_report(SECOND + MS * ms, engine(1), leaves));
     }
     assert_eq!(own.take_pending(SECOND + MIN_REPEAT_INTERVAL - MS), []);
 }
 
-/// Notifications must not go round between hubs, nor miss a box.
+/// Guards against notifications that loop between hubs or do not reach a box.
 #[test]
 fn notification_reaches_each_box_of_a_large_fleet_once() {
     const HUBS: usize = 3;
     const LEAVES: usize = 40;
-    // Hubs come first; leaf `n` hears of others by hub `n % HUBS`.
+    // Hubs come first; leaf `n` belongs to hub `n % HUBS`.
     let mut boxes = vec![SuspectReports::default(); HUBS + LEAVES];
-    let mut heard = vec![0; HUBS + LEAVES];
+    let mut received = vec![0; HUBS + LEAVES];
     let hub = |n: usize| if n < HUBS { n } else { n % HUBS };
-    // The first leaf finds the engine, and then all others do.
+    // The first leaf detects the lost engine, and later all other boxes do.
     boxes[HUBS].record_found(SECOND, engine(1));
     for step in 1..10 {
         let now = SECOND + MS * 5 * step;
         let mut sent = Vec::new();
         for (n, own) in boxes.iter_mut().enumerate() {
-            for (start, to) in own.take_pending(now) {
+            for (instance, to) in own.take_pending(now) {
                 let hubs = (0..HUBS).filter(|to| *to != n);
-                let below = (HUBS..HUBS + LEAVES).filter(|to| hub(*to) == n);
+                let leaves = (HUBS..HUBS + LEAVES).filter(|to| hub(*to) == n);
                 match (n < HUBS, to) {
                     (true, Audience::All) => {
-                        sent.extend(hubs.chain(below).map(|to| (n, to, start)))
+                        sent.extend(hubs.chain(leaves).map(|to| (n, to, instance)))
                     }
-                    (true, Audience::Downstream) => sent.extend(below.map(|to| (n, to, start))),
-                    (false, _) => sent.push((n, hub(n), start)),
+                    (true, Audience::Downstream) => sent.extend(leaves.map(|to| (n, to, instance))),
+                    (false, _) => sent.push((n, hub(n), instance)),
                 }
             }
         }
-        for (from, to, start) in sent {
-            heard[to] += 1;
+        for (from, to, instance) in sent {
+            received[to] += 1;
             let audience = match (to < HUBS, from < HUBS) {
                 (true, true) => Some(Audience::Downstream),
                 (true, false) => Some(Audience::All),
                 (false, _) => None,
             };
-            boxes[to].record_report(now, start, audience);
+            boxes[to].record_report(now, instance, audience);
         }
         if step == 4 {
             boxes.iter_mut().for_each(|own| {
@@ -127,11 +127,11 @@
             });
         }
     }
-    assert_eq!(heard, vec![1; HUBS + LEAVES]);
+    assert_eq!(received, vec![1; HUBS + LEAVES]);
 }
 
-/// A box that reports engines without end must not make others keep them all, or forget
-/// which they have told of.
+/// Guards against a box that reports ever more engines, and makes others store all of them or
+/// forget which ones they have already sent.
 #[test]
 fn entries_are_bounded_and_expire_by_time() {
     let mut own = SuspectReports::default();
@@ -146,12 +146,12 @@
     let later = SECOND + MIN_REPEAT_INTERVAL;
     assert!(own.record_found(later, engine(2 * MAX_ENTRIES)));
     assert_eq!(own.len(), 1);
-    // What could not be sent in time is of no use any more.
+    // Notifications that could not be sent in time are dropped.
     assert_eq!(own.take_pending(later).len(), 1);
 }
 
-/// A box that falsely reports an engine again and again must not make all others connect to
-/// it each time.
+/// Guards against a box that repeatedly reports an engine in error, and makes all others
+/// connect to it each time.
 #[test]
 fn engine_is_checked_twice_a_second_at_most() {
     let mut own = SuspectReports::default();
@@ -167,7 +167,7 @@
     assert_eq!(checks, 6);
 }
 
-/// Reports of many engines must not make a box connect to all of them at one time.
+/// Guards against reports of many engines that make a box connect to all of them at once.
 #[test]
 fn checks_under_way_are_bounded() {
     let mut own = SuspectReports::default();
@@ -175,28 +175,29 @@
         assert!(own.begin_check(SECOND, engine(n), || true));
     }
     assert_eq!(own.active_checks(), MAX_CHECKS);
-    let asked = || -> bool { unreachable!("the budget is not asked in vain") };
-    assert!(!own.begin_check(SECOND, engine(MAX_CHECKS), asked));
+    let budget = || -> bool { unreachable!("the budget is not used without a check") };
+    assert!(!own.begin_check(SECOND, engine(MAX_CHECKS), budget));
     own.end_check();
-    // It was not checked, so it need not wait.
+    // The engine was not checked, so its next check need not wait.
     assert!(own.begin_check(SECOND, engine(MAX_CHECKS), || true));
 }
 
-/// A check that the account did not allow must not keep the next report from one.
+/// Guards against a check that the budget refused and that blocks the check for the next
+/// report.
 #[test]
-fn check_without_budget_is_none() {
+fn refused_check_does_not_count() {
     let mut own = SuspectReports::default();
     assert!(!own.begin_check(SECOND, engine(1), || false));
     assert_eq!(own.active_checks(), 0);
     assert!(own.begin_check(SECOND + MS, engine(1), || true));
 }
 
-/// Boxes of the version before must read all other datagrams as they did, and drop this
-/// one, whose number they do not know.
+/// Boxes of the previous version must still decode all other datagrams, and drop this one,
+/// whose variant number they do not know.
 #[test]
 fn notification_is_the_last_variant_and_small() -> postcard::Result<()> {
-    let starts = (0..MAX_SUSPECTS_SENT).map(engine).collect();
-    let datagram = Datagram::Suspects("box-1".into(), starts);
+    let instances = (0..MAX_SUSPECTS_SENT).map(engine).collect();
+    let datagram = Datagram::Suspects("box-1".into(), instances);
     let bytes = postcard::to_allocvec(&datagram)?;
     assert_eq!(bytes[0], 7);
     assert!(bytes.len() <= 200, "{}", bytes.len());
--- a/crates/ashgauge/tests/worst_load.rs
+++ b/crates/ashgauge/tests/worst_load.rs
@@ -1,5 +1,5 @@
-//! Choices at the worst load: herds after a loss, engines that fill up or read
-//! all the time.
+//! Selection under the worst load: herding after the loss of an engine, and engines that are
+//! nearly full or always busy with prefill.
 
 mod common;
 mod engines;
@@ -22,9 +22,9 @@
 use rand::SeedableRng;
 use rand::rngs::SmallRng;
 
-/// Words of 72 other boxes from before the loss, when these engines had nothing
-/// to read.
-fn heard_before() -> FleetLoad {
+/// Load reports of 72 other boxes from before the loss, when these engines had no prompts
+/// queued.
+fn old_reports() -> FleetLoad {
     let mut fleet_load = FleetLoad::default();
     for n in 0..72 {
         let report = common::report(&format!("box-{n}"), Vec::new());
@@ -33,35 +33,35 @@
     fleet_load
 }
 
-/// Fleets over which a part is averaged. Engines are looked at in a random order, so that
-/// of 300 fleets one sent 37 of 72 streams to one engine where 30 are usual.
+/// Number of fleets over which a share is averaged. Engines are visited in a random order, so
+/// that one of 300 fleets sent 37 of 72 streams to one engine, where 30 are typical.
 const FLEETS: u64 = 20;
 
-/// Boxes of a fleet.
+/// Number of boxes in a fleet.
 const FLEET_BOXES: u64 = 24;
 
-/// Part of the streams that the busiest of these engines gets on the average if each box of
-/// a fleet leads so many streams of a lost engine elsewhere, before any hears of the others.
-fn busiest_part(engines: [(&str, &str); 4], streams: usize, together: bool) -> f64 {
-    let parts = (0..FLEETS).map(|fleet| {
+/// Mean share of the streams that the busiest of these engines gets if each box of a fleet
+/// moves this many streams of a lost engine, before any report of the others arrives.
+fn busiest_share(engines: [(&str, &str); 4], streams: usize, simultaneous: bool) -> f64 {
+    let shares = (0..FLEETS).map(|fleet| {
         let seeds = fleet * FLEET_BOXES..(fleet + 1) * FLEET_BOXES;
-        busiest_part_of(seeds, engines, streams, together)
+        busiest_share_of(seeds, engines, streams, simultaneous)
     });
-    parts.sum::<f64>() / FLEETS as f64
+    shares.sum::<f64>() / FLEETS as f64
 }
 
-/// The same in one fleet, with a seed for each box.
-fn busiest_part_of(
+/// The same share in one fleet, with a seed for each box.
+fn busiest_share_of(
     seeds: Range<u64>,
     engines: [(&str, &str); 4],
     streams: usize,
-    together: bool,
+    simultaneous: bool,
 ) -> f64 {
     let mut model = model();
     model.layers = 10;
-    // The fastest kind by steps is not the fastest by reading.
-    let kinds = [("writer", 2.4, 3.2), ("reader", 5.6, 2.7)];
-    for (name, step_factor, prefill_factor) in kinds {
+    // The type with the fastest steps does not have the fastest prefill.
+    let types = [("writer", 2.4, 3.2), ("reader", 5.6, 2.7)];
+    for (name, step_factor, prefill_factor) in types {
         let memory_mb = 72_000.0;
         let accelerator = Accelerator {
             memory_mb,
@@ -72,8 +72,8 @@
     }
     let all = selection::all_layers(model.layers);
     let data_centre: Arc<str> = "a".into();
-    let (wan_usage, fleet_load) = (WanUsage::default(), heard_before());
-    let mut taken = [0.0; 4];
+    let (wan_usage, fleet_load) = (WanUsage::default(), old_reports());
+    let mut counts = [0.0; 4];
     for seed in seeds {
         let mut rng = SmallRng::seed_from_u64(seed);
         let mut registry = UpstreamRegistry::default();
@@ -88,7 +88,7 @@
         }
         for _ in 0..streams {
             let context = SelectionContext {
-                simultaneous: together,
+                simultaneous,
                 remote_interval: Duration::from_secs(1),
                 boxes: 73.0,
                 local_boxes: 24.0,
@@ -100,14 +100,14 @@
             let (now, entry) = (context.now, registry.get(&id).unwrap());
             let seconds = cost::prefill_seconds(&context, &model, entry, all.len(), 900);
             registry.note_prefill(now, &id, seconds);
-            taken[id.parse::<usize>().unwrap()] += 1.0;
+            counts[id.parse::<usize>().unwrap()] += 1.0;
         }
     }
-    taken.iter().copied().fold(0.0, f64::max) / taken.iter().sum::<f64>()
+    counts.iter().copied().fold(0.0, f64::max) / counts.iter().sum::<f64>()
 }
 
-/// The streams of a lost engine once went on over the same one or two others,
-/// which read them anew one after the other: pauses of 0.4 s.
+/// Guards against streams of a lost engine that are all resumed on the same one or two others,
+/// which process their prompts one after the other, with pauses of 0.4 s.
 #[test]
 fn streams_of_a_lost_engine_spread() {
     let engines = [
@@ -116,18 +116,21 @@
         ("a", "medium"),
         ("b", "large"),
     ];
-    let alone = busiest_part(engines, 3, false);
+    let single = busiest_share(engines, 3, false);
     assert!(
-        alone > 0.9,
-        "the load is not what the choice is for: {alone}"
+        single > 0.9,
+        "this load does not test the spreading: {single}"
+    );
+    let simultaneous = busiest_share(engines, 3, true);
+    assert!(
+        simultaneous <= 0.5,
+        "{simultaneous} of the streams on one engine"
     );
-    let together = busiest_part(engines, 3, true);
-    assert!(together <= 0.5, "{together} of the streams on one engine");
 }
 
-/// The fastest engine writes an answer in less than half of the time of the
-/// others, and so once got most of the streams of a lost one; their next event
-/// comes as soon from any that has nothing to read.
+/// Guards against selecting by the time of the whole answer when streams are resumed. The
+/// fastest engine takes less than half of the time of the others and so got most streams of a
+/// lost one, although the next event comes as soon from any engine without queued prompts.
 #[test]
 fn streams_of_a_lost_engine_go_where_their_next_event_comes_soonest() {
     let engines = [
@@ -136,15 +139,15 @@
         ("a", "reader"),
         ("a", "reader"),
     ];
-    let part = busiest_part(engines, 1, true);
-    assert!(part <= 0.5, "{part} of the streams on one engine");
+    let share = busiest_share(engines, 1, true);
+    assert!(share <= 0.5, "{share} of the streams on one engine");
 }
 
-/// Requests of a fleet that stay two seconds each, 90 a second: the engine that
-/// steps fastest once read 0.69 of its time, and held up all that it led, while the
-/// others were idle.
+/// Guards against too many first stages on the engine with the fastest steps. At 90 requests
+/// per second of two seconds each, it spent 0.69 of its time on prefill and delayed all its
+/// chains, while the others were idle.
 #[test]
-fn engine_that_reads_much_leaves_requests_to_others() {
+fn engine_with_much_prefill_leaves_requests_to_others() {
     let mut model = model();
     model.layers = 10;
     model.prefill_rate = 100_000.0;
@@ -167,18 +170,18 @@
     }
     let fast = registry.get("fast").expect("an engine");
     let rate = f64::from(fast.inflight) * neighbours / 2.0;
-    let part = rate * f64::from(model.typical_prompt) / model.prefill_rate;
-    assert!(part <= 0.5, "it reads {part} of its time");
+    let share = rate * f64::from(model.typical_prompt) / model.prefill_rate;
+    assert!(share <= 0.5, "prefill takes {share} of its time");
     assert!(
-        part >= 0.2,
-        "it is faster than the others, but reads {part} only"
+        share >= 0.2,
+        "it is faster than the others, but prefill takes only {share}"
     );
 }
 
-/// Chains crossed data centres, each with a prompt's activations over the pipe, to
-/// get around an engine that was taken to read all the time.
+/// Guards against chains that cross data centres, each with a prompt's activations over the
+/// link, to avoid an engine that is assumed to be always busy with prefill.
 #[test]
-fn chain_does_not_cross_around_an_engine_that_reads_much() {
+fn chain_does_not_cross_to_avoid_an_engine_with_much_prefill() {
     let mut model = model();
     model.layers = 10;
     model.prefill_rate = 20_000.0;
@@ -204,9 +207,9 @@
     }
 }
 
-/// The engine that gets a request where a fast one is four fifths full and a slow
-/// one idle; so many engines hold the layers behind theirs.
-fn chosen_when_filling(copies: usize, seed: u64) -> UpstreamId {
+/// Selects an engine where a fast one is four fifths full and a slow one is idle; `copies`
+/// engines hold the following layers.
+fn selected_when_filling(copies: usize, seed: u64) -> UpstreamId {
     let mut model = model();
     model.layers = 10;
     let (first, rest) = (
@@ -233,20 +236,21 @@
     chain.expect("a chain")[0].upstream.clone()
 }
 
-/// Under 2.2 times the usual load requests went to slow engines while fast ones
-/// had room, and held memory there for several times as long.
+/// Guards against requests that go to slow engines while fast ones have room, and hold memory
+/// there for several times as long, as happened at 2.2 times the normal load.
 #[test]
-fn fast_engines_are_filled_first_where_others_can_stand_in() {
+fn fast_engines_are_filled_first_if_others_can_replace_them() {
     for seed in 0..20 {
-        assert_eq!(&*chosen_when_filling(3, seed), "fast");
-        // With barely a copy its room is kept for what may come.
-        assert_eq!(&*chosen_when_filling(1, seed), "slow");
+        assert_eq!(&*selected_when_filling(3, seed), "fast");
+        // With barely one copy, the room of the fast engine is kept for later requests.
+        assert_eq!(&*selected_when_filling(1, seed), "slow");
     }
 }
 
-/// Those who come back late spread over the engines only while there is room.
+/// Requests of late retries spread over the engines only while there is room, so the measured
+/// utilization must cover the own data centre only.
 #[test]
-fn room_near_is_counted_over_the_data_centre_alone() {
+fn local_utilization_covers_the_own_data_centre_only() {
     let model = model();
     let mut registry = twins();
     let held = Some(LayerRange { first: 0, end: 40 });
@@ -254,20 +258,20 @@
     registry.begin_request("far", 1_000_000);
     let (wan_usage, fleet_load, data_centre) =
         (WanUsage::default(), FleetLoad::default(), Arc::from("a"));
-    let filled = |registry: &UpstreamRegistry| {
+    let utilization = |registry: &UpstreamRegistry| {
         let context = context(registry, &wan_usage, &fleet_load, &data_centre);
         selection::local_utilization(&context, &model)
     };
-    assert_eq!(filled(&registry), 0.0);
-    let near: f64 = {
+    assert_eq!(utilization(&registry), 0.0);
+    let capacity: f64 = {
         let here = registry.iter().filter(|e| *e.upstream.data_centre == *"a");
         let room = |e: &UpstreamState| {
             cost::memory_capacity(&model, e, e.upstream.layers.expect("layers"))
         };
         here.map(room).sum()
     };
-    registry.begin_request("a1", (near / 2.0 / (BOXES / 3.0)) as u64);
-    let half = filled(&registry);
+    registry.begin_request("a1", (capacity / 2.0 / (BOXES / 3.0)) as u64);
+    let half = utilization(&registry);
     assert!((half - 0.5).abs() < 0.01, "{half}");
-    assert_eq!(filled(&UpstreamRegistry::default()), 1.0);
+    assert_eq!(utilization(&UpstreamRegistry::default()), 1.0);
 }
