--- a/crates/ashgauge/tests/fleet/mod.rs
+++ b/crates/ashgauge/tests/fleet/mod.rs
@@ -73,7 +73,7 @@
     Partition(usize),
     /// No box receives reports of another.
     DropReports,
-    /// All load reports arrive again.
+    /// Ends [`Fault::Partition`] and [`Fault::DropReports`]: all load reports arrive again.
     Heal,
     /// A box reports these figures instead of its own.
     Misreport(usize, LoadSum),
