--- a/crates/ashgauge/tests/choice.rs
+++ b/crates/ashgauge/tests/choice.rs
@@ -426,7 +426,7 @@
 }
 
 /// Guards against a retry that goes to an upstream whose entry vanished 2.2 s before: the
-/// box did not know yet whether it was gone for good, and preferred it to other upstreams.
+/// box did not know yet whether it was gone for good, and knew no other untried upstream.
 #[test]
 fn retry_does_not_go_to_an_upstream_that_vanished() {
     let now = Duration::from_secs(100);
--- a/crates/ashgauge/tests/hub.rs
+++ b/crates/ashgauge/tests/hub.rs
@@ -16,7 +16,7 @@
 
 const NOW: Duration = Duration::from_secs(60);
 
-/// One in this many leaves of a hub receives what the hub forwards, to save time.
+/// One in this many leaves of a hub receives what the hub forwards.
 const LEAF_STEP: usize = 40;
 
 /// Largest datagram that a socket accepts, in bytes.
--- a/crates/ashgauge/tests/worst_load.rs
+++ b/crates/ashgauge/tests/worst_load.rs
@@ -247,8 +247,8 @@
     }
 }
 
-/// Requests of late retries spread over the engines only while there is room, so the measured
-/// utilization must cover the own data centre only.
+/// Late retries spread over the engines only while the own data centre has room, so the
+/// utilization must not count the engines of other data centres.
 #[test]
 fn local_utilization_covers_the_own_data_centre_only() {
     let model = model();
