--- a/crates/proof/examples/demo.rs
+++ b/crates/proof/examples/demo.rs
@@ -1,5 +1,5 @@
-//! A small fleet at work: real requests, an edit, a lost engine, a planned
-//! stop. Run it by `./demo.sh`.
+//! Demo of a small fleet: completions, a service call, an edit, a killed engine
+//! and a planned stop. Run it with `./demo.sh`.
 
 use std::process::Command;
 
@@ -118,7 +118,7 @@
         let request = node.stream(PROMPT, 400, &[]);
         tokio::pin!(request);
         let busy = wait_until("a busy engine", || async {
-            let status = node.desk().status().await.ok()?;
+            let status = node.operator_client().status().await.ok()?;
             let held = status
                 .upstreams
                 .iter()
@@ -148,7 +148,7 @@
         "time line",
         "what the box decided for that request, in order",
     );
-    let events = fleet.boxes[0].desk().events().await?;
+    let events = fleet.boxes[0].operator_client().events().await?;
     let lost = |r: &&Record| matches!(r.kind, RecordKind::Lost { .. });
     let request = events
         .records
@@ -172,13 +172,13 @@
     let running = node.stream(PROMPT, 200, &[]);
     let stop = async {
         wait_until("a request in flight", || async {
-            let status = node.desk().status().await.ok()?;
+            let status = node.operator_client().status().await.ok()?;
             (status.inflight > 0).then_some(())
         })
         .await?;
         node.process.signal("TERM")?;
         wait_until("a box that drains", || async {
-            let status = node.desk().status().await.ok()?;
+            let status = node.operator_client().status().await.ok()?;
             status.draining.then_some(())
         })
         .await?;
--- a/crates/proof/src/call.rs
+++ b/crates/proof/src/call.rs
@@ -1,4 +1,4 @@
-//! A caller's side: requests and what came back.
+//! Requests to a box as a caller sends them, and their responses.
 
 use std::time::Duration;
 
@@ -10,23 +10,23 @@
 
 use crate::fleet::Node;
 
-/// Longest wait for an answer.
-const ANSWER_MOST: Duration = Duration::from_secs(60);
+/// Time-out for a complete response.
+const ANSWER_TIMEOUT: Duration = Duration::from_secs(60);
 
-/// An answer to a caller.
+/// A response to a caller.
 #[derive(Clone, Debug)]
 pub struct Reply {
-    /// Status.
+    /// HTTP status.
     pub status: StatusCode,
-    /// Value of the outcome header.
+    /// Value of the `ashgauge-outcome` header; empty if there is none.
     pub outcome: String,
-    /// Value of `retry-after`.
+    /// Value of the `retry-after` header.
     pub retry_after: Option<String>,
-    /// Body.
+    /// Response body; invalid UTF-8 is replaced.
     pub body: String,
 }
 
-/// Text of a whole or streamed completion.
+/// Returns the generated text of a completion, streamed or not.
 pub fn text_of(reply: &Reply) -> String {
     let chunk = |value: &Value| {
         let choice = &value["choices"][0];
@@ -45,7 +45,8 @@
     values.map(|v| chunk(&v)).collect()
 }
 
-/// Outcome of an answer, whole or streamed.
+/// Returns the outcome of a response: from its header, else from the last
+/// stream event that carries one. Empty if there is none.
 pub fn outcome(reply: &Reply) -> String {
     if !reply.outcome.is_empty() {
         return reply.outcome.clone();
@@ -68,7 +69,7 @@
 }
 
 impl Node {
-    /// Asks for a completion of the model `chat`.
+    /// Requests a completion of the model `chat` in one response.
     pub async fn complete(
         &self,
         prompt: &str,
@@ -80,7 +81,7 @@
             .await
     }
 
-    /// Asks for a streamed completion and reads it to its end.
+    /// Requests a streamed completion and reads the stream to its end.
     pub async fn stream(
         &self,
         prompt: &str,
@@ -92,12 +93,12 @@
             .await
     }
 
-    /// Posts a body with the first team's key, unless `headers` hold another.
+    /// Posts a body with the first team's key, unless `headers` set another.
     pub async fn post(&self, path: &str, body: &str, headers: &[(&str, &str)]) -> Result<Reply> {
         self.send(Method::POST, path, body, headers).await
     }
 
-    /// Sends a request to this box.
+    /// Sends a request to this box's caller port.
     pub async fn send(
         &self,
         method: Method,
@@ -109,12 +110,13 @@
     }
 }
 
-/// Posts a body to the callers' port at `addr` with the first team's key.
+/// Posts a body to the caller port at `addr` with the first team's key.
 pub async fn post(addr: &str, path: &str, body: &str) -> Result<Reply> {
     send_to(addr, Method::POST, path, body, &[]).await
 }
 
-/// Reads a page without a credential.
+/// Sends a `GET` request to `addr` and returns the response body. It carries
+/// the first team's key and no operator credential.
 pub async fn get(addr: &str, path: &str) -> Result<String> {
     let reply = send_to(addr, Method::GET, path, "", &[]).await?;
     Ok(reply.body)
@@ -138,7 +140,7 @@
         map.insert(name, value.parse()?);
     }
     let client = Client::new(Duration::from_secs(2));
-    let answer = client.send(addr, request, ANSWER_MOST).await?;
+    let answer = client.send(addr, request, ANSWER_TIMEOUT).await?;
     let header = |name: &str| {
         let value = answer.headers().get(name);
         value.and_then(|v| v.to_str().ok()).map(String::from)
--- a/crates/proof/src/fleet.rs
+++ b/crates/proof/src/fleet.rs
@@ -1,4 +1,4 @@
-//! A whole fleet of processes: platform, upstreams, links, boxes.
+//! A test fleet: the platform, upstreams, links and boxes, each a process.
 
 use std::io::ErrorKind;
 use std::path::{Path, PathBuf};
@@ -21,44 +21,45 @@
 /// Layers of the model of a test fleet.
 const LAYERS: u32 = 8;
 
-/// What to start.
+/// The processes that a test fleet starts with.
 pub struct Plan {
-    /// Boxes.
+    /// Boxes to start.
     pub boxes: Vec<BoxPlan>,
-    /// Engines of the model `chat`.
+    /// Engines to start; all serve the model `chat`.
     pub engines: Vec<EnginePlan>,
-    /// Number of plain services under `/notes`.
+    /// Number of plain HTTP services behind the route `/notes`.
     pub services: usize,
-    /// Layers of the model.
+    /// Number of layers of the model.
     pub layers: u32,
-    /// The first table.
+    /// The table that the platform holds at the start.
     pub table: Table,
 }
 
-/// One box to start.
+/// A box to start.
 #[derive(Clone, Default)]
 pub struct BoxPlan {
-    /// Settings that differ from the defaults, as JSON.
+    /// Settings merged over the test fleet's defaults.
     pub settings: Value,
 }
 
-/// One engine to start.
+/// An engine to start.
 #[derive(Clone)]
 pub struct EnginePlan {
-    /// First layer.
+    /// First layer held.
     pub first: u32,
-    /// Layer after the last.
+    /// End of the held layers, exclusive.
     pub end: u32,
-    /// Time a layer.
+    /// Simulated run time per layer and position.
     pub layer_time: Duration,
-    /// Orders at the same time.
+    /// Number of stage runs that execute concurrently.
     pub slots: usize,
-    /// Whether it checks the fence.
+    /// Whether the engine rejects orders with an outdated fencing term.
     pub fenced: bool,
 }
 
 impl EnginePlan {
-    /// An engine of layers `first..end`, quick and fenced.
+    /// Creates an engine of layers `first..end` that is fast (200 µs per layer)
+    /// and fenced.
     pub fn new(first: u32, end: u32) -> Self {
         EnginePlan {
             first,
@@ -89,45 +90,45 @@
 
 /// A box of the fleet.
 pub struct Node {
-    /// Name.
+    /// Id of the box.
     pub id: String,
     /// The process.
     pub process: Process,
-    /// Its link to the platform.
+    /// Link through which the box reaches the platform.
     pub platform: Link,
-    /// Callers' port.
+    /// Address of the caller port.
     pub caller: String,
-    /// Operators' port.
+    /// Address of the operator port.
     pub operator: String,
-    /// Box-to-box port, through its link.
+    /// Address of the box-to-box port, bypassing `peer_link`.
     pub peer: String,
-    /// Link before its box-to-box port.
+    /// Link through which other boxes reach the box-to-box port.
     pub peer_link: Link,
 }
 
 /// An engine or service of the fleet.
 pub struct Upstream {
-    /// Name.
+    /// Id of the upstream.
     pub id: String,
     /// The process.
     pub process: Process,
-    /// The link before it.
+    /// Link through which boxes reach the upstream.
     pub link: Link,
     addr: String,
     records: PathBuf,
 }
 
-/// All processes; dropped, they are killed.
+/// A running test fleet. Its processes are killed when it is dropped.
 pub struct Fleet {
-    /// Boxes.
+    /// Boxes, in the order they were added.
     pub boxes: Vec<Node>,
-    /// Engines.
+    /// Engines, in the order they were added.
     pub engines: Vec<Upstream>,
-    /// Plain services.
+    /// Plain HTTP services, in the order they were added.
     pub services: Vec<Upstream>,
-    /// The platform's list as last published.
+    /// The member list that [`Fleet::publish`] sends to the platform.
     pub listing: MemberList,
-    /// Layers of the model.
+    /// Number of layers of the model.
     pub layers: u32,
     platform: Process,
     platform_addr: String,
@@ -135,7 +136,7 @@
 }
 
 impl Fleet {
-    /// Starts everything and waits until every box is ready.
+    /// Starts all processes and waits until every box is ready.
     pub async fn start(plan: Plan) -> Result<Self> {
         let folder = Folder::new("fleet")?;
         let mut platform = Process::start("standin", &["platform".to_string()])?;
@@ -169,7 +170,8 @@
         Ok(fleet)
     }
 
-    /// Starts an engine and adds it to the list, which is not yet published.
+    /// Starts an engine and adds it to the member list, without publishing the
+    /// list. Returns the engine's index.
     pub fn add_engine(&mut self, plan: &EnginePlan) -> Result<usize> {
         let id = format!("engine-{}", self.engines.len() + 1);
         let records = self.dir().join(&id);
@@ -189,7 +191,7 @@
             args.push("--fenced".into());
         }
         let upstream = Upstream::start(id, &args, records)?;
-        let hold = HeldLayers {
+        let held_layers = HeldLayers {
             model: "chat".into(),
             first: plan.first,
             end: plan.end,
@@ -198,7 +200,7 @@
             id: upstream.id.as_str().into(),
             addr: upstream.link.addr.clone(),
             data_centre: "ebene-a".into(),
-            holds: vec![hold],
+            holds: vec![held_layers],
             service: None,
             fenced: plan.fenced,
             state: MemberState::Live,
@@ -207,7 +209,8 @@
         Ok(self.engines.len() - 1)
     }
 
-    /// Starts a plain service and adds it to the list, not yet published.
+    /// Starts a plain HTTP service and adds it to the member list, without
+    /// publishing the list. Returns the service's index.
     pub fn add_service(&mut self) -> Result<usize> {
         let id = format!("service-{}", self.services.len() + 1);
         let records = self.dir().join(&id);
@@ -226,7 +229,8 @@
         Ok(self.services.len() - 1)
     }
 
-    /// Starts a box and adds it to the list, not yet published.
+    /// Starts a box and adds it to the member list, without publishing the list.
+    /// Returns the box's index.
     pub fn add_box(&mut self, plan: &BoxPlan) -> Result<usize> {
         let id = format!("box-{}", self.boxes.len() + 1);
         let platform = Link::start(&self.platform_addr)?;
@@ -237,19 +241,19 @@
             "peer": "127.0.0.1:0",
             "operator": "127.0.0.1:0",
             "platform": platform.addr,
-            "peer_credential": {"file": self.file("peer-credential", PEER)?},
-            "operator_credential": {"file": self.file("operator-credential", OPERATOR)?},
+            "peer_credential": {"file": self.write_file("peer-credential", PEER)?},
+            "operator_credential": {"file": self.write_file("operator-credential", OPERATOR)?},
             "timing": {"list_ms": 100, "heartbeat_ms": 200},
             "platform_calls": 100.0,
         });
         merge(&mut settings, &plan.settings);
-        let file = self.file(&id, &settings.to_string())?;
+        let file = self.write_file(&id, &settings.to_string())?;
         let args = ["--settings".to_string(), file.display().to_string()];
         let mut process = Process::start("ashgauged", &args)?;
         let line: Value = serde_json::from_str(&process.line()?)?;
         let port = |name: &str| {
             let addr = line[name].as_str().map(String::from);
-            addr.ok_or_else(|| eyre!("the box did not name its port {name}"))
+            addr.ok_or_else(|| eyre!("the box did not report the address of its {name} port"))
         };
         let peer_link = Link::start(&port("peer")?)?;
         let node = Node {
@@ -272,24 +276,24 @@
         Ok(self.boxes.len() - 1)
     }
 
-    /// Gives the list of members to the platform.
+    /// Sends the member list to the platform.
     pub async fn publish(&self) -> Result<()> {
         put(&self.platform_addr, "/admin/members", &self.listing).await
     }
 
-    /// Sets the platform's faults and limits.
+    /// Sets the platform's injected faults and rate limits.
     pub async fn set_platform(&self, mode: standin::platform::Mode) -> Result<()> {
         put(&self.platform_addr, "/admin/mode", &mode).await
     }
 
-    /// The platform's counts of calls.
+    /// Returns the platform's call counters.
     pub async fn platform_counts(&self) -> Result<standin::platform::Counts> {
         Ok(serde_json::from_value(
             self.platform_get("/admin/counts").await?,
         )?)
     }
 
-    /// The table as the platform holds it, with its version.
+    /// Returns the table stored at the platform, with its version.
     pub async fn stored_table(&self) -> Result<(u64, Table)> {
         let objects = self.platform_get("/admin/objects").await?;
         let table = &objects["table"];
@@ -297,7 +301,7 @@
         Ok((version, serde_json::from_value(table["value"].clone())?))
     }
 
-    /// Waits until every box that runs is ready.
+    /// Waits until every box is ready.
     pub async fn ready(&self) -> Result<()> {
         for node in &self.boxes {
             node.wait_ready().await?;
@@ -305,7 +309,7 @@
         Ok(())
     }
 
-    /// Records of all engines.
+    /// Returns the records of all engines.
     pub fn engine_records(&self) -> Result<Vec<Record>> {
         let mut all = Vec::new();
         for engine in &self.engines {
@@ -314,7 +318,7 @@
         Ok(all)
     }
 
-    /// Records of all services, as the bodies they ran.
+    /// Returns the bodies of all calls that the services ran.
     pub fn service_bodies(&self) -> Result<Vec<String>> {
         let mut all = Vec::new();
         for service in &self.services {
@@ -323,7 +327,7 @@
         Ok(all)
     }
 
-    /// Where the fleet's files are.
+    /// Returns the directory of the fleet's files.
     pub fn dir(&self) -> &Path {
         self.folder.path()
     }
@@ -343,7 +347,7 @@
         Ok(serde_json::from_slice(answer.body())?)
     }
 
-    fn file(&self, name: &str, text: &str) -> Result<PathBuf> {
+    fn write_file(&self, name: &str, text: &str) -> Result<PathBuf> {
         let path = self.dir().join(format!("{name}.txt"));
         std::fs::write(&path, text)?;
         Ok(path)
@@ -351,24 +355,25 @@
 }
 
 impl Node {
-    /// The operators' port.
-    pub fn desk(&self) -> OperatorClient {
+    /// Returns a client of this box's operator port.
+    pub fn operator_client(&self) -> OperatorClient {
         OperatorClient::new(&self.operator, OPERATOR)
     }
 
-    /// Waits until the balancer may send requests here.
+    /// Waits until the box reports ready, so that a load balancer would send it
+    /// requests.
     pub async fn wait_ready(&self) -> Result<()> {
         wait_until("a box that is ready", || async {
-            let status = self.desk().status().await.ok()?;
+            let status = self.operator_client().status().await.ok()?;
             status.ready.then_some(())
         })
         .await
     }
 
-    /// Waits until a table version is in force.
+    /// Waits until the box has applied `version` of the table or a later one.
     pub async fn wait_version(&self, version: u64) -> Result<()> {
         wait_until("a table version in force", || async {
-            let status = self.desk().status().await.ok()?;
+            let status = self.operator_client().status().await.ok()?;
             (status.version >= version).then_some(())
         })
         .await
@@ -388,24 +393,24 @@
         })
     }
 
-    /// What the engine recorded.
+    /// Returns the engine's records.
     pub fn records(&self) -> Result<Vec<Record>> {
-        read(&self.records)
+        read_records(&self.records)
     }
 
-    /// Bodies of the calls that the service ran.
+    /// Returns the bodies of the calls that the service ran.
     pub fn bodies(&self) -> Result<Vec<String>> {
-        let records: Vec<standin::service::Record> = read(&self.records)?;
+        let records: Vec<standin::service::Record> = read_records(&self.records)?;
         Ok(records.into_iter().map(|r| r.body).collect())
     }
 
-    /// Sets the stand-in's own faults and states.
+    /// Sets the faults and states of the stand-in itself, not of its link.
     pub async fn set(&self, mode: &impl serde::Serialize) -> Result<()> {
         put(&self.addr, "/admin/mode", mode).await
     }
 }
 
-/// A table with two tiers, two teams, a model and a service.
+/// Builds a table with two tiers, two teams, a model route and a service route.
 pub fn starter_table(layers: u32) -> Table {
     let mut table = Table::default();
     let hash = |key: &str| {
@@ -459,14 +464,15 @@
     table
 }
 
-/// Reads a file of JSON lines; a line that is being written is left out.
+/// Reads a file of JSON lines. An incomplete last line is skipped, as it is
+/// still being written.
 ///
-/// No file is no record yet. A folder that is gone is an error: records were
-/// lost, and a test would take them for work that was not done.
-fn read<T: serde::de::DeserializeOwned>(path: &Path) -> Result<Vec<T>> {
+/// A missing file means no records yet. A missing directory is an error: the
+/// records were lost, and a test would conclude that the work was not done.
+fn read_records<T: serde::de::DeserializeOwned>(path: &Path) -> Result<Vec<T>> {
     let text = match std::fs::read_to_string(path) {
         Ok(text) => text,
-        Err(e) if e.kind() == ErrorKind::NotFound && has_folder(path) => String::new(),
+        Err(e) if e.kind() == ErrorKind::NotFound && has_parent_dir(path) => String::new(),
         Err(e) => return Err(e).wrap_err_with(|| format!("records {}", path.display())),
     };
     let whole = text.rfind('\n').map_or("", |end| &text[..end]);
@@ -474,7 +480,7 @@
     lines.collect()
 }
 
-fn has_folder(path: &Path) -> bool {
+fn has_parent_dir(path: &Path) -> bool {
     path.parent().is_some_and(Path::is_dir)
 }
 
--- a/crates/proof/src/folder.rs
+++ b/crates/proof/src/folder.rs
@@ -1,4 +1,4 @@
-//! Folders of fleets.
+//! Temporary directories of test fleets.
 
 use std::io::ErrorKind;
 use std::path::{Path, PathBuf};
@@ -6,15 +6,16 @@
 
 use eyre::Result;
 
-/// Folders that this process asked for so far.
-static ASKED: AtomicU64 = AtomicU64::new(0);
+/// Number of the next directory name that this process tries.
+static NEXT_NUMBER: AtomicU64 = AtomicU64::new(0);
 
-/// A new folder among the system's temporary ones; dropped, it is removed with
-/// all that lies in it.
+/// A new directory in the system's temporary directory, removed with its
+/// contents when dropped.
 ///
-/// Two owners of one folder overwrite each other's records, and the first to
-/// end removes both; the time of day does not tell owners apart (threads that
-/// start at once read the same nanosecond 5 times in 20,000).
+/// Names come from the process id and a counter. Names taken from the time of
+/// day collide: threads that start at once read the same nanosecond 5 times in
+/// 20,000. Two fleets that share a directory overwrite each other's records,
+/// and the first to be dropped removes the files of both.
 ///
 /// ```
 /// use proof::Folder;
@@ -28,24 +29,24 @@
 }
 
 impl Folder {
-    /// Makes a folder whose name begins with `ashgauge-` and `name`.
+    /// Creates a directory whose name begins with `ashgauge-` and `name`.
     ///
     /// # Errors
     ///
-    /// Fails where the system's temporary folder cannot be written.
+    /// Fails if the system's temporary directory is not writable.
     pub fn new(name: &str) -> Result<Self> {
         loop {
-            let path = next(name);
+            let path = next_path(name);
             match std::fs::create_dir(&path) {
                 Ok(()) => return Ok(Folder { path }),
-                // Left behind by an earlier process of the same id.
+                // Left over from an earlier process with the same id.
                 Err(e) if e.kind() == ErrorKind::AlreadyExists => {}
                 Err(e) => return Err(e.into()),
             }
         }
     }
 
-    /// Where it is.
+    /// Returns the path of the directory.
     pub fn path(&self) -> &Path {
         &self.path
     }
@@ -57,8 +58,8 @@
     }
 }
 
-fn next(name: &str) -> PathBuf {
-    let number = ASKED.fetch_add(1, Ordering::Relaxed);
+fn next_path(name: &str) -> PathBuf {
+    let number = NEXT_NUMBER.fetch_add(1, Ordering::Relaxed);
     let id = std::process::id();
     std::env::temp_dir().join(format!("ashgauge-{name}-{id}-{number}"))
 }
--- a/crates/proof/src/lib.rs
+++ b/crates/proof/src/lib.rs
@@ -1,6 +1,7 @@
-//! Starts boxes and stand-ins as processes, for tests and the demo.
+//! Starts boxes and stand-ins as processes, for integration tests and the demo.
 //!
-//! The verdicts of tests come from the stand-ins' own records.
+//! Tests check behaviour against the records that the stand-ins keep of the
+//! work they ran.
 
 #![warn(missing_docs)]
 #![forbid(unsafe_code)]
@@ -20,11 +21,11 @@
 /// Bearer key of the first team of the starter table.
 pub const KEY: &str = "payroll-key";
 
-/// Bearer key of its second team.
+/// Bearer key of the second team of the starter table.
 pub const OTHER_KEY: &str = "cellar-key";
 
-/// Operators' credential of a test fleet.
+/// Operator credential of a test fleet.
 pub const OPERATOR: &str = "operator-credential";
 
-/// Credential between boxes of a test fleet.
+/// Credential that the boxes of a test fleet present to each other.
 pub const PEER: &str = "peer-credential-1";
--- a/crates/proof/src/process.rs
+++ b/crates/proof/src/process.rs
@@ -1,4 +1,4 @@
-//! Child processes, and waiting for what they do.
+//! Child processes, and polling for their effects.
 
 use std::fs::File;
 use std::future::Future;
@@ -12,10 +12,10 @@
 use hyper::{Method, Request};
 use standin::link::Mode;
 
-/// Longest wait for a condition; only a failing test gets there.
-const WAIT_MOST: Duration = Duration::from_secs(30);
+/// Time-out of [`wait_until`]; only a failing test reaches it.
+const WAIT_TIMEOUT: Duration = Duration::from_secs(30);
 
-const POLL_TIME: Duration = Duration::from_millis(10);
+const POLL_INTERVAL: Duration = Duration::from_millis(10);
 
 /// A child process, killed when dropped.
 pub struct Process {
@@ -23,16 +23,17 @@
     lines: Option<BufReader<std::process::ChildStdout>>,
 }
 
-/// A fault-injecting link with its control port.
+/// A fault-injecting TCP proxy with its control port.
 pub struct Link {
     /// The process.
     pub process: Process,
-    /// Address that leads through the link.
+    /// Address on which the proxy listens.
     pub addr: String,
     control: String,
 }
 
-/// Path of a program of this workspace, next to the running test.
+/// Finds a program of this workspace in the directories above the running
+/// test's executable.
 pub fn binary(name: &str) -> Result<PathBuf> {
     let exe = std::env::current_exe()?;
     let mut dirs = exe.ancestors().skip(1);
@@ -40,24 +41,24 @@
     found.ok_or_else(|| eyre!("program {name} is not built; run cargo build --workspace first"))
 }
 
-/// Polls until `test` gives a value.
+/// Polls `test` until it returns a value.
 ///
 /// # Errors
 ///
-/// Fails with `what` after half a minute.
+/// Fails with a message that names `what` after 30 s.
 pub async fn wait_until<T, F>(what: &str, mut test: impl FnMut() -> F) -> Result<T>
 where
     F: Future<Output = Option<T>>,
 {
-    let until = Instant::now() + WAIT_MOST;
+    let until = Instant::now() + WAIT_TIMEOUT;
     loop {
         if let Some(value) = test().await {
             return Ok(value);
         }
         if Instant::now() > until {
-            bail!("waited in vain: {what}");
+            bail!("timed out waiting for {what}");
         }
-        tokio::time::sleep(POLL_TIME).await;
+        tokio::time::sleep(POLL_INTERVAL).await;
     }
 }
 
@@ -67,7 +68,8 @@
         let mut command = Command::new(binary(name)?);
         command
             .args(args)
-            // Stand-ins break connections by a panic, which a backtrace holds up by 0.1 s.
+            // Stand-ins break connections by panicking; printing a backtrace would
+            // delay that by 0.1 s.
             .env("RUST_BACKTRACE", "0")
             .stdin(Stdio::null())
             .stdout(Stdio::piped());
@@ -80,39 +82,41 @@
         let stdout = child
             .stdout
             .take()
-            .ok_or_else(|| eyre!("no output of {name}"))?;
+            .ok_or_else(|| eyre!("standard output of {name} is not captured"))?;
         Ok(Process {
             child,
             lines: Some(BufReader::new(stdout)),
         })
     }
 
-    /// Reads the next line of its output.
+    /// Reads the next line of the process's standard output.
     pub fn line(&mut self) -> Result<String> {
         let mut line = String::new();
         let lines = self.lines.as_mut();
-        let lines = lines.ok_or_else(|| eyre!("the output is drained"))?;
+        let lines = lines.ok_or_else(|| eyre!("standard output is already redirected"))?;
         lines.read_line(&mut line)?;
         if line.is_empty() {
-            bail!("the process ended early");
+            bail!("the process exited before it printed a line");
         }
         Ok(line.trim().into())
     }
 
-    /// Appends the rest of its output to a file, so that it never waits for a reader.
+    /// Appends the rest of the standard output to a file, so that the process
+    /// never blocks on a full pipe.
     pub fn drain_to(&mut self, file: &Path) -> Result<()> {
         let lines = self.lines.take();
-        let mut lines = lines.ok_or_else(|| eyre!("the output is drained already"))?;
+        let mut lines = lines.ok_or_else(|| eyre!("standard output is already redirected"))?;
         let mut file = File::options().create(true).append(true).open(file)?;
         std::thread::spawn(move || std::io::copy(&mut lines, &mut file));
         Ok(())
     }
 
-    /// Reads and forgets the rest of its output, so that it never waits for a
-    /// reader; with `PROOF_LOGS` in the environment it is shown.
+    /// Discards the rest of the standard output, so that the process never blocks
+    /// on a full pipe. If `PROOF_LOGS` is set in the environment, the output goes
+    /// to standard error instead.
     pub fn drain(&mut self) -> Result<()> {
         let lines = self.lines.take();
-        let mut lines = lines.ok_or_else(|| eyre!("the output is drained already"))?;
+        let mut lines = lines.ok_or_else(|| eyre!("standard output is already redirected"))?;
         let shown = std::env::var_os("PROOF_LOGS").is_some();
         std::thread::spawn(move || match shown {
             true => std::io::copy(&mut lines, &mut std::io::stderr()),
@@ -121,7 +125,7 @@
         Ok(())
     }
 
-    /// Process id.
+    /// Returns the process id.
     pub fn id(&self) -> u32 {
         self.child.id()
     }
@@ -138,13 +142,13 @@
         Ok(())
     }
 
-    /// Kills the process without notice.
+    /// Kills the process with `SIGKILL` and reaps it.
     pub fn kill(&mut self) {
         let _ = self.child.kill();
         let _ = self.child.wait();
     }
 
-    /// Waits for its end and returns its exit code.
+    /// Waits for the process to exit and returns its exit code.
     pub async fn ended(&mut self) -> Result<i32> {
         let child = std::sync::Mutex::new(&mut self.child);
         let status = wait_until("the end of a process", || async {
@@ -164,7 +168,7 @@
 }
 
 impl Link {
-    /// Starts a link that leads to `to`.
+    /// Starts a link that forwards to the address `to`.
     pub fn start(to: &str) -> Result<Self> {
         let args = ["link", "--to", to].map(String::from);
         let mut process = Process::start("standin", &args)?;
@@ -175,18 +179,18 @@
         })
     }
 
-    /// Sets what the link does.
+    /// Sets the faults that the link injects.
     pub async fn set(&self, mode: Mode) -> Result<()> {
         put(&self.control, "/admin/mode", &mode).await
     }
 
-    /// Lets the link pass everything again.
+    /// Clears all faults of the link.
     pub async fn heal(&self) -> Result<()> {
         self.set(Mode::default()).await
     }
 }
 
-/// Sends a stand-in a JSON value.
+/// Sends a JSON value to a stand-in by `PUT`.
 pub async fn put(addr: &str, path: &str, value: &impl serde::Serialize) -> Result<()> {
     let mut request = Request::new(Full::new(serde_json::to_vec(value)?.into()));
     *request.method_mut() = Method::PUT;
--- a/crates/proof/src/records.rs
+++ b/crates/proof/src/records.rs
@@ -1,15 +1,15 @@
-//! Verdicts from the engines' own records.
+//! Checks of which layers ran, from the engines' records.
 
 use std::collections::BTreeMap;
 
 use eyre::{Result, bail};
 use standin::engine::Record;
 
-/// Checks that every layer ran once for each position of a request.
+/// Checks that every layer ran exactly once for each position of a request.
 ///
-/// Replays that only rebuild a lost stage's state are not counted. `lost` are
-/// the records of engines that were lost: the last order each of them ran may
-/// have run again elsewhere, as its answer may not have got out.
+/// Replays that only rebuild the state of a lost stage are not counted. `lost`
+/// holds the records of an engine that failed: the last order in it may have run
+/// again on another engine, as its response may not have been sent.
 ///
 /// # Errors
 ///
@@ -31,7 +31,7 @@
     }
 }
 
-/// As [`check_layers`], for the records of one layer.
+/// Does the check of [`check_layers`] for a single layer.
 ///
 /// # Errors
 ///
@@ -64,25 +64,29 @@
 
 fn count(records: &[Record], lost: &[Record], request: &str) -> BTreeMap<(u32, u32), u32> {
     let mut counts = BTreeMap::new();
-    let of: Vec<&Record> = lost.iter().filter(|r| is_of(r, request)).collect();
+    let of: Vec<&Record> = lost.iter().filter(|r| is_run_of(r, request)).collect();
     let last = of.last().copied();
     let before = of.iter().take(of.len().saturating_sub(1)).copied();
-    let sure = records.iter().filter(|r| is_of(r, request)).chain(before);
-    for cell in sure.flat_map(cells) {
+    let sure = records
+        .iter()
+        .filter(|r| is_run_of(r, request))
+        .chain(before);
+    for cell in sure.flat_map(first_runs) {
         *counts.entry(cell).or_default() += 1;
     }
-    for cell in last.into_iter().flat_map(cells) {
+    for cell in last.into_iter().flat_map(first_runs) {
         counts.entry(cell).or_insert(1);
     }
     counts
 }
 
-fn is_of(record: &Record, wanted: &str) -> bool {
+fn is_run_of(record: &Record, wanted: &str) -> bool {
     matches!(record, Record::Ran { request, .. } if request == wanted)
 }
 
-/// Positions and layers that a record ran for the first time.
-fn cells(record: &Record) -> Vec<(u32, u32)> {
+/// Returns the (position, layer) pairs that a record ran, without those that
+/// it replayed to rebuild state.
+fn first_runs(record: &Record) -> Vec<(u32, u32)> {
     let Record::Ran {
         first,
         end,
@@ -100,7 +104,8 @@
         .collect()
 }
 
-/// Positions times layers that only rebuilt state, over all requests.
+/// Counts the (position, layer) pairs that were replayed to rebuild state, over
+/// all requests.
 pub fn replayed(records: &[Record]) -> u64 {
     let of = |r: &Record| match r {
         Record::Ran {
@@ -114,7 +119,8 @@
     records.iter().map(of).sum()
 }
 
-/// Names of the requests in the records, in the order of their first run.
+/// Returns the ids of the requests in the records, in the order of their first
+/// run.
 pub fn runs(records: &[Record]) -> Vec<String> {
     let mut names: Vec<String> = Vec::new();
     for record in records {
--- a/crates/proof/tests/answer.rs
+++ b/crates/proof/tests/answer.rs
@@ -1,5 +1,7 @@
-//! A caller gets the whole answer to its own request, never a piece of
-//! another's, or an explicit error.
+//! A caller gets either the complete response to its own request or an explicit
+//! error, never part of another request's response. The faults are engines that
+//! answer with another session's result, late responses, connection resets, and
+//! engines or boxes that are killed or frozen during a stream.
 
 use eyre::Result;
 use proof::{EnginePlan, Fleet, Plan, Reply, outcome, text_of, wait_until};
@@ -11,9 +13,9 @@
     format!("caller {n} asks for parcel {}", n * 7919)
 }
 
-/// A whole answer is exactly the expected text; anything else is an error that
-/// says so.
-fn is_whole_or_error(reply: &Reply, expected: &str) -> bool {
+/// Checks that a response marked `done` has exactly the expected text, and that
+/// any other response is an error status or a stream that ends in an error event.
+fn is_complete_or_error(reply: &Reply, expected: &str) -> bool {
     if outcome(reply) == "done" {
         return text_of(reply) == expected;
     }
@@ -21,7 +23,7 @@
     reply.status != 200 || broken
 }
 
-async fn ask_all(fleet: &Fleet, callers: usize, tokens: u32) -> Result<Vec<Reply>> {
+async fn send_concurrently(fleet: &Fleet, callers: usize, tokens: u32) -> Result<Vec<Reply>> {
     let mut asked = Vec::new();
     for n in 0..callers {
         let node = &fleet.boxes[n % fleet.boxes.len()];
@@ -35,7 +37,7 @@
         });
     }
     let mut replies = Vec::new();
-    // All run at the same time; a slice of futures needs no further library.
+    // Polls all requests concurrently; the standard library has no `join_all`.
     let mut all: Vec<_> = asked.into_iter().map(Box::pin).collect();
     let mut done: Vec<Option<Result<Reply>>> = (0..callers).map(|_| None).collect();
     std::future::poll_fn(|cx| {
@@ -70,12 +72,12 @@
         };
         engine.set(&mode).await?;
     }
-    let replies = ask_all(&fleet, 40, 10).await?;
+    let replies = send_concurrently(&fleet, 40, 10).await?;
     let mut whole = 0;
     for (n, reply) in replies.iter().enumerate() {
         let expected = reference(fleet.layers, &prompt(n), 10);
         assert!(
-            is_whole_or_error(reply, &expected),
+            is_complete_or_error(reply, &expected),
             "{n}: {expected} {reply:?}"
         );
         whole += usize::from(outcome(reply) == "done");
@@ -94,11 +96,11 @@
         };
         engine.link.set(reset).await?;
     }
-    let replies = ask_all(&fleet, 24, 10).await?;
+    let replies = send_concurrently(&fleet, 24, 10).await?;
     for (n, reply) in replies.iter().enumerate() {
         let expected = reference(fleet.layers, &prompt(n), 10);
         assert!(
-            is_whole_or_error(reply, &expected),
+            is_complete_or_error(reply, &expected),
             "{n}: {expected} {reply:?}"
         );
     }
@@ -106,14 +108,14 @@
 }
 
 #[tokio::test(flavor = "multi_thread")]
-async fn engine_that_answers_for_an_order_given_up_is_not_heard() -> Result<()> {
+async fn late_answer_to_an_abandoned_order_is_ignored() -> Result<()> {
     let fleet = Fleet::start(Plan::default()).await?;
     let node = &fleet.boxes[0];
     let expected = reference(fleet.layers, "late", 150);
     let request = node.stream("late", 150, &[]);
     let freeze = async {
         let id = wait_until("a busy engine", || async {
-            let status = node.desk().status().await.ok()?;
+            let status = node.operator_client().status().await.ok()?;
             let busy = status.upstreams.iter().find(|u| u.held > 0)?;
             (status.stats.tokens > 10).then(|| busy.id.to_string())
         })
@@ -131,7 +133,7 @@
             })
             .await?;
         wait_until("a replaced stage", || async {
-            let status = node.desk().status().await.ok()?;
+            let status = node.operator_client().status().await.ok()?;
             (status.stats.replaced > 0).then_some(())
         })
         .await?;
@@ -160,7 +162,7 @@
     let engine = &mut fleet.engines[1].process;
     let kill = async {
         wait_until("tokens", || async {
-            let status = node.desk().status().await.ok()?;
+            let status = node.operator_client().status().await.ok()?;
             (status.stats.tokens > 5).then_some(())
         })
         .await?;
@@ -187,13 +189,13 @@
     let node = &mut fleet.boxes[0];
     let request = {
         let caller = node.caller.clone();
-        let desk = node.desk();
+        let operator_client = node.operator_client();
         let killer = &mut node.process;
         let body = r#"{"model":"chat","prompt":"cut","max_tokens":300,"stream":true}"#;
         let request = proof::post(&caller, "/v1/completions", body);
         let kill = async {
             wait_until("tokens", || async {
-                let status = desk.status().await.ok()?;
+                let status = operator_client.status().await.ok()?;
                 (status.stats.tokens > 5).then_some(())
             })
             .await?;
--- a/crates/proof/tests/folders.rs
+++ b/crates/proof/tests/folders.rs
@@ -1,4 +1,6 @@
-//! Folders of fleets that one process starts at once.
+//! Temporary directories of fleets that one process starts concurrently. If two
+//! fleets get the same directory, they overwrite each other's records; if a
+//! directory is gone, its records must not read as "no work was done".
 
 use std::collections::BTreeSet;
 use std::sync::Barrier;
@@ -6,15 +8,15 @@
 use eyre::Result;
 use proof::{Fleet, Folder, Plan};
 
-/// Folders a thread, and threads that ask at once: by the time of day alone
-/// about one in 4,000 rounds gives one folder twice.
+/// Directories created per thread. With names taken from the time of day, about
+/// one in 4,000 rounds gave the same directory twice.
 const ROUNDS: usize = 20_000;
 const THREADS: usize = 3;
 
-/// Asks for a folder at the same moment as the other threads, `ROUNDS` times.
-fn ask(line: &Barrier) -> Result<Vec<Folder>> {
+/// Creates `ROUNDS` directories, each at the same moment as the other threads.
+fn create_folders(barrier: &Barrier) -> Result<Vec<Folder>> {
     let asked = (0..ROUNDS).map(|_| {
-        line.wait();
+        barrier.wait();
         Folder::new("at-once")
     });
     asked.collect()
@@ -22,9 +24,9 @@
 
 #[test]
 fn folders_asked_for_at_once_differ() -> Result<()> {
-    let line = Barrier::new(THREADS);
+    let barrier = Barrier::new(THREADS);
     let folders = std::thread::scope(|scope| {
-        let threads = [(); THREADS].map(|()| scope.spawn(|| ask(&line)));
+        let threads = [(); THREADS].map(|()| scope.spawn(|| create_folders(&barrier)));
         let asked = threads.into_iter().map(|t| t.join().expect("a thread"));
         asked.collect::<Result<Vec<_>>>()
     })?;
--- a/crates/proof/tests/input.rs
+++ b/crates/proof/tests/input.rs
@@ -1,5 +1,6 @@
-//! Bad input gets a clear error at once and harms no other request; the
-//! operators' and the box-to-box port take nothing without their credential.
+//! Invalid, oversized and slow requests get a clear error at once and do not
+//! affect other requests. The operator port and the box-to-box port reject calls
+//! without their credential.
 
 use std::time::Duration;
 
@@ -21,7 +22,8 @@
     }
 }
 
-/// Checks an error's status, kind, outcome and that it names a remedy.
+/// Checks the status, kind and outcome of an error, and that it has a message
+/// and a remedy.
 fn assert_error(reply: &Reply, status: u16, kind: &str) {
     assert_eq!(reply.status, status, "{}", reply.body);
     assert_eq!(reply.outcome, "not_run");
@@ -47,11 +49,11 @@
     Ok(())
 }
 
-async fn raw(node: &Node, bytes: &[u8]) -> Result<String> {
+async fn send_raw(node: &Node, bytes: &[u8]) -> Result<String> {
     let mut stream = TcpStream::connect(&node.caller).await?;
     stream.write_all(bytes).await?;
     let mut answer = Vec::new();
-    // The box ends the connection by itself; an error of the reading is an end.
+    // The box closes the connection; a read error counts as the end too.
     let read = stream.read_to_end(&mut answer);
     tokio::time::timeout(Duration::from_secs(20), read)
         .await?
@@ -60,7 +62,7 @@
 }
 
 #[tokio::test(flavor = "multi_thread")]
-async fn requests_that_cannot_be_served_are_told_why() -> Result<()> {
+async fn requests_that_cannot_be_served_get_specific_errors() -> Result<()> {
     let fleet = Fleet::start(plan()).await?;
     let node = &fleet.boxes[0];
     let path = "/v1/completions";
@@ -111,10 +113,10 @@
 }
 
 #[tokio::test(flavor = "multi_thread")]
-async fn garbage_and_slow_senders_are_cut_and_harm_nobody() -> Result<()> {
+async fn malformed_and_slow_requests_are_closed_and_affect_no_others() -> Result<()> {
     let fleet = Fleet::start(plan()).await?;
     let node = &fleet.boxes[0];
-    let garbage = raw(
+    let garbage = send_raw(
         node,
         b"\x16\x03\x01\x02\x00\x01\x00\r\n\r\n\xff\xfe\r\n\r\n",
     )
@@ -123,12 +125,12 @@
         garbage.is_empty() || garbage.starts_with("HTTP/1.1 400"),
         "{garbage}"
     );
-    // A head and a body that never end.
-    let head = raw(
+    // A request head and a request body that are never completed.
+    let head = send_raw(
         node,
         b"POST /v1/completions HTTP/1.1\r\nhost: x\r\nx-slow: ",
     );
-    let body = raw(
+    let body = send_raw(
         node,
         b"POST /v1/completions HTTP/1.1\r\nhost: x\r\nauthorization: Bearer payroll-key\r\ncontent-length: 900\r\n\r\n{",
     );
@@ -141,7 +143,7 @@
         "GET /healthz HTTP/1.1\r\nhost: x\r\nx-big: {}\r\n\r\n",
         "a".repeat(100_000)
     );
-    let huge = raw(node, huge.as_bytes()).await?;
+    let huge = send_raw(node, huge.as_bytes()).await?;
     assert!(!huge.contains("200 OK"), "{huge}");
     assert_works(&fleet).await
 }
@@ -171,7 +173,7 @@
 }
 
 #[tokio::test(flavor = "multi_thread")]
-async fn ports_take_nothing_without_their_credential() -> Result<()> {
+async fn ports_reject_calls_without_their_credential() -> Result<()> {
     let fleet = Fleet::start(plan()).await?;
     let node = &fleet.boxes[0];
     let calls = [
@@ -187,7 +189,7 @@
             let status = status_of(&node.operator, path, method.clone(), bearer, "{}").await?;
             assert_eq!(status, 401, "{path} with {bearer:?}");
         }
-        // Callers reach none of it on their own port.
+        // The caller port does not serve operator paths, even with the credential.
         let status = status_of(&node.caller, path, method.clone(), Some(OPERATOR), "{}").await?;
         assert!(matches!(status, 401 | 404), "{path}: {status}");
     }
@@ -200,7 +202,7 @@
         status_of(&node.peer, "/", Method::POST, Some(PEER), &call).await?,
         200
     );
-    assert!(!fleet.boxes[0].desk().status().await?.draining);
+    assert!(!fleet.boxes[0].operator_client().status().await?.draining);
     Ok(())
 }
 
@@ -224,7 +226,7 @@
 }
 
 #[tokio::test(flavor = "multi_thread")]
-async fn deadline_is_kept_and_told_at_once_when_it_cannot_be() -> Result<()> {
+async fn expired_deadline_is_answered_with_504() -> Result<()> {
     let fleet = Fleet::start(plan()).await?;
     for engine in &fleet.engines {
         engine.process.signal("STOP")?;
--- a/crates/proof/tests/layers.rs
+++ b/crates/proof/tests/layers.rs
@@ -1,6 +1,7 @@
-//! Every layer runs exactly once for each token, in order, whichever engines
-//! hold the layers. The verdict is the engines' own records, and the text,
-//! which another order of layers would change.
+//! Every layer runs exactly once for each position, in order, however the layers
+//! are distributed over engines and whichever engines fail in mid-request. Tests
+//! check the engines' records and the generated text, which depends on the order
+//! of the layers.
 
 use eyre::{Result, eyre};
 use proof::{EnginePlan, Fleet, Plan, check_layers, outcome, replayed, runs, text_of, wait_until};
@@ -26,11 +27,12 @@
     }
 }
 
-/// Index of the engine that box 0 uses for the layer, once enough tokens came.
+/// Waits until box 0 has received `tokens` tokens, and returns the index of the
+/// engine that it uses for the layer.
 async fn engine_of(fleet: &Fleet, layer: u32, tokens: u64) -> Result<usize> {
     let node = &fleet.boxes[0];
     wait_until("an engine in use", || async {
-        let status = node.desk().status().await.ok()?;
+        let status = node.operator_client().status().await.ok()?;
         if status.stats.tokens < tokens {
             return None;
         }
@@ -47,7 +49,7 @@
     .await
 }
 
-/// Records of the engines that live, and of those that were lost.
+/// Returns the records of the surviving engines and those of the lost ones.
 fn split(fleet: &Fleet, lost: &[usize]) -> Result<(Vec<Record>, Vec<Record>)> {
     let (mut live, mut gone) = (Vec::new(), Vec::new());
     for (n, engine) in fleet.engines.iter().enumerate() {
@@ -81,9 +83,10 @@
     check(&fleet, &[], 20)
 }
 
-/// A slow engine is entered behind its first layer, as a quick one runs those.
+/// Where the ranges of a fast and a slow engine overlap, the fast engine runs the
+/// shared layers, so the slow engine starts at layer 5 rather than at its first.
 #[tokio::test(flavor = "multi_thread")]
-async fn slow_engine_is_entered_late() -> Result<()> {
+async fn slow_engine_runs_only_layers_that_the_fast_one_lacks() -> Result<()> {
     let mut plan = plan(&[(0, 5), (3, 8)]);
     plan.engines[1].layer_time = std::time::Duration::from_millis(2);
     let fleet = Fleet::start(plan).await?;
@@ -119,7 +122,7 @@
         (expected, "done".into())
     );
     check(&fleet, &[lost], 200)?;
-    // Only the lost stage's layers were replayed, on its replacement.
+    // Only the layers of the lost stage are replayed, on its replacement.
     let (live, _) = split(&fleet, &[lost])?;
     let whole = u64::from(positions(200) * fleet.layers);
     assert!(replayed(&live) > 0 && replayed(&live) <= whole);
@@ -169,7 +172,8 @@
         (text_of(&reply), outcome(&reply)),
         (expected, "done".into())
     );
-    // Each lost engine's last order is in doubt, so they are judged one by one.
+    // The last order of each lost engine may have run again elsewhere, so the
+    // layers are checked one by one.
     let records: Vec<Vec<Record>> = fleet
         .engines
         .iter()
@@ -198,11 +202,11 @@
     let expected = reference(fleet.layers, PROMPT, 120);
     let caller = fleet.boxes[0].caller.clone();
     let body = format!(r#"{{"model":"chat","prompt":"{PROMPT}","max_tokens":120}}"#);
-    let asker = tokio::spawn(async move { ask(&caller, &body).await });
+    let asker = tokio::spawn(async move { post_completion(&caller, &body).await });
     let lost = engine_of(&fleet, 4, 10).await?;
     fleet.engines[lost].process.kill();
     wait_until("a stalled request", || async {
-        let events = fleet.boxes[0].desk().events().await.ok()?;
+        let events = fleet.boxes[0].operator_client().events().await.ok()?;
         let stalled = |r: &ashgauge::record::Record| {
             matches!(r.kind, ashgauge::record::RecordKind::Stalled { .. })
         };
@@ -217,7 +221,7 @@
 }
 
 #[tokio::test(flavor = "multi_thread")]
-async fn slow_link_is_left_for_a_quick_one() -> Result<()> {
+async fn engine_behind_a_slow_link_is_avoided() -> Result<()> {
     let fleet = Fleet::start(Plan::default()).await?;
     let expected = reference(fleet.layers, PROMPT, 4);
     let slow = Mode {
@@ -239,7 +243,7 @@
 }
 
 #[tokio::test(flavor = "multi_thread")]
-async fn not_repeatable_completion_reruns_nothing() -> Result<()> {
+async fn non_repeatable_completion_reruns_nothing() -> Result<()> {
     let mut fleet = Fleet::start(Plan::default()).await?;
     let (reply, lost) = {
         let request = fleet.boxes[0].complete(PROMPT, 200, &[("ashgauge-repeat", "no")]);
@@ -264,7 +268,7 @@
     Ok(())
 }
 
-async fn ask(addr: &str, body: &str) -> Result<String> {
+async fn post_completion(addr: &str, body: &str) -> Result<String> {
     proof::post(addr, "/v1/completions", body)
         .await
         .map(|r| r.body)
--- a/crates/proof/tests/lease.rs
+++ b/crates/proof/tests/lease.rs
@@ -1,5 +1,7 @@
-//! One box at a time gives orders to upstreams; an old holder that wakes does
-//! no lasting harm, whether the upstream checks the fence or not.
+//! Only the box that holds the lease sends orders to upstreams. A former holder
+//! that was frozen past its lease may still send old orders when it resumes; the
+//! upstream must end up in the current state, whether or not it checks the
+//! fencing term.
 
 use ashgauge::editor::EditResult;
 use ashgauge::table::{Cell, Change, Edit};
@@ -13,19 +15,19 @@
     let node = BoxPlan {
         settings: json!({"timing": {"lease_ms": 1000, "list_ms": 100, "heartbeat_ms": 200}}),
     };
-    let free = |a, b| EnginePlan {
+    let unfenced = |a, b| EnginePlan {
         fenced: false,
         ..EnginePlan::new(a, b)
     };
     Plan {
         boxes: vec![node; 3],
-        engines: vec![EnginePlan::new(0, 4), free(4, 8)],
+        engines: vec![EnginePlan::new(0, 4), unfenced(4, 8)],
         ..Plan::default()
     }
 }
 
-/// Sets the adapter that both engines should load.
-async fn want(fleet: &Fleet, node: usize, seen: Option<&str>, adapter: &str) -> Result<()> {
+/// Edits the table so that both engines should load `adapter`.
+async fn set_adapter(fleet: &Fleet, node: usize, seen: Option<&str>, adapter: &str) -> Result<()> {
     let cell = |s: &str| Cell::Text(s.into());
     let change = |engine: &str| Change {
         row: format!("upstream/{engine}"),
@@ -39,13 +41,13 @@
         at: 0,
         changes: vec![change("engine-1"), change("engine-2")],
     };
-    match fleet.boxes[node].desk().edit(&edit).await? {
+    match fleet.boxes[node].operator_client().edit(&edit).await? {
         EditResult::Accepted { .. } => Ok(()),
         other => bail!("{other:?}"),
     }
 }
 
-fn obeyed(fleet: &Fleet, engine: usize) -> Result<Vec<(u64, String)>> {
+fn applied_orders(fleet: &Fleet, engine: usize) -> Result<Vec<(u64, String)>> {
     let records = fleet.engines[engine].records()?;
     let of = |r: Record| match r {
         Record::Obeyed { term, adapter, .. } => Some((term, adapter.unwrap_or_default())),
@@ -56,16 +58,24 @@
 
 async fn wait_adapter(fleet: &Fleet, engine: usize, adapter: &str) -> Result<u64> {
     wait_until("an engine with the adapter", || async {
-        let (term, has) = obeyed(fleet, engine).ok()?.pop()?;
+        let (term, has) = applied_orders(fleet, engine).ok()?.pop()?;
         (has == adapter).then_some(term)
     })
     .await
 }
 
-async fn holder(fleet: &Fleet, besides: Option<usize>) -> Result<usize> {
+async fn wait_holder(fleet: &Fleet, besides: Option<usize>) -> Result<usize> {
     wait_until("a holder of the lease", || async {
         for (n, node) in fleet.boxes.iter().enumerate() {
-            if Some(n) != besides && node.desk().status().await.ok()?.lease_term.is_some() {
+            if Some(n) != besides
+                && node
+                    .operator_client()
+                    .status()
+                    .await
+                    .ok()?
+                    .lease_term
+                    .is_some()
+            {
                 return Some(n);
             }
         }
@@ -75,15 +85,18 @@
 }
 
 fn assert_terms_grow(fleet: &Fleet, engine: usize) -> Result<()> {
-    let terms: Vec<u64> = obeyed(fleet, engine)?.into_iter().map(|(t, _)| t).collect();
+    let terms: Vec<u64> = applied_orders(fleet, engine)?
+        .into_iter()
+        .map(|(t, _)| t)
+        .collect();
     assert!(terms.is_sorted(), "an old order was obeyed: {terms:?}");
     Ok(())
 }
 
 #[tokio::test(flavor = "multi_thread")]
-async fn orders_of_the_table_reach_the_engines() -> Result<()> {
+async fn adapter_set_in_the_table_reaches_the_engines() -> Result<()> {
     let fleet = Fleet::start(plan()).await?;
-    want(&fleet, 0, None, "payslip-v1").await?;
+    set_adapter(&fleet, 0, None, "payslip-v1").await?;
     for engine in 0..2 {
         wait_adapter(&fleet, engine, "payslip-v1").await?;
     }
@@ -91,41 +104,41 @@
 }
 
 #[tokio::test(flavor = "multi_thread")]
-async fn holder_frozen_past_its_lease_wakes_and_does_no_harm() -> Result<()> {
+async fn holder_that_resumes_after_its_lease_ended_does_no_harm() -> Result<()> {
     let fleet = Fleet::start(plan()).await?;
-    want(&fleet, 0, None, "v1").await?;
+    set_adapter(&fleet, 0, None, "v1").await?;
     let first = wait_adapter(&fleet, 0, "v1").await?;
     wait_adapter(&fleet, 1, "v1").await?;
-    let old = holder(&fleet, None).await?;
+    let old = wait_holder(&fleet, None).await?;
     fleet.boxes[old].process.signal("STOP")?;
     let other = (old + 1) % 3;
-    want(&fleet, other, Some("v1"), "v2").await?;
+    set_adapter(&fleet, other, Some("v1"), "v2").await?;
     let second = wait_adapter(&fleet, 0, "v2").await?;
     wait_adapter(&fleet, 1, "v2").await?;
     assert!(second > first, "no new term: {first} then {second}");
     fleet.boxes[old].process.signal("CONT")?;
-    // The old holder hears of the new table and of its lost lease; then one
-    // more change shows that all follow one order.
+    // The former holder learns of the new table and of its lost lease; one more
+    // edit then shows that both engines follow the current holder.
     fleet.boxes[old].wait_ready().await?;
-    want(&fleet, other, Some("v2"), "v3").await?;
+    set_adapter(&fleet, other, Some("v2"), "v3").await?;
     for engine in 0..2 {
         wait_adapter(&fleet, engine, "v3").await?;
     }
     assert_terms_grow(&fleet, 0)?;
-    let last = obeyed(&fleet, 1)?.pop();
+    let last = applied_orders(&fleet, 1)?.pop();
     assert_eq!(last.map(|(_, a)| a), Some("v3".into()));
     Ok(())
 }
 
-/// An old holder's orders are held up on the links and arrive together with
-/// the new holder's, in whatever order.
+/// Orders of a former holder are delayed on the links and arrive together with
+/// those of the new holder, in any order.
 #[tokio::test(flavor = "multi_thread")]
-async fn old_orders_that_arrive_late_do_not_last() -> Result<()> {
+async fn late_orders_of_a_former_holder_do_not_stay_in_effect() -> Result<()> {
     let fleet = Fleet::start(plan()).await?;
-    want(&fleet, 0, None, "v1").await?;
+    set_adapter(&fleet, 0, None, "v1").await?;
     wait_adapter(&fleet, 0, "v1").await?;
     wait_adapter(&fleet, 1, "v1").await?;
-    let old = holder(&fleet, None).await?;
+    let old = wait_holder(&fleet, None).await?;
     for engine in &fleet.engines {
         engine
             .link
@@ -135,10 +148,10 @@
             })
             .await?;
     }
-    want(&fleet, (old + 1) % 3, Some("v1"), "v2").await?;
+    set_adapter(&fleet, (old + 1) % 3, Some("v1"), "v2").await?;
     fleet.boxes[old].process.signal("STOP")?;
-    let new = holder(&fleet, Some(old)).await?;
-    want(&fleet, new, Some("v2"), "v3").await?;
+    let new = wait_holder(&fleet, Some(old)).await?;
+    set_adapter(&fleet, new, Some("v2"), "v3").await?;
     for engine in &fleet.engines {
         engine.link.heal().await?;
     }
--- a/crates/proof/tests/leaving.rs
+++ b/crates/proof/tests/leaving.rs
@@ -1,5 +1,6 @@
-//! An upstream that leaves gets no new work, and a planned stop cuts off no
-//! request. The verdict is the upstreams' own records and the callers' texts.
+//! An upstream that is leaving gets no new work, and a planned stop of a box
+//! interrupts no request. Tests check the upstreams' records and the texts that
+//! the callers received.
 
 use ashgauge::member::MemberState;
 use eyre::Result;
@@ -9,22 +10,22 @@
 use standin::model::reference;
 use standin::{engine, platform};
 
-async fn stream(fleet: &Fleet, node: usize, prompt: &str, tokens: u32) -> Result<Reply> {
+async fn stream_from(fleet: &Fleet, node: usize, prompt: &str, tokens: u32) -> Result<Reply> {
     fleet.boxes[node].stream(prompt, tokens, &[]).await
 }
 
-/// Waits until the box knows that the upstream leaves.
-async fn wait_leaving(fleet: &Fleet, node: usize, id: &str) -> Result<()> {
+/// Waits until the box knows that the upstream is leaving.
+async fn wait_known_leaving(fleet: &Fleet, node: usize, id: &str) -> Result<()> {
     wait_until("a box that knows of the leaving upstream", || async {
-        let status = fleet.boxes[node].desk().status().await.ok()?;
+        let status = fleet.boxes[node].operator_client().status().await.ok()?;
         let found = status.upstreams.iter().find(|u| &*u.id == id)?;
         (found.state == MemberState::Leaving).then_some(())
     })
     .await
 }
 
-/// Requests and refusals in an engine's records.
-fn asked(fleet: &Fleet, n: usize) -> Result<usize> {
+/// Counts the requests that an engine ran or refused, from its records.
+fn run_and_refusal_count(fleet: &Fleet, n: usize) -> Result<usize> {
     let records = fleet.engines[n].records()?;
     let refused = records
         .iter()
@@ -37,15 +38,16 @@
     found.expect("it is listed").state = MemberState::Leaving;
 }
 
-fn assert_whole(reply: &Reply, layers: u32, prompt: &str, tokens: u32) {
+fn assert_complete(reply: &Reply, layers: u32, prompt: &str, tokens: u32) {
     let expected = reference(layers, prompt, tokens);
     assert_eq!((text_of(reply), outcome(reply)), (expected, "done".into()));
 }
 
-/// The engine that serves the only running request, on its first layers.
+/// Waits until the only running request has more than 3 tokens, and returns the
+/// index of the first engine that holds it.
 async fn first_engine(fleet: &Fleet, node: usize) -> Result<usize> {
     wait_until("a busy engine", || async {
-        let status = fleet.boxes[node].desk().status().await.ok()?;
+        let status = fleet.boxes[node].operator_client().status().await.ok()?;
         let busy = status
             .upstreams
             .iter()
@@ -58,8 +60,8 @@
 #[tokio::test(flavor = "multi_thread")]
 async fn leaving_engine_gets_no_new_work_and_ends_what_it_has() -> Result<()> {
     let mut fleet = Fleet::start(Plan::default()).await?;
-    // The list lags far behind; the engine's own refusal and the boxes' word
-    // to each other must do.
+    // The member list lags by an hour, so boxes learn of the leaving engine only
+    // from its refusals and from each other.
     let lag = platform::Mode {
         lag_ms: 3_600_000,
         ..platform::Mode::default()
@@ -77,26 +79,27 @@
     fleet.engines[leaver].set(&mode).await?;
     mark_leaving(&mut fleet, &id);
     fleet.publish().await?;
-    // New requests meet the refusal and go elsewhere, whole.
+    // New requests are refused by the engine and complete on others.
     for n in 0..4 {
-        let reply = stream(&fleet, n % 2, "new", 5).await?;
-        assert_whole(&reply, fleet.layers, "new", 5);
+        let reply = stream_from(&fleet, n % 2, "new", 5).await?;
+        assert_complete(&reply, fleet.layers, "new", 5);
     }
-    wait_leaving(&fleet, 0, &id).await?;
-    wait_leaving(&fleet, 1, &id).await?;
-    // Work that the engine was given shows as a run or as its refusal.
-    let before = asked(&fleet, leaver)?;
+    wait_known_leaving(&fleet, 0, &id).await?;
+    wait_known_leaving(&fleet, 1, &id).await?;
+    // Any request sent to the engine shows in its records as a run or a refusal.
+    let before = run_and_refusal_count(&fleet, leaver)?;
     for n in 0..6 {
-        let reply = stream(&fleet, n % 2, "later", 5).await?;
-        assert_whole(&reply, fleet.layers, "later", 5);
+        let reply = stream_from(&fleet, n % 2, "later", 5).await?;
+        assert_complete(&reply, fleet.layers, "later", 5);
     }
-    assert_eq!(asked(&fleet, leaver)?, before);
+    assert_eq!(run_and_refusal_count(&fleet, leaver)?, before);
     let reply = running.await??;
-    assert_whole(&reply, fleet.layers, "long", 600);
+    assert_complete(&reply, fleet.layers, "long", 600);
     Ok(())
 }
 
-/// One box is cut off from the platform and hears of it from the other.
+/// A box that is cut off from the platform learns from another box that an
+/// upstream is leaving.
 #[tokio::test(flavor = "multi_thread")]
 async fn leaving_reaches_a_box_without_the_platform() -> Result<()> {
     let mut fleet = Fleet::start(Plan::default()).await?;
@@ -114,11 +117,11 @@
     };
     fleet.engines[0].set(&mode).await?;
     fleet.engines[2].process.signal("STOP")?;
-    // With the other engine of these layers frozen, box 0 has to ask this one.
-    let refused = stream(&fleet, 0, "x", 2);
+    // The other engine of these layers is frozen, so box 0 has to try this one.
+    let refused = stream_from(&fleet, 0, "x", 2);
     let (_, known) = tokio::join!(
         tokio::time::timeout(std::time::Duration::from_secs(5), refused),
-        wait_leaving(&fleet, 1, &id)
+        wait_known_leaving(&fleet, 1, &id)
     );
     known?;
     mark_leaving(&mut fleet, &id);
@@ -132,11 +135,12 @@
         ..Plan::default()
     })
     .await?;
-    // The service itself would take the calls; only the list says it leaves.
+    // The service itself still accepts calls; only the member list marks it as
+    // leaving.
     let id = fleet.services[0].id.clone();
     mark_leaving(&mut fleet, &id);
     fleet.publish().await?;
-    wait_leaving(&fleet, 0, &id).await?;
+    wait_known_leaving(&fleet, 0, &id).await?;
     for n in 0..6 {
         let reply = fleet.boxes[0]
             .post("/notes/send", &format!("note {n}"), &[])
@@ -149,7 +153,7 @@
 }
 
 #[tokio::test(flavor = "multi_thread")]
-async fn planned_stop_ends_every_request_whole_and_tells_new_ones() -> Result<()> {
+async fn planned_stop_completes_running_requests_and_refuses_new_ones() -> Result<()> {
     let mut fleet = Fleet::start(Plan::default()).await?;
     let mut running = Vec::new();
     for n in 0..12 {
@@ -162,29 +166,29 @@
             proof::post(&caller, "/v1/completions", &body).await
         }));
     }
-    let desk = fleet.boxes[0].desk();
+    let operator_client = fleet.boxes[0].operator_client();
     wait_until("all requests in flight", || async {
-        let status = desk.status().await.ok()?;
+        let status = operator_client.status().await.ok()?;
         (status.stats.arrived == 12).then_some(())
     })
     .await?;
     fleet.boxes[0].process.signal("TERM")?;
     wait_until("a box that drains", || async {
-        desk.status().await.ok()?.draining.then_some(())
+        operator_client.status().await.ok()?.draining.then_some(())
     })
     .await?;
-    let refused = stream(&fleet, 0, "new", 2).await?;
+    let refused = stream_from(&fleet, 0, "new", 2).await?;
     assert_eq!(
         (refused.status.as_u16(), refused.outcome.as_str()),
         (503, "not_run")
     );
     assert!(refused.retry_after.is_some());
     for (n, task) in running.into_iter().enumerate() {
-        assert_whole(&task.await??, fleet.layers, &format!("running {n}"), 60);
+        assert_complete(&task.await??, fleet.layers, &format!("running {n}"), 60);
     }
     assert_eq!(fleet.boxes[0].process.ended().await?, 0);
-    assert_whole(
-        &stream(&fleet, 1, "other", 5).await?,
+    assert_complete(
+        &stream_from(&fleet, 1, "other", 5).await?,
         fleet.layers,
         "other",
         5,
@@ -203,17 +207,17 @@
     let node = fleet.add_box(&BoxPlan::default())?;
     fleet.publish().await?;
     fleet.boxes[node].wait_ready().await?;
-    assert_whole(
-        &stream(&fleet, node, "first", 5).await?,
+    assert_complete(
+        &stream_from(&fleet, node, "first", 5).await?,
         fleet.layers,
         "first",
         5,
     );
     wait_until("work on the new engine", || async {
-        stream(&fleet, node, "more", 3).await.ok()?;
+        stream_from(&fleet, node, "more", 3).await.ok()?;
         (!fleet.engines[newcomer].records().ok()?.is_empty()).then_some(())
     })
     .await?;
-    assert_whole(&running.await??, fleet.layers, "long", 300);
+    assert_complete(&running.await??, fleet.layers, "long", 300);
     Ok(())
 }
--- a/crates/proof/tests/once.rs
+++ b/crates/proof/tests/once.rs
@@ -1,5 +1,6 @@
-//! A request marked as not repeatable runs at most once, and "not run" is
-//! true. The verdict is the plain services' own records.
+//! A request that is not repeatable runs at most once, and one reported as
+//! `not_run` did not run, whatever is lost between caller, boxes, platform and
+//! service. Tests check the records of the plain HTTP services.
 
 use std::collections::HashMap;
 
@@ -17,14 +18,14 @@
         .await
 }
 
-fn times(fleet: &Fleet, body: &str) -> Result<usize> {
+fn run_count(fleet: &Fleet, body: &str) -> Result<usize> {
     let bodies = fleet.service_bodies()?;
     Ok(bodies.iter().filter(|b| *b == body).count())
 }
 
-async fn wait_times(fleet: &Fleet, body: &str, wanted: usize) -> Result<()> {
+async fn wait_run_count(fleet: &Fleet, body: &str, wanted: usize) -> Result<()> {
     wait_until("a run in the service's records", || async {
-        (times(fleet, body).ok()? == wanted).then_some(())
+        (run_count(fleet, body).ok()? == wanted).then_some(())
     })
     .await
 }
@@ -60,7 +61,7 @@
         let done = replies.iter().filter(|r| r.status == 200).count();
         let taken = replies.iter().filter(|r| r.status == 409).count();
         assert_eq!((done, taken), (1, 2), "{replies:?}");
-        assert_eq!(times(&fleet, &body)?, 1);
+        assert_eq!(run_count(&fleet, &body)?, 1);
     }
     Ok(())
 }
@@ -83,7 +84,7 @@
             (409, "unknown")
         );
     }
-    assert_eq!(times(&fleet, "note")?, 1);
+    assert_eq!(run_count(&fleet, "note")?, 1);
     Ok(())
 }
 
@@ -99,7 +100,7 @@
         let running = post(&fleet, 0, "k", "note");
         tokio::select! {
             reply = running => panic!("answered too early: {reply:?}"),
-            ran = wait_times(&fleet, "note", 1) => ran?,
+            ran = wait_run_count(&fleet, "note", 1) => ran?,
         }
     }
     fleet.boxes[0].process.kill();
@@ -107,14 +108,14 @@
         let again = post(&fleet, node, "k", "note").await?;
         assert_eq!(again.outcome, "unknown", "{}", again.body);
     }
-    assert_eq!(times(&fleet, "note")?, 1);
+    assert_eq!(run_count(&fleet, "note")?, 1);
     Ok(())
 }
 
-/// The box is stopped between its claim's commit and its call, and wakes when
-/// the same key has been asked for elsewhere.
+/// A box is frozen after its claim on a key was committed and before it calls
+/// the service, and resumes after another box got a request with the same key.
 #[tokio::test(flavor = "multi_thread")]
-async fn frozen_box_that_wakes_does_not_double() -> Result<()> {
+async fn frozen_box_that_resumes_does_not_run_a_key_twice() -> Result<()> {
     let fleet = Fleet::start(three_boxes()).await?;
     let late = Mode {
         delay_ms: 300,
@@ -135,7 +136,7 @@
     let (first, again) = tokio::join!(first, rest);
     let (first, again) = (first?, again?);
     assert_ne!(again.status, 200, "{}", again.body);
-    let ran = times(&fleet, "note")?;
+    let ran = run_count(&fleet, "note")?;
     assert!(ran <= 1, "ran {ran} times");
     match first.outcome.as_str() {
         "done" => assert_eq!(ran, 1),
@@ -167,22 +168,23 @@
     let (first, rest) = tokio::join!(first, rest);
     rest?;
     let first = first?;
-    let ran = times(&fleet, "note")?;
+    let ran = run_count(&fleet, "note")?;
     match first.outcome.as_str() {
         "done" => assert_eq!(ran, 1, "{}", first.body),
         "not_run" => assert_eq!(ran, 0, "{}", first.body),
         other => panic!("{other}: {}", first.body),
     }
     let again = post(&fleet, 1, "k", "note").await?;
-    assert!(times(&fleet, "note")? <= 1, "{first:?} {again:?}");
+    assert!(run_count(&fleet, "note")? <= 1, "{first:?} {again:?}");
     Ok(())
 }
 
-/// A write that got lost on its way must not pass for one whose answer was.
+/// A write that never reached the platform must not be taken for one whose
+/// response was lost.
 #[tokio::test(flavor = "multi_thread")]
 async fn platform_write_lost_before_it_took_effect() -> Result<()> {
     let fleet = Fleet::start(three_boxes()).await?;
-    // Without each other, every box claims for itself.
+    // The boxes cannot reach each other, so each one writes its own claims.
     for node in &fleet.boxes {
         node.peer_link
             .set(Mode {
@@ -202,7 +204,7 @@
     let first = post(&fleet, 0, "k", "note");
     let rest = async {
         wait_until("a write on its way", || async {
-            (lossy.desk().status().await.ok()?.stats.writes >= 2).then_some(())
+            (lossy.operator_client().status().await.ok()?.stats.writes >= 2).then_some(())
         })
         .await?;
         let other = post(&fleet, 1, "k", "note").await?;
@@ -213,12 +215,12 @@
     let (first, other) = (first?, other?);
     assert_eq!(other.outcome, "done", "{}", other.body);
     assert_eq!(first.status, 409, "{}", first.body);
-    assert_eq!(times(&fleet, "note")?, 1);
+    assert_eq!(run_count(&fleet, "note")?, 1);
     Ok(())
 }
 
-/// A key of version 7 carries its time; one that may have been forgotten is
-/// refused, not run again.
+/// A UUID version 7 key carries its creation time. A key older than the retention
+/// period may have run and been forgotten, so it is refused rather than run.
 #[tokio::test(flavor = "multi_thread")]
 async fn key_older_than_keys_are_kept_is_not_run() -> Result<()> {
     let fleet = Fleet::start(three_boxes()).await?;
@@ -229,7 +231,7 @@
         "{}",
         old.body
     );
-    assert_eq!(times(&fleet, "old")?, 0);
+    assert_eq!(run_count(&fleet, "old")?, 0);
     let since = std::time::SystemTime::now().duration_since(std::time::UNIX_EPOCH)?;
     let ms = since.as_millis() as u64;
     let key = format!(
@@ -241,7 +243,7 @@
     assert_eq!(fresh.outcome, "done", "{}", fresh.body);
     let again = post(&fleet, 2, &key, "fresh").await?;
     assert_eq!(again.status, 409, "{}", again.body);
-    // A key made ahead of time could outlive its claim.
+    // A key dated in the future could outlive its claim.
     let ahead = ms + 3_600_000;
     let key = format!(
         "{:08x}-{:04x}-7cc3-98c4-dc0c0c07398f",
@@ -253,8 +255,8 @@
         (early.status.as_u16(), early.outcome.as_str()),
         (400, "not_run")
     );
-    assert_eq!(times(&fleet, "early")?, 0);
-    assert_eq!(times(&fleet, "fresh")?, 1);
+    assert_eq!(run_count(&fleet, "early")?, 0);
+    assert_eq!(run_count(&fleet, "fresh")?, 1);
     Ok(())
 }
 
@@ -274,8 +276,8 @@
         );
         assert!(reply.retry_after.is_some());
     }
-    assert_eq!(times(&fleet, "note")?, 0);
-    // A call that may be repeated needs no claim and goes through.
+    assert_eq!(run_count(&fleet, "note")?, 0);
+    // A repeatable call needs no claim and succeeds.
     let text = fleet.boxes[0].complete("x", 2, &[]).await?;
     assert_eq!(text.status, 200);
     fleet.set_platform(platform::Mode::default()).await?;
@@ -285,12 +287,12 @@
     })
     .await?;
     assert_eq!(reply.outcome, "done", "{}", reply.body);
-    assert_eq!(times(&fleet, "note")?, 1);
+    assert_eq!(run_count(&fleet, "note")?, 1);
     Ok(())
 }
 
-/// Calls under a link that is cut, resets, swallows answers and heals in turn:
-/// every outcome that was told agrees with the service's records.
+/// The service's link is cut, drops responses, resets, delays and heals in turn.
+/// Every outcome that a caller was told must agree with the service's records.
 #[tokio::test(flavor = "multi_thread")]
 async fn told_outcomes_agree_with_the_records() -> Result<()> {
     let fleet = Fleet::start(Plan::default()).await?;
@@ -316,7 +318,7 @@
     let mut told = HashMap::new();
     for round in 0..12 {
         if round == 10 {
-            // The service refuses in its own words from here on.
+            // From here on the service itself refuses calls, as leaving.
             let leaving = service::Mode {
                 leaving: true,
                 ..service::Mode::default()
@@ -335,7 +337,7 @@
     }
     let mut seen: HashMap<&str, usize> = HashMap::new();
     for (body, reply) in &told {
-        let ran = times(&fleet, body)?;
+        let ran = run_count(&fleet, body)?;
         let fits = match reply.outcome.as_str() {
             "done" => ran == 1,
             "not_run" => ran == 0,
--- a/crates/proof/tests/operator.rs
+++ b/crates/proof/tests/operator.rs
@@ -1,4 +1,5 @@
-//! `ashctl` against a fleet: every verb, exit codes, JSON, CSV, waiting.
+//! Runs `ashctl` against a fleet: every subcommand, exit codes, JSON output, CSV
+//! export and import, and `--wait`.
 
 use std::process::Command;
 
@@ -24,18 +25,18 @@
     })
 }
 
-fn ok(fleet: &Fleet, args: &[&str]) -> Result<String> {
+fn ashctl_ok(fleet: &Fleet, args: &[&str]) -> Result<String> {
     let output = ashctl(fleet, 0, args)?;
     assert_eq!(output.code, 0, "{args:?}: {}{}", output.text, output.error);
     Ok(output.text)
 }
 
 #[tokio::test(flavor = "multi_thread")]
-async fn verbs_about_the_table() -> Result<()> {
+async fn table_subcommands() -> Result<()> {
     let fleet = Fleet::start(Plan::default()).await?;
-    let shown = ok(&fleet, &["show"])?;
+    let shown = ashctl_ok(&fleet, &["show"])?;
     assert!(shown.contains("TEAM") && shown.contains("payroll") && shown.contains("weight"));
-    let set = ok(
+    let set = ashctl_ok(
         &fleet,
         &[
             "set",
@@ -51,24 +52,24 @@
         set.contains("accepted, version 2") && set.contains("in force on every box"),
         "{set}"
     );
-    // The waited-for version is in force on the other box too.
+    // `--wait` returned, so the version is in force on the other box too.
     let other = ashctl(&fleet, 1, &["show", "--json"])?;
     let other: Value = serde_json::from_str(&other.text)?;
     assert_eq!(other["table"]["rows"]["team/payroll"]["weight"], 7.0);
-    let history = ok(&fleet, &["history"])?;
+    let history = ashctl_ok(&fleet, &["history"])?;
     assert!(
         history.contains("ana") && history.contains("team/payroll:weight"),
         "{history}"
     );
-    let columns = ok(&fleet, &["columns"])?;
+    let columns = ashctl_ok(&fleet, &["columns"])?;
     assert!(columns.contains("tokens a second over the whole fleet"));
     Ok(())
 }
 
 #[tokio::test(flavor = "multi_thread")]
-async fn refused_edits_exit_with_one_and_name_the_other() -> Result<()> {
+async fn refused_edits_exit_with_1_and_name_the_conflict() -> Result<()> {
     let fleet = Fleet::start(Plan::default()).await?;
-    ok(
+    ashctl_ok(
         &fleet,
         &["set", "team/payroll", "weight", "7", "--who", "ana"],
     )?;
@@ -112,50 +113,50 @@
 }
 
 #[tokio::test(flavor = "multi_thread")]
-async fn table_goes_out_to_csv_and_comes_back() -> Result<()> {
+async fn table_is_exported_to_csv_and_imported() -> Result<()> {
     let fleet = Fleet::start(Plan::default()).await?;
-    let csv = ok(&fleet, &["export"])?;
+    let csv = ashctl_ok(&fleet, &["export"])?;
     let (base, file) = (fleet.dir().join("base.csv"), fleet.dir().join("new.csv"));
     std::fs::write(&base, &csv)?;
     let new = csv.replace("team/cellar,", "team/cellar-two,");
     std::fs::write(&file, &new)?;
     let path = |p: &std::path::Path| p.display().to_string();
-    // Somebody else edits a cell that the import does not touch.
-    ok(&fleet, &["set", "team/payroll", "weight", "9"])?;
-    ok(&fleet, &["import", &path(&file), "--base", &path(&base)])?;
-    let shown: Value = serde_json::from_str(&ok(&fleet, &["show", "--json"])?)?;
+    // A concurrent edit of a cell that the import does not change is kept.
+    ashctl_ok(&fleet, &["set", "team/payroll", "weight", "9"])?;
+    ashctl_ok(&fleet, &["import", &path(&file), "--base", &path(&base)])?;
+    let shown: Value = serde_json::from_str(&ashctl_ok(&fleet, &["show", "--json"])?)?;
     let rows = &shown["table"]["rows"];
     assert_eq!(rows["team/payroll"]["weight"], 9.0);
     assert!(rows["team/cellar"].is_null() && rows["team/cellar-two"].is_object());
-    let again = ok(&fleet, &["import", &path(&file), "--base", &path(&file)])?;
+    let again = ashctl_ok(&fleet, &["import", &path(&file), "--base", &path(&file)])?;
     assert!(again.contains("nothing to change"));
     Ok(())
 }
 
 #[tokio::test(flavor = "multi_thread")]
-async fn verbs_about_the_fleet() -> Result<()> {
+async fn fleet_subcommands() -> Result<()> {
     let mut fleet = Fleet::start(Plan::default()).await?;
     fleet.boxes[0]
         .complete("seen in the time line", 3, &[])
         .await?;
-    let status = ok(&fleet, &["status"])?;
+    let status = ashctl_ok(&fleet, &["status"])?;
     assert!(status.contains("box-1") && status.contains("box-2") && status.contains("ready"));
-    let upstreams = ok(&fleet, &["upstreams"])?;
+    let upstreams = ashctl_ok(&fleet, &["upstreams"])?;
     assert!(
         upstreams.contains("engine-4") && upstreams.contains("chat:4-8"),
         "{upstreams}"
     );
-    let chains = ok(&fleet, &["chains", "chat"])?;
+    let chains = ashctl_ok(&fleet, &["chains", "chat"])?;
     assert_eq!(chains.matches("usable").count(), 4, "{chains}");
-    ok(&fleet, &["set", "upstream/engine-1", "adapter", "v1"])?;
+    ashctl_ok(&fleet, &["set", "upstream/engine-1", "adapter", "v1"])?;
     wait_until("a holder of the lease", || async {
-        ok(&fleet, &["leases"])
+        ashctl_ok(&fleet, &["leases"])
             .ok()?
             .contains("held by box-")
             .then_some(())
     })
     .await?;
-    let timeline = ok(&fleet, &["timeline", "--json"])?;
+    let timeline = ashctl_ok(&fleet, &["timeline", "--json"])?;
     let records: Vec<Value> = timeline
         .lines()
         .map(serde_json::from_str)
--- a/crates/proof/tests/path.rs
+++ b/crates/proof/tests/path.rs
@@ -1,4 +1,5 @@
-//! The whole path: a caller's request through a box and several engines.
+//! End to end: completions, service calls and table edits through the boxes of a
+//! fleet without faults.
 
 use ashgauge::table::{Cell, Change, Edit};
 use eyre::Result;
@@ -57,7 +58,7 @@
         at: 0,
         changes: vec![change],
     };
-    let answer = fleet.boxes[0].desk().edit(&edit).await?;
+    let answer = fleet.boxes[0].operator_client().edit(&edit).await?;
     let ashgauge::editor::EditResult::Accepted { version } = answer else {
         panic!("{answer:?}");
     };
--- a/crates/proof/tests/rest.rs
+++ b/crates/proof/tests/rest.rs
@@ -1,5 +1,5 @@
-//! An upstream that turns work away may say for how long; until then it gets no new work
-//! from the box. The verdict is the upstreams' own records.
+//! An upstream that refuses work may state for how long (`retry-after`); until then the box
+//! sends it no new work. Tests check the upstreams' records.
 
 use eyre::Result;
 use proof::{Fleet, Plan, outcome};
@@ -8,11 +8,11 @@
 /// Longer than any test takes.
 const REST_MS: u64 = 60_000;
 
-/// Requests that follow; their runs take several times the pauses that a box makes on
-/// its own before it tries an engine again.
+/// Rounds of requests. Together they take several times as long as a box's own back-off
+/// before it tries an engine again.
 const SENDS: usize = 30;
 
-fn refusals(fleet: &Fleet, n: usize) -> Result<usize> {
+fn refusal_count(fleet: &Fleet, n: usize) -> Result<usize> {
     let records = fleet.engines[n].records()?;
     let refused = records
         .iter()
@@ -20,10 +20,10 @@
     Ok(refused.count())
 }
 
-/// A box that drives each stage left an engine that was full out for pauses of its own,
-/// 0.25 s to 2 s, whatever it had asked for.
+/// Guards against a fault of boxes that drive each stage themselves: they backed off from a
+/// full engine for 0.25 s to 2 s, whatever `retry-after` it had sent.
 #[tokio::test(flavor = "multi_thread")]
-async fn engine_that_asked_for_rest_gets_no_new_session() -> Result<()> {
+async fn engine_that_sent_retry_after_gets_no_new_session() -> Result<()> {
     let fleet = Fleet::start(Plan::default()).await?;
     let mode = engine::Mode {
         rest_ms: REST_MS,
@@ -32,7 +32,7 @@
     fleet.engines[0].set(&mode).await?;
     let mut first = 0;
     for n in 0..SENDS {
-        // Some at once, so that both engines of the first layers are used.
+        // Three at once, so that both engines of the first layers are used.
         let prompts = [0, 1, 2].map(|i| format!("note {n} {i}"));
         let send = |i: usize| fleet.boxes[0].stream(&prompts[i], 40, &[]);
         let (a, b, c) = tokio::join!(send(0), send(1), send(2));
@@ -40,10 +40,10 @@
             assert_eq!(outcome(&reply), "done");
         }
         if n == 0 {
-            first = refusals(&fleet, 0)?;
+            first = refusal_count(&fleet, 0)?;
             assert!(first > 0, "none reached it");
         }
     }
-    assert_eq!(refusals(&fleet, 0)?, first);
+    assert_eq!(refusal_count(&fleet, 0)?, first);
     Ok(())
 }
