--- a/crates/standin/src/engine.rs
+++ b/crates/standin/src/engine.rs
@@ -1,4 +1,4 @@
-//! A model engine that holds a range of layers.
+//! A stand-in for a model engine that holds a range of layers.
 
 use std::collections::HashMap;
 use std::path::PathBuf;
@@ -20,94 +20,95 @@
 use crate::model::{Layers, sample};
 use crate::web::{append, run, status_only};
 
-/// Share of a position's time that each further one of the same order costs.
+/// Time of each further position of an order, as a share of the time of the
+/// first one.
 const BATCH_SHARE: f64 = 0.05;
 
-/// How an engine behaves.
+/// Options of an engine.
 #[derive(Clone, Debug)]
 pub struct Options {
-    /// Model.
+    /// Name of the model.
     pub model: String,
     /// First layer held.
     pub first: u32,
-    /// Layer after the last held.
+    /// End of the held layers, exclusive.
     pub end: u32,
-    /// Layers of the whole model.
+    /// Number of layers of the whole model.
     pub layers: u32,
-    /// Time that one layer takes for one position.
+    /// Simulated run time per layer and position.
     pub layer_time: Duration,
-    /// Orders that run at the same time.
+    /// Number of orders that run concurrently.
     pub slots: usize,
-    /// Whether it refuses orders with an old fence.
+    /// Whether the engine rejects orders with an outdated fencing term.
     pub fenced: bool,
-    /// File for its records.
+    /// File to which records are appended; no records are kept without one.
     pub records: Option<PathBuf>,
-    /// Microseconds that its slots were busy, counted here.
+    /// Counter of the microseconds that the engine's slots were busy.
     pub busy: Arc<AtomicU64>,
 }
 
-/// One line of an engine's records.
+/// A record of what an engine did, stored as one JSON line.
 #[derive(Clone, Debug, Serialize, Deserialize)]
 #[serde(tag = "what", rename_all = "snake_case")]
 pub enum Record {
-    /// It ran positions `start..start + count` through layers `first..end`.
+    /// The engine ran positions `start..start + count` through layers `first..end`.
     Ran {
-        /// Request.
+        /// Id of the request.
         request: String,
-        /// Session.
+        /// Id of the session.
         session: String,
-        /// Number of the try.
+        /// Number of the attempt.
         attempt: u32,
         /// First layer.
         first: u32,
-        /// Layer after the last.
+        /// End of the layers, exclusive.
         end: u32,
         /// First position.
         start: u32,
         /// Number of positions.
         count: u32,
-        /// How many of them only rebuilt state.
+        /// How many of the positions were replayed only to rebuild state.
         rebuild: u32,
     },
-    /// It refused a new session, as it is leaving or wants rest.
+    /// The engine refused a new session, as it is leaving or busy.
     Refused {
-        /// Session.
+        /// Id of the session.
         session: String,
     },
-    /// It gave kept outputs again and ran nothing.
+    /// The engine returned the stored outputs of a repeated order and ran nothing.
     Kept {
-        /// Session.
+        /// Id of the session.
         session: String,
         /// First position.
         start: u32,
     },
-    /// It obeyed an order.
+    /// The engine applied an order of its desired state.
     Obeyed {
-        /// The order's fence.
+        /// Fencing term of the order.
         term: u64,
-        /// Number of the wanted state.
+        /// Hash of the desired state.
         goal: u64,
-        /// Adapter that it has now.
+        /// Adapter that the order sets.
         adapter: Option<String>,
     },
-    /// It refused an order whose fence was old.
+    /// The engine rejected an order with an outdated fencing term.
     Fenced {
-        /// The order's fence.
+        /// Fencing term of the order.
         term: u64,
     },
 }
 
-/// Faults and states that `PUT /admin/mode` sets.
+/// Injected faults and states, set by `PUT /admin/mode`.
 #[derive(Clone, Debug, Default, Serialize, Deserialize)]
 #[serde(default)]
 pub struct Mode {
-    /// Refuse new sessions, as an upstream that leaves.
+    /// Refuse new sessions, as an upstream that is leaving.
     pub leaving: bool,
-    /// Refuse new sessions as busy, and ask for so many milliseconds of rest; 0 for not.
+    /// Refuse new sessions as busy, with this many milliseconds in `retry-after`; 0 disables.
     pub rest_ms: u64,
-    /// Answer every nth order with another session's answer; 0 for never.
+    /// Answer every nth order with the reply to the order before it; 0 disables.
     pub crossed: u64,
-    /// Milliseconds added before an answer goes out.
+    /// Milliseconds by which each reply is delayed.
     pub late_ms: u64,
 }
 
@@ -127,7 +128,7 @@
     kept: Option<(RunBody, RunReply)>,
 }
 
-/// Serves an engine on a listener, for ever.
+/// Serves an engine on a listener; never returns.
 pub async fn serve(listener: TcpListener, options: Options) {
     let engine = Arc::new(Engine {
         slots: Semaphore::new(options.slots),
@@ -149,7 +150,7 @@
     async fn handle(&self, head: Parts, body: Bytes) -> Response<Body> {
         match head.uri.path() {
             "/v1/stages/run" => match serde_json::from_slice(&body) {
-                Ok(order) => self.order(order).await,
+                Ok(order) => self.run_order(order).await,
                 Err(_) => status_only(StatusCode::BAD_REQUEST),
             },
             "/v1/stages/cancel" => {
@@ -159,7 +160,7 @@
                 status_only(StatusCode::OK)
             }
             "/v1/orders" => match serde_json::from_slice(&body) {
-                Ok(order) => self.obey(&order),
+                Ok(order) => self.apply_order(&order),
                 Err(_) => status_only(StatusCode::BAD_REQUEST),
             },
             "/admin/mode" => {
@@ -172,7 +173,7 @@
         }
     }
 
-    async fn order(&self, order: RunBody) -> Response<Body> {
+    async fn run_order(&self, order: RunBody) -> Response<Body> {
         let mode = lock(&self.mode).clone();
         let o = &self.options;
         if order.model != o.model || order.first < o.first || order.end > o.end {
@@ -194,7 +195,7 @@
             None => self.open(&order),
         };
         let mut session = session.lock().await;
-        if let Some(kept) = session.kept_for(&order) {
+        if let Some(kept) = session.kept_reply(&order) {
             append(
                 o.records.as_deref(),
                 &Record::Kept {
@@ -212,7 +213,7 @@
         if mode.late_ms > 0 {
             tokio::time::sleep(Duration::from_millis(mode.late_ms)).await;
         }
-        json(StatusCode::OK, &self.cross(mode.crossed, reply))
+        json(StatusCode::OK, &self.swap_reply(mode.crossed, reply))
     }
 
     fn refuse_new(&self, session: String, reason: RefusalReason) -> Response<Body> {
@@ -234,9 +235,9 @@
     }
 
     async fn work(&self, session: &mut Session, order: RunBody) -> RunReply {
-        let came = Instant::now();
-        let _place = self.slots.acquire().await;
-        let queued = came.elapsed();
+        let arrived = Instant::now();
+        let _permit = self.slots.acquire().await;
+        let queued = arrived.elapsed();
         let started = Instant::now();
         let positions = order.inputs.len() as f64;
         let layers = f64::from(order.end - order.first);
@@ -291,8 +292,8 @@
         );
     }
 
-    /// Gives now and then the answer of another session in place of this one.
-    fn cross(&self, every: u64, reply: RunReply) -> RunReply {
+    /// Returns the previous reply instead of `reply` for every nth order.
+    fn swap_reply(&self, every: u64, reply: RunReply) -> RunReply {
         let mut orders = lock(&self.orders);
         *orders += 1;
         let before = lock(&self.last).replace(reply.clone());
@@ -302,7 +303,7 @@
         reply
     }
 
-    fn obey(&self, order: &OrderBody) -> Response<Body> {
+    fn apply_order(&self, order: &OrderBody) -> Response<Body> {
         let mut fence = lock(&self.fence);
         let records = self.options.records.as_deref();
         if self.options.fenced && order.term < fence.0 {
@@ -323,7 +324,7 @@
 }
 
 impl Session {
-    fn kept_for(&self, order: &RunBody) -> Option<RunReply> {
+    fn kept_reply(&self, order: &RunBody) -> Option<RunReply> {
         let (before, reply) = self.kept.as_ref()?;
         let same = before.start == order.start && before.inputs == order.inputs;
         same.then(|| reply.clone())
@@ -332,8 +333,8 @@
 
 fn refuse(reason: RefusalReason) -> Response<Body> {
     let mut response = status_only(StatusCode::CONFLICT);
-    let word = hyper::header::HeaderValue::from_static(reason_name(reason));
-    response.headers_mut().insert(NOT_RUN_HEADER, word);
+    let value = hyper::header::HeaderValue::from_static(reason_name(reason));
+    response.headers_mut().insert(NOT_RUN_HEADER, value);
     response
 }
 
--- a/crates/standin/src/lib.rs
+++ b/crates/standin/src/lib.rs
@@ -1,6 +1,6 @@
-//! Small stand-ins for the outside systems, each a process of its own: the
-//! platform, a model engine, a plain service, and a link that brings faults
-//! about. They keep records of what they did, which tests judge by.
+//! Stand-ins for external systems, each a process of its own: the platform, a
+//! model engine, a plain HTTP service, and a fault-injecting link. Engines and
+//! services keep records of what they ran, against which tests check.
 
 #![warn(missing_docs)]
 #![forbid(unsafe_code)]
--- a/crates/standin/src/link.rs
+++ b/crates/standin/src/link.rs
@@ -1,4 +1,4 @@
-//! A link that brings faults about: a TCP relay with a control port.
+//! A fault-injecting link: a TCP proxy with a control port.
 
 use std::io;
 use std::net::SocketAddr;
@@ -17,34 +17,36 @@
 
 const CHUNK: usize = 16 << 10;
 
-/// What the link does to its connections; set by `PUT /admin/mode`.
+/// Faults that the link injects, set by `PUT /admin/mode`.
 #[derive(Clone, Debug, Default, PartialEq, Serialize, Deserialize)]
 #[serde(default)]
 pub struct Mode {
-    /// Milliseconds that every piece waits, each way.
+    /// Milliseconds by which every chunk is delayed, in both directions.
     pub delay_ms: u64,
-    /// Close all connections and every new one.
+    /// Reset all open connections and every new one.
     pub cut: bool,
-    /// Pass nothing on, but keep connections open.
+    /// Forward nothing, but keep connections open.
     pub freeze: bool,
-    /// Pass requests on, throw the answers away and then reset.
+    /// Forward requests, discard their responses and reset the connection.
     pub swallow: bool,
-    /// The same, for requests that begin with `PUT` only.
+    /// Do the same as `swallow`, but only for `PUT` requests.
     pub swallow_puts: bool,
-    /// Throw requests that begin with `PUT` away and reset.
+    /// Discard `PUT` requests and reset the connection.
     pub drop_puts: bool,
-    /// Reset connections after so many bytes of answers; 0 for never.
+    /// Reset a connection after this many bytes of responses; 0 disables.
     pub reset_after: usize,
 }
 
-/// Relays connections from `listener` to `to`, for ever.
+/// Relays connections from `listener` to `to`; never returns. The control port
+/// accepts a new [`Mode`] at any time.
 pub async fn serve(listener: TcpListener, control: TcpListener, to: SocketAddr) {
     let mode = Arc::new(watch::Sender::new(Mode::default()));
     tokio::spawn(serve_control(control, mode.clone()));
     relay_all(listener, to, mode).await;
 }
 
-/// Relays connections from `listener` to `to`, as `mode` says, for ever.
+/// Relays connections from `listener` to `to` with the faults that `mode` holds;
+/// never returns.
 pub async fn relay_all(listener: TcpListener, to: SocketAddr, mode: Arc<watch::Sender<Mode>>) {
     loop {
         let Ok((stream, _)) = listener.accept().await else {
@@ -80,7 +82,7 @@
     };
     let _ = stream.set_nodelay(true);
     let _ = target.set_nodelay(true);
-    // Resets instead of a clean end, whichever way the relay stops.
+    // Closes with a reset rather than a FIN, whichever way the relay stops.
     let _ = stream.set_zero_linger();
     let _ = target.set_zero_linger();
     let (near_in, near_out) = stream.into_split();
@@ -94,7 +96,7 @@
     }
 }
 
-/// Passes bytes one way until an end or a fault.
+/// Copies bytes in one direction until the end of the stream or a fault.
 async fn pump(
     mut from: OwnedReadHalf,
     mut to: OwnedWriteHalf,
--- a/crates/standin/src/main.rs
+++ b/crates/standin/src/main.rs
@@ -1,5 +1,5 @@
-//! `standin`: starts one stand-in. Prints its address, and for a link the
-//! address of its control port, as the first lines.
+//! `standin`: runs one stand-in. Prints its address on the first line and, for a
+//! link, the address of the control port on the second.
 
 use std::path::PathBuf;
 use std::time::Duration;
--- a/crates/standin/src/model.rs
+++ b/crates/standin/src/model.rs
@@ -1,12 +1,11 @@
-//! A toy model whose text depends on every layer having run once, in order.
+//! A toy model whose text depends on every layer running exactly once, in order.
 //!
-//! Each layer keeps a state that every position changes, as a cache of keys
-//! and values would. A layer left out, run twice or run out of order gives
-//! another text.
+//! Each layer keeps a state that every position changes, like a key-value cache.
+//! If a layer is skipped, run twice or run out of order, the text changes.
 
 use ashgauge::node::StageValue;
 
-/// State of some layers of one session.
+/// State of a range of layers of one session.
 #[derive(Clone, Debug)]
 pub struct Layers {
     first: u32,
@@ -14,13 +13,13 @@
 }
 
 impl Layers {
-    /// Fresh state of layers `first..end`.
+    /// Creates the initial state of layers `first..end`.
     pub fn new(first: u32, end: u32) -> Self {
         let states = (first..end).map(|l| mix(0x5eed, u64::from(l))).collect();
         Layers { first, states }
     }
 
-    /// Runs one position through the layers.
+    /// Runs one position through the layers and returns the output.
     pub fn run(&mut self, input: StageValue) -> StageValue {
         let mut x = input;
         for (i, state) in self.states.iter_mut().enumerate() {
@@ -31,14 +30,15 @@
     }
 }
 
-/// The token that the last layer's output stands for.
+/// Decodes the output of the last layer to a token: its id and its text.
 pub fn sample(output: StageValue) -> (StageValue, String) {
     let id = u64::from(b'a') + output % 26;
     let text = char::from(id as u8).to_string();
     (id, text)
 }
 
-/// The text that a whole model of `layers` gives for a prompt.
+/// Returns the text that the whole model of `layers` layers generates for a
+/// prompt.
 pub fn reference(layers: u32, prompt: &str, tokens: u32) -> String {
     let mut model = Layers::new(0, layers);
     let mut output = 0;
--- a/crates/standin/src/platform.rs
+++ b/crates/standin/src/platform.rs
@@ -1,4 +1,5 @@
-//! The platform: versioned objects, conditional writes, watches, the list.
+//! A stand-in for the platform: versioned objects with conditional writes and
+//! watches, and the member list.
 
 use std::collections::HashMap;
 use std::sync::{Arc, Mutex};
@@ -16,27 +17,28 @@
 
 use crate::web::{query, run, status_only};
 
-/// Time between two looks at the list for those who wait for a change.
-const LIST_POLL: Duration = Duration::from_millis(20);
+/// Interval at which a call that waits for a new member list polls it.
+const LIST_POLL_INTERVAL: Duration = Duration::from_millis(20);
 
-/// Largest value, in bytes.
-const VALUE_MOST: usize = 1 << 20;
+/// Maximum size of an object's value, in bytes.
+const MAX_VALUE_BYTES: usize = 1 << 20;
 
-/// Faults and limits that `PUT /admin/mode` sets.
+/// Injected faults and rate limits, set by `PUT /admin/mode`.
 #[derive(Clone, Debug, Serialize, Deserialize)]
 #[serde(default)]
 pub struct Mode {
-    /// Answer nothing but errors.
+    /// Answer every call with 503.
     pub down: bool,
-    /// Answer reads with the values that objects had when this was set.
+    /// Answer reads with the values that objects had when this was set, and no
+    /// watch with a change.
     pub stale: bool,
-    /// Milliseconds that every call takes.
+    /// Milliseconds by which every call is delayed.
     pub delay_ms: u64,
-    /// Milliseconds by which the list of members lags.
+    /// Milliseconds by which the member list lags behind what was set.
     pub lag_ms: u64,
-    /// Writes a second.
+    /// Limit of writes per second.
     pub writes: f64,
-    /// Reads a second.
+    /// Limit of reads per second.
     pub reads: f64,
 }
 
@@ -53,18 +55,18 @@
     }
 }
 
-/// Calls counted since the start, from `GET /admin/counts`.
+/// Call counters since the start, returned by `GET /admin/counts`.
 #[derive(Clone, Debug, Default, Serialize, Deserialize)]
 pub struct Counts {
     /// Reads answered.
     pub reads: u64,
     /// Writes that took effect.
     pub writes: u64,
-    /// Writes refused for another version.
+    /// Writes refused because of a version conflict.
     pub conflicts: u64,
-    /// Calls refused for their rate.
+    /// Calls refused by the rate limit.
     pub limited: u64,
-    /// Watches answered.
+    /// Watches answered, with a change or at their time-out.
     pub watches: u64,
 }
 
@@ -83,7 +85,7 @@
     changed: watch::Sender<u64>,
 }
 
-/// Serves a platform on a listener, for ever.
+/// Serves a platform on a listener; never returns.
 pub async fn serve(listener: TcpListener) {
     let platform = Arc::new(Platform {
         state: Mutex::default(),
@@ -122,8 +124,9 @@
         match (head.method.clone(), query(&head, "after")) {
             (Method::PUT, _) => self.write(name, query(&head, "version"), &body),
             (_, Some(after)) => {
-                let bare = query(&head, "value") == Some(0);
-                self.watch(name, after, query(&head, "wait"), bare).await
+                let version_only = query(&head, "value") == Some(0);
+                self.watch(name, after, query(&head, "wait"), version_only)
+                    .await
             }
             _ => self.read(name),
         }
@@ -144,7 +147,7 @@
     }
 
     fn write(&self, name: &str, version: Option<u64>, body: &[u8]) -> Response<Body> {
-        if body.len() > VALUE_MOST {
+        if body.len() > MAX_VALUE_BYTES {
             return status_only(StatusCode::PAYLOAD_TOO_LARGE);
         }
         let (Some(version), Ok(value)) = (version, serde_json::from_slice(body)) else {
@@ -166,8 +169,14 @@
         json(StatusCode::OK, &WriteReply { version })
     }
 
-    async fn watch(&self, name: &str, after: u64, wait: Option<u64>, bare: bool) -> Response<Body> {
-        let until = Instant::now() + Duration::from_secs(wait.unwrap_or(10));
+    async fn watch(
+        &self,
+        name: &str,
+        after: u64,
+        wait: Option<u64>,
+        version_only: bool,
+    ) -> Response<Body> {
+        let deadline = Instant::now() + Duration::from_secs(wait.unwrap_or(10));
         let mut changed = self.changed.subscribe();
         loop {
             {
@@ -182,14 +191,14 @@
                     .cloned();
                 if let Some(stored) = newer.filter(|_| !state.mode.stale) {
                     state.counts.watches += 1;
-                    if bare {
+                    if version_only {
                         let version = stored.version;
                         return json(StatusCode::OK, &WriteReply { version });
                     }
                     return json(StatusCode::OK, &stored);
                 }
             }
-            let left = until.saturating_duration_since(Instant::now());
+            let left = deadline.saturating_duration_since(Instant::now());
             let waited = tokio::time::timeout(left, changed.changed()).await;
             if waited.is_err() {
                 self.lock().counts.watches += 1;
@@ -198,26 +207,27 @@
         }
     }
 
-    /// Waits for a list newer than `after`; it lags behind what was set.
+    /// Waits up to `wait` seconds for a member list newer than version `after`. The
+    /// list lags behind what was set by `lag_ms`.
     async fn members(&self, after: u64, wait: Option<u64>) -> Response<Body> {
-        let until = Instant::now() + Duration::from_secs(wait.unwrap_or(0));
+        let deadline = Instant::now() + Duration::from_secs(wait.unwrap_or(0));
         loop {
             {
                 let mut state = self.lock();
                 if state.mode.down {
                     return status_only(StatusCode::SERVICE_UNAVAILABLE);
                 }
-                let listing = state.shown();
+                let listing = state.lagged_list();
                 if listing.version > after {
                     state.counts.reads += 1;
                     return json(StatusCode::OK, &listing);
                 }
-                if Instant::now() >= until {
+                if Instant::now() >= deadline {
                     state.counts.watches += 1;
                     return status_only(StatusCode::NOT_MODIFIED);
                 }
             }
-            tokio::time::sleep(LIST_POLL).await;
+            tokio::time::sleep(LIST_POLL_INTERVAL).await;
         }
     }
 
@@ -256,15 +266,17 @@
 }
 
 impl State {
-    /// The list as it was some time ago.
-    fn shown(&self) -> MemberList {
+    /// Returns the member list as it was `lag_ms` ago, or the first one if none is
+    /// that old.
+    fn lagged_list(&self) -> MemberList {
         let lag = Duration::from_millis(self.mode.lag_ms);
         let old = self.lists.iter().rev().find(|(at, _)| at.elapsed() >= lag);
-        let shown = old.or(self.lists.first());
-        shown.map(|(_, l)| l.clone()).unwrap_or_default()
+        let list = old.or(self.lists.first());
+        list.map(|(_, l)| l.clone()).unwrap_or_default()
     }
 
-    /// A bucket of one second's calls, for writes and for reads.
+    /// Admits a call if its token bucket allows it. Writes and reads have a bucket
+    /// each, which holds the calls of one second.
     fn admit(&mut self, write: bool) -> bool {
         let rate = if write {
             self.mode.writes
--- a/crates/standin/src/service.rs
+++ b/crates/standin/src/service.rs
@@ -1,4 +1,4 @@
-//! A plain service that keeps a record of every call it ran.
+//! A stand-in for a plain HTTP service that records every call it ran.
 
 use std::path::PathBuf;
 use std::sync::{Arc, Mutex};
@@ -14,7 +14,7 @@
 
 use crate::web::{append, run, status_only};
 
-/// One line of a service's records.
+/// A record of one call, stored as one JSON line.
 #[derive(Clone, Debug, Serialize, Deserialize)]
 pub struct Record {
     /// Path of the call.
@@ -23,17 +23,17 @@
     pub body: String,
 }
 
-/// States that `PUT /admin/mode` sets.
+/// Injected states, set by `PUT /admin/mode`.
 #[derive(Clone, Debug, Default, Serialize, Deserialize)]
 #[serde(default)]
 pub struct Mode {
-    /// Refuse calls, as an upstream that leaves.
+    /// Refuse calls, as an upstream that is leaving.
     pub leaving: bool,
     /// Milliseconds that a call takes.
     pub time_ms: u64,
 }
 
-/// Serves a plain service on a listener, for ever.
+/// Serves a plain HTTP service on a listener; never returns.
 pub async fn serve(listener: TcpListener, records: Option<PathBuf>) {
     let mode = Arc::new(Mutex::new(Mode::default()));
     let records = Arc::new(records);
@@ -59,8 +59,8 @@
     let now = mode.lock().map(|m| m.clone()).unwrap_or_default();
     if now.leaving {
         let mut response = status_only(StatusCode::SERVICE_UNAVAILABLE);
-        let word = hyper::header::HeaderValue::from_static("leaving");
-        response.headers_mut().insert(NOT_RUN_HEADER, word);
+        let reason = hyper::header::HeaderValue::from_static("leaving");
+        response.headers_mut().insert(NOT_RUN_HEADER, reason);
         return response;
     }
     let record = Record {
--- a/crates/standin/tests/model.rs
+++ b/crates/standin/tests/model.rs
@@ -1,4 +1,6 @@
-//! The toy model notices every wrong way through its layers.
+//! Checks that the text of the toy model changes if a layer is skipped, repeated
+//! or run out of order; otherwise the tests that compare texts would miss such
+//! faults. Also checks the usage text of the program.
 
 use standin::model::{Layers, reference, sample};
 
