--- a/crates/bench/src/bin/policy.rs
+++ b/crates/bench/src/bin/policy.rs
@@ -1,7 +1,7 @@
-//! Measures the policy against plain baselines.
+//! Measures the routing policy against simple baselines.
 //!
 //! `cargo run --release -p ashgauge-bench --bin policy -- [EXPERIMENT ...]`
-//! prints a line of JSON for each run. docs/MEASUREMENTS.md keeps the figures.
+//! prints a line of JSON for each run. docs/MEASUREMENTS.md lists the figures.
 
 use bench::claim::claims;
 use bench::experiment::{limit, peak, recovery, saturation};
--- a/crates/bench/src/bin/slopes.rs
+++ b/crates/bench/src/bin/slopes.rs
@@ -1,7 +1,7 @@
-//! Measures what each part costs as the fleet grows, and fits lines.
+//! Measures the cost of each part as the fleet grows, and fits lines.
 //!
 //! `cargo run --release -p ashgauge-bench --bin slopes` prints a line of JSON
-//! for each. docs/CAPACITY.md works from them.
+//! for each line. docs/CAPACITY.md is based on these figures.
 
 use bench::decision;
 use bench::fit::line;
@@ -12,8 +12,8 @@
 #[tokio::main]
 async fn main() -> Result<()> {
     let wanted: Vec<String> = std::env::args().skip(1).collect();
-    let want = |name: &str| wanted.is_empty() || wanted.iter().any(|w| w == name);
-    if want("node") {
+    let is_wanted = |name: &str| wanted.is_empty() || wanted.iter().any(|w| w == name);
+    if is_wanted("node") {
         print(
             "request, microseconds, by engines of its model",
             &dispatch(),
@@ -32,21 +32,21 @@
             "claims, microseconds a commit, by keys in the shard",
             &claims().1,
         );
-        print("loans, bytes of an ask, by teams", &limits());
+        print("loans, bytes of an ask, by teams", &loan_requests());
     }
-    if want("decisions") {
-        let (first, rest) = decision::plans();
+    if is_wanted("decisions") {
+        let (first, unchanged) = decision::plans();
         print("first plan, milliseconds, by engines", &first);
-        print("plan at rest, milliseconds, by engines", &rest);
-        let (usual, shaped) = decision::chains();
+        print("plan at rest, milliseconds, by engines", &unchanged);
+        let (usual, by_size) = decision::chains();
         print("chain, milliseconds, by engines", &usual);
-        print("chain by shape, milliseconds, by engines", &shaped);
+        print("chain by shape, milliseconds, by engines", &by_size);
         print("level, milliseconds, by engines", &decision::levels());
     }
-    if want("memory") {
+    if is_wanted("memory") {
         print("request, bytes, by requests in flight", &request_memory());
     }
-    if want("busy") {
+    if is_wanted("busy") {
         let (times, memory) = busy_box().await?;
         print(
             "busy box, microseconds a second, by stage orders a second",
@@ -54,13 +54,13 @@
         );
         print("busy box, resident megabytes, by streams", &memory);
     }
-    if want("wire") {
+    if is_wanted("wire") {
         print(
             "peer message, bytes on the wire, by bytes of the message",
             &wire().await?,
         );
     }
-    if want("box") {
+    if is_wanted("box") {
         for (name, points) in idle_box().await? {
             print(&name, &points);
         }
--- a/crates/bench/src/bound.rs
+++ b/crates/bench/src/bound.rs
@@ -1,22 +1,24 @@
-//! The throughput that the hardware allows, by maximum flow.
+//! Upper bound of the throughput that the engines allow, by maximum flow.
 
 use std::collections::VecDeque;
 
-/// What one engine can do.
+/// Layers and speed of one engine.
 #[derive(Clone, Copy, Debug)]
 pub struct Capacity {
     /// First layer held.
     pub first: u32,
-    /// Layer after the last held.
+    /// End of the held layers, exclusive.
     pub end: u32,
-    /// Layers times positions that it runs a second.
+    /// (Layer, position) pairs that the engine runs per second.
     pub rate: f64,
 }
 
-/// Positions a second that the engines can take through `layers` layers.
+/// Returns the maximum rate, in positions per second, at which the engines can
+/// run a model of `layers` layers.
 ///
-/// The largest rate at which a flow from engines to layers, each engine at
-/// most its own rate, brings every layer that rate. No router can pass it.
+/// It is the largest rate for which a flow from engines to layers exists that
+/// gives every layer that rate and takes from each engine at most its own. No
+/// router can exceed it.
 pub fn bound(engines: &[Capacity], layers: u32) -> f64 {
     let total: f64 = engines.iter().map(|e| e.rate).sum();
     let (mut low, mut high) = (0.0, total / f64::from(layers));
@@ -36,53 +38,54 @@
     max_flow(engines, layers, rate) >= wanted * (1.0 - 1e-6)
 }
 
-/// Shortest augmenting paths; nodes are source, engines, layers, sink.
+/// Returns the maximum flow by shortest augmenting paths (Edmonds–Karp). The
+/// nodes are the source, the engines, the layers and the sink.
 fn max_flow(engines: &[Capacity], layers: u32, rate: f64) -> f64 {
     let (e, l) = (engines.len(), layers as usize);
     let (source, sink, n) = (0, e + l + 1, e + l + 2);
-    let mut room = vec![vec![0.0; n]; n];
+    let mut residual = vec![vec![0.0; n]; n];
     for (i, engine) in engines.iter().enumerate() {
-        room[source][1 + i] = engine.rate;
+        residual[source][1 + i] = engine.rate;
         for layer in engine.first..engine.end {
-            room[1 + i][1 + e + layer as usize] = f64::INFINITY;
+            residual[1 + i][1 + e + layer as usize] = f64::INFINITY;
         }
     }
     for layer in 0..l {
-        room[1 + e + layer][sink] = rate;
+        residual[1 + e + layer][sink] = rate;
     }
     let mut flow = 0.0;
-    while let Some(path) = augmenting(&room, source, sink) {
-        let least = path
+    while let Some(path) = shortest_path(&residual, source, sink) {
+        let bottleneck = path
             .windows(2)
-            .map(|w| room[w[0]][w[1]])
+            .map(|w| residual[w[0]][w[1]])
             .fold(f64::INFINITY, f64::min);
         for w in path.windows(2) {
-            room[w[0]][w[1]] -= least;
-            room[w[1]][w[0]] += least;
+            residual[w[0]][w[1]] -= bottleneck;
+            residual[w[1]][w[0]] += bottleneck;
         }
-        flow += least;
+        flow += bottleneck;
     }
     flow
 }
 
-fn augmenting(room: &[Vec<f64>], source: usize, sink: usize) -> Option<Vec<usize>> {
-    let mut before = vec![usize::MAX; room.len()];
+fn shortest_path(residual: &[Vec<f64>], source: usize, sink: usize) -> Option<Vec<usize>> {
+    let mut previous = vec![usize::MAX; residual.len()];
     let mut queue = VecDeque::from([source]);
-    before[source] = source;
+    previous[source] = source;
     while let Some(at) = queue.pop_front() {
-        for (to, left) in room[at].iter().enumerate() {
-            if *left > 1e-9 && before[to] == usize::MAX {
-                before[to] = at;
+        for (to, capacity) in residual[at].iter().enumerate() {
+            if *capacity > 1e-9 && previous[to] == usize::MAX {
+                previous[to] = at;
                 queue.push_back(to);
             }
         }
     }
-    if before[sink] == usize::MAX {
+    if previous[sink] == usize::MAX {
         return None;
     }
     let mut path = vec![sink];
     while path[path.len() - 1] != source {
-        path.push(before[path[path.len() - 1]]);
+        path.push(previous[path[path.len() - 1]]);
     }
     path.reverse();
     Some(path)
--- a/crates/bench/src/call.rs
+++ b/crates/bench/src/call.rs
@@ -1,4 +1,4 @@
-//! One caller's streamed request, with the time of each token.
+//! A streamed request, with the arrival time of each token.
 
 use std::time::{Duration, Instant};
 
@@ -11,62 +11,66 @@
 use tokio::net::TcpStream;
 use tokio::sync::mpsc::UnboundedSender;
 
-/// What a request is.
+/// A streamed completion to request.
 #[derive(Clone, Debug)]
-pub struct Ask {
-    /// Number of the team.
+pub struct StreamRequest {
+    /// Index of the team.
     pub team: usize,
     /// Bearer key of the team.
     pub key: String,
-    /// Prompt.
+    /// Text of the prompt.
     pub prompt: String,
-    /// Tokens wanted.
+    /// Number of tokens to generate.
     pub tokens: u32,
-    /// Longest time.
+    /// Time-out that is sent with the request.
     pub timeout: Duration,
 }
 
-/// What happened, and when.
+/// Result of a streamed request.
 #[derive(Clone, Debug)]
-pub struct Seen {
-    /// Number of the team.
+pub struct StreamResult {
+    /// Index of the team.
     pub team: usize,
-    /// Time of the request.
-    pub asked: Instant,
-    /// Name in the engines' records.
+    /// When the request was sent.
+    pub sent: Instant,
+    /// Id of the request, from the `ashgauge-request` header.
     pub name: String,
-    /// When each token came.
+    /// When each token arrived.
     pub tokens: Vec<Instant>,
-    /// Status, or 0 if none came.
+    /// HTTP status, or 0 if no response arrived.
     pub status: u16,
-    /// Whether the whole answer came.
-    pub whole: bool,
-    /// When it was over.
-    pub over: Instant,
+    /// Whether the stream ended with `[DONE]`.
+    pub complete: bool,
+    /// When the request ended.
+    pub ended: Instant,
 }
 
-/// Sends a request and reads its stream to the end. Each token's time also
-/// goes to `live` at once.
-pub async fn ask(addr: String, ask: Ask, live: Option<UnboundedSender<(usize, Instant)>>) -> Seen {
+/// Sends a request and reads its stream to the end. The team and arrival time of
+/// each token are also sent to `live` at once.
+pub async fn send(
+    addr: String,
+    request: StreamRequest,
+    live: Option<UnboundedSender<(usize, Instant)>>,
+) -> StreamResult {
     let now = Instant::now();
-    let mut seen = Seen {
-        team: ask.team,
-        asked: now,
+    let mut result = StreamResult {
+        team: request.team,
+        sent: now,
         name: String::new(),
         tokens: Vec::new(),
         status: 0,
-        whole: false,
-        over: now,
+        complete: false,
+        ended: now,
     };
-    let _ = stream(&addr, &ask, &mut seen, live).await;
-    seen.over = Instant::now();
-    seen
+    let _ = stream(&addr, &request, &mut result, live).await;
+    result.ended = Instant::now();
+    result
 }
 
 async fn stream(
     addr: &str,
-    ask: &Ask,
-    seen: &mut Seen,
+    call: &StreamRequest,
+    result: &mut StreamResult,
     live: Option<UnboundedSender<(usize, Instant)>>,
 ) -> Result<()> {
     let stream = TcpStream::connect(addr).await?;
@@ -74,17 +78,17 @@
     let (mut sender, connection) = handshake(TokioIo::new(stream)).await?;
     tokio::spawn(connection);
     let body = serde_json::json!({
-        "model": "chat", "prompt": ask.prompt, "max_tokens": ask.tokens, "stream": true,
+        "model": "chat", "prompt": call.prompt, "max_tokens": call.tokens, "stream": true,
     });
     let request = Request::post("/v1/completions")
         .header("host", "box")
-        .header("authorization", format!("Bearer {}", ask.key))
-        .header("ashgauge-timeout-ms", ask.timeout.as_millis().to_string())
+        .header("authorization", format!("Bearer {}", call.key))
+        .header("ashgauge-timeout-ms", call.timeout.as_millis().to_string())
         .body(Full::new(Bytes::from(body.to_string())))?;
     let response = sender.send_request(request).await?;
-    seen.status = response.status().as_u16();
+    result.status = response.status().as_u16();
     let name = response.headers().get("ashgauge-request");
-    seen.name = name
+    result.name = name
         .and_then(|n| n.to_str().ok())
         .unwrap_or_default()
         .into();
@@ -93,15 +97,16 @@
         let Ok(data) = frame?.into_data() else {
             continue;
         };
-        note(&data, seen, live.as_ref()).ok_or_else(|| eyre!("broken"))?;
+        record_tokens(&data, result, live.as_ref()).ok_or_else(|| eyre!("broken"))?;
     }
     Ok(())
 }
 
-/// Counts the tokens of one frame; `None` once the stream reports an error.
-fn note(
+/// Records the tokens of one frame. Returns `None` if the frame has an error
+/// event.
+fn record_tokens(
     data: &[u8],
-    seen: &mut Seen,
+    result: &mut StreamResult,
     live: Option<&UnboundedSender<(usize, Instant)>>,
 ) -> Option<()> {
     let text = String::from_utf8_lossy(data);
@@ -110,12 +115,12 @@
     }
     for line in text.lines().filter_map(|l| l.strip_prefix("data: ")) {
         if line == "[DONE]" {
-            seen.whole = true;
+            result.complete = true;
         } else if !line.contains("ashgauge_outcome") && line.contains("text_completion") {
             let now = Instant::now();
-            seen.tokens.push(now);
+            result.tokens.push(now);
             if let Some(live) = live {
-                let _ = live.send((seen.team, now));
+                let _ = live.send((result.team, now));
             }
         }
     }
--- a/crates/bench/src/claim.rs
+++ b/crates/bench/src/claim.rs
@@ -1,5 +1,5 @@
-//! Claims at the platform's limits: shards written in batches, against one
-//! created object for each request.
+//! Throughput of claims under the platform's rate limits: claims batched into
+//! shards, against one object created for each claim.
 
 use std::collections::HashMap;
 use std::time::{Duration, Instant};
@@ -20,19 +20,20 @@
 const BOXES: usize = 8;
 const SECONDS: u64 = 8;
 
-/// Time that the platform takes for a call.
+/// Delay of each platform call, in milliseconds.
 const DELAY_MS: u64 = 3;
 
-/// How long a claim may wait, as in the daemon's settings.
-const PATIENCE: Duration = Duration::from_secs(2);
+/// Time-out of a claim, as in the daemon's default settings.
+const CLAIM_TIMEOUT: Duration = Duration::from_secs(2);
 
-/// Pause of the plain way after the platform refused a call for its rate.
-const PAUSE: Duration = Duration::from_millis(100);
+/// Pause of the baseline before it retries a call that the platform refused,
+/// mostly because of its rate limit.
+const RETRY_PAUSE: Duration = Duration::from_millis(100);
 
-type Ask = (String, String, oneshot::Sender<ClaimResult>);
+type ClaimRequest = (String, String, oneshot::Sender<ClaimResult>);
 
-/// Offers `rate` claims a second; `shards` gathers them, else each creates an
-/// object of its own.
+/// Offers `rate` claims per second, and returns the figures as JSON. With
+/// `shards`, claims are batched into shards; else each creates its own object.
 pub async fn claims(rate: f64, shards: bool, seed: u64) -> Result<Value> {
     let listener = TcpListener::bind("127.0.0.1:0").await?;
     let addr = listener.local_addr()?.to_string();
@@ -42,8 +43,9 @@
         ..Mode::default()
     };
     crate::world::put(&addr, "/admin/mode", &mode).await?;
-    let boxes: Vec<mpsc::UnboundedSender<Ask>> = (0..BOXES).map(|_| keeper(&addr)).collect();
-    let plain = PlatformClient::new(&addr, 10_000.0, PATIENCE);
+    let boxes: Vec<mpsc::UnboundedSender<ClaimRequest>> =
+        (0..BOXES).map(|_| claims_task(&addr)).collect();
+    let baseline = PlatformClient::new(&addr, 10_000.0, CLAIM_TIMEOUT);
     let shard_of = Claims::new(Config::new("x", 1).claims);
     let mut rng = SmallRng::seed_from_u64(seed);
     let mut tasks = tokio::task::JoinSet::new();
@@ -53,17 +55,17 @@
         at -= (1.0 - rng.random::<f64>()).ln() / rate;
         n += 1;
         let key = format!("payroll/{:016x}", rng.random::<u64>());
-        let keeper = boxes[shard_of.shard_of(&key) as usize % BOXES].clone();
-        let (due, plain) = (began + Duration::from_secs_f64(at), plain.clone());
+        let claims_task = boxes[shard_of.shard_of(&key) as usize % BOXES].clone();
+        let (due, baseline) = (began + Duration::from_secs_f64(at), baseline.clone());
         tasks.spawn(async move {
             tokio::time::sleep_until(due).await;
-            let asked = Instant::now();
+            let requested = Instant::now();
             let granted = if shards {
-                ask(&keeper, key, n).await
+                request_claim(&claims_task, key, n).await
             } else {
-                create(&plain, n).await
+                create_object(&baseline, n).await
             };
-            (granted, asked.elapsed())
+            (granted, requested.elapsed())
         });
     }
     let mut times = Histogram::<u64>::new_with_max(60_000, 3)?;
@@ -90,54 +92,59 @@
     }))
 }
 
-async fn ask(keeper: &mpsc::UnboundedSender<Ask>, key: String, n: u64) -> bool {
+async fn request_claim(
+    claims_task: &mpsc::UnboundedSender<ClaimRequest>,
+    key: String,
+    n: u64,
+) -> bool {
     let (sender, answer) = oneshot::channel();
-    let _ = keeper.send((key, format!("claim-{n}"), sender));
+    let _ = claims_task.send((key, format!("claim-{n}"), sender));
     matches!(answer.await, Ok(ClaimResult::Granted))
 }
 
-/// The plain way: create an object that nobody else can create.
-async fn create(platform: &PlatformClient, n: u64) -> bool {
-    let until = Instant::now() + PATIENCE;
-    // Shard numbers serve as names, far from those in use.
+/// The baseline: claims by creating an object, which only one writer can.
+async fn create_object(platform: &PlatformClient, n: u64) -> bool {
+    let deadline = Instant::now() + CLAIM_TIMEOUT;
+    // Shard numbers serve as object names; these are far above those in use.
     let object = ObjectKey::Claims(1_000_000 + n as u32);
-    while Instant::now() < until {
+    while Instant::now() < deadline {
         let content = ObjectValue::Claims(StoredShard::default());
         match platform.write(&object, 0, &content).await {
             WriteResult::Done(_) => return true,
             WriteResult::Conflict => return false,
-            WriteResult::Unknown | WriteResult::Refused => tokio::time::sleep(PAUSE).await,
+            WriteResult::Unknown | WriteResult::Refused => tokio::time::sleep(RETRY_PAUSE).await,
         }
     }
     false
 }
 
-/// One box's claims, with their calls to the platform.
-fn keeper(addr: &str) -> mpsc::UnboundedSender<Ask> {
-    let (sender, mut asks) = mpsc::unbounded_channel::<Ask>();
-    let platform = PlatformClient::new(addr, 100.0, PATIENCE);
+/// Spawns the claims of one box with their platform calls, and returns the
+/// sender of its claim requests.
+fn claims_task(addr: &str) -> mpsc::UnboundedSender<ClaimRequest> {
+    let (sender, mut requests) = mpsc::unbounded_channel::<ClaimRequest>();
+    let platform = PlatformClient::new(addr, 100.0, CLAIM_TIMEOUT);
     tokio::spawn(async move {
         let began = Instant::now();
         let mut claims = Claims::new(Config::new("x", 1).claims);
         let mut waiting: HashMap<String, oneshot::Sender<ClaimResult>> = HashMap::new();
-        let (results, mut came) = mpsc::unbounded_channel();
+        let (results, mut completed) = mpsc::unbounded_channel();
         let mut ticks = tokio::time::interval(Duration::from_millis(10));
         loop {
-            let steps = tokio::select! {
-                ask = asks.recv() => {
-                    let Some((key, id, told)) = ask else { return };
-                    waiting.insert(id.clone(), told);
+            let actions = tokio::select! {
+                request = requests.recv() => {
+                let Some((key, id, reply)) = request else { return };
+                    waiting.insert(id.clone(), reply);
                     claims.claim(began.elapsed(), 1, &key, &id)
                 }
-                Some(result) = came.recv() => take(&mut claims, began.elapsed(), result),
+                Some(result) = completed.recv() => handle_completion(&mut claims, began.elapsed(), result),
                 _ = ticks.tick() => claims.tick(began.elapsed(), 1),
             };
-            for step in steps {
-                if let ClaimAction::Respond(id, verdict) = step {
-                    let told = waiting.remove(&id).map(|w| w.send(verdict));
-                    drop(told);
+            for action in actions {
+                if let ClaimAction::Respond(id, verdict) = action {
+                    let reply = waiting.remove(&id).map(|w| w.send(verdict));
+                    drop(reply);
                 } else {
-                    call(step, platform.clone(), results.clone());
+                    run_action(action, platform.clone(), results.clone());
                 }
             }
         }
@@ -145,35 +152,41 @@
     sender
 }
 
-enum Done {
+enum Completion {
     Read(u32, Option<(u64, StoredShard)>),
     Written(u32, StoredShard, WriteResult),
 }
 
-fn take(claims: &mut Claims, now: Duration, done: Done) -> Vec<ClaimAction> {
+fn handle_completion(claims: &mut Claims, now: Duration, done: Completion) -> Vec<ClaimAction> {
     match done {
-        Done::Read(shard, answer) => claims.on_read(now, 1, shard, answer),
-        Done::Written(shard, entries, result) => claims.on_written(now, 1, shard, entries, result),
+        Completion::Read(shard, answer) => claims.on_read(now, 1, shard, answer),
+        Completion::Written(shard, entries, result) => {
+            claims.on_written(now, 1, shard, entries, result)
+        }
     }
 }
 
-fn call(step: ClaimAction, platform: PlatformClient, results: mpsc::UnboundedSender<Done>) {
+fn run_action(
+    action: ClaimAction,
+    platform: PlatformClient,
+    results: mpsc::UnboundedSender<Completion>,
+) {
     tokio::spawn(async move {
-        let done = match step {
+        let done = match action {
             ClaimAction::Read(shard) => {
                 let answer = platform.read(&ObjectKey::Claims(shard)).await;
                 let entries = |c| match c {
                     Some(ObjectValue::Claims(entries)) => entries,
                     _ => StoredShard::default(),
                 };
-                Done::Read(shard, answer.map(|(v, c)| (v, entries(c))))
+                Completion::Read(shard, answer.map(|(v, c)| (v, entries(c))))
             }
             ClaimAction::Write(shard, version, entries) => {
                 let content = ObjectValue::Claims(entries.clone());
                 let result = platform
                     .write(&ObjectKey::Claims(shard), version, &content)
                     .await;
-                Done::Written(shard, entries, result)
+                Completion::Written(shard, entries, result)
             }
             ClaimAction::Respond(..) => return,
         };
--- a/crates/bench/src/decision.rs
+++ b/crates/bench/src/decision.rs
@@ -1,4 +1,5 @@
-//! What the decisions of a box cost that hands requests on whole, by engines.
+//! Run time of the decisions of a box that forwards requests whole rather than
+//! driving each stage, by the number of engines.
 
 use std::hint::black_box;
 use std::sync::Arc;
@@ -23,82 +24,83 @@
 
 use crate::slopes::Point;
 
-/// Engines of one service.
+/// Numbers of engines of one service, for plans and chains.
 const ENGINES: [usize; 4] = [300, 1000, 3000, 6000];
 
-/// Engines before which a level is reckoned.
+/// Numbers of engines for which an admission level is computed.
 const LEVEL_ENGINES: [usize; 5] = [86, 300, 1000, 3000, 6000];
 
-/// Time between two levels.
-const RECKON_EVERY: Duration = Duration::from_millis(50);
+/// Interval at which admission levels are computed.
+const LEVEL_INTERVAL: Duration = Duration::from_millis(50);
 
-/// Age of what other boxes told, and time between two of their words.
-const AGE: Duration = Duration::from_millis(500);
+/// Age of the load reports of other boxes, and interval between two reports.
+const REPORT_AGE: Duration = Duration::from_millis(500);
 
-/// Demands that one word holds at most.
-const DEMANDS: u32 = 64;
+/// Maximum number of demands in one load report.
+const REPORT_DEMANDS: u32 = 64;
 
-/// Data centres over which they are spread.
-const PLACES: usize = 5;
+/// Number of data centres over which the engines are spread.
+const DATA_CENTRES: usize = 5;
 
-/// Kinds of accelerators, with their part of a hundred engines.
-const CARDS: [(&str, usize); 4] = [("large", 2), ("medium", 8), ("small", 45), ("tiny", 45)];
+/// Kinds of accelerators, with their number in a hundred engines.
+const ACCELERATORS: [(&str, usize); 4] = [("large", 2), ("medium", 8), ("small", 45), ("tiny", 45)];
 
-/// Chains that are chosen, and levels that are reckoned, for one figure.
-const CHOICES: u32 = 20;
+/// Number of chain selections or level computations that are averaged for one
+/// figure.
+const REPEATS: u32 = 20;
 
 const MODEL: &str = "model";
 
-/// Milliseconds of a plan for engines that hold nothing, and of one for the same
-/// engines at rest.
+/// Measures a placement plan, in milliseconds: for engines that hold no layers,
+/// and for the same engines once they hold what was planned.
 pub fn plans() -> (Vec<Point>, Vec<Point>) {
     let model = model();
-    let (mut first, mut rest) = (Vec::new(), Vec::new());
+    let (mut first, mut unchanged) = (Vec::new(), Vec::new());
     for engines in ENGINES {
-        let mut seats = seats(engines);
+        let mut placed_engines = placed_engines(engines);
         let began = Instant::now();
-        let ranges = placement::plan(&model, &seats);
-        first.push((engines as f64, millis(began)));
-        for (seat, range) in seats.iter_mut().zip(sorted(ranges)) {
-            seat.layers = Some(range.layers);
+        let ranges = placement::plan(&model, &placed_engines);
+        first.push((engines as f64, elapsed_ms(began)));
+        for (placed, range) in placed_engines.iter_mut().zip(sorted_by_id(ranges)) {
+            placed.layers = Some(range.layers);
         }
         let began = Instant::now();
-        black_box(placement::plan(&model, &seats));
-        rest.push((engines as f64, millis(began)));
+        black_box(placement::plan(&model, &placed_engines));
+        unchanged.push((engines as f64, elapsed_ms(began)));
     }
-    (first, rest)
+    (first, unchanged)
 }
 
-/// Milliseconds of choosing a chain over the whole model for a usual request, and for
-/// one with a long prompt, by its own shape.
+/// Measures the selection of a chain over the whole model, in milliseconds: for
+/// a request of typical size, and for one with a long prompt and its own size.
 pub fn chains() -> (Vec<Point>, Vec<Point>) {
     let model = model();
     let long = RequestSize::clamped(4 * model.typical_prompt, model.typical_output, &model);
-    let (mut usual, mut shaped) = (Vec::new(), Vec::new());
+    let (mut usual, mut by_size) = (Vec::new(), Vec::new());
     for engines in ENGINES {
         usual.push((engines as f64, chain(&model, engines, None)));
-        shaped.push((engines as f64, chain(&model, engines, Some(long))));
+        by_size.push((engines as f64, chain(&model, engines, Some(long))));
     }
-    (usual, shaped)
+    (usual, by_size)
 }
 
-fn chain(model: &Model, engines: usize, shape: Option<RequestSize>) -> f64 {
-    let (pipes, shares, place) = (
+fn chain(model: &Model, engines: usize, request_size: Option<RequestSize>) -> f64 {
+    let (wan, load, local_data_centre) = (
         WanUsage::default(),
         FleetLoad::default(),
         Arc::from("place-0"),
     );
     let registry = registry(model, engines);
     let context = SelectionContext {
-        size: shape,
-        ..context(&registry, &pipes, &shares, &place)
+        size: request_size,
+        ..context(&registry, &wan, &load, &local_data_centre)
     };
     let (all, mut rng) = (
         selection::all_layers(model.layers),
         SmallRng::seed_from_u64(1),
     );
     let began = Instant::now();
-    for _ in 0..CHOICES {
+    for _ in 0..REPEATS {
         black_box(selection::select_chain(
             &context,
             model,
@@ -108,10 +110,11 @@
             &mut rng,
         ));
     }
-    millis(began) / f64::from(CHOICES)
+    elapsed_ms(began) / f64::from(REPEATS)
 }
 
-/// Milliseconds of one level: pressure, sums of what boxes tell, and who is let in.
+/// Measures the computation of an admission level, in milliseconds: the
+/// pressure, the sums of the boxes' load reports, and the classes to admit.
 pub fn levels() -> Vec<Point> {
     let model = model();
     LEVEL_ENGINES
@@ -120,38 +123,38 @@
 }
 
 fn level(model: &Model, engines: usize) -> f64 {
-    let (pipes, place) = (WanUsage::default(), Arc::from("place-0"));
+    let (wan, local_data_centre) = (WanUsage::default(), Arc::from("place-0"));
     let registry = registry(model, engines);
-    let mut shares = FleetLoad::default();
-    shares.apply(Duration::from_secs(100), word(&registry));
-    let context = context(&registry, &pipes, &shares, &place);
-    let own = flows();
+    let mut load = FleetLoad::default();
+    load.apply(Duration::from_secs(100), hub_report(&registry));
+    let context = context(&registry, &wan, &load, &local_data_centre);
+    let own = traffic();
     let (mut estimator, mut now) = (Estimator::default(), Duration::ZERO);
     let began = Instant::now();
-    for _ in 0..CHOICES {
+    for _ in 0..REPEATS {
         let pressure = Pressure::from_context(&context, model);
-        let flows = shares.traffic(&own);
+        let traffic = load.traffic(&own);
         let service = demand::name_key(MODEL);
         let known = Observation {
-            demands: flows.demands_of(service),
+            demands: traffic.demands_of(service),
             pressure,
-            completion_rate: flows.completion_rate(service),
+            completion_rate: traffic.completion_rate(service),
             boxes: 2.0,
-            age: AGE,
-            report_interval: AGE,
+            age: REPORT_AGE,
+            report_interval: REPORT_AGE,
             full_slowdown: pressure::full_slowdown(model, registry.iter().map(|e| &e.upstream)),
         };
-        now += RECKON_EVERY;
+        now += LEVEL_INTERVAL;
         let estimate = estimator.estimate(now, &known);
         let allowed = level::allowed_rate(&estimate.pressure, estimate.completion_rate);
         estimator.record_allowed_rate(now, allowed);
         black_box(AdmissionLevel::new(&estimate.demands, allowed));
     }
-    millis(began) / f64::from(CHOICES)
+    elapsed_ms(began) / f64::from(REPEATS)
 }
 
-/// What a hub tells of all other boxes.
-fn word(registry: &UpstreamRegistry) -> LoadReport {
+/// Builds the load report of a hub, which sums up all other boxes.
+fn hub_report(registry: &UpstreamRegistry) -> LoadReport {
     let busy = Usage {
         requests: 100,
         head_requests: 20,
@@ -172,15 +175,16 @@
         usage: uses,
         suspects: Vec::new(),
         limits: Vec::new(),
-        traffic: flows(),
+        traffic: traffic(),
         slow: Vec::new(),
     }
 }
 
-/// As many demands as a word holds, of teams of three ranks.
-fn flows() -> Traffic {
+/// Builds traffic with as many demands as a load report holds, of teams of three
+/// ranks.
+fn traffic() -> Traffic {
     let mut meter = DemandMeter::default();
-    for n in 0..DEMANDS {
+    for n in 0..REPORT_DEMANDS {
         let source = DemandSource {
             service: demand::name_key(MODEL),
             class: Class::new(Some(n % 3), 0, false),
@@ -193,19 +197,19 @@
 }
 
 fn registry(model: &Model, engines: usize) -> UpstreamRegistry {
-    let seats = seats(engines);
-    let ranges = sorted(placement::plan(model, &seats));
+    let placed_engines = placed_engines(engines);
+    let ranges = sorted_by_id(placement::plan(model, &placed_engines));
     let mut registry = UpstreamRegistry::default();
-    for (seat, range) in seats.into_iter().zip(ranges) {
+    for (placed, range) in placed_engines.into_iter().zip(ranges) {
         registry.put(Upstream {
-            id: seat.id,
+            id: placed.id,
             started_ms: None,
             service: MODEL.into(),
             addr: "10.0.0.1:80".into(),
-            data_centre: seat.data_centre,
+            data_centre: placed.data_centre,
             slots: 192,
             leaving: false,
-            accelerator: Some(seat.accelerator),
+            accelerator: Some(placed.accelerator),
             layers: Some(range.layers),
             models: Vec::new(),
         });
@@ -215,16 +219,16 @@
 
 fn context<'a>(
     registry: &'a UpstreamRegistry,
-    pipes: &'a WanUsage,
-    shares: &'a FleetLoad,
-    place: &'a Arc<str>,
+    wan: &'a WanUsage,
+    load: &'a FleetLoad,
+    local_data_centre: &'a Arc<str>,
 ) -> SelectionContext<'a> {
     SelectionContext {
         registry,
-        wan_usage: pipes,
-        fleet_load: shares,
+        wan_usage: wan,
+        fleet_load: load,
         service: MODEL,
-        data_centre: place,
+        data_centre: local_data_centre,
         remote_interval: Duration::from_millis(100),
         request_duration: Duration::from_secs(2),
         boxes: 1000.0,
@@ -235,32 +239,32 @@
     }
 }
 
-/// Ranges in the order of the seats.
-fn sorted(mut ranges: Vec<placement::Assignment>) -> Vec<placement::Assignment> {
+/// Sorts assignments by the id of the engine, the order of [`placed_engines`].
+fn sorted_by_id(mut ranges: Vec<placement::Assignment>) -> Vec<placement::Assignment> {
     ranges.sort_by(|a, b| a.id.cmp(&b.id));
     ranges
 }
 
-/// Engines in the order of their ids.
-fn seats(engines: usize) -> Vec<PlacedEngine> {
-    let kinds = CARDS.iter();
-    let kinds = kinds.flat_map(|(card, part)| std::iter::repeat_n(*card, *part));
+/// Builds engines without layers, in the order of their ids.
+fn placed_engines(engines: usize) -> Vec<PlacedEngine> {
+    let kinds = ACCELERATORS.iter();
+    let kinds = kinds.flat_map(|(accelerator, part)| std::iter::repeat_n(*accelerator, *part));
     let kinds: Vec<&str> = kinds.collect();
-    let seat = |n: usize| PlacedEngine {
+    let placed = |n: usize| PlacedEngine {
         id: format!("engine-{n:05}").into(),
-        data_centre: format!("place-{}", n % PLACES).into(),
-        accelerator: kinds[n / PLACES % kinds.len()].into(),
+        data_centre: format!("place-{}", n % DATA_CENTRES).into(),
+        accelerator: kinds[n / DATA_CENTRES % kinds.len()].into(),
         layers: None,
         movable: true,
     };
-    (0..engines).map(seat).collect()
+    (0..engines).map(placed).collect()
 }
 
 fn model() -> Model {
-    let card = |memory_mb, step_factor, read_factor| Accelerator {
+    let accelerator = |memory_mb, step_factor, prefill| Accelerator {
         memory_mb,
         step_factor,
-        prefill_factor: read_factor,
+        prefill_factor: prefill,
     };
     Model {
         layers: 80,
@@ -278,15 +282,15 @@
         activation_mb: 0.0295,
         wan_mb_s: 650.0,
         accelerators: [
-            ("large".to_string(), card(72_000.0, 1.4, 1.0)),
-            ("medium".to_string(), card(36_000.0, 3.1, 3.2)),
-            ("small".to_string(), card(22_000.0, 16.0, 8.2)),
-            ("tiny".to_string(), card(14_400.0, 15.0, 15.0)),
+            ("large".to_string(), accelerator(72_000.0, 1.4, 1.0)),
+            ("medium".to_string(), accelerator(36_000.0, 3.1, 3.2)),
+            ("small".to_string(), accelerator(22_000.0, 16.0, 8.2)),
+            ("tiny".to_string(), accelerator(14_400.0, 15.0, 15.0)),
         ]
         .into(),
     }
 }
 
-fn millis(since: Instant) -> f64 {
+fn elapsed_ms(since: Instant) -> f64 {
     since.elapsed().as_secs_f64() * 1e3
 }
--- a/crates/bench/src/fit.rs
+++ b/crates/bench/src/fit.rs
@@ -1,13 +1,14 @@
-//! Straight lines through measurements.
+//! Linear regression.
 
 /// A fitted line.
 #[derive(Clone, Copy, Debug)]
 pub struct Line {
     /// Value at 0.
     pub base: f64,
-    /// Growth a unit.
+    /// Increase per unit.
     pub slope: f64,
-    /// Share of the values' variance that the line explains.
+    /// Coefficient of determination (R²): the share of the variance that the line
+    /// explains.
     pub fit: f64,
 }
 
--- a/crates/bench/src/lib.rs
+++ b/crates/bench/src/lib.rs
@@ -1,4 +1,6 @@
-//! Load tool: boxes as processes, stand-ins in this process, open-loop load.
+//! Benchmarks of fleets and of single parts. Boxes run as processes of their own,
+//! the stand-ins in this process. The policy experiments send open-loop load, except
+//! `recovery`.
 
 #![warn(missing_docs)]
 #![forbid(unsafe_code)]
--- a/crates/bench/src/load.rs
+++ b/crates/bench/src/load.rs
@@ -1,4 +1,4 @@
-//! Open-loop load: arrivals that do not wait for answers, from a seed.
+//! Open-loop load: seeded random arrivals that do not wait for responses.
 
 use std::time::{Duration, Instant};
 
@@ -6,43 +6,44 @@
 use rand::{Rng, SeedableRng};
 use tokio::sync::mpsc;
 
-use crate::call::{Ask, Seen, ask};
+use crate::call::{StreamRequest, StreamResult, send};
 use crate::world::World;
 
-/// One team's part of the load.
+/// Load of one team.
 #[derive(Clone, Debug)]
 pub struct Source {
-    /// Number of the team.
+    /// Index of the team.
     pub team: usize,
-    /// Bearer key.
+    /// Bearer key of the team.
     pub key: String,
-    /// Requests a second.
+    /// Requests per second.
     pub rate: f64,
-    /// When it starts and ends; all the time if not given.
+    /// Start and end of the load, from the start of the run; `None` for the whole
+    /// run.
     pub span: Option<(Duration, Duration)>,
-    /// Share of its requests that go to box 0; the rest go anywhere.
+    /// Share of the requests that go to box 0; the others go to random boxes.
     pub skew: f64,
-    /// Bytes of the prompt.
+    /// Length of the prompt, in bytes.
     pub prompt: usize,
-    /// Tokens wanted.
+    /// Number of tokens to generate.
     pub tokens: u32,
-    /// Longest time of a request.
+    /// Time-out of a request.
     pub timeout: Duration,
 }
 
-/// What came of a load.
+/// Results of a load.
 #[derive(Debug, Default)]
-pub struct Outcome {
-    /// Every request.
-    pub seen: Vec<Seen>,
-    /// Every token: team and time.
+pub struct LoadResult {
+    /// Result of every request.
+    pub seen: Vec<StreamResult>,
+    /// Team and arrival time of every token.
     pub tokens: Vec<(usize, Instant)>,
 }
 
-/// Sends load for `time` and waits until all of it is over.
-pub async fn run(world: &World, sources: &[Source], time: Duration, seed: u64) -> Outcome {
+/// Sends load for `time` and waits until all requests have ended.
+pub async fn run(world: &World, sources: &[Source], time: Duration, seed: u64) -> LoadResult {
     let mut rng = SmallRng::seed_from_u64(seed);
-    let (tokens, mut came) = mpsc::unbounded_channel();
+    let (tokens, mut arrived) = mpsc::unbounded_channel();
     let mut tasks = tokio::task::JoinSet::new();
     let began = tokio::time::Instant::now();
     for (at, n) in arrivals(&mut rng, sources, time) {
@@ -55,7 +56,7 @@
             rng.random_range(0..boxes)
         };
         let addr = world.boxes[node].caller.clone();
-        let call = Ask {
+        let call = StreamRequest {
             team: source.team,
             key: source.key.clone(),
             prompt: "p".repeat(source.prompt),
@@ -66,21 +67,22 @@
         let due = began + at;
         tasks.spawn(async move {
             tokio::time::sleep_until(due).await;
-            ask(addr, call, Some(live)).await
+            send(addr, call, Some(live)).await
         });
     }
     drop(tokens);
-    let mut outcome = Outcome::default();
+    let mut result = LoadResult::default();
     while let Some(seen) = tasks.join_next().await {
-        outcome.seen.extend(seen);
+        result.seen.extend(seen);
     }
-    while let Some(token) = came.recv().await {
-        outcome.tokens.push(token);
+    while let Some(token) = arrived.recv().await {
+        result.tokens.push(token);
     }
-    outcome
+    result
 }
 
-/// Poisson arrivals of every source, as offsets from the start.
+/// Returns Poisson arrivals of all sources in order: offset from the start, and
+/// index of the source.
 fn arrivals(rng: &mut SmallRng, sources: &[Source], time: Duration) -> Vec<(Duration, usize)> {
     let mut all = Vec::new();
     for (n, source) in sources.iter().enumerate() {
--- a/crates/bench/src/sample.rs
+++ b/crates/bench/src/sample.rs
@@ -1,4 +1,4 @@
-//! Members, tables, requests and messages of any size, for the slopes.
+//! Member lists, tables, requests and messages of given sizes, for the slopes.
 
 use std::sync::Arc;
 use std::time::Duration;
@@ -11,15 +11,16 @@
 use ashgauge::table::{Cell, Change, Edit, MAX_EDITS, Table};
 use ashgauge::{Config, Event, Node};
 
-/// Layers of each model.
+/// Number of layers of each model.
 pub const LAYERS: Layer = 32;
 
-/// A node that knows the list and a table of so many teams.
+/// Creates a node that has received the member list and a table with `teams`
+/// teams.
 pub fn node(list: MemberList, teams: usize) -> Node {
     let mut config = Config::new("box-0", 1);
     config.max_requests = 100_000;
     let mut node = Node::new(config);
-    let content = ObjectValue::Table(Arc::new(table_of(teams)));
+    let content = ObjectValue::Table(Arc::new(table_with_teams(teams)));
     node.handle(
         Duration::ZERO,
         Event::Read(ObjectKey::Table, Some((1, Some(content)))),
@@ -28,8 +29,8 @@
     node
 }
 
-/// A request of the first team for the first model.
-pub fn order(id: u64, tokens: u32) -> IncomingRequest {
+/// Creates a request of the first team for the first model.
+pub fn request(id: u64, tokens: u32) -> IncomingRequest {
     IncomingRequest {
         id,
         key_hash: hash_key("team-0"),
@@ -44,8 +45,9 @@
     }
 }
 
-/// Engines of `models` models, each holding a quarter of the layers.
-pub fn list_of(boxes: usize, engines: usize, models: usize, peer: &str) -> MemberList {
+/// Creates a member list of boxes and of engines of `models` models. Each engine
+/// holds a quarter of the layers.
+pub fn member_list(boxes: usize, engines: usize, models: usize, peer: &str) -> MemberList {
     let node = |n: usize| BoxEntry {
         id: format!("box-{n}").into(),
         peer_addr: peer.into(),
@@ -73,8 +75,8 @@
     }
 }
 
-/// A table with a full history.
-pub fn table_of(teams: usize) -> Table {
+/// Creates a table with `teams` teams and the maximum number of past edits.
+pub fn table_with_teams(teams: usize) -> Table {
     let text = |s: &str| Cell::Text(s.into());
     let mut table = Table::default();
     let mut add = |row: String, cells: Vec<(&str, Cell)>| {
@@ -121,8 +123,8 @@
     table
 }
 
-/// Bytes of a message with its envelope.
-pub fn envelope(body: Message) -> usize {
+/// Returns the size of a message with its envelope, in bytes of JSON.
+pub fn envelope_size(body: Message) -> usize {
     let message = Envelope {
         from: "box-123".into(),
         addr: "10.200.100.100:7200".into(),
@@ -132,7 +134,7 @@
     serde_json::to_vec(&message).map_or(0, |v| v.len())
 }
 
-/// A key as callers would make it.
-pub fn uuid(n: u64) -> String {
+/// Returns a key in the form that callers use: a UUID version 7 under a prefix.
+pub fn idempotency_key(n: u64) -> String {
     format!("payroll/0193b7a1-7c1e-7000-8000-{n:012x}")
 }
--- a/crates/bench/src/slopes.rs
+++ b/crates/bench/src/slopes.rs
@@ -1,11 +1,13 @@
-//! Costs at several sizes.
+//! Costs of single parts at several sizes.
 
 use std::hint::black_box;
 use std::sync::Arc;
 use std::sync::atomic::{AtomicU64, Ordering};
 use std::time::{Duration, Instant};
 
-use crate::sample::{LAYERS, envelope, list_of, node, order, table_of, uuid};
+use crate::sample::{
+    LAYERS, envelope_size, idempotency_key, member_list, node, request, table_with_teams,
+};
 use ashgauge::claim::{self, ClaimAction, Claims, StoredShard, WriteResult};
 use ashgauge::member::MemberList;
 use ashgauge::message::{Envelope, Message};
@@ -19,7 +21,7 @@
 use tokio::io::{AsyncReadExt, AsyncWriteExt};
 use tokio::net::{TcpListener, TcpStream};
 
-/// A size and what it costs.
+/// A size and the cost at that size.
 pub type Point = (f64, f64);
 
 const ENGINES_OF_MODEL: [usize; 5] = [12, 24, 43, 86, 172];
@@ -30,64 +32,68 @@
 const KEYS: [usize; 5] = [100, 500, 2000, 5000, 9000];
 const REPEATS: usize = 200;
 
-/// Microseconds of processor time per request (arrival, choice, end), with
-/// one token, by engines that hold the model.
+/// Measures the time per request with one token (arrival, selection, end), in
+/// microseconds, by the number of engines that hold the model.
 pub fn dispatch() -> Vec<Point> {
-    let cost = |engines| (engines as f64, per_request(engines, 1));
+    let cost = |engines| (engines as f64, request_time(engines, 1));
     ENGINES_OF_MODEL.into_iter().map(cost).collect()
 }
 
-/// Microseconds per request by its number of stage orders.
+/// Measures the time per request, in microseconds, by its number of stage
+/// orders.
 pub fn order_cost() -> Vec<Point> {
-    let cost = |tokens: u32| (f64::from(tokens * 4), per_request(43, tokens));
+    let cost = |tokens: u32| (f64::from(tokens * 4), request_time(43, tokens));
     ORDERS.into_iter().map(cost).collect()
 }
 
-/// Microseconds of one tick, by requests in flight.
+/// Measures the time of one tick, in microseconds, by requests in flight.
 pub fn tick() -> Vec<Point> {
     INFLIGHT
         .into_iter()
-        .map(|n| (n as f64, tick_of(n)))
+        .map(|n| (n as f64, tick_time(n)))
         .collect()
 }
 
-/// Bytes of the platform's list, and microseconds to take it, by members.
+/// Measures the size of the member list, in bytes, and the time to parse and
+/// apply it, in microseconds, by members.
 pub fn listing() -> (Vec<Point>, Vec<Point>) {
     let mut bytes = Vec::new();
     let mut times = Vec::new();
     for (boxes, engines) in MEMBERS {
         let members = (boxes + engines) as f64;
-        let list = list_of(boxes, engines, 20, "127.0.0.1:7000");
+        let list = member_list(boxes, engines, 20, "127.0.0.1:7000");
         let text = serde_json::to_vec(&list).unwrap_or_default();
         bytes.push((members, text.len() as f64));
         let mut node = node(list, 10);
-        let took = timed(REPEATS, || {
+        let elapsed = median_us(REPEATS, || {
             let list: MemberList = serde_json::from_slice(&text).unwrap_or_default();
             black_box(node.handle(Duration::from_secs(2), Event::Listed(list)));
         });
-        times.push((members, took));
+        times.push((members, elapsed));
     }
     (bytes, times)
 }
 
-/// Bytes of the stored table, and microseconds to take a new version.
+/// Measures the size of the stored table, in bytes, and the time to parse and
+/// compile a new version, in microseconds, by teams.
 pub fn table() -> (Vec<Point>, Vec<Point>) {
     let mut bytes = Vec::new();
     let mut times = Vec::new();
     for teams in TEAMS {
-        let table = table_of(teams);
+        let table = table_with_teams(teams);
         let text = serde_json::to_vec(&table).unwrap_or_default();
         bytes.push((teams as f64, text.len() as f64));
-        let took = timed(20, || {
+        let elapsed = median_us(20, || {
             let table: Table = serde_json::from_slice(&text).unwrap_or_default();
             black_box(Policy::new(1, &table));
         });
-        times.push((teams as f64, took));
+        times.push((teams as f64, elapsed));
     }
     (bytes, times)
 }
 
-/// Bytes of a claims shard, and microseconds of one commit of ten claims.
+/// Measures the size of a claims shard, in bytes, and the time of one commit of
+/// ten claims, in microseconds, by keys in the shard.
 pub fn claims() -> (Vec<Point>, Vec<Point>) {
     let mut bytes = Vec::new();
     let mut times = Vec::new();
@@ -99,34 +105,35 @@
                 state: claim::ClaimState::Done,
                 claimed_at: 1_796_213_548,
             };
-            entries.keys.insert(uuid(n as u64), entry);
+            entries.keys.insert(idempotency_key(n as u64), entry);
         }
         let text = serde_json::to_vec(&entries).unwrap_or_default();
         bytes.push((keys as f64, text.len() as f64));
-        times.push((keys as f64, commit(&entries)));
+        times.push((keys as f64, commit_time(&entries)));
     }
     (bytes, times)
 }
 
-/// Bytes of an ask for loans, by teams in it.
-pub fn limits() -> Vec<Point> {
+/// Measures the size of a request for rate-limit loans, in bytes, by teams in it.
+pub fn loan_requests() -> Vec<Point> {
     let size = |teams: usize| {
         let wants = (0..teams).map(|n| (format!("team-{n}").into(), 123.456_789));
         let body = Message::RequestLoans {
             wants: wants.collect(),
             asked_us: 123_456_789,
         };
-        (teams as f64, envelope(body) as f64)
+        (teams as f64, envelope_size(body) as f64)
     };
     [1, 4, 16, 64].map(size).to_vec()
 }
 
-/// Bytes on the wire both ways, by bytes of the message.
+/// Measures the bytes on the wire in both directions, by the size of the message
+/// in bytes.
 pub async fn wire() -> Result<Vec<Point>> {
     let (addr, _server) = peer::serve("127.0.0.1:0", PEER, |_| {})
         .await
         .map_err(|e| eyre!(e))?;
-    let (relay, count) = counting(addr.to_string()).await?;
+    let (relay, count) = counting_relay(addr.to_string()).await?;
     let peers = peer::PeerClient::new(PEER);
     let mut points = Vec::new();
     for teams in [1usize, 8, 32, 128] {
@@ -155,15 +162,15 @@
     Ok(points)
 }
 
-/// A real box without load, among so many members and teams: processor time,
-/// memory, and bytes a second to platform and peers.
+/// Measures a real box without load, by members and teams: CPU time, memory, and
+/// bytes per second to the platform and to peers.
 pub async fn idle_box() -> Result<Vec<(String, Vec<Point>)>> {
     let mut cpu = Vec::new();
     let mut memory = Vec::new();
     let mut platform = Vec::new();
     let mut peers = Vec::new();
     for ((boxes, engines), teams) in MEMBERS.into_iter().zip(TEAMS) {
-        let cost = idle(boxes, engines, teams).await?;
+        let cost = idle_cost(boxes, engines, teams).await?;
         let members = (boxes + engines) as f64;
         cpu.push((members, cost.cpu));
         memory.push((members, cost.memory));
@@ -184,47 +191,47 @@
     ])
 }
 
-/// A real box under a closed loop of streams over four engines that take no
-/// time: microseconds of processor time a second by stage orders a second,
-/// and resident megabytes by streams.
+/// Measures a real box under a fixed number of concurrent streams, over four
+/// engines without run time: CPU time in microseconds per second by stage orders
+/// per second, and resident memory in MiB by streams.
 pub async fn busy_box() -> Result<(Vec<Point>, Vec<Point>)> {
     let (mut times, mut memory) = (Vec::new(), Vec::new());
     for streams in [2usize, 8, 32, 128] {
-        let world = crate::world::Small::start().await?;
+        let world = crate::world::SingleBox::start().await?;
         let tokens = 40_000 / streams as u32;
         let before = cpu_time(world.process.id())?;
         let began = Instant::now();
         let mut tasks = tokio::task::JoinSet::new();
         for _ in 0..streams {
-            let call = crate::call::Ask {
+            let call = crate::call::StreamRequest {
                 team: 0,
                 key: "team-0".into(),
                 prompt: "p".repeat(32),
                 tokens: tokens.min(4000),
                 timeout: Duration::from_secs(50),
             };
-            tasks.spawn(crate::call::ask(world.caller.clone(), call, None));
+            tasks.spawn(crate::call::send(world.caller.clone(), call, None));
         }
         let mut orders = 0;
         while let Some(seen) = tasks.join_next().await {
             orders += seen?.tokens.len() * 4;
         }
-        let took = began.elapsed().as_secs_f64();
+        let elapsed = began.elapsed().as_secs_f64();
         let cpu = cpu_time(world.process.id())? - before;
-        times.push((orders as f64 / took, cpu * 1e6 / took));
+        times.push((orders as f64 / elapsed, cpu * 1e6 / elapsed));
         memory.push((streams as f64, resident(world.process.id())?));
     }
     Ok((times, memory))
 }
 
-/// Bytes that a node holds for each request in flight.
+/// Measures the memory that a node uses, in bytes, by requests in flight.
 pub fn request_memory() -> Vec<Point> {
     let size = |inflight: usize| {
-        let mut node = node(list_of(8, 40, 1, "127.0.0.1:7000"), 10);
+        let mut node = node(member_list(8, 40, 1, "127.0.0.1:7000"), 10);
         let now = Duration::from_secs(10);
         let before = resident(std::process::id()).unwrap_or(0.0);
         for id in 0..inflight as u64 {
-            black_box(node.handle(now, Event::RequestArrived(order(id + 1, 16))));
+            black_box(node.handle(now, Event::RequestArrived(request(id + 1, 16))));
         }
         let after = resident(std::process::id()).unwrap_or(0.0);
         (inflight as f64, (after - before) * 1024.0 * 1024.0)
@@ -239,16 +246,21 @@
     peers: f64,
 }
 
-async fn idle(boxes: usize, engines: usize, teams: usize) -> Result<Cost> {
+async fn idle_cost(boxes: usize, engines: usize, teams: usize) -> Result<Cost> {
     let listener = TcpListener::bind("127.0.0.1:0").await?;
     let store = listener.local_addr()?.to_string();
     tokio::spawn(standin::platform::serve(listener));
-    let (platform, to_platform) = counting(store.clone()).await?;
-    let sunk = peer::serve("127.0.0.1:0", PEER, |_| {}).await;
-    let (sink, _server) = sunk.map_err(|e| eyre!(e))?;
-    let (sink, to_peers) = counting(sink.to_string()).await?;
-    crate::world::put(&store, "/v1/objects/table?version=0", &table_of(teams)).await?;
-    let list = list_of(boxes, engines, 20, &sink);
+    let (platform, to_platform) = counting_relay(store.clone()).await?;
+    let peer_server = peer::serve("127.0.0.1:0", PEER, |_| {}).await;
+    let (peer_addr, _server) = peer_server.map_err(|e| eyre!(e))?;
+    let (peer_addr, to_peers) = counting_relay(peer_addr.to_string()).await?;
+    crate::world::put(
+        &store,
+        "/v1/objects/table?version=0",
+        &table_with_teams(teams),
+    )
+    .await?;
+    let list = member_list(boxes, engines, 20, &peer_addr);
     crate::world::put(&store, "/admin/members", &list).await?;
     let dir = std::env::temp_dir();
     let file = |name: &str, text: &str| {
@@ -265,18 +277,22 @@
     let path = file("box", &settings.to_string())?.display().to_string();
     let mut process = Process::start("ashgauged", &["--settings".into(), path])?;
     let line: Value = serde_json::from_str(&process.line()?)?;
-    let desk =
+    let operator_client =
         operator::OperatorClient::new(line["operator"].as_str().unwrap_or_default(), OPERATOR);
     proof::wait_until("all members", || async {
-        let status = desk.status().await.ok()?;
+        let status = operator_client.status().await.ok()?;
         (status.upstreams.len() == engines && status.version > 0).then_some(())
     })
     .await?;
     tokio::time::sleep(Duration::from_secs(2)).await;
     let span = Duration::from_secs(8);
-    let (cpu, a, b) = (cpu_time(process.id())?, load(&to_platform), load(&to_peers));
+    let (cpu, a, b) = (
+        cpu_time(process.id())?,
+        read_counter(&to_platform),
+        read_counter(&to_peers),
+    );
     tokio::time::sleep(span).await;
-    let per_second = |count: &AtomicU64, before: u64| (load(count) - before) as f64 / 8.0;
+    let per_second = |count: &AtomicU64, before: u64| (read_counter(count) - before) as f64 / 8.0;
     Ok(Cost {
         cpu: (cpu_time(process.id())? - cpu) / span.as_secs_f64() * 100.0,
         memory: resident(process.id())?,
@@ -285,11 +301,12 @@
     })
 }
 
-fn load(count: &AtomicU64) -> u64 {
+fn read_counter(count: &AtomicU64) -> u64 {
     count.load(Ordering::Relaxed)
 }
 
-/// Seconds of processor time of a process.
+/// Returns the CPU time of a process, user and system, in seconds. Assumes 100
+/// clock ticks per second.
 pub fn cpu_time(id: u32) -> Result<f64> {
     let stat = std::fs::read_to_string(format!("/proc/{id}/stat"))?;
     let rest = stat.rsplit(')').next().unwrap_or_default();
@@ -300,7 +317,7 @@
         .ok_or_else(|| eyre!("no times of process {id}"))
 }
 
-/// Resident megabytes of a process.
+/// Returns the resident memory of a process, in MiB.
 pub fn resident(id: u32) -> Result<f64> {
     let status = std::fs::read_to_string(format!("/proc/{id}/status"))?;
     let line = status.lines().find_map(|l| l.strip_prefix("VmRSS:"));
@@ -310,8 +327,9 @@
         .ok_or_else(|| eyre!("no memory of process {id}"))
 }
 
-/// A relay that counts the bytes of both ways.
-async fn counting(to: String) -> Result<(String, Arc<AtomicU64>)> {
+/// Starts a TCP relay to `to`. Returns its address and a counter of the bytes in
+/// both directions.
+async fn counting_relay(to: String) -> Result<(String, Arc<AtomicU64>)> {
     let listener = TcpListener::bind("127.0.0.1:0").await?;
     let addr = listener.local_addr()?.to_string();
     let count = Arc::new(AtomicU64::new(0));
@@ -344,30 +362,30 @@
     }
 }
 
-fn per_request(engines: usize, tokens: u32) -> f64 {
-    let mut node = node(list_of(8, engines, 1, "127.0.0.1:7000"), 10);
+fn request_time(engines: usize, tokens: u32) -> f64 {
+    let mut node = node(member_list(8, engines, 1, "127.0.0.1:7000"), 10);
     let mut now = Duration::from_secs(10);
     let mut id = 0;
-    timed((20_000 / tokens as usize).clamp(20, 2000), || {
+    median_us((20_000 / tokens as usize).clamp(20, 2000), || {
         id += 1;
         now += Duration::from_millis(1);
-        drive(&mut node, now, id, tokens);
+        run_request(&mut node, now, id, tokens);
     })
 }
 
-/// Runs one request to its end; the engines answer at once.
-fn drive(node: &mut Node, now: Duration, id: u64, tokens: u32) {
-    let mut events = vec![Event::RequestArrived(order(id, tokens))];
+/// Runs one request to its end with engines that answer at once.
+fn run_request(node: &mut Node, now: Duration, id: u64, tokens: u32) {
+    let mut events = vec![Event::RequestArrived(request(id, tokens))];
     while let Some(event) = events.pop() {
         for action in node.handle(now, event) {
             if let Action::Run(run) = action {
-                events.push(Event::StageDone(answer(&run)));
+                events.push(Event::StageDone(stage_result(&run)));
             }
         }
     }
 }
 
-fn answer(run: &StageRun) -> StageResult {
+fn stage_result(run: &StageRun) -> StageResult {
     let outputs = run.inputs.clone();
     let token = (run.end == LAYERS).then(|| Token {
         id: 1,
@@ -385,22 +403,22 @@
     }
 }
 
-fn tick_of(inflight: usize) -> f64 {
-    let mut node = node(list_of(8, 40, 1, "127.0.0.1:7000"), 10);
+fn tick_time(inflight: usize) -> f64 {
+    let mut node = node(member_list(8, 40, 1, "127.0.0.1:7000"), 10);
     let now = Duration::from_secs(10);
     for id in 0..inflight as u64 {
-        black_box(node.handle(now, Event::RequestArrived(order(id + 1, 16))));
+        black_box(node.handle(now, Event::RequestArrived(request(id + 1, 16))));
     }
-    timed(REPEATS, || {
+    median_us(REPEATS, || {
         black_box(node.handle(now, Event::Tick));
     })
 }
 
-fn commit(entries: &StoredShard) -> f64 {
+fn commit_time(entries: &StoredShard) -> f64 {
     let config = Config::new("box-1", 1).claims;
     let mut now = Duration::from_secs(1);
     let mut n = 0;
-    timed(10, || {
+    median_us(10, || {
         let mut claims = Claims::new(claim::Config {
             shards: 1,
             ..config.clone()
@@ -421,8 +439,9 @@
     })
 }
 
-/// Microseconds of one call, the median of three rounds.
-fn timed(repeats: usize, mut call: impl FnMut()) -> f64 {
+/// Returns the time of one call in microseconds: the median of three rounds of
+/// `repeats` calls.
+fn median_us(repeats: usize, mut call: impl FnMut()) -> f64 {
     let mut rounds: Vec<f64> = (0..3)
         .map(|_| {
             let began = Instant::now();
--- a/crates/bench/src/world.rs
+++ b/crates/bench/src/world.rs
@@ -1,5 +1,5 @@
-//! The fleet under load: 40 engines of 4 speeds on links that differ a
-//! hundredfold and 3 services in this process, boxes as processes.
+//! The fleet under load: 40 engines of 4 speeds behind links whose delays differ
+//! a hundredfold, and 3 services, all in this process; boxes run as processes.
 
 use std::net::SocketAddr;
 use std::path::PathBuf;
@@ -24,10 +24,10 @@
 
 use crate::bound::{Capacity, bound};
 
-/// Layers of the model.
+/// Number of layers of the model.
 pub const LAYERS: u32 = 32;
 
-/// Times that the four kinds of engine take for their layers.
+/// Time that each of the four kinds of engine takes for a quarter of the layers.
 const SPEEDS: [Duration; 4] = [
     Duration::from_millis(20),
     Duration::from_millis(40),
@@ -35,67 +35,68 @@
     Duration::from_millis(160),
 ];
 
-/// One-way delays of the links, in milliseconds; 0 is the bare loopback, about
-/// a tenth of a millisecond with the relay.
+/// One-way delays of the links, in milliseconds. A delay of 0 is the loopback
+/// alone, about a tenth of a millisecond with the relay.
 const DELAYS: [u64; 5] = [0, 1, 2, 5, 10];
 
-/// Orders that an engine runs at the same time.
+/// Number of orders that an engine runs concurrently.
 pub const SLOTS: usize = 4;
 
-/// One team's row.
+/// A team of the table.
 #[derive(Clone, Debug)]
 pub struct Team {
-    /// Name, and bearer key.
+    /// Name of the team, also used as its bearer key.
     pub name: String,
-    /// Tier: 0 goes first.
+    /// Rank of the team's tier; 0 has priority.
     pub rank: u32,
     /// Weight within the tier.
     pub weight: f64,
-    /// Limit in tokens a second.
+    /// Rate limit in tokens per second.
     pub rate: Option<f64>,
 }
 
-/// A box.
+/// A running box.
 pub struct Node {
     /// The process.
     pub process: Process,
-    /// Callers' port.
+    /// Address of the caller port.
     pub caller: String,
-    /// Operators' port.
+    /// Address of the operator port.
     pub operator: String,
-    /// Mode of the link before its box-to-box port.
+    /// Sets the faults of the link to the box-to-box port.
     pub link: Arc<watch::Sender<Mode>>,
 }
 
-/// An engine.
+/// A running engine.
 pub struct Engine {
-    /// Name.
+    /// Id of the engine.
     pub id: String,
-    /// Mode of its link.
+    /// Sets the faults of the link to the engine.
     pub link: Arc<watch::Sender<Mode>>,
-    /// Delay of its link.
+    /// One-way delay of the link, in milliseconds.
     pub delay: u64,
-    /// What it can do.
+    /// Layers and speed.
     pub capacity: Capacity,
-    /// Microseconds that its slots were busy.
+    /// Counter of the microseconds that the engine's slots were busy.
     pub busy: Arc<AtomicU64>,
-    /// Kind, 0 for the quickest.
+    /// Index of the kind of engine; 0 is the fastest.
     pub kind: usize,
 }
 
-/// All of it.
+/// A running fleet.
 pub struct World {
-    /// Boxes.
+    /// The boxes.
     pub boxes: Vec<Node>,
-    /// Engines.
+    /// The engines.
     pub engines: Vec<Engine>,
-    /// Positions a second that the hardware allows.
+    /// Upper bound of the throughput, in positions per second.
     pub bound: f64,
     folder: Folder,
 }
 
 impl World {
-    /// Starts a fleet of `boxes` with these teams and settings.
+    /// Starts a fleet of `boxes` boxes with these teams and settings, and waits until
+    /// every box is ready and knows all 43 upstreams.
     pub async fn start(boxes: usize, teams: &[Team], settings: &Value) -> Result<Self> {
         let folder = Folder::new("bench")?;
         let (listener, platform) = listen().await?;
@@ -122,7 +123,7 @@
         put(&platform, "/admin/members", &listing).await?;
         for node in &world.boxes {
             wait_until("a ready box", || async {
-                let status = node.desk().status().await.ok()?;
+                let status = node.operator_client().status().await.ok()?;
                 (status.ready && status.upstreams.len() >= 43).then_some(())
             })
             .await?;
@@ -130,7 +131,12 @@
         Ok(world)
     }
 
-    async fn add_box(&self, n: usize, platform: &str, more: &Value) -> Result<(Node, BoxEntry)> {
+    async fn add_box(
+        &self,
+        n: usize,
+        platform: &str,
+        overrides: &Value,
+    ) -> Result<(Node, BoxEntry)> {
         let id = format!("box-{n}");
         let mut settings = json!({
             "id": id, "data_centre": "talca", "platform": platform,
@@ -140,8 +146,8 @@
             "log": "error",
             "threads": 1,
         });
-        if let (Value::Object(all), Value::Object(more)) = (&mut settings, more) {
-            all.extend(more.clone());
+        if let (Value::Object(all), Value::Object(overrides)) = (&mut settings, overrides) {
+            all.extend(overrides.clone());
         }
         let file = self.file(&id, &settings.to_string())?;
         let args = ["--settings".to_string(), file.display().to_string()];
@@ -175,15 +181,15 @@
     }
 }
 
-/// One box and four engines that take no time.
-pub struct Small {
+/// One box and four engines without run time.
+pub struct SingleBox {
     /// The box.
     pub process: Process,
-    /// Its callers' port.
+    /// Address of the box's caller port.
     pub caller: String,
 }
 
-impl Small {
+impl SingleBox {
     /// Starts the box and waits until it is ready.
     pub async fn start() -> Result<Self> {
         let (listener, platform) = listen().await?;
@@ -227,25 +233,30 @@
         listing.boxes.push(entry);
         put(&platform, "/admin/members", &listing).await?;
         wait_until("a ready box", || async {
-            node.desk().status().await.ok()?.ready.then_some(())
+            node.operator_client()
+                .status()
+                .await
+                .ok()?
+                .ready
+                .then_some(())
         })
         .await?;
         let Node {
             process, caller, ..
         } = node;
-        Ok(Small { process, caller })
+        Ok(SingleBox { process, caller })
     }
 }
 
 impl Node {
-    /// The operators' port.
-    pub fn desk(&self) -> OperatorClient {
+    /// Returns a client of the operator port.
+    pub fn operator_client(&self) -> OperatorClient {
         OperatorClient::new(&self.operator, OPERATOR)
     }
 }
 
-/// By how much a timer of this machine runs over, on average.
-pub async fn overrun() -> Duration {
+/// Measures by how much a timer of this machine fires late, on average.
+pub async fn timer_overrun() -> Duration {
     let mut total = Duration::ZERO;
     for _ in 0..20 {
         let began = Instant::now();
@@ -255,14 +266,15 @@
     total / 20
 }
 
-/// Ten engines a quarter of the layers, some of which hold a half.
+/// Starts ten engines for each quarter of the layers; some hold half of the
+/// layers.
 async fn engines(listing: &mut MemberList) -> Result<Vec<Engine>> {
-    let over = overrun().await;
+    let overrun = timer_overrun().await;
     let mut engines = Vec::new();
     for n in 0..40u32 {
         let quarter = n / 10;
         let speed = SPEEDS[(n % 10 * 4 / 10) as usize];
-        // The last engine of each quarter holds the neighbouring one too.
+        // The last engine of each quarter also holds the neighbouring quarter.
         let (first, end) = match (n % 10, quarter % 2) {
             (9, 0) => (quarter * 8, quarter * 8 + 16),
             (9, _) => (quarter * 8 - 8, quarter * 8 + 8),
@@ -287,12 +299,12 @@
             delay_ms: delay,
             ..Mode::default()
         };
-        let (front, link) = relay(addr, mode).await?;
+        let (relay_addr, link) = relay(addr, mode).await?;
         let id = format!("engine-{n}");
         listing
             .upstreams
-            .push(entry(&id, front, Some((first, end))));
-        let time = (speed + over).as_secs_f64();
+            .push(entry(&id, relay_addr, Some((first, end))));
+        let time = (speed + overrun).as_secs_f64();
         let rate = SLOTS as f64 * 8.0 / time;
         engines.push(Engine {
             id,
@@ -317,7 +329,8 @@
     Ok(())
 }
 
-/// An engine that holds a range of layers, or a service if there is no range.
+/// Builds the entry of an engine that holds a range of layers, or of a service if
+/// `range` is `None`.
 fn entry(id: &str, addr: SocketAddr, range: Option<(u32, u32)>) -> UpstreamEntry {
     let hold = |(first, end)| HeldLayers {
         model: "chat".into(),
@@ -388,7 +401,7 @@
     table
 }
 
-/// Sends a stand-in a JSON value.
+/// Sends a JSON value to a stand-in by `PUT`.
 pub async fn put(addr: &str, path: &str, value: &impl serde::Serialize) -> Result<()> {
     let request = Request::builder()
         .method(Method::PUT)
