--- a/crates/proof/src/folder.rs
+++ b/crates/proof/src/folder.rs
@@ -6,7 +6,7 @@
 
 use eyre::Result;
 
-/// Number of the next directory name that this process tries.
+/// Number that is part of the next directory name that this process tries.
 static NEXT_NUMBER: AtomicU64 = AtomicU64::new(0);
 
 /// A new directory in the system's temporary directory, removed with its
--- a/crates/proof/src/process.rs
+++ b/crates/proof/src/process.rs
@@ -157,7 +157,7 @@
         status
             .await?
             .code()
-            .ok_or_else(|| eyre!("the process was killed"))
+            .ok_or_else(|| eyre!("the process was killed by a signal"))
     }
 }
 
--- a/crates/proof/tests/answer.rs
+++ b/crates/proof/tests/answer.rs
@@ -73,16 +73,19 @@
         engine.set(&mode).await?;
     }
     let replies = send_concurrently(&fleet, 40, 10).await?;
-    let mut whole = 0;
+    let mut complete = 0;
     for (n, reply) in replies.iter().enumerate() {
         let expected = reference(fleet.layers, &prompt(n), 10);
         assert!(
             is_complete_or_error(reply, &expected),
             "{n}: {expected} {reply:?}"
         );
-        whole += usize::from(outcome(reply) == "done");
+        complete += usize::from(outcome(reply) == "done");
     }
-    assert!(whole >= 30, "only {whole} of 40 came whole");
+    assert!(
+        complete >= 30,
+        "only {complete} of 40 responses are complete"
+    );
     Ok(())
 }
 
@@ -178,7 +181,7 @@
     let expected = reference(fleet.layers, "broken", 300);
     assert!(
         expected.starts_with(&text_of(&reply)),
-        "a piece of another text"
+        "the text is not a prefix of the expected one"
     );
     Ok(())
 }
@@ -206,6 +209,9 @@
         killed?;
         reply
     };
-    assert!(request.is_err(), "a cut stream looked whole: {request:?}");
+    assert!(
+        request.is_err(),
+        "a cut stream looked complete: {request:?}"
+    );
     Ok(())
 }
--- a/crates/proof/tests/folders.rs
+++ b/crates/proof/tests/folders.rs
@@ -27,7 +27,9 @@
     let barrier = Barrier::new(THREADS);
     let folders = std::thread::scope(|scope| {
         let threads = [(); THREADS].map(|()| scope.spawn(|| create_folders(&barrier)));
-        let asked = threads.into_iter().map(|t| t.join().expect("a thread"));
+        let asked = threads
+            .into_iter()
+            .map(|t| t.join().expect("the thread does not panic"));
         asked.collect::<Result<Vec<_>>>()
     })?;
     let folders = folders.iter().flatten();
--- a/crates/proof/tests/layers.rs
+++ b/crates/proof/tests/layers.rs
@@ -186,7 +186,7 @@
     let request = runs(&live)
         .first()
         .cloned()
-        .ok_or_else(|| eyre!("nothing ran"))?;
+        .ok_or_else(|| eyre!("no engine ran a request"))?;
     for layer in 0..fleet.layers {
         let held = |r: &Record| matches!(r, Record::Ran { first, end, .. } if *first <= layer && layer < *end);
         let of = |all: &[Record]| all.iter().filter(|r| held(r)).cloned().collect::<Vec<_>>();
--- a/crates/proof/tests/lease.rs
+++ b/crates/proof/tests/lease.rs
@@ -89,7 +89,10 @@
         .into_iter()
         .map(|(t, _)| t)
         .collect();
-    assert!(terms.is_sorted(), "an old order was obeyed: {terms:?}");
+    assert!(
+        terms.is_sorted(),
+        "an outdated order was applied: {terms:?}"
+    );
     Ok(())
 }
 
--- a/crates/proof/tests/rest.rs
+++ b/crates/proof/tests/rest.rs
@@ -5,7 +5,7 @@
 use proof::{Fleet, Plan, outcome};
 use standin::engine::{self, Record};
 
-/// Longer than any test takes.
+/// Time in `retry-after`, in milliseconds; longer than any test runs.
 const REST_MS: u64 = 60_000;
 
 /// Rounds of requests. Together they take several times as long as a box's own back-off
@@ -41,7 +41,7 @@
         }
         if n == 0 {
             first = refusal_count(&fleet, 0)?;
-            assert!(first > 0, "none reached it");
+            assert!(first > 0, "no request reached engine 0");
         }
     }
     assert_eq!(refusal_count(&fleet, 0)?, first);
--- a/crates/standin/src/service.rs
+++ b/crates/standin/src/service.rs
@@ -29,7 +29,7 @@
 pub struct Mode {
     /// Refuse calls, as an upstream that is leaving.
     pub leaving: bool,
-    /// Milliseconds that a call takes.
+    /// Milliseconds for which each call runs.
     pub time_ms: u64,
 }
 
