--- a/crates/bench/src/claim.rs
+++ b/crates/bench/src/claim.rs
@@ -132,11 +132,13 @@
         loop {
             let actions = tokio::select! {
                 request = requests.recv() => {
-                let Some((key, id, reply)) = request else { return };
+                    let Some((key, id, reply)) = request else { return };
                     waiting.insert(id.clone(), reply);
                     claims.claim(began.elapsed(), 1, &key, &id)
                 }
-                Some(result) = completed.recv() => handle_completion(&mut claims, began.elapsed(), result),
+                Some(result) = completed.recv() => {
+                    handle_completion(&mut claims, began.elapsed(), result)
+                }
                 _ = ticks.tick() => claims.tick(began.elapsed(), 1),
             };
             for action in actions {
--- a/crates/standin/src/engine.rs
+++ b/crates/standin/src/engine.rs
@@ -104,9 +104,11 @@
 pub struct Mode {
     /// Refuse new sessions, as an upstream that is leaving.
     pub leaving: bool,
-    /// Refuse new sessions as busy, with this many milliseconds in `retry-after`; 0 disables.
+    /// Refuse new sessions as busy, with this many milliseconds in `retry-after`, which is
+    /// sent in seconds; 0 disables.
     pub rest_ms: u64,
-    /// Answer every nth order with the reply to the order before it; 0 disables.
+    /// Answer every nth order with the reply to the order before it, which is usually of
+    /// another session; 0 disables.
     pub crossed: u64,
     /// Milliseconds by which each reply is delayed.
     pub late_ms: u64,
