--- a/crates/ashctl/tests/command.rs
+++ b/crates/ashctl/tests/command.rs
@@ -1,4 +1,4 @@
-//! The command line without a fleet: help, wrong calls, exit codes.
+//! The command line without a fleet: help, usage errors and exit codes.
 
 use std::io::Write;
 use std::process::{Command, Stdio};
--- a/crates/ashgauged/tests/settings.rs
+++ b/crates/ashgauged/tests/settings.rs
@@ -1,4 +1,4 @@
-//! `ashgauged --check` names the place and the remedy.
+//! Errors of `ashgauged --check`, which name the faulty setting and the remedy.
 
 use std::path::PathBuf;
 use std::process::{Command, Output};
--- a/crates/http/tests/client.rs
+++ b/crates/http/tests/client.rs
@@ -1,4 +1,4 @@
-//! What the client keeps open.
+//! Idle connections of the client.
 
 use std::time::Duration;
 
@@ -8,16 +8,17 @@
 use tokio::net::TcpListener;
 use tokio::sync::watch;
 
-/// Servers, each of which is called once.
+/// Number of servers, each of which gets one request.
 const SERVERS: usize = 300;
 
-/// Descriptors that a client may hold for connections that rest.
+/// Maximum number of file descriptors that a client may hold for idle connections.
 const IDLE_MOST: usize = 256;
 
-/// Longest time for one answer.
+/// Timeout for one response.
 const ANSWER_MOST: Duration = Duration::from_secs(5);
 
-/// A round of orders once left a connection to each of thousands of engines open.
+/// Guards against one idle connection per server: a round of orders left a connection open to
+/// each of thousands of engines.
 #[tokio::test]
 async fn client_of_many_servers_keeps_few_connections() {
     let (_keep, stop) = watch::channel(false);
