--- a/crates/ashctl/tests/command.rs
+++ b/crates/ashctl/tests/command.rs
@@ -16,10 +16,10 @@
 }
 
 #[test]
-fn help_names_every_verb() {
+fn help_names_every_command() {
     let (code, text, _) = ashctl(&["--help"]);
     assert_eq!(code, 0);
-    let verbs = [
+    let commands = [
         "show",
         "columns",
         "set",
@@ -34,13 +34,13 @@
         "drain",
         "timeline",
     ];
-    for verb in verbs {
-        assert!(text.contains(&format!("\n  {verb} ")), "{verb}");
+    for command in commands {
+        assert!(text.contains(&format!("\n  {command} ")), "{command}");
     }
 }
 
 #[test]
-fn wrong_calls_exit_with_two_and_a_remedy() {
+fn usage_errors_exit_with_two_and_a_remedy() {
     let (code, _, text) = ashctl(&["show"]);
     assert_eq!((code, text.contains("--box")), (2, true), "{text}");
     let (code, _, text) = ashctl(&["--box", "127.0.0.1:1", "set", "a", "b"]);
--- a/crates/ashgauged/tests/settings.rs
+++ b/crates/ashgauged/tests/settings.rs
@@ -27,12 +27,12 @@
     output
 }
 
-fn refused(name: &str, settings: &Value, words: &[&str]) {
+fn assert_refused(name: &str, settings: &Value, parts: &[&str]) {
     let output = check(name, settings);
     let text = String::from_utf8_lossy(&output.stderr).to_string();
     assert_eq!(output.status.code(), Some(2), "{text}");
-    for word in words {
-        assert!(text.contains(word), "`{word}` is not in: {text}");
+    for part in parts {
+        assert!(text.contains(part), "`{part}` is not in: {text}");
     }
 }
 
@@ -48,37 +48,37 @@
 fn unknown_field_is_named() {
     let mut s = settings();
     s["timing"] = json!({"heartbeat_sec": 1});
-    refused("unknown", &s, &["heartbeat_sec", "docs/OPERATIONS.md"]);
+    assert_refused("unknown", &s, &["heartbeat_sec", "docs/OPERATIONS.md"]);
 }
 
 #[test]
 fn wrong_unit_is_named() {
     let mut s = settings();
     s["timing"] = json!({"heartbeat_ms": "1s"});
-    refused("unit", &s, &["invalid type", "line 1"]);
+    assert_refused("unit", &s, &["invalid type", "line 1"]);
 }
 
 #[test]
 fn impossible_value_is_named() {
     let mut s = settings();
     s["limits"] = json!({"body_bytes": 0});
-    refused("zero", &s, &["limits.body_bytes", "at least 1"]);
+    assert_refused("zero", &s, &["limits.body_bytes", "at least 1"]);
 }
 
 #[test]
-fn clash_of_two_settings_is_named() {
+fn conflict_of_two_settings_is_named() {
     let mut s = settings();
     s["timing"] = json!({"heartbeat_ms": 10_000, "isolation_ms": 10_000});
-    refused("clash", &s, &["timing.isolation_ms", "timing.heartbeat_ms"]);
+    assert_refused("clash", &s, &["timing.isolation_ms", "timing.heartbeat_ms"]);
     let mut s = settings();
     s["caller"] = json!("127.0.0.1:7000");
     s["operator"] = json!("127.0.0.1:7000");
-    refused("ports", &s, &["caller and operator", "port of its own"]);
+    assert_refused("ports", &s, &["caller and operator", "port of its own"]);
 }
 
 #[test]
 fn missing_credential_is_named() {
     let mut s = settings();
     s["peer_credential"] = json!({"file": "/does/not/exist"});
-    refused("credential", &s, &["peer_credential", "name a file"]);
+    assert_refused("credential", &s, &["peer_credential", "name a file"]);
 }
--- a/crates/http/tests/client.rs
+++ b/crates/http/tests/client.rs
@@ -12,17 +12,17 @@
 const SERVERS: usize = 300;
 
 /// Maximum number of file descriptors that a client may hold for idle connections.
-const IDLE_MOST: usize = 256;
+const MAX_IDLE: usize = 256;
 
 /// Timeout for one response.
-const ANSWER_MOST: Duration = Duration::from_secs(5);
+const RESPONSE_TIMEOUT: Duration = Duration::from_secs(5);
 
 /// Guards against one idle connection per server: a round of orders left a connection open to
 /// each of thousands of engines.
 #[tokio::test]
 async fn client_of_many_servers_keeps_few_connections() {
     let (_keep, stop) = watch::channel(false);
-    let client = Client::new(ANSWER_MOST);
+    let client = Client::new(RESPONSE_TIMEOUT);
     for _ in 0..SERVERS {
         let listener = TcpListener::bind("127.0.0.1:0").await.unwrap();
         let addr = listener.local_addr().unwrap().to_string();
@@ -35,10 +35,10 @@
         ));
         let request = Request::builder().header("host", &addr);
         let request = request.body(Full::<Bytes>::default()).unwrap();
-        client.send(&addr, request, ANSWER_MOST).await.unwrap();
+        client.send(&addr, request, RESPONSE_TIMEOUT).await.unwrap();
     }
     assert!(
-        client.idle_count() <= IDLE_MOST,
+        client.idle_count() <= MAX_IDLE,
         "{} connections",
         client.idle_count()
     );
