--- a/crates/http/tests/client.rs
+++ b/crates/http/tests/client.rs
@@ -1,4 +1,4 @@
-//! What the client keeps open.
+//! Idle connections of the client.
 
 use std::time::Duration;
 
@@ -8,20 +8,21 @@
 use tokio::net::TcpListener;
 use tokio::sync::watch;
 
-/// Servers, each of which is called once.
+/// Number of servers, each of which gets one request.
 const SERVERS: usize = 300;
 
-/// Descriptors that a client may hold for connections that rest.
-const IDLE_MOST: usize = 256;
+/// Maximum number of file descriptors that a client may hold for idle connections.
+const MAX_IDLE: usize = 256;
 
-/// Longest time for one answer.
-const ANSWER_MOST: Duration = Duration::from_secs(5);
+/// Timeout for one response.
+const RESPONSE_TIMEOUT: Duration = Duration::from_secs(5);
 
-/// A round of orders once left a connection to each of thousands of engines open.
+/// Guards against one idle connection per server: a round of orders left a connection open to
+/// each of thousands of engines.
 #[tokio::test]
 async fn client_of_many_servers_keeps_few_connections() {
     let (_keep, stop) = watch::channel(false);
-    let client = Client::new(ANSWER_MOST);
+    let client = Client::new(RESPONSE_TIMEOUT);
     for _ in 0..SERVERS {
         let listener = TcpListener::bind("127.0.0.1:0").await.unwrap();
         let addr = listener.local_addr().unwrap().to_string();
@@ -34,10 +35,10 @@
         ));
         let request = Request::builder().header("host", &addr);
         let request = request.body(Full::<Bytes>::default()).unwrap();
-        client.send(&addr, request, ANSWER_MOST).await.unwrap();
+        client.send(&addr, request, RESPONSE_TIMEOUT).await.unwrap();
     }
     assert!(
-        client.idle_count() <= IDLE_MOST,
+        client.idle_count() <= MAX_IDLE,
         "{} connections",
         client.idle_count()
     );
